--- a/crates/balancer/src/lib.rs
+++ b/crates/balancer/src/lib.rs
@@ -1,14 +1,14 @@
-#![doc = include_str!("../README.md")]
-#![forbid(unsafe_code)]
-#![warn(missing_docs)]
+//! The decisions of a client-side load balancer: which endpoint a request goes to, when it is retried, delayed or
+//! rejected.
+//!
+//! [`Balancer`] is a state machine: [`Balancer::handle`] takes the time and an [`Event`] and returns [`Action`]s.
+//! It does no I/O and reads no clock. The sidecar drives it with sockets, the simulator adapter with a line
+//! protocol, and the fleet model with simulated time.
 
 pub mod api;
 pub mod choice;
-#[cfg(feature = "settings")]
 pub mod settings;
 mod state;
-#[cfg(feature = "wirehost")]
-pub mod wire;
 
 pub use api::*;
 pub use choice::Balancer;
--- a/crates/balancer/tests/common/mod.rs
+++ b/crates/balancer/tests/common/mod.rs
@@ -1,7 +1,7 @@
 //! A sidecar in miniature: it keeps the clock, fires timers and remembers what is out.
 #![allow(dead_code)]
 
-use linenproxy::*;
+use lotusmoor_balancer::*;
 use std::collections::BTreeMap;
 
 pub const SAFE: ClassId = 0;
--- a/crates/balancer/tests/failures.rs
+++ b/crates/balancer/tests/failures.rs
@@ -2,7 +2,7 @@
 
 mod common;
 use common::*;
-use linenproxy::*;
+use lotusmoor_balancer::*;
 
 fn delta(rig: &mut Rig, entry: Listing) -> Vec<Action> {
     rig.event(Event::Endpoints(ListUpdate::Delta(vec![entry])))
@@ -1080,7 +1080,7 @@
 
 #[test]
 fn the_log_says_what_the_on_call_page_quotes() {
-    let page = include_str!("../README.md");
+    let page = include_str!("../../../README.md");
     let mut rig = Rig::new(settings(), 1, 1);
     used(&mut rig, 5);
     let (mut seen, mut logs) = (Vec::new(), Vec::new());
--- a/crates/balancer/tests/ordinary.rs
+++ b/crates/balancer/tests/ordinary.rs
@@ -2,7 +2,7 @@
 
 mod common;
 use common::*;
-use linenproxy::*;
+use lotusmoor_balancer::*;
 
 #[test]
 fn turns_go_round_all_endpoints() {
--- a/crates/balancer/tests/rules.rs
+++ b/crates/balancer/tests/rules.rs
@@ -2,7 +2,7 @@
 
 mod common;
 use common::*;
-use linenproxy::*;
+use lotusmoor_balancer::*;
 use std::collections::{BTreeMap, BTreeSet};
 
 struct Sent {
--- a/crates/faultshim/src/interpose.rs
+++ b/crates/faultshim/src/interpose.rs
@@ -4,7 +4,7 @@
 //! - the functions have the signatures of the C library's, and pass their arguments on to the kernel as they came;
 //! - the table is mapped once, is never unmapped, and is touched through atomics alone;
 //! - nothing here allocates, takes a lock or calls a function that stands here, so each may be called at any time.
-#![allow(clippy::missing_safety_doc, unused_unsafe)]
+#![allow(clippy::missing_safety_doc, unsafe_code, unused_unsafe)]
 
 use libc::{c_char, c_int, c_long, c_uint, c_void, iovec, mode_t, off64_t, size_t, ssize_t};
 use lotusmoor_faults::{
--- a/crates/fleet/src/harness/cluster/operators.rs
+++ b/crates/fleet/src/harness/cluster/operators.rs
@@ -132,7 +132,9 @@
     /// Breaches of rules that a sidecar itself has counted, as lines of its metrics; `None` where it does not answer.
     pub fn violations(&self, sidecar: usize) -> Option<Vec<String>> {
         let metrics = ask(self.sidecars[sidecar].management, "metrics")?;
-        let broken = |line: &&str| line.starts_with("tinflow_rule_violations_total") && !line.ends_with(" 0");
+        let broken = |line: &&str| {
+            line.starts_with("lotusmoor_sidecar_rule_violations_total") && !line.ends_with(" 0")
+        };
         Some(metrics.lines().filter(broken).map(str::to_owned).collect())
     }
 }
--- a/crates/fleet/src/harness/cluster/sidecars.rs
+++ b/crates/fleet/src/harness/cluster/sidecars.rs
@@ -134,8 +134,8 @@
         let sidecar = &self.sidecars[i];
         let library = sidecar.faults.as_ref().map(|_| self.programs.fault_library()).transpose()?;
         let (mut command, input) = match &sidecar.passed {
-            Some(listener) => hand_over::on_passed_socket(&self.programs.tinflow, listener, library)?,
-            None => (Command::new(&self.programs.tinflow), Stdio::null()),
+            Some(listener) => hand_over::on_passed_socket(&self.programs.sidecar, listener, library)?,
+            None => (Command::new(&self.programs.sidecar), Stdio::null()),
         };
         let passed: Vec<_> =
             command.get_envs().map(|(k, v)| (k.to_owned(), v.map(ToOwned::to_owned))).collect();
--- a/crates/fleet/src/harness/process.rs
+++ b/crates/fleet/src/harness/process.rs
@@ -12,7 +12,7 @@
 #[derive(Clone, Debug)]
 pub struct Programs {
     /// The sidecar.
-    pub tinflow: PathBuf,
+    pub sidecar: PathBuf,
     /// The command line, which has the stand-ins.
     pub lotusmoor: PathBuf,
     /// The library that makes system calls fail; none where it is not built.
@@ -20,7 +20,7 @@
 }
 
 impl Programs {
-    /// The ones that the build put beside this program, or that `TINFLOW` and `LOTUSMOOR` name.
+    /// The ones that the build put beside this program, or that `LOTUSMOOR_SIDECAR` and `LOTUSMOOR` name.
     pub fn find() -> io::Result<Self> {
         let own = std::env::current_exe()?;
         let folders: Vec<&Path> = own.ancestors().skip(1).take(2).collect();
@@ -33,7 +33,7 @@
             })
         };
         Ok(Self {
-            tinflow: find("tinflow", "TINFLOW")?,
+            sidecar: find("lotusmoor-sidecar", "LOTUSMOOR_SIDECAR")?,
             lotusmoor: find("lotusmoor", "LOTUSMOOR")?,
             fault_library: find("libfaultshim.so", "FAULT_LIBRARY").ok(),
         })
--- a/crates/fleet/src/lib.rs
+++ b/crates/fleet/src/lib.rs
@@ -1,7 +1,5 @@
 //! A model of a fleet of sidecars in simulated time, experiments on it, and a harness that plays real processes
 //! with faults between them. Pages: `docs/fleet.md`.
-#![forbid(unsafe_code)]
-#![warn(missing_docs)]
 
 pub mod capacity;
 pub mod chance;
@@ -16,7 +14,7 @@
 pub mod sweep;
 
 /// Microseconds: an instant on the model's clock, or a duration; the decision module's own unit.
-pub use linenproxy::Micros;
+pub use lotusmoor_balancer::Micros;
 
 /// Microseconds in a second.
 pub const SECOND: Micros = 1_000_000;
--- a/crates/fleet/src/load/mod.rs
+++ b/crates/fleet/src/load/mod.rs
@@ -62,7 +62,7 @@
             "known": {"index": 1, "snapshot": true, "endpoints": [entry]}, "settings": settings()});
         let path = folder.path().join("sidecar.json");
         std::fs::write(&path, config.to_string())?;
-        let mut command = Command::new(&programs.tinflow);
+        let mut command = Command::new(&programs.sidecar);
         command.env("LB_CONFIG", &path).env_remove("LB_LISTEN").env_remove("LB_DISCOVERY");
         let sidecar = Process::start(command, "sidecar", &folder.path().join("sidecar.log"), Some(&reaper))?;
         let cores = std::thread::available_parallelism().map_or(1, usize::from);
--- a/crates/fleet/src/model/decider.rs
+++ b/crates/fleet/src/model/decider.rs
@@ -9,7 +9,7 @@
 use super::link::Links;
 use super::server::{Fall, Machine, Server};
 use crate::Micros;
-use linenproxy::{Action, Balancer, EndpointId, Event, Outcome, Settings, SettingsError};
+use lotusmoor_balancer::{Action, Balancer, EndpointId, Event, Outcome, Settings, SettingsError};
 use std::path::PathBuf;
 use std::sync::atomic::{AtomicU64, Ordering};
 use std::sync::{Arc, Mutex};
--- a/crates/fleet/src/model/decider/adapter.rs
+++ b/crates/fleet/src/model/decider/adapter.rs
@@ -3,7 +3,7 @@
 
 use super::{Decider, Sight};
 use crate::Micros;
-use linenproxy::{Action, Event, ListUpdate, Listing, Load, Outcome, Status};
+use lotusmoor_balancer::{Action, Event, ListUpdate, Listing, Load, Outcome, Status};
 use std::io::{BufRead, BufReader, Write};
 use std::path::Path;
 use std::process::{Child, ChildStdin, ChildStdout, Command, Stdio};
--- a/crates/fleet/src/model/decider/plain.rs
+++ b/crates/fleet/src/model/decider/plain.rs
@@ -3,7 +3,7 @@
 
 use super::{Decider, Sight};
 use crate::Micros;
-use linenproxy::{
+use lotusmoor_balancer::{
     Action, AttemptEnd, DedupScope, Effect, EndpointId, Event, ListUpdate, Listing, NewRequest, Outcome,
     RequestId, Settings, Status,
 };
--- a/crates/fleet/src/model/discovery.rs
+++ b/crates/fleet/src/model/discovery.rs
@@ -2,7 +2,7 @@
 //! at a time. What it was told and when is kept, so that any reader's version can be brought up to date.
 
 use crate::Micros;
-use linenproxy::Status;
+use lotusmoor_balancer::Status;
 
 /// A server's entry as the list has it.
 #[derive(Clone, Copy, Debug, PartialEq)]
--- a/crates/fleet/src/model/rules.rs
+++ b/crates/fleet/src/model/rules.rs
@@ -2,7 +2,7 @@
 //! in which a rule could be broken unseen would prove nothing.
 
 use crate::Micros;
-use linenproxy::{DedupScope, Effect};
+use lotusmoor_balancer::{DedupScope, Effect};
 use std::collections::BTreeMap;
 
 /// An attempt as the rules see it.
--- a/crates/fleet/src/model/run/mod.rs
+++ b/crates/fleet/src/model/run/mod.rs
@@ -16,7 +16,7 @@
 use super::world::{Happening, World};
 use crate::chance::{self, stream};
 use crate::{Micros, SECOND};
-use linenproxy::{
+use lotusmoor_balancer::{
     Action, AttemptEnd, Effect, Event, ListUpdate, Listing, Load, NewRequest, Outcome, RequestId, Settings,
     SettingsError, Status,
 };
@@ -155,7 +155,7 @@
     told: usize,
     starts: u64,
     /// The list that its file has, where it rides a roster.
-    file: Option<lotusmoor_client::Known>,
+    file: Option<lotusmoor_registry_client::Known>,
     processor: Processor,
     /// A message that is no request comes so often; 0 for never.
     bad: Micros,
@@ -250,7 +250,7 @@
         let mut settings = Vec::with_capacity(world.sidecars.len());
         for i in 0..world.sidecars.len() {
             let text = world.settings_for(i).to_string();
-            let decoded = linenproxy::settings::decode(&text);
+            let decoded = lotusmoor_balancer::settings::decode(&text);
             let decoded = decoded.map_err(|_| SettingsError("not in the form that sidecars read"))?;
             settings.push(decoded.settings);
         }
--- a/crates/fleet/src/model/run/roster.rs
+++ b/crates/fleet/src/model/run/roster.rs
@@ -3,11 +3,11 @@
 
 use super::*;
 use crate::model::world::RosterSpec;
-use lotusmoor_client as client;
-use lotusmoor_client::{Known, Rider, Update, Version};
-use lotusmoor_roster::core::admission::{Admission, Admit};
-use lotusmoor_roster::core::lease::{self, Leases, Renewal};
-use lotusmoor_roster::core::list::{Command, List, Outcome as Written, Registration};
+use lotusmoor_registry::core::admission::{Admission, Admit};
+use lotusmoor_registry::core::lease::{self, Leases, Renewal};
+use lotusmoor_registry::core::list::{Command, List, Outcome as Written, Registration};
+use lotusmoor_registry_client as client;
+use lotusmoor_registry_client::{Known, Rider, Update, Version};
 
 /// What can happen about a roster. Numbers are places in its tables.
 #[derive(Clone, Copy)]
--- a/crates/fleet/src/model/world.rs
+++ b/crates/fleet/src/model/world.rs
@@ -943,7 +943,8 @@
     #[test]
     fn the_settings_are_read_by_the_decision_module() {
         let world = world(SMALL, 3);
-        let decoded = linenproxy::settings::decode(&world.settings_for(4).to_string()).expect("it is read");
+        let decoded =
+            lotusmoor_balancer::settings::decode(&world.settings_for(4).to_string()).expect("it is read");
         assert_eq!((decoded.settings.index, decoded.settings.instances), (4, 9));
         assert_eq!(decoded.settings.check(), Ok(()));
     }
--- a/crates/fleet/src/scale/deployment.rs
+++ b/crates/fleet/src/scale/deployment.rs
@@ -9,7 +9,7 @@
 use crate::harness::reaper::Reaper;
 use crate::harness::rosters::{Rosters, call};
 use crate::harness::{Process, Programs, Relay, Shape, Timeline, unused_address};
-use lotusmoor_client::Known;
+use lotusmoor_registry_client::Known;
 use serde::de::DeserializeOwned;
 use serde_json::json;
 use std::collections::BTreeMap;
@@ -242,7 +242,7 @@
         }
         let path = self.folder.path().join(format!("sidecar-{number}.json"));
         std::fs::write(&path, config.to_string())?;
-        let mut command = Command::new(&self.programs.tinflow);
+        let mut command = Command::new(&self.programs.sidecar);
         command.env_clear().env("LB_CONFIG", &path).env("LB_NAME", format!("n{number}"));
         let log = self.folder.path().join(format!("sidecar-{number}.log"));
         let process = Process::start(command, &format!("sidecar {number}"), &log, Some(&self.reaper))?;
--- a/crates/fleet/src/scale/hollow.rs
+++ b/crates/fleet/src/scale/hollow.rs
@@ -2,7 +2,7 @@
 //! and some hold the lease of a server. The run asks them over a control connection, a line of JSON each way.
 
 use super::{allow_files, monotonic};
-use lotusmoor_client::{Action, Event, Known, Micros, Rider, Settings, Update, Version};
+use lotusmoor_registry_client::{Action, Event, Known, Micros, Rider, Settings, Update, Version};
 use serde::{Deserialize, Serialize};
 use socket2::SockRef;
 use std::future::{Future, poll_fn};
--- a/crates/fleet/src/scale/module.rs
+++ b/crates/fleet/src/scale/module.rs
@@ -4,8 +4,8 @@
 use crate::load;
 use crate::{Micros, SECOND};
 use hdrhistogram::Histogram;
-use linenproxy::settings::decode;
-use linenproxy::{
+use lotusmoor_balancer::settings::decode;
+use lotusmoor_balancer::{
     Action, AttemptEnd, Balancer, Event, ListUpdate, Listing, Load, NewRequest, Outcome, RequestId, Status,
 };
 use std::cmp::Reverse;
--- a/crates/fleet/src/scale/sidecar.rs
+++ b/crates/fleet/src/scale/sidecar.rs
@@ -233,7 +233,7 @@
             "settings": load::settings()});
         let path = folder.path().join("sidecar.json");
         std::fs::write(&path, config.to_string())?;
-        let mut command = Command::new(&programs.tinflow);
+        let mut command = Command::new(&programs.sidecar);
         command.env_clear().env("LB_CONFIG", &path).env("LB_NAME", "n0");
         let log = folder.path().join("sidecar.log");
         let sidecar = Process::start(command, "sidecar", &log, Some(&reaper))?;
--- a/crates/lotusmoor/src/fleet.rs
+++ b/crates/lotusmoor/src/fleet.rs
@@ -460,7 +460,7 @@
     // Keys that no other kind of file has.
     let of_roster = ["folder", "listen", "join", "via", "[leases]", "[ages]", "[timing]"];
     if text.lines().any(|l| of_roster.iter().any(|key| l.trim_start().starts_with(key))) {
-        let config = lotusmoor_roster::config::Config::read(file)?;
+        let config = lotusmoor_registry::config::Config::read(file)?;
         println!("{}: roster, replica {}, fine", file.display(), config.id);
         return Ok(());
     }
--- a/crates/lotusmoor/src/main.rs
+++ b/crates/lotusmoor/src/main.rs
@@ -2,7 +2,7 @@
 
 mod capacity;
 mod fleet;
-mod roster;
+mod registry;
 mod scale;
 mod scale_sidecar;
 mod soak;
@@ -29,7 +29,7 @@
 
 const EXAMPLES: &str = "Examples:
   lotusmoor fleet run herd --seed 3 --policy module
-  lotusmoor roster serve
+  lotusmoor registry serve
   lotusmoor check my-scenario.toml
   lotusmoor completions bash > lotusmoor.bash
 
@@ -42,12 +42,13 @@
         #[command(subcommand)]
         command: fleet::Command,
     },
-    /// The list service, and calls to it
-    Roster {
+    /// The service registry, and calls to it
+    #[command(alias = "roster")]
+    Registry {
         #[command(subcommand)]
-        command: roster::Command,
+        command: registry::Command,
     },
-    /// Read a scenario, site, experiment, capacity plan or roster file and say what is wrong with it
+    /// Read a scenario, site, experiment, capacity plan or registry file and say what is wrong with it
     Check {
         /// The file
         file: PathBuf,
@@ -65,9 +66,9 @@
     #[error("{0}")]
     File(#[from] lotusmoor_fleet::site::FileError),
     #[error("{0}")]
-    Roster(#[from] lotusmoor_roster::process::ProcessError),
+    Registry(#[from] lotusmoor_registry::process::ProcessError),
     #[error("{0}")]
-    Config(#[from] lotusmoor_roster::config::ConfigError),
+    Config(#[from] lotusmoor_registry::config::ConfigError),
     #[error("{0}")]
     Capacity(#[from] lotusmoor_fleet::capacity::CapacityError),
     #[error("{0}")]
@@ -82,7 +83,7 @@
     }
     let done = match cli.command {
         Command::Fleet { command } => fleet::run(command),
-        Command::Roster { command } => roster::run(command),
+        Command::Registry { command } => registry::run(command),
         Command::Check { file } => fleet::check(&file),
         Command::Completions { shell } => {
             clap_complete::generate(shell, &mut Cli::command(), "lotusmoor", &mut std::io::stdout());
--- a/crates/lotusmoor/src/roster.rs
+++ b/crates/lotusmoor/src/registry.rs
@@ -1,13 +1,13 @@
-//! `lotusmoor roster`: the list service, and calls to it.
+//! `lotusmoor registry`: the service registry, and calls to it.
 
 use crate::Failure;
 use hyper::{Method, StatusCode};
-use lotusmoor_roster::config::Config;
-use lotusmoor_roster::core::services::parse;
-use lotusmoor_roster::explore::{explore, play};
-use lotusmoor_roster::http::Client;
-use lotusmoor_roster::node::unix_ms;
-use lotusmoor_roster::process;
+use lotusmoor_registry::config::Config;
+use lotusmoor_registry::core::services::parse;
+use lotusmoor_registry::explore::{explore, play};
+use lotusmoor_registry::http::Client;
+use lotusmoor_registry::node::unix_ms;
+use lotusmoor_registry::process;
 use serde_json::{Value, json};
 use std::net::SocketAddr;
 use std::path::{Path, PathBuf};
@@ -18,10 +18,10 @@
 pub enum Command {
     /// Run a replica: alone it founds a list, with --join it is taken into one
     #[command(after_help = "Examples:
-  lotusmoor roster serve
-  lotusmoor roster serve --id 2 --listen 127.0.0.1:7402 --folder roster-2 --join 127.0.0.1:7400
-  lotusmoor roster serve --config roster.toml
-  lotusmoor roster serve --folder fresh --restore roster.backup")]
+  lotusmoor registry serve
+  lotusmoor registry serve --id 2 --listen 127.0.0.1:7402 --folder roster-2 --join 127.0.0.1:7400
+  lotusmoor registry serve --config roster.toml
+  lotusmoor registry serve --folder fresh --restore roster.backup")]
     Serve {
         /// A configuration file; what is given beside it goes before it
         #[arg(long)]
@@ -74,7 +74,7 @@
     },
     /// Register a server, or change it
     #[command(after_help = "Examples:
-  lotusmoor roster register ledger-7 127.0.0.1:8443 --service ledger --zone porto --lease-ms 6000")]
+  lotusmoor registry register ledger-7 127.0.0.1:8443 --service ledger --zone porto --lease-ms 6000")]
     Register {
         #[command(flatten)]
         at: At,
@@ -111,7 +111,7 @@
     },
     /// Register a server and renew it until this is told to stop; then it is drained and removed
     #[command(after_help = "Examples:
-  lotusmoor roster keep ledger-7 127.0.0.1:8443 --service ledger --zone porto")]
+  lotusmoor registry keep ledger-7 127.0.0.1:8443 --service ledger --zone porto")]
     Keep {
         #[command(flatten)]
         at: At,
@@ -155,8 +155,8 @@
     },
     /// Play drawn schedules of faults over three replicas in simulated time, and check what must hold
     #[command(after_help = "Examples:
-  lotusmoor roster explore --schedules 3000
-  lotusmoor roster explore --seed 4711 --schedules 1 --timeline")]
+  lotusmoor registry explore --schedules 3000
+  lotusmoor registry explore --seed 4711 --schedules 1 --timeline")]
     Explore {
         /// The first seed
         #[arg(long, default_value_t = 1)]
@@ -183,8 +183,14 @@
 #[derive(clap::Args)]
 pub struct At {
     /// A replica; several, separated by commas, are tried in turn
-    #[arg(long, env = "LOTUSMOOR_ROSTER", default_value = "127.0.0.1:7400", value_delimiter = ',')]
-    roster: Vec<String>,
+    #[arg(
+        long,
+        alias = "roster",
+        env = "LOTUSMOOR_ROSTER",
+        default_value = "127.0.0.1:7400",
+        value_delimiter = ','
+    )]
+    registry: Vec<String>,
 }
 
 #[derive(clap::Args)]
@@ -413,7 +419,7 @@
     async fn call(&self, method: Method, path: &str, body: Vec<u8>) -> Result<Vec<u8>, Failure> {
         let client = Client::default();
         let mut last = String::new();
-        for at in &self.roster {
+        for at in &self.registry {
             let patience = Duration::from_secs(10);
             match client.call(method.clone(), at, path, body.clone(), patience).await {
                 Ok((StatusCode::OK, _, answer)) => return Ok(answer.to_vec()),
--- a/crates/lotusmoor/tests/command.rs
+++ b/crates/lotusmoor/tests/command.rs
@@ -137,7 +137,7 @@
 // The adapter is the project's own, so what it decides behind the wire is what the module decides in the model.
 #[test]
 fn the_module_decides_alike_in_the_model_and_behind_the_wire() {
-    let beside = Path::new(env!("CARGO_BIN_EXE_lotusmoor")).with_file_name("linenproxy-wirehost");
+    let beside = Path::new(env!("CARGO_BIN_EXE_lotusmoor")).with_file_name("lotusmoor-simulator-adapter");
     assert!(beside.is_file(), "{} is not built: build the whole workspace", beside.display());
     let digest = |policy: &str| {
         let (code, out, error) =
@@ -172,7 +172,7 @@
     };
     // A child is the same program until it has begun as its own.
     let named = |id: &u32| std::fs::read_to_string(format!("/proc/{id}/comm")).unwrap_or_default();
-    let has_sidecar = || children(child.id()).iter().any(|id| named(id).trim() == "tinflow");
+    let has_sidecar = || children(child.id()).iter().any(|id| named(id).trim() == "lotusmoor-sidec");
     wait(&has_sidecar);
     let (began, started) = (has_sidecar(), children(child.id()));
     child.kill().expect("it is killed");
--- a/crates/registry-client/tests/rider.rs
+++ b/crates/registry-client/tests/rider.rs
@@ -1,6 +1,6 @@
 //! The rider against replicas that fail, lie, lag and forget.
 
-use lotusmoor_client::{
+use lotusmoor_registry_client::{
     Action, Entry, Event, Known, Micros, Report, Rider, Settings, Status, Update, Version, Why,
 };
 use proptest::prelude::*;
--- a/crates/registry-client/tests/services.rs
+++ b/crates/registry-client/tests/services.rs
@@ -1,6 +1,6 @@
 //! Readers of some services against replicas that tell by service, and against some that don't.
 
-use lotusmoor_client::{
+use lotusmoor_registry_client::{
     Action, Entry, Event, Known, Micros, Report, Rider, Settings, Status, Update, Version, Why,
 };
 use proptest::prelude::*;
@@ -262,7 +262,7 @@
     out.iter().filter_map(|a| if let Action::Report(r) = a { Some(r) } else { None }).collect()
 }
 
-fn applied(out: &[Action]) -> Option<&lotusmoor_client::Applied> {
+fn applied(out: &[Action]) -> Option<&lotusmoor_registry_client::Applied> {
     out.iter().find_map(|a| if let Action::Apply(applied) = a { Some(applied) } else { None })
 }
 
--- a/crates/registry/src/core/lease.rs
+++ b/crates/registry/src/core/lease.rs
@@ -6,7 +6,7 @@
 
 use super::list::{Due, Kept};
 use super::{Micros, SECOND};
-use lotusmoor_client::{Status, Why};
+use lotusmoor_registry_client::{Status, Why};
 use std::collections::{BTreeMap, VecDeque};
 
 /// How leases run out.
--- a/crates/registry/src/core/list.rs
+++ b/crates/registry/src/core/list.rs
@@ -2,7 +2,7 @@
 //! by one, or it does not: every replica that has applied the same commands has the same list, to the last digit.
 
 use super::services::{self, Services};
-use lotusmoor_client::{Entry, Status, Update, Version, Why};
+use lotusmoor_registry_client::{Entry, Status, Update, Version, Why};
 use serde::{Deserialize, Serialize};
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
 
@@ -612,7 +612,7 @@
 #[cfg(test)]
 mod tests {
     use super::*;
-    use lotusmoor_client::Known;
+    use lotusmoor_registry_client::Known;
     use proptest::prelude::*;
 
     fn entry(name: &str, since_ms: i64) -> Entry {
--- a/crates/registry/src/core/services.rs
+++ b/crates/registry/src/core/services.rs
@@ -2,7 +2,7 @@
 //! of a few services are told of these alone, and of nothing that happens to others.
 
 use super::list::{Kept, chain};
-use lotusmoor_client::{Entry, Status, Why};
+use lotusmoor_registry_client::{Entry, Status, Why};
 use serde::{Deserialize, Serialize};
 use std::collections::{BTreeMap, BTreeSet};
 
--- a/crates/registry/src/core/services/tests.rs
+++ b/crates/registry/src/core/services/tests.rs
@@ -2,7 +2,7 @@
 
 use super::*;
 use crate::core::list::{Command, Due, EPOCH_SHIFT, List, Outcome, Refusal, Registration};
-use lotusmoor_client::{Known, Update};
+use lotusmoor_registry_client::{Known, Update};
 use proptest::prelude::*;
 
 fn entry(name: &str, service: Option<&str>) -> Entry {
--- a/crates/registry/src/explore/check.rs
+++ b/crates/registry/src/explore/check.rs
@@ -2,7 +2,7 @@
 //! all changes into: the checker looks whether that order fits what callers saw, and when.
 
 use super::net::Step;
-use lotusmoor_client::{Entry, Status, Version};
+use lotusmoor_registry_client::{Entry, Status, Version};
 use std::collections::BTreeMap;
 use std::fmt;
 
--- a/crates/registry/src/explore/readers.rs
+++ b/crates/registry/src/explore/readers.rs
@@ -8,7 +8,7 @@
 use crate::core::list::List;
 use crate::node::Node;
 use crate::raft::Transport;
-use lotusmoor_client::{Entry, Known, Status, Update};
+use lotusmoor_registry_client::{Entry, Known, Status, Update};
 use rand::{RngExt, SeedableRng};
 use rand_chacha::ChaCha8Rng;
 use std::collections::BTreeMap;
--- a/crates/registry/src/explore/schedule.rs
+++ b/crates/registry/src/explore/schedule.rs
@@ -9,7 +9,7 @@
 use crate::node::{Node, Settings, WriteError};
 use crate::raft::{CallError, runtime};
 use crate::store::{Format, Store};
-use lotusmoor_client::{Entry, Status, Why};
+use lotusmoor_registry_client::{Entry, Status, Why};
 use rand::{RngExt, SeedableRng};
 use rand_chacha::ChaCha8Rng;
 use std::collections::BTreeMap;
--- a/crates/registry/src/http/metrics.rs
+++ b/crates/registry/src/http/metrics.rs
@@ -2,7 +2,7 @@
 
 use crate::node::Node;
 use crate::raft::Transport;
-use lotusmoor_client::Status;
+use lotusmoor_registry_client::Status;
 use prometheus_client::encoding::text::encode;
 use prometheus_client::metrics::counter::Counter;
 use prometheus_client::metrics::family::Family;
--- a/crates/registry/src/http/operators.rs
+++ b/crates/registry/src/http/operators.rs
@@ -11,7 +11,7 @@
 use axum::extract::{Path, Query, State as Held};
 use axum::http::StatusCode;
 use axum::response::{IntoResponse, Response};
-use lotusmoor_client::Entry;
+use lotusmoor_registry_client::Entry;
 use serde::Deserialize;
 use serde::de::DeserializeOwned;
 use serde_json::{Value, json};
--- a/crates/registry/src/http/rendered.rs
+++ b/crates/registry/src/http/rendered.rs
@@ -4,7 +4,7 @@
 use crate::node::Node;
 use crate::raft::Transport;
 use bytes::Bytes;
-use lotusmoor_client::{Entry, Update, Version};
+use lotusmoor_registry_client::{Entry, Update, Version};
 use serde::Serialize;
 use std::collections::HashMap;
 use std::sync::{Arc, Mutex, PoisonError};
@@ -34,7 +34,7 @@
     #[serde(rename = "type", skip_serializing_if = "Option::is_none")]
     kind: Option<&'a str>,
     group: u64,
-    status: lotusmoor_client::Status,
+    status: lotusmoor_registry_client::Status,
     weight: f64,
     since_ms: i64,
 }
--- a/crates/registry/src/lib.rs
+++ b/crates/registry/src/lib.rs
@@ -1,6 +1,4 @@
 //! The roster: a list service with versions, watches and leases, durable and replicated. See `docs/roster.md`.
-#![forbid(unsafe_code)]
-#![warn(missing_docs)]
 
 pub mod config;
 pub mod core;
--- a/crates/registry/src/node.rs
+++ b/crates/registry/src/node.rs
@@ -9,7 +9,7 @@
 use crate::raft::transport::Envelope;
 use crate::raft::{CallError, LogEntry, Peers, Raft, Replica, Rpc, Target, Transport, Types};
 use crate::store::{Machine, Shared, Store, StoreError};
-use lotusmoor_client::Update;
+use lotusmoor_registry_client::Update;
 use openraft::error::{CheckIsLeaderError, ClientWriteError, Fatal, InitializeError, RaftError};
 use openraft::raft::{AppendEntriesRequest, InstallSnapshotRequest, VoteRequest};
 use openraft::{ChangeMembers, EntryPayload, ServerState, SnapshotPolicy};
--- a/crates/registry/tests/explore.rs
+++ b/crates/registry/tests/explore.rs
@@ -1,6 +1,6 @@
 //! Drawn schedules of faults over three replicas, in simulated time; thousands by `lotusmoor roster explore`.
 
-use lotusmoor_roster::explore::{Wrong, explore, play};
+use lotusmoor_registry::explore::{Wrong, explore, play};
 
 fn threads() -> usize {
     std::thread::available_parallelism().map_or(2, usize::from)
--- a/crates/registry/tests/forms.rs
+++ b/crates/registry/tests/forms.rs
@@ -1,7 +1,7 @@
 //! What the version before makes of services: it turns them down, and misreads none.
 
-use lotusmoor_roster::core::list::{Command, Due, List, Outcome, Registration};
-use lotusmoor_roster::store::{Format, Snapshot, Store, StoreError};
+use lotusmoor_registry::core::list::{Command, Due, List, Outcome, Registration};
+use lotusmoor_registry::store::{Format, Snapshot, Store, StoreError};
 use serde::Deserialize;
 use serde_json::json;
 
--- a/crates/sidecar/src/config.rs
+++ b/crates/sidecar/src/config.rs
@@ -5,7 +5,7 @@
 use crate::limits::Limits;
 use crate::persistence::at_start;
 use crate::roster;
-use linenproxy::settings::{self, Decoded};
+use lotusmoor_balancer::settings::{self, Decoded};
 use serde::Deserialize;
 use serde_json::value::RawValue;
 use std::collections::BTreeSet;
--- a/crates/sidecar/src/connection.rs
+++ b/crates/sidecar/src/connection.rs
@@ -9,7 +9,7 @@
 use hyper::client::conn::http1;
 use hyper::{Request, Response};
 use hyper_util::rt::TokioIo;
-use linenproxy::Outcome;
+use lotusmoor_balancer::Outcome;
 use socket2::SockRef;
 use std::cell::{Cell, RefCell};
 use std::future::{Future, poll_fn};
--- a/crates/sidecar/src/counts.rs
+++ b/crates/sidecar/src/counts.rs
@@ -3,7 +3,7 @@
 //!
 //! The sidecar has one thread, so counts are plain cells of that thread.
 
-use linenproxy::Outcome;
+use lotusmoor_balancer::Outcome;
 use std::cell::Cell;
 use std::fmt::Write;
 
@@ -57,7 +57,7 @@
 
 family! {
     /// Why a client's connection ended.
-    Closed, "tinflow_connections_closed", "reason", "Ends of clients' connections.",
+    Closed, "lotusmoor_sidecar_connections_closed", "reason", "Ends of clients' connections.",
     {
         /// It rested for too long, was not used, or was wanted for another client.
         Resting = "resting",
@@ -74,7 +74,7 @@
 
 family! {
     /// How a request was answered.
-    Answered, "tinflow_requests_answered", "how", "Final answers to requests.",
+    Answered, "lotusmoor_sidecar_requests_answered", "how", "Final answers to requests.",
     {
         /// With an endpoint's answer.
         Served = "served",
@@ -95,7 +95,7 @@
 
 family! {
     /// Why a send was denied at the moment of writing.
-    Denied, "tinflow_sends_denied", "reason", "Attempts that were denied their first byte.",
+    Denied, "lotusmoor_sidecar_sends_denied", "reason", "Attempts that were denied their first byte.",
     {
         /// The endpoint drains, is gone, has moved, was taken out or is a new process.
         Revoked = "permission_revoked",
@@ -112,7 +112,7 @@
 
 family! {
     /// How an attempt ended, as the decision module was told.
-    Attempted, "tinflow_attempts_ended", "outcome", "Ends of attempts.",
+    Attempted, "lotusmoor_sidecar_attempts_ended", "outcome", "Ends of attempts.",
     {
         /// With an answer.
         Ok = "ok",
@@ -151,7 +151,7 @@
 
 family! {
     /// A rule of the protocol that was seen to be broken at run time; each count is a fault of this program.
-    Violation, "tinflow_rule_violations", "rule", "Breaches of the protocol's rules, which are faults of the sidecar.",
+    Violation, "lotusmoor_sidecar_rule_violations", "rule", "Breaches of the protocol's rules, which are faults of the sidecar.",
     {
         /// A request that was read ended without an answer, though its client was there.
         Lost = "lost",
--- a/crates/sidecar/src/engine.rs
+++ b/crates/sidecar/src/engine.rs
@@ -12,8 +12,8 @@
 use crate::roster::{self, Standing};
 use crate::start_times::StartTimes;
 use crate::upstream::{Grant, Upstream};
-use linenproxy::settings::Names;
-use linenproxy::{
+use lotusmoor_balancer::settings::Names;
+use lotusmoor_balancer::{
     Action, AttemptEnd, AttemptNo, Balancer, Discovery, Event, ListUpdate, Listing, Load, Micros, NewRequest,
     Outcome, RequestId, Status,
 };
--- a/crates/sidecar/src/exchange.rs
+++ b/crates/sidecar/src/exchange.rs
@@ -8,7 +8,7 @@
 use bytes::Bytes;
 use hyper::header::{HeaderMap, HeaderName, HeaderValue};
 use hyper::{Method, Request, StatusCode, Uri};
-use linenproxy::{AttemptNo, Load, Micros, NewRequest, Outcome, RequestId};
+use lotusmoor_balancer::{AttemptNo, Load, Micros, NewRequest, Outcome, RequestId};
 use std::collections::BTreeSet;
 use std::rc::Rc;
 use tokio::sync::{OwnedSemaphorePermit, mpsc, oneshot};
--- a/crates/sidecar/src/inbound.rs
+++ b/crates/sidecar/src/inbound.rs
@@ -21,7 +21,7 @@
 use crate::service::Service;
 use bytes::{Buf, BufMut, Bytes, BytesMut};
 use hyper::StatusCode;
-use linenproxy::{Micros, NewRequest};
+use lotusmoor_balancer::{Micros, NewRequest};
 use reply::Reply;
 use socket2::SockRef;
 use std::io::{self, IoSlice};
--- a/crates/sidecar/src/log.rs
+++ b/crates/sidecar/src/log.rs
@@ -54,9 +54,9 @@
     let Some(left_out) = RATE.with_borrow_mut(|rate| rate.ask(Instant::now())) else { return };
     let mut whole = String::new();
     if left_out > 0 {
-        whole.push_str(&format!("tinflow: {left_out} lines left out\n"));
+        whole.push_str(&format!("lotusmoor-sidecar: {left_out} lines left out\n"));
     }
-    whole.push_str(&format!("tinflow: {text}\n"));
+    whole.push_str(&format!("lotusmoor-sidecar: {text}\n"));
     // Whoever reads the log has lost it, or its disk is full: requests go on.
     let _ = io::stderr().write_all(whole.as_bytes());
 }
--- a/crates/sidecar/src/main.rs
+++ b/crates/sidecar/src/main.rs
@@ -1,6 +1,4 @@
-//! tinflow: a sidecar load balancer on real sockets. One thread; every task shares it.
-// Allowed where `handover` adopts a descriptor, and where `connection_age` asks the system about a connection.
-#![deny(unsafe_code)]
+//! A sidecar load balancer on real sockets. One thread; every task shares it.
 
 mod body;
 mod config;
--- a/crates/sidecar/src/request.rs
+++ b/crates/sidecar/src/request.rs
@@ -7,7 +7,7 @@
 use crate::limits::LONGEST_HEAD;
 use hyper::header::{self, HeaderMap, HeaderName, HeaderValue};
 use hyper::{Method, StatusCode, Uri};
-use linenproxy::{Effect, Micros};
+use lotusmoor_balancer::{Effect, Micros};
 use std::hash::{DefaultHasher, Hash, Hasher};
 
 /// Most headers of a request.
--- a/crates/sidecar/src/roster.rs
+++ b/crates/sidecar/src/roster.rs
@@ -7,7 +7,9 @@
 use crate::log::log_line;
 use hyper::StatusCode;
 use hyper::header::RETRY_AFTER;
-use lotusmoor_client::{Action, Entry, Event, Known, Micros, Report, Rider, Settings, Status, Update, file};
+use lotusmoor_registry_client::{
+    Action, Entry, Event, Known, Micros, Report, Rider, Settings, Status, Update, file,
+};
 use serde::Deserialize;
 use std::cell::RefCell;
 use std::collections::{BTreeSet, HashMap};
--- a/crates/sidecar/src/start_times.rs
+++ b/crates/sidecar/src/start_times.rs
@@ -18,7 +18,7 @@
 //! But for a clock that is ahead by more than those ten seconds and under five minutes, each bound errs on the cold side: a
 //! server is given less for a while, never more than it bears.
 
-use linenproxy::Micros;
+use lotusmoor_balancer::Micros;
 use std::collections::HashMap;
 
 /// How far the latest stamp of a first list may lie behind this machine's clock for that to be believed. A list in
--- a/crates/sidecar/src/upstream.rs
+++ b/crates/sidecar/src/upstream.rs
@@ -14,7 +14,7 @@
 use hyper::body::{Body, Incoming};
 use hyper::header::{CONNECTION, CONTENT_LENGTH, HeaderMap, HeaderName, HeaderValue, TRANSFER_ENCODING};
 use hyper::{Method, StatusCode, Uri};
-use linenproxy::{AttemptNo, Load, Micros, Outcome, RequestId};
+use lotusmoor_balancer::{AttemptNo, Load, Micros, Outcome, RequestId};
 use std::cell::{Cell, RefCell};
 use std::collections::HashSet;
 use std::net::SocketAddr;
--- a/crates/sidecar/tests/crossings/mod.rs
+++ b/crates/sidecar/tests/crossings/mod.rs
@@ -520,7 +520,7 @@
     for wait in 0..12 {
         let address = unused_address();
         let path = config_file(&config(address, discovery.address, "null"));
-        let mut command = std::process::Command::new(env!("CARGO_BIN_EXE_tinflow"));
+        let mut command = std::process::Command::new(env!("CARGO_BIN_EXE_lotusmoor-sidecar"));
         command.env("LB_CONFIG", &path).env_remove("LB_LISTEN").env_remove("LB_DISCOVERY");
         let mut process = command.stdin(std::process::Stdio::null()).spawn().expect("it starts");
         thread::sleep(Duration::from_micros(500 * wait));
--- a/crates/sidecar/tests/operation/mod.rs
+++ b/crates/sidecar/tests/operation/mod.rs
@@ -79,12 +79,12 @@
     let address = unused_address();
     let path = config_file(&config(address, address, "null"));
     for bad in [taken.local_addr().expect("an address").to_string(), "nowhere".to_owned()] {
-        let mut command = Command::new(env!("CARGO_BIN_EXE_tinflow"));
+        let mut command = Command::new(env!("CARGO_BIN_EXE_lotusmoor-sidecar"));
         command.env("LB_CONFIG", &path).env("LB_MANAGEMENT", &bad).stdin(Stdio::null());
         let output = command.output().expect("it starts");
         let said = String::from_utf8(output.stderr).expect("text");
         assert_eq!(output.status.code(), Some(1), "{said}");
-        assert!(said.starts_with("tinflow: ") && said.lines().count() == 1, "{said}");
+        assert!(said.starts_with("lotusmoor-sidecar: ") && said.lines().count() == 1, "{said}");
     }
 }
 
@@ -227,12 +227,12 @@
         ("exec \"$0\"", ""),
     ] {
         let mut command = Command::new("/bin/sh");
-        command.args(["-c", shell, env!("CARGO_BIN_EXE_tinflow")]).stdin(Stdio::null());
+        command.args(["-c", shell, env!("CARGO_BIN_EXE_lotusmoor-sidecar")]).stdin(Stdio::null());
         let output =
             command.env("LB_CONFIG", &path).env("LB_PASSED_SOCKET", named).output().expect("it starts");
         let said = String::from_utf8(output.stderr).expect("text");
         assert_eq!(output.status.code(), Some(1), "{said}");
-        assert!(said.starts_with("tinflow: ") && said.lines().count() == 1, "{said}");
+        assert!(said.starts_with("lotusmoor-sidecar: ") && said.lines().count() == 1, "{said}");
     }
 }
 
@@ -339,12 +339,12 @@
     assert_eq!(sidecar.ask("NONSENSE\r\n\r\n").map(|m| m.status()), Some(400));
     let told = sidecar.call("metrics");
     for line in [
-        "# TYPE tinflow_requests_answered counter",
-        "tinflow_requests_answered_total{how=\"served\"} 3",
-        "tinflow_requests_answered_total{how=\"turned_away\"} 1",
-        "tinflow_attempts_ended_total{outcome=\"ok\"} 3",
-        "tinflow_rule_violations_total{rule=\"lost\"} 0",
-        "tinflow_rule_violations_total{rule=\"duplicate\"} 0",
+        "# TYPE lotusmoor_sidecar_requests_answered counter",
+        "lotusmoor_sidecar_requests_answered_total{how=\"served\"} 3",
+        "lotusmoor_sidecar_requests_answered_total{how=\"turned_away\"} 1",
+        "lotusmoor_sidecar_attempts_ended_total{outcome=\"ok\"} 3",
+        "lotusmoor_sidecar_rule_violations_total{rule=\"lost\"} 0",
+        "lotusmoor_sidecar_rule_violations_total{rule=\"duplicate\"} 0",
     ] {
         assert!(told.lines().any(|l| l == line), "{line} is not in\n{told}");
     }
--- a/crates/sidecar/tests/services/mod.rs
+++ b/crates/sidecar/tests/services/mod.rs
@@ -283,11 +283,11 @@
     for bad in [&[""][..], &["a b"], &["a,b"], &["pay", "a/b"], &["a&b"], &["caf\u{e9}"], &[&long], &many] {
         let text = with_roster(&config(taken, taken, "null"), &roster(taken, bad));
         let path = config_file(&text);
-        let mut command = Command::new(env!("CARGO_BIN_EXE_tinflow"));
+        let mut command = Command::new(env!("CARGO_BIN_EXE_lotusmoor-sidecar"));
         let output = command.env("LB_CONFIG", &path).stdin(Stdio::null()).output().expect("it starts");
         let said = String::from_utf8(output.stderr).expect("text");
         assert_eq!(output.status.code(), Some(1), "{said}");
-        let key = format!("tinflow: LB_CONFIG {}: roster: services", path.display());
+        let key = format!("lotusmoor-sidecar: LB_CONFIG {}: roster: services", path.display());
         assert!(said.starts_with(&key) && said.lines().count() == 1, "{said}");
         let _ = std::fs::remove_file(path);
     }
--- a/crates/sidecar/tests/sidecar.rs
+++ b/crates/sidecar/tests/sidecar.rs
@@ -712,7 +712,7 @@
     let texts = ["", "{}", &good.replace("\"side_effect\"", "\"odd\""), &good.replace("1024", "3")];
     let paths: Vec<_> = texts.iter().map(|text| Some(config_file(text))).collect();
     for path in paths.into_iter().chain([None, Some("/nonexistent/config.json".into())]) {
-        let mut command = Command::new(env!("CARGO_BIN_EXE_tinflow"));
+        let mut command = Command::new(env!("CARGO_BIN_EXE_lotusmoor-sidecar"));
         match &path {
             Some(path) => command.env("LB_CONFIG", path),
             None => command.env_remove("LB_CONFIG"),
@@ -720,6 +720,6 @@
         let output = command.stdin(Stdio::null()).output().expect("it starts");
         let said = String::from_utf8(output.stderr).expect("text");
         assert_eq!(output.status.code(), Some(1), "{said}");
-        assert!(said.starts_with("tinflow: ") && said.lines().count() == 1, "{said}");
+        assert!(said.starts_with("lotusmoor-sidecar: ") && said.lines().count() == 1, "{said}");
     }
 }
--- a/crates/sidecar/tests/stubs/mod.rs
+++ b/crates/sidecar/tests/stubs/mod.rs
@@ -638,7 +638,7 @@
         let known: Vec<_> = endpoints.iter().map(|(name, e)| (*name, e.address, "active")).collect();
         let management = unused_address();
         let config = config_file(&change(config(address, discovery.address, &list(1, true, &known))));
-        let process = command(env!("CARGO_BIN_EXE_tinflow"))
+        let process = command(env!("CARGO_BIN_EXE_lotusmoor-sidecar"))
             .env("LB_CONFIG", &config)
             .env_remove("LB_LISTEN")
             .env("LB_DISCOVERY", discovery.address.to_string())
--- a/crates/simulator-adapter/src/main.rs
+++ b/crates/simulator-adapter/src/main.rs
@@ -4,10 +4,13 @@
 use std::process::ExitCode;
 
 fn main() -> ExitCode {
-    match linenproxy::wire::serve(stdin().lock(), BufWriter::with_capacity(1 << 16, stdout().lock())) {
+    match lotusmoor_simulator_adapter::wire::serve(
+        stdin().lock(),
+        BufWriter::with_capacity(1 << 16, stdout().lock()),
+    ) {
         Ok(()) => ExitCode::SUCCESS,
         Err(error) => {
-            eprintln!("linenproxy-wirehost: {error}");
+            eprintln!("lotusmoor-simulator-adapter: {error}");
             ExitCode::FAILURE
         }
     }
--- a/crates/simulator-adapter/src/wire.rs
+++ b/crates/simulator-adapter/src/wire.rs
@@ -1,10 +1,10 @@
 //! The adapter: reads the simulator's wire, hands each event to its instance, writes down the actions.
 //! It translates and decides nothing. Names are interned for each instance on its own.
 
-use crate::api::*;
-use crate::choice::Balancer;
-use crate::settings::{self, Decoded, Names};
+use lotusmoor_balancer::*;
+
 use base64::{Engine, engine::general_purpose::STANDARD};
+use lotusmoor_balancer::settings::{self, Decoded, Names};
 use std::collections::HashMap;
 use std::fmt::{self, Write as _};
 use std::io::{self, BufRead, Write};
