--- a/crates/balancer/src/choice.rs
+++ b/crates/balancer/src/choice.rs
@@ -65,14 +65,14 @@
 
 /// The decisions of one sidecar. Feed it events in order; it answers with actions.
 pub struct Balancer {
-    set: Settings,
-    rng: fastrand::Rng,
-    endpoints: Vec<Endpoint>,
+    pub(crate) set: Settings,
+    pub(crate) rng: fastrand::Rng,
+    pub(crate) endpoints: Vec<Endpoint>,
     requests: BTreeMap<RequestId, Request>,
     /// Requests waiting for a bulkhead: first tries inside their share come first, then by expiry.
     queue: BTreeSet<(bool, Micros, RequestId)>,
-    timers: Timers,
-    fleet: Fleet,
+    pub(crate) timers: Timers,
+    pub(crate) fleet: Fleet,
     log: Log,
 }
 
@@ -89,24 +89,24 @@
     /// Takes one event that happens at `now` and appends what is to be done.
     pub fn handle(&mut self, now: Micros, event: Event, out: &mut Vec<Action>) {
         let now = now.clamp(-FAR, FAR);
-        if !self.fleet.subscribed && self.set.discovery == Discovery::OnRequest {
+        if !self.fleet.subscribed && self.set.discovery == DiscoveryMode::Polled {
             self.fleet.subscribed = true;
             out.push(Action::Subscribe(true));
         }
         match event {
-            Event::Endpoints(update) => self.listed(now, update),
+            Event::EndpointList(update) => self.listed(now, update),
             // The next one of that number is another, and what was learnt of this one must not stick to it.
-            Event::Released(i) if i < self.endpoints.len() => self.endpoints[i] = self.fresh(now),
-            Event::Released(_) => {}
+            Event::EndpointReleased(i) if i < self.endpoints.len() => self.endpoints[i] = self.fresh(now),
+            Event::EndpointReleased(_) => {}
             Event::Cordoned(i) => self.cordon(now, i, true),
             Event::Uncordoned(i) => self.cordon(now, i, false),
-            Event::Request(new) => self.admit(now, new, out),
+            Event::RequestReceived(new) => self.admit(now, new, out),
             Event::StreamStarted { request, attempt } => self.streaming(request, attempt, out),
             Event::AttemptEnded(end) => self.ended(now, end, out),
-            Event::Received { request, due } => self.received(now, request, due),
-            Event::Abandoned(id) => self.forget(now, id, Some(false), out),
+            Event::BodyReceived { request, deadline: due } => self.received(now, request, due),
+            Event::RequestAbandoned(id) => self.forget(now, id, Some(false), out),
             Event::Timer(token) => self.wake(now, token, out),
-            Event::ProbeEnded { .. } | Event::PeerMessage { .. } => {}
+            Event::HealthCheckEnded { .. } | Event::PeerMessage { .. } => {}
         }
         self.serve_queue(now, out);
         self.timers.arm(now, out);
@@ -119,8 +119,9 @@
             return;
         }
         let class = &self.set.classes[new.class];
-        let own = new.work.map_or(self.fleet.class_work[new.class], |w| w.clamp(1, HOUR) as f64);
-        let aim = (class.aim as f64 + class.aim_stretch * own).min(class.deadline.max(class.aim) as f64);
+        let own = new.expected_work.map_or(self.fleet.class_work[new.class], |w| w.clamp(1, HOUR) as f64);
+        let aim = (class.latency_objective as f64 + class.objective_per_work * own)
+            .min(class.deadline.max(class.latency_objective) as f64);
         self.fleet.asked.add(now, 1.0, 2 * self.fleet.window);
         self.fleet.half_open = (self.fleet.half_open + HALF_OPEN).min(1.0);
         self.fleet.retries = (self.fleet.retries + RETRIES.0).min(RETRIES.1);
@@ -129,18 +130,18 @@
         let work = (own + self.fleet.mean_work) / 2.0;
         self.fleet.aim_use += NEWEST_FLEET * (work / aim - self.fleet.aim_use);
         // A repeat, which has spent part of its client's aim already, waits behind first tries.
-        let over_share = self.over_share(now, new.tenant) || new.repeat;
+        let over_share = self.over_share(now, new.tenant) || new.is_client_retry;
         let shed = self.sheds(now, over_share);
         let request = Request {
             class: new.class,
             aim,
             arrived: now,
             expires: now,
-            due: new.due.clamp(now, now + HOUR) - 2 * self.set.tick,
+            due: new.deadline.clamp(now, now + HOUR) - 2 * self.set.tick,
             work,
             over_share,
             shed,
-            coming: new.coming,
+            coming: new.body_incomplete,
             tries: 0,
             attempts: Vec::new(),
             state: State::Sent,
@@ -243,7 +244,7 @@
     }
 
     /// First limit, and the unit in which limits rise: sidecars seldom fill all at once, so parted by a root.
-    fn first_limit(&self) -> f64 {
+    pub(crate) fn first_limit(&self) -> f64 {
         FIRST_LIMIT / (self.set.instances.max(1) as f64).sqrt()
     }
 
@@ -270,7 +271,7 @@
         let weight = self.weight(now, &self.endpoints[endpoint]);
         let window = self.window(now, request);
         let Some(request) = self.requests.get_mut(&id) else { return };
-        let (e, attempt) = (&mut self.endpoints[endpoint], request.attempts.len() as AttemptNo);
+        let (e, attempt) = (&mut self.endpoints[endpoint], request.attempts.len() as AttemptNumber);
         let (class, work, coming) = (request.class, request.work, request.coming);
         e.flights.push(Flight { request: id, attempt, class, work, streaming: false, coming });
         self.fleet.turn = self.fleet.turn.max(e.pass);
@@ -281,7 +282,7 @@
         let (zone, cell) = (e.zone, e.cell);
         request.attempts.push(Attempt { endpoint, zone, cell, sent: now, live: true, may_have_run: true });
         request.state = State::Sent;
-        out.push(Action::Send { request: id, endpoint, timeout, window });
+        out.push(Action::Send { request: id, endpoint, timeout, idempotency_window: window });
     }
 
     /// Time-out of the next attempt: as many retries as leave each try its patience, with
@@ -290,7 +291,7 @@
         let (left, delay) = ((request.due - now) as f64, request.aim * DELAY.1);
         let patience = PATIENCE * request.work * self.endpoints[endpoint].slow.max(self.fleet.slow);
         let spare = self.set.limits.max_attempts.saturating_sub(request.attempts.len() as u32 + 1).min(9);
-        let repeats = self.set.classes[request.class].effect != Effect::Unsafe;
+        let repeats = self.set.classes[request.class].idempotency != Idempotency::NonIdempotent;
         let each = |retries: f64| (left - retries * delay) / (retries + 1.0);
         let retries = (1..=spare).rev().map(f64::from).find(|r| repeats && each(*r) >= patience);
         each(retries.unwrap_or(0.0)).max(1.0) as Micros
@@ -303,14 +304,14 @@
         self.learn(now, end, &flight, out);
         let Some(request) = self.requests.get_mut(&id) else { return };
         let ended = &mut request.attempts[end.attempt as usize];
-        (ended.live, ended.may_have_run) = (false, !end.outcome.never_ran());
-        if end.settled || matches!(end.outcome, Outcome::Ok | Outcome::BadRequest) {
+        (ended.live, ended.may_have_run) = (false, !end.outcome.was_never_executed());
+        if end.request_completed || matches!(end.outcome, Outcome::Ok | Outcome::BadRequest) {
             let good = end.outcome == Outcome::Ok && (now - request.arrived) as f64 <= request.aim;
             // A client whose requests nobody can serve must not get others' requests shed.
             let counts = end.outcome != Outcome::BadRequest;
             self.forget(now, id, counts.then_some(good), out);
         } else if request.state == State::Sent && request.live() == 0 {
-            if end.spent { self.finish(now, id, out) } else { self.again(now, id, out) }
+            if end.body_consumed { self.finish(now, id, out) } else { self.again(now, id, out) }
         }
     }
 
@@ -332,9 +333,11 @@
         let grown = request.aim * DELAY.0 * f64::from(1u32 << request.tries.min(16)) / 2.0;
         let delay = grown * (0.5 + self.rng.f64());
         let at = later(now, delay.clamp(request.aim * DELAY.0, request.aim * DELAY.1));
-        let useful = if class.late_share > 0.0 { request.due } else { later(request.arrived, request.aim) };
+        let useful =
+            if class.late_value_share > 0.0 { request.due } else { later(request.arrived, request.aim) };
         let spent = request.tries.max(request.attempts.len() as u32) >= self.set.limits.max_attempts;
-        let barred = class.effect == Effect::Unsafe && request.attempts.iter().any(|a| a.may_have_run);
+        let barred = class.idempotency == Idempotency::NonIdempotent
+            && request.attempts.iter().any(|a| a.may_have_run);
         // No wait brings back endpoints that are out. In an outage all would come back several times and
         // nothing recover: retries are rationed.
         let none = !self.endpoints.iter().any(Endpoint::ready);
@@ -349,15 +352,17 @@
     /// else a failure. Servers drop a repeat of what may have run for so long and no longer.
     fn finish(&mut self, now: Micros, id: RequestId, out: &mut Vec<Action>) {
         let Some(request) = self.requests.get(&id) else { return };
-        let effect = self.set.classes[request.class].effect;
+        let effect = self.set.classes[request.class].idempotency;
         let ran = request.attempts.iter().filter(|a| a.live || a.may_have_run).map(|a| a.sent).min();
         let retry_after = self.retry_after(now, request.aim * WAIT);
         let harmless = match (ran, effect) {
-            (None, _) | (_, Effect::Safe) => true,
-            (Some(sent), Effect::Keyed { scope: DedupScope::All, ttl }) => now + retry_after - sent < ttl,
+            (None, _) | (_, Idempotency::Idempotent) => true,
+            (Some(sent), Idempotency::WithKey { scope: DedupScope::All, ttl }) => {
+                now + retry_after - sent < ttl
+            }
             _ => false,
         };
-        out.push(if harmless { Action::Refuse { request: id, retry_after } } else { Action::Fail(id) });
+        out.push(if harmless { Action::Reject { request: id, retry_after } } else { Action::Fail(id) });
         self.forget(now, id, Some(false), out);
     }
 
@@ -365,7 +370,7 @@
     /// told that; else once what was in its way may have eased.
     fn retry_after(&mut self, now: Micros, eased: f64) -> Micros {
         let trial = half_open_at(&self.endpoints).map(|at| (at - now) as f64 * (0.75 + 0.5 * self.rng.f64()));
-        let most = if self.set.limits.retry_after { self.set.limits.max_retry_after.max(0) } else { 0 };
+        let most = if self.set.limits.sends_retry_after { self.set.limits.max_retry_after.max(0) } else { 0 };
         (trial.unwrap_or(eased) as Micros).clamp(0, most)
     }
 
@@ -393,7 +398,7 @@
             && now < request.due
             && request.state != State::Streaming
             && (request.attempts.len() as u32) < limits.max_attempts
-            && (limits.may_duplicate || request.live() == 0)
+            && (limits.may_hedge || request.live() == 0)
             && self.may_run(now, request, endpoint)
     }
 
@@ -401,10 +406,10 @@
     fn may_run(&self, now: Micros, request: &Request, endpoint: EndpointId) -> bool {
         let e = &self.endpoints[endpoint];
         let mut ran = request.attempts.iter().filter(|a| a.live || a.may_have_run);
-        match self.set.classes[request.class].effect {
-            Effect::Safe => true,
-            Effect::Unsafe => ran.next().is_none(),
-            Effect::Keyed { scope, .. } => {
+        match self.set.classes[request.class].idempotency {
+            Idempotency::Idempotent => true,
+            Idempotency::NonIdempotent => ran.next().is_none(),
+            Idempotency::WithKey { scope, .. } => {
                 ran.all(|a| e.shares_keys(a, scope)) && self.window(now, request).is_none_or(|left| left > 0)
             }
         }
@@ -412,7 +417,9 @@
 
     /// How long endpoints still drop a repeat, where one is keyed and may have run.
     fn window(&self, now: Micros, request: &Request) -> Option<Micros> {
-        let Effect::Keyed { ttl, .. } = self.set.classes[request.class].effect else { return None };
+        let Idempotency::WithKey { ttl, .. } = self.set.classes[request.class].idempotency else {
+            return None;
+        };
         let ran = request.attempts.iter().filter(|a| a.live || a.may_have_run);
         ran.map(|a| a.sent + ttl - self.set.tick - now).min()
     }
@@ -424,7 +431,7 @@
         if warmth >= 1.0 {
             return f64::INFINITY;
         }
-        let tip = (self.set.rules.tip_after as f64).max(1.0);
+        let tip = (self.set.rules.overload_collapse_after as f64).max(1.0);
         // One request each of a thousand sidecars pushes it over: what is not earned is parted among all.
         let least = self.fleet.mean_work / (tip * f64::from(self.set.instances.max(1)));
         let part = COLD_PART * (1.0 + e.eased);
@@ -445,11 +452,15 @@
         let weights = if warm > 0.0 { warm } else { weights(0.0) };
         // It is served by as many as this sidecar goes round, not by all.
         let weights = weights * (self.reach(now) / closed().map(warmth).sum::<f64>()).min(1.0);
-        if weights > 0.0 { served.seen_within(now, self.set.rules.tip_after) / weights } else { 0.0 }
+        if weights > 0.0 {
+            served.seen_within(now, self.set.rules.overload_collapse_after) / weights
+        } else {
+            0.0
+        }
     }
 
     /// A process has just started: credit begins at a random part of a request, so that sidecars come apart.
-    fn chill(&mut self, now: Micros, i: EndpointId, started: Micros) {
+    pub(crate) fn chill(&mut self, now: Micros, i: EndpointId, started: Micros) {
         let credit = self.rng.f64() * self.fleet.mean_work;
         let e = &mut self.endpoints[i];
         (e.started, e.cold_credit, e.cold_at, e.eased) = (e.started.max(Some(started)), credit, now, 0.0);
@@ -458,7 +469,7 @@
     // ---- What is learnt: slowness, bulkhead, breaker ----
 
     fn learn(&mut self, now: Micros, end: AttemptEnd, was: &Flight, out: &mut Vec<Action>) {
-        let (i, how, took) = (end.endpoint, end.outcome, end.took.clamp(1, HOUR) as f64);
+        let (i, how, took) = (end.endpoint, end.outcome, end.duration.clamp(1, HOUR) as f64);
         let waited_for = !self.queue.is_empty();
         let ((busy, limits), first_limit) = (in_flight(&self.endpoints), self.first_limit());
         let slow = self.endpoints.get(i).map_or(1.0, |e| self.slow(now, e));
@@ -482,11 +493,16 @@
                 // Hardly up once known: a jam must not pass for the usual pace, a lasting change will.
                 let known = fleet.slow >= fleet.bare && fleet.answers >= FIRST_ANSWERS;
                 fleet.bare += if known { BARE_RISE } else { NEWEST } * (fleet.slow - fleet.bare);
-                let (aim, work) = (self.set.classes[was.class].aim as f64, &mut fleet.class_work[was.class]);
+                let (aim, work) =
+                    (self.set.classes[was.class].latency_objective as f64, &mut fleet.class_work[was.class]);
                 *work += NEWEST_CLASS * ((took / fleet.slow).min(aim) - *work);
                 let warm = e.warmth(now, &self.set.rules) >= 1.0;
-                fleet.served.add(now, was.work, 2 * self.set.rules.tip_after);
-                fleet.served_warm.add(now, if warm { was.work } else { 0.0 }, 2 * self.set.rules.tip_after);
+                fleet.served.add(now, was.work, 2 * self.set.rules.overload_collapse_after);
+                fleet.served_warm.add(
+                    now,
+                    if warm { was.work } else { 0.0 },
+                    2 * self.set.rules.overload_collapse_after,
+                );
                 e.note_bare();
                 // The bulkhead learns from latency: capacities are never told, and crowded servers tip.
                 let step = (1.0 - e.slow / target).clamp(-2.0, 1.0) * LIMIT_STEP;
@@ -503,7 +519,9 @@
             // One fault of the network breaks all kept connections: as errors they would open circuits of
             // sound endpoints. A process that is gone fails new ones. What answers each connection once and
             // then breaks it is not found out, and costs an attempt each time.
-            Outcome::Cancelled | Outcome::BadRequest | Outcome::NotSent | Outcome::KeptReset => return,
+            Outcome::Cancelled | Outcome::BadRequest | Outcome::NotSent | Outcome::ReusedConnectionReset => {
+                return;
+            }
             _ => {}
         }
         let trial = e.circuit != Circuit::Closed;
@@ -559,7 +577,7 @@
     /// An open circuit: longer each time, and jittered.
     fn opened(&mut self, now: Micros, openings: u32) -> Circuit {
         let turn_time = self.reach(now) / self.fleet.asked.rate(now, 2 * self.fleet.window);
-        let first = (self.set.longest_aim() as f64).max(2.0 * turn_time);
+        let first = (self.set.longest_latency_objective() as f64).max(2.0 * turn_time);
         let times = f64::from(1u32 << openings.min(MOST_DOUBLINGS));
         Circuit::Open(later(now, first * times * (0.75 + 0.5 * self.rng.f64())))
     }
@@ -616,7 +634,7 @@
     /// Whether the tenant uses clearly more of its quota than the tenants do on the whole.
     fn over_share(&mut self, now: Micros, tenant: Option<TenantId>) -> bool {
         let Some(tenant) = tenant.filter(|t| *t < self.set.tenants.len()) else { return false };
-        let window = 2 * self.set.longest_aim();
+        let window = 2 * self.set.longest_latency_objective();
         self.fleet.tenants.iter_mut().for_each(|t| t.add(now, 0.0, window));
         self.fleet.tenants[tenant].total += 1.0;
         let quotas: f64 = self.set.tenants.iter().map(|t| t.quota_per_s).sum();
@@ -625,7 +643,7 @@
     }
 
     /// The answer has begun: the attempt is the client's, no deadline runs, and other copies are called back.
-    fn streaming(&mut self, id: RequestId, attempt: AttemptNo, out: &mut Vec<Action>) {
+    fn streaming(&mut self, id: RequestId, attempt: AttemptNumber, out: &mut Vec<Action>) {
         let Some(request) = self.requests.get_mut(&id) else { return };
         request.state = State::Streaming;
         self.endpoints.iter_mut().for_each(|e| e.begun(id, attempt));
@@ -633,72 +651,6 @@
         request.cancel_live(id, Some(attempt), &self.set.limits, out);
     }
 
-    /// An endpoint of which nothing is known.
-    fn fresh(&mut self, now: Micros) -> Endpoint {
-        let (pass, limit) = (self.fleet.turn + self.rng.f64(), self.first_limit());
-        Endpoint { slow: self.fleet.slow, heard: now, pass, limit, ..Endpoint::default() }
-    }
-
-    /// Endpoints come into being up to that number.
-    fn grow(&mut self, now: Micros, i: EndpointId) {
-        while self.endpoints.len() <= i {
-            self.fleet.ring.insert(self.rng.usize(..=self.fleet.ring.len()), self.endpoints.len());
-            let new = self.fresh(now);
-            self.endpoints.push(new);
-        }
-    }
-
-    /// Follows operators, whose word on one they give back is as good as an answer: its turn comes next, and
-    /// it has credit for that. It was restarted meanwhile, so it is cold, and nothing known of it holds.
-    fn cordon(&mut self, now: Micros, i: EndpointId, out: bool) {
-        if i >= MOST_ENDPOINTS {
-            return;
-        }
-        self.grow(now, i);
-        if std::mem::replace(&mut self.endpoints[i].cordoned, out) && !out {
-            self.chill(now, i, now);
-            let (fleet, e) = (&self.fleet, &mut self.endpoints[i]);
-            (e.circuit, e.openings, e.errors, e.lost) = (Circuit::Closed, 0, 0.0, 0);
-            (e.slow, e.pass, e.cold_credit) = (fleet.slow, fleet.turn, 2.0 * fleet.mean_work);
-            e.services.clear();
-        }
-    }
-
-    /// Follows the list. Draining, gone and missing endpoints get nothing from now on.
-    fn listed(&mut self, now: Micros, update: ListUpdate) {
-        let entries = match update {
-            ListUpdate::Failed => {
-                self.fleet.ask_failures += 1;
-                let most = self.set.rules.ask_within as f64 / 2.0;
-                let grown = (most / 16.0 * f64::from(1u32 << self.fleet.ask_failures.min(8))).min(most);
-                let delay = grown * (0.5 + 0.5 * self.rng.f64());
-                return self.timers.at(later(now, delay), Wake::Discover);
-            }
-            ListUpdate::Delta(entries) => entries,
-            ListUpdate::Full(entries) | ListUpdate::Cached(entries) => {
-                self.endpoints.iter_mut().for_each(|e| e.listed = false);
-                entries
-            }
-        };
-        self.fleet.ask_failures = 0;
-        for l in entries.into_iter().filter(|l| l.endpoint < MOST_ENDPOINTS) {
-            self.grow(now, l.endpoint);
-            let e = &mut self.endpoints[l.endpoint];
-            e.listed = l.status == Status::Ready;
-            (e.zone, e.cell, e.kind) = (l.zone, l.cell, l.kind);
-            e.size = if l.size > 0.0 { l.size.clamp(1e-3, 1e6) } else { 1.0 };
-            if l.started > e.started {
-                // A new process: what was known of the old one is void, but it is tried before it is trusted.
-                (e.errors, e.slow, e.lost) = (0.0, self.fleet.slow, 0);
-                e.services.clear();
-                if e.circuit != Circuit::Closed {
-                    e.circuit = Circuit::Open(now);
-                }
-                self.chill(now, l.endpoint, l.started.unwrap_or(now));
-            }
-        }
-    }
-
     fn wake(&mut self, now: Micros, token: u64, out: &mut Vec<Action>) {
         while let Some(wake) = self.timers.due(now, token) {
             match wake {
--- a/crates/balancer/src/lib.rs
+++ b/crates/balancer/src/lib.rs
@@ -7,6 +7,7 @@
 
 pub mod api;
 pub mod choice;
+mod endpoint_list;
 pub mod settings;
 mod state;
 
--- a/crates/balancer/src/settings.rs
+++ b/crates/balancer/src/settings.rs
@@ -226,83 +226,85 @@
         let tenants = self.tenants.iter();
         Ok(Settings {
             classes,
-            tenants: tenants.map(|t| Tenant { quota_per_s: t.quota_per_s, share: t.share }).collect(),
+            tenants: tenants
+                .map(|t| Tenant { quota_per_s: t.quota_per_s, capacity_share: t.share })
+                .collect(),
             instances: self.balancers,
             index: self.index,
             zone: self.zone.map(|z| zones.id(&z)),
             discovery: match self.discovery.as_str() {
-                "on_request" => Discovery::OnRequest,
-                _ => Discovery::Pushed,
+                "on_request" => DiscoveryMode::Polled,
+                _ => DiscoveryMode::Pushed,
             },
             weights: match self.weight_source.as_str() {
-                "nominal" | "rough" => WeightSource::Size,
+                "nominal" | "rough" => WeightSource::Nominal,
                 "live" => WeightSource::Live,
-                _ => WeightSource::Silent,
+                _ => WeightSource::Unweighted,
             },
-            reports: match self.report.source.as_str() {
-                "piggyback" => ReportSource::Piggyback,
-                "pull" => ReportSource::Probe,
-                _ => ReportSource::Silent,
+            load_reports: match self.report.source.as_str() {
+                "piggyback" => LoadReportSource::Piggybacked,
+                "pull" => LoadReportSource::HealthCheck,
+                _ => LoadReportSource::Unavailable,
             },
             limits: Limits {
                 max_attempts: self.limits.max_attempts,
                 max_retry_after: self.limits.max_retry_after_us,
-                retry_after: self.limits.retry_after,
+                sends_retry_after: self.limits.retry_after,
                 may_cancel: self.limits.may_cancel,
-                may_duplicate: self.limits.may_duplicate,
-                probes: self.limits.probes,
-                peers: self.limits.peers,
-                dial_timeout: self.limits.dial_timeout_us,
+                may_hedge: self.limits.may_duplicate,
+                may_health_check: self.limits.probes,
+                may_gossip: self.limits.peers,
+                connect_timeout: self.limits.dial_timeout_us,
             },
             rules: Rules {
-                answer_slack: self.rules.answer_slack_us,
-                ask_within: self.rules.ask_within_us,
-                cold_share: self.rules.cold_share,
-                warm_within: self.rules.warm_within_us,
+                answer_grace: self.rules.answer_slack_us,
+                max_poll_interval: self.rules.ask_within_us,
+                initial_capacity_share: self.rules.cold_share,
+                slow_start_duration: self.rules.warm_within_us,
                 overload_factor: self.rules.overload_factor,
-                tip_after: self.rules.tip_after_us,
+                overload_collapse_after: self.rules.tip_after_us,
             },
             prices: Prices {
                 cross_zone: self.prices.cross_zone,
                 waste: self.prices.waste,
                 late_fail: self.prices.late_fail,
-                probe: self.prices.probe,
+                health_check: self.prices.probe,
                 handshake: self.prices.handshake,
             },
             goal: Goal {
-                whole: self.goal.whole,
+                overall: self.goal.whole,
                 worst_class: self.goal.worst_class,
                 worst_tenant: self.goal.worst_tenant,
                 worst_window: self.goal.worst_window,
             },
-            over_share_worth: self.over_share_worth,
-            worth_by_work: self.counted_by == "work",
-            marks_repeat: self.clients.marks_retry,
+            over_quota_weight: self.over_share_worth,
+            priority_by_work: self.counted_by == "work",
+            clients_mark_retries: self.clients.marks_retry,
             tick: self.tick_us,
         })
     }
 }
 
 impl Lane {
-    fn class(self) -> Result<Class, String> {
+    fn class(self) -> Result<RequestClass, String> {
         let scope = match self.dedup_scope.as_deref() {
             Some("zone") => DedupScope::Zone,
             Some("cell") => DedupScope::Cell,
             _ => DedupScope::All,
         };
         let effect = match self.effect.as_str() {
-            "pure" => Effect::Safe,
-            "token" => Effect::Keyed { scope, ttl: self.key_ttl_us },
-            "side_effect" => Effect::Unsafe,
+            "pure" => Idempotency::Idempotent,
+            "token" => Idempotency::WithKey { scope, ttl: self.key_ttl_us },
+            "side_effect" => Idempotency::NonIdempotent,
             other => return Err(format!("unknown Effect {other}")),
         };
-        Ok(Class {
-            aim: self.aim_us,
-            aim_stretch: self.aim_stretch,
+        Ok(RequestClass {
+            latency_objective: self.aim_us,
+            objective_per_work: self.aim_stretch,
             deadline: self.deadline_us,
-            late_share: self.late_share,
-            worth: self.worth,
-            effect,
+            late_value_share: self.late_share,
+            priority_weight: self.worth,
+            idempotency: effect,
             streaming: self.streaming,
         })
     }
--- a/crates/balancer/src/state.rs
+++ b/crates/balancer/src/state.rs
@@ -49,7 +49,7 @@
 /// An attempt in flight as its endpoint sees it.
 pub struct Flight {
     pub request: RequestId,
-    pub attempt: AttemptNo,
+    pub attempt: AttemptNumber,
     pub class: ClassId,
     pub work: f64,
     pub streaming: bool,
@@ -61,7 +61,7 @@
 pub struct Endpoint {
     pub zone: Option<ZoneId>,
     pub cell: u64,
-    pub kind: Option<KindId>,
+    pub kind: Option<MachineTypeId>,
     /// Listed ready, and taken out by operators.
     pub listed: bool,
     pub cordoned: bool,
@@ -160,7 +160,7 @@
     pub aim_use: f64,
     pub slow: f64,
     /// Slowness of each kind of endpoint, and when it was last seen.
-    pub kinds: BTreeMap<Option<KindId>, (f64, Micros)>,
+    pub kinds: BTreeMap<Option<MachineTypeId>, (f64, Micros)>,
     /// Slowness with no crowding, and answers seen.
     pub answers: f64,
     pub bare: f64,
@@ -251,8 +251,8 @@
     /// Part of its capacity that it surely has: from the cold share it grows evenly.
     pub fn warmth(&self, now: Micros, rules: &Rules) -> f64 {
         let Some(started) = self.started else { return 1.0 };
-        let age = now.saturating_sub(started).max(0) as f64 / (rules.warm_within as f64).max(1.0);
-        (rules.cold_share + (1.0 - rules.cold_share) * age).clamp(0.01, 1.0)
+        let age = now.saturating_sub(started).max(0) as f64 / (rules.slow_start_duration as f64).max(1.0);
+        (rules.initial_capacity_share + (1.0 - rules.initial_capacity_share) * age).clamp(0.01, 1.0)
     }
 
     /// Whether it drops repeats of the keys that went out with that attempt.
@@ -265,7 +265,7 @@
     }
 
     /// Takes an attempt out of those in flight.
-    pub fn land(&mut self, request: RequestId, attempt: AttemptNo) -> Option<Flight> {
+    pub fn land(&mut self, request: RequestId, attempt: AttemptNumber) -> Option<Flight> {
         let at = self.flights.iter().position(|f| f.request == request && f.attempt == attempt)?;
         Some(self.flights.swap_remove(at))
     }
@@ -306,7 +306,7 @@
     }
 
     /// The answer to an attempt has begun to stream: how long it takes tells nothing from now on.
-    pub fn begun(&mut self, request: RequestId, attempt: AttemptNo) {
+    pub fn begun(&mut self, request: RequestId, attempt: AttemptNumber) {
         let of_it = |f: &&mut Flight| f.request == request && f.attempt == attempt;
         self.flights.iter_mut().filter(of_it).for_each(|f| f.streaming = true);
     }
@@ -338,7 +338,8 @@
 impl Fleet {
     /// Before anything is seen: each class's work is a part of its aim, on standard servers without a crowd.
     pub fn new(set: &Settings, first_work: f64, retries: f64, window: f64) -> Self {
-        let class_work: Vec<_> = set.classes.iter().map(|c| c.aim as f64 * first_work).collect();
+        let class_work: Vec<_> =
+            set.classes.iter().map(|c| c.latency_objective as f64 * first_work).collect();
         Self {
             mean_work: class_work.iter().sum::<f64>() / class_work.len().max(1) as f64,
             class_work,
@@ -371,7 +372,13 @@
 
 impl Request {
     /// Calls back what is still out for it, but for one attempt to keep.
-    pub fn cancel_live(&self, id: RequestId, keep: Option<AttemptNo>, may: &Limits, out: &mut Vec<Action>) {
+    pub fn cancel_live(
+        &self,
+        id: RequestId,
+        keep: Option<AttemptNumber>,
+        may: &Limits,
+        out: &mut Vec<Action>,
+    ) {
         for (attempt, a) in (0..).zip(&self.attempts) {
             if a.live && Some(attempt) != keep && may.may_cancel {
                 out.push(Action::Cancel { request: id, attempt });
--- a/crates/balancer/tests/common/mod.rs
+++ b/crates/balancer/tests/common/mod.rs
@@ -11,56 +11,64 @@
 pub const START: Micros = 50_000 * MS;
 
 pub fn settings() -> Settings {
-    let class = |effect| Class {
-        aim: 1000 * MS,
-        aim_stretch: 0.0,
+    let class = |effect| RequestClass {
+        latency_objective: 1000 * MS,
+        objective_per_work: 0.0,
         deadline: 4000 * MS,
-        late_share: 0.0,
-        worth: 1.0,
-        effect,
+        late_value_share: 0.0,
+        priority_weight: 1.0,
+        idempotency: effect,
         streaming: false,
     };
-    let keyed = Effect::Keyed { scope: DedupScope::Cell, ttl: 1200 * MS };
+    let keyed = Idempotency::WithKey { scope: DedupScope::Cell, ttl: 1200 * MS };
     Settings {
-        classes: vec![class(Effect::Safe), class(keyed), class(Effect::Unsafe)],
+        classes: vec![class(Idempotency::Idempotent), class(keyed), class(Idempotency::NonIdempotent)],
         tenants: Vec::new(),
         instances: 1,
         index: 0,
         zone: Some(0),
-        discovery: Discovery::Pushed,
-        weights: WeightSource::Size,
-        reports: ReportSource::Silent,
+        discovery: DiscoveryMode::Pushed,
+        weights: WeightSource::Nominal,
+        load_reports: LoadReportSource::Unavailable,
         limits: Limits {
             max_attempts: 3,
             max_retry_after: 2000 * MS,
-            retry_after: true,
+            sends_retry_after: true,
             may_cancel: true,
-            may_duplicate: true,
-            probes: false,
-            peers: false,
-            dial_timeout: 250 * MS,
+            may_hedge: true,
+            may_health_check: false,
+            may_gossip: false,
+            connect_timeout: 250 * MS,
         },
         rules: Rules {
-            answer_slack: 20 * MS,
-            ask_within: 10_000 * MS,
-            cold_share: 0.3,
-            warm_within: 9000 * MS,
+            answer_grace: 20 * MS,
+            max_poll_interval: 10_000 * MS,
+            initial_capacity_share: 0.3,
+            slow_start_duration: 9000 * MS,
             overload_factor: 3.0,
-            tip_after: 1500 * MS,
+            overload_collapse_after: 1500 * MS,
         },
         prices: Prices::default(),
         goal: Goal::default(),
-        over_share_worth: 0.1,
-        worth_by_work: false,
-        marks_repeat: false,
+        over_quota_weight: 0.1,
+        priority_by_work: false,
+        clients_mark_retries: false,
         tick: 5 * MS,
     }
 }
 
 /// Two endpoints to a cell and to a zone.
-pub fn listing(endpoint: EndpointId) -> Listing {
+pub fn listing(endpoint: EndpointId) -> EndpointEntry {
     let (zone, cell) = (Some(endpoint / 2), endpoint as u64 / 2);
-    Listing { endpoint, zone, cell, kind: None, status: Status::Ready, size: 1.0, started: None }
+    EndpointEntry {
+        endpoint,
+        zone,
+        cell,
+        machine_type: None,
+        status: EndpointStatus::Ready,
+        size: 1.0,
+        started_at: None,
+    }
 }
 
 #[derive(Clone, Copy, Debug)]
@@ -75,8 +83,8 @@
     pub now: Micros,
     pub set: Settings,
     pub timers: Vec<(Micros, u64)>,
-    pub out: BTreeMap<(RequestId, AttemptNo), Out>,
-    pub sends: BTreeMap<RequestId, AttemptNo>,
+    pub out: BTreeMap<(RequestId, AttemptNumber), Out>,
+    pub sends: BTreeMap<RequestId, AttemptNumber>,
     pub next: RequestId,
 }
 
@@ -85,7 +93,7 @@
         let balancer = Balancer::new(set.clone(), seed).expect("usable settings");
         let (timers, out, sends) = (Vec::new(), BTreeMap::new(), BTreeMap::new());
         let mut rig = Self { balancer, now: START, set, timers, out, sends, next: 1 };
-        rig.event(Event::Endpoints(ListUpdate::Cached((0..endpoints).map(listing).collect())));
+        rig.event(Event::EndpointList(EndpointListUpdate::Cached((0..endpoints).map(listing).collect())));
         rig
     }
 
@@ -145,21 +153,30 @@
         let id = self.next;
         self.next += 1;
         let due = self.now + left;
-        let new = NewRequest { id, class, tenant, key: Some(7), due, work, repeat: false, coming: false };
-        (id, self.event(Event::Request(new)))
+        let new = NewRequest {
+            id,
+            class,
+            tenant,
+            partition_key: Some(7),
+            deadline: due,
+            expected_work: work,
+            is_client_retry: false,
+            body_incomplete: false,
+        };
+        (id, self.event(Event::RequestReceived(new)))
     }
 
-    pub fn end(&mut self, request: RequestId, attempt: AttemptNo, outcome: Outcome) -> Vec<Action> {
+    pub fn end(&mut self, request: RequestId, attempt: AttemptNumber, outcome: Outcome) -> Vec<Action> {
         let out = self.out.remove(&(request, attempt)).expect("an attempt that is out");
         self.event(Event::AttemptEnded(AttemptEnd {
             request,
             attempt,
             endpoint: out.endpoint,
             outcome,
-            took: self.now - out.sent,
-            settled: outcome == Outcome::Ok,
-            spent: false,
-            load: Load::default(),
+            duration: self.now - out.sent,
+            request_completed: outcome == Outcome::Ok,
+            body_consumed: false,
+            load_report: LoadReport::default(),
         }))
     }
 
@@ -180,7 +197,7 @@
 }
 
 pub fn refused(actions: &[Action], id: RequestId) -> bool {
-    actions.iter().any(|a| matches!(a, Action::Refuse { request, .. } if *request == id))
+    actions.iter().any(|a| matches!(a, Action::Reject { request, .. } if *request == id))
 }
 
 pub fn failed(actions: &[Action], id: RequestId) -> bool {
--- a/crates/balancer/tests/failures.rs
+++ b/crates/balancer/tests/failures.rs
@@ -4,8 +4,8 @@
 use common::*;
 use lotusmoor_balancer::*;
 
-fn delta(rig: &mut Rig, entry: Listing) -> Vec<Action> {
-    rig.event(Event::Endpoints(ListUpdate::Delta(vec![entry])))
+fn delta(rig: &mut Rig, entry: EndpointEntry) -> Vec<Action> {
+    rig.event(Event::EndpointList(EndpointListUpdate::Delta(vec![entry])))
 }
 
 fn used(rig: &mut Rig, requests: usize) -> Vec<EndpointId> {
@@ -19,9 +19,9 @@
 
 #[test]
 fn draining_and_gone_endpoints_get_nothing_at_once() {
-    for status in [Status::Draining, Status::Gone] {
+    for status in [EndpointStatus::Draining, EndpointStatus::Removed] {
         let mut rig = Rig::new(settings(), 3, 1);
-        delta(&mut rig, Listing { status, ..listing(1) });
+        delta(&mut rig, EndpointEntry { status, ..listing(1) });
         assert!(!used(&mut rig, 12).contains(&1));
         delta(&mut rig, listing(1));
         assert!(used(&mut rig, 12).contains(&1));
@@ -70,12 +70,12 @@
         for _ in 0..3 {
             let (id, _) = rig.request(UNSAFE);
             rig.end(id, 0, Outcome::ConnectFailed);
-            rig.event(Event::Abandoned(id));
+            rig.event(Event::RequestAbandoned(id));
         }
         if lives {
             rig.end(long, 0, Outcome::Ok);
         } else {
-            rig.event(Event::Abandoned(long));
+            rig.event(Event::RequestAbandoned(long));
             rig.wait(4000 * MS);
             let (trial, _) = rig.request(SAFE);
             rig.end(trial, 0, Outcome::Ok);
@@ -92,7 +92,7 @@
     used(&mut rig, 20);
     for _ in 0..4 {
         let (id, _) = rig.request(UNSAFE);
-        let actions = rig.end(id, 0, Outcome::KeptReset);
+        let actions = rig.end(id, 0, Outcome::ReusedConnectionReset);
         assert!(failed(&actions, id), "it may have run, so it is neither sent again nor refused");
         assert!(!actions.iter().any(|a| matches!(a, Action::Log(_))), "a circuit opened");
     }
@@ -104,8 +104,8 @@
     rig.wait(1500 * MS);
     let (id, actions) = rig.request(SAFE);
     assert_eq!(sent(&actions), [0]);
-    rig.end(id, 0, Outcome::KeptReset);
-    rig.event(Event::Abandoned(id));
+    rig.end(id, 0, Outcome::ReusedConnectionReset);
+    rig.event(Event::RequestAbandoned(id));
     assert_eq!(sent(&rig.request(SAFE).1), [0]);
 }
 
@@ -120,9 +120,9 @@
                 rig.end(id, attempt, Outcome::Error);
             }
         }
-        delta(&mut rig, Listing { status: Status::Gone, ..listing(0) });
+        delta(&mut rig, EndpointEntry { status: EndpointStatus::Removed, ..listing(0) });
         if released {
-            rig.event(Event::Released(0));
+            rig.event(Event::EndpointReleased(0));
         }
         delta(&mut rig, listing(0));
         // Some requests are shed after so many failures, whatever is known of endpoints.
@@ -134,14 +134,14 @@
 #[test]
 fn what_a_full_list_leaves_out_is_gone() {
     let mut rig = Rig::new(settings(), 3, 1);
-    rig.event(Event::Endpoints(ListUpdate::Full(vec![listing(0), listing(2)])));
+    rig.event(Event::EndpointList(EndpointListUpdate::Full(vec![listing(0), listing(2)])));
     assert!(!used(&mut rig, 12).contains(&1));
 }
 
 #[test]
 fn with_no_endpoint_at_all_requests_are_refused_at_once() {
     let mut rig = Rig::new(settings(), 1, 1);
-    rig.event(Event::Endpoints(ListUpdate::Full(Vec::new())));
+    rig.event(Event::EndpointList(EndpointListUpdate::Full(Vec::new())));
     let (id, actions) = rig.request(UNSAFE);
     assert!(refused(&actions, id));
 }
@@ -151,11 +151,11 @@
 fn a_refusal_says_when_to_come_back_where_that_is_allowed() {
     for allowed in [false, true] {
         let mut set = settings();
-        set.limits.retry_after = allowed;
+        set.limits.sends_retry_after = allowed;
         let mut rig = Rig::new(set, 1, 1);
         let all_refused = |actions: Vec<Action>| {
             let retry_after = |a: &Action| {
-                if let Action::Refuse { retry_after, .. } = a { Some(*retry_after) } else { None }
+                if let Action::Reject { retry_after, .. } = a { Some(*retry_after) } else { None }
             };
             actions.iter().filter_map(retry_after).collect::<Vec<_>>()
         };
@@ -176,7 +176,7 @@
 fn a_waiting_request_does_not_go_to_an_endpoint_that_began_to_drain() {
     let mut rig = Rig::new(settings(), 1, 1);
     (0..5).for_each(|_| drop(rig.request(SAFE)));
-    delta(&mut rig, Listing { status: Status::Draining, ..listing(0) });
+    delta(&mut rig, EndpointEntry { status: EndpointStatus::Draining, ..listing(0) });
     rig.wait(10 * MS);
     assert!(sent(&rig.end(1, 0, Outcome::Ok)).is_empty());
 }
@@ -186,7 +186,7 @@
     let mut rig = Rig::new(settings(), 4, 1);
     used(&mut rig, 200);
     let now = rig.now;
-    delta(&mut rig, Listing { started: Some(now), ..listing(3) });
+    delta(&mut rig, EndpointEntry { started_at: Some(now), ..listing(3) });
     let part = |rig: &mut Rig| used(rig, 60).iter().filter(|e| **e == 3).count();
     let cold = part(&mut rig);
     rig.wait(3000 * MS);
@@ -207,8 +207,8 @@
     }
     rig.wait(9000 * MS);
     let now = rig.now;
-    let full = Listing { started: Some(now), ..listing(0) };
-    rig.event(Event::Endpoints(ListUpdate::Full(vec![full])));
+    let full = EndpointEntry { started_at: Some(now), ..listing(0) };
+    rig.event(Event::EndpointList(EndpointListUpdate::Full(vec![full])));
     let burst: usize = (0..50).map(|_| sent(&rig.request(SAFE).1).len()).sum();
     assert!(burst <= 2, "{burst}");
 }
@@ -227,7 +227,7 @@
         rig.wait(50 * MS);
         if step == 20 {
             let started = Some(rig.now);
-            (2..12).for_each(|e| drop(delta(&mut rig, Listing { started, ..listing(e) })));
+            (2..12).for_each(|e| drop(delta(&mut rig, EndpointEntry { started_at: started, ..listing(e) })));
         }
     }
     let (warm, cold) = (to[..2].iter().sum::<u32>(), to[2..].iter().sum::<u32>());
@@ -242,7 +242,7 @@
     let mut to_warm = 0;
     for round in 0..=rounds {
         let started = Some(rig.now);
-        (1..10).for_each(|e| drop(delta(&mut rig, Listing { started, ..listing(e) })));
+        (1..10).for_each(|e| drop(delta(&mut rig, EndpointEntry { started_at: started, ..listing(e) })));
         let sends = (0..8).flat_map(|_| sent(&rig.request(SAFE).1));
         to_warm = sends.filter(|e| *e == 0 && round == rounds).count();
         rig.serve(20 * MS);
@@ -273,7 +273,7 @@
     for step in 0..200 {
         if step == 100 {
             let now = rig.now;
-            delta(&mut rig, Listing { started: Some(now), ..listing(5) });
+            delta(&mut rig, EndpointEntry { started_at: Some(now), ..listing(5) });
         }
         (0..4).for_each(|_| drop(rig.request(SAFE)));
         rig.wait(20 * MS);
@@ -314,7 +314,7 @@
 fn where_most_are_cold_from_the_start_what_warm_ones_serve_is_soon_the_measure() {
     let mut rig = Rig::new(settings(), 10, 1);
     let started = Some(rig.now);
-    (1..10).for_each(|e| drop(delta(&mut rig, Listing { started, ..listing(e) })));
+    (1..10).for_each(|e| drop(delta(&mut rig, EndpointEntry { started_at: started, ..listing(e) })));
     let mut to = [0; 10];
     // Twice the time in which an endpoint tips.
     for _ in 0..100 {
@@ -334,7 +334,7 @@
     for step in 0..300 {
         if step == 100 {
             let now = rig.now;
-            delta(&mut rig, Listing { started: Some(now), ..listing(4) });
+            delta(&mut rig, EndpointEntry { started_at: Some(now), ..listing(4) });
         }
         (0..4).for_each(|_| drop(rig.request(SAFE)));
         rig.wait(20 * MS);
@@ -357,7 +357,7 @@
     for step in 0..160 {
         if step == 60 {
             let now = rig.now;
-            delta(&mut rig, Listing { started: Some(now), ..listing(1) });
+            delta(&mut rig, EndpointEntry { started_at: Some(now), ..listing(1) });
         }
         (0..8).for_each(|_| drop(rig.request(SAFE)));
         rig.wait(10 * MS);
@@ -387,7 +387,7 @@
         let mut rig = Rig::new(set, 4, u64::from(index));
         used(&mut rig, 8);
         let now = rig.now;
-        delta(&mut rig, Listing { started: Some(now), ..listing(3) });
+        delta(&mut rig, EndpointEntry { started_at: Some(now), ..listing(3) });
         rig.wait(50 * MS);
         to_cold += used(&mut rig, 4).iter().filter(|e| **e == 3).count();
     }
@@ -397,8 +397,8 @@
 #[test]
 fn a_fleet_that_is_all_cold_is_tried_a_little_and_fully_used_once_warm() {
     let mut rig = Rig::new(Settings { instances: 200, ..settings() }, 0, 3);
-    let cold = |endpoint| Listing { started: Some(START), ..listing(endpoint) };
-    rig.event(Event::Endpoints(ListUpdate::Full((0..50).map(cold).collect())));
+    let cold = |endpoint| EndpointEntry { started_at: Some(START), ..listing(endpoint) };
+    rig.event(Event::EndpointList(EndpointListUpdate::Full((0..50).map(cold).collect())));
     let served = |rig: &mut Rig, until: Micros| {
         let before = rig.sends.len();
         let mut asked = 0;
@@ -480,7 +480,7 @@
 #[test]
 fn tenants_far_above_their_share_wait_behind_the_others() {
     let mut set = settings();
-    set.tenants = vec![Tenant { quota_per_s: 10.0, share: 0.5 }; 2];
+    set.tenants = vec![Tenant { quota_per_s: 10.0, capacity_share: 0.5 }; 2];
     let mut rig = Rig::new(set, 1, 1);
     let request = |rig: &mut Rig, tenant| rig.request_for(SAFE, 3000 * MS, Some(tenant), None).0;
     let burst: Vec<_> = (0..12).map(|_| request(&mut rig, 0)).collect();
@@ -525,8 +525,17 @@
     rig.request(SAFE);
     let due = rig.now + 3000 * MS;
     let (id, class, repeat, coming) = (0, SAFE, true, false);
-    let repeat = NewRequest { id, class, tenant: None, key: None, due, work: None, repeat, coming };
-    rig.event(Event::Request(repeat));
+    let repeat = NewRequest {
+        id,
+        class,
+        tenant: None,
+        partition_key: None,
+        deadline: due,
+        expected_work: None,
+        is_client_retry: repeat,
+        body_incomplete: coming,
+    };
+    rig.event(Event::RequestReceived(repeat));
     let fresh = rig.request(SAFE).0;
     rig.wait(50 * MS);
     let actions = rig.end(first, 0, Outcome::Ok);
@@ -537,7 +546,7 @@
 #[test]
 fn short_aims_do_not_starve_behind_long_ones_in_the_queue() {
     let mut set = settings();
-    set.classes[KEYED].aim = 300 * MS;
+    set.classes[KEYED].latency_objective = 300 * MS;
     let mut rig = Rig::new(set, 1, 1);
     let first: Vec<_> = (0..8).map(|_| rig.request(SAFE).0).collect();
     let urgent = rig.request(KEYED).0;
@@ -657,24 +666,24 @@
 #[test]
 fn discovery_is_asked_at_start_and_again_after_failures_with_waits() {
     let mut set = settings();
-    set.discovery = Discovery::OnRequest;
+    set.discovery = DiscoveryMode::Polled;
     let mut balancer = Balancer::new(set.clone(), 1).expect("usable settings");
     let mut actions = Vec::new();
-    balancer.handle(START, Event::Endpoints(ListUpdate::Cached(vec![listing(0)])), &mut actions);
+    balancer.handle(START, Event::EndpointList(EndpointListUpdate::Cached(vec![listing(0)])), &mut actions);
     assert!(actions.contains(&Action::Subscribe(true)));
     let mut rig = Rig::new(set, 1, 1);
     let mut waits = Vec::new();
     for _ in 0..12 {
-        rig.event(Event::Endpoints(ListUpdate::Failed));
+        rig.event(Event::EndpointList(EndpointListUpdate::Failed));
         let failed = rig.now;
         while rig.wait(10 * MS).iter().all(|a| *a != Action::Subscribe(true)) {
-            assert!(rig.now - failed < rig.set.rules.ask_within, "asks inside the interval");
+            assert!(rig.now - failed < rig.set.rules.max_poll_interval, "asks inside the interval");
         }
         waits.push(rig.now - failed);
     }
     assert!(waits[3] > waits[0], "{waits:?}");
-    rig.event(Event::Endpoints(ListUpdate::Delta(Vec::new())));
-    rig.event(Event::Endpoints(ListUpdate::Failed));
+    rig.event(Event::EndpointList(EndpointListUpdate::Delta(Vec::new())));
+    rig.event(Event::EndpointList(EndpointListUpdate::Failed));
     assert!(rig.wait(1500 * MS).contains(&Action::Subscribe(true)), "a success starts the waits anew");
 }
 
@@ -708,21 +717,21 @@
     let (id, _) = rig.request_for(SAFE, 500 * MS, None, None);
     rig.event(Event::StreamStarted { request: id, attempt: 0 });
     let out = rig.out.remove(&(id, 0)).expect("sent");
-    assert!(!rig.wait(5000 * MS).iter().any(|a| matches!(a, Action::Refuse { .. } | Action::Fail(_))));
+    assert!(!rig.wait(5000 * MS).iter().any(|a| matches!(a, Action::Reject { .. } | Action::Fail(_))));
     let end = AttemptEnd {
         request: id,
         attempt: 0,
         endpoint: out.endpoint,
         outcome: Outcome::Reset,
-        took: 5000 * MS,
-        settled: true,
-        spent: false,
-        load: Load::default(),
+        duration: 5000 * MS,
+        request_completed: true,
+        body_consumed: false,
+        load_report: LoadReport::default(),
     };
     assert!(
         !rig.event(Event::AttemptEnded(end))
             .iter()
-            .any(|a| matches!(a, Action::Refuse { .. } | Action::Fail(_)))
+            .any(|a| matches!(a, Action::Reject { .. } | Action::Fail(_)))
     );
 }
 
@@ -735,21 +744,21 @@
     rig.event(Event::StreamStarted { request: id, attempt: 0 });
     rig.out.remove(&(id, 0)).expect("sent");
     let end = |attempt, outcome, settled| {
-        let (endpoint, took, load) = (at, 1000 * MS, Load::default());
+        let (endpoint, took, load) = (at, 1000 * MS, LoadReport::default());
         Event::AttemptEnded(AttemptEnd {
             request: id,
             attempt,
             endpoint,
             outcome,
-            took,
-            settled,
-            spent: false,
-            load,
+            duration: took,
+            request_completed: settled,
+            body_consumed: false,
+            load_report: load,
         })
     };
     let quiet = rig.wait(60_000 * MS);
     assert!(
-        !quiet.iter().any(|a| matches!(a, Action::Log(_) | Action::Fail(_) | Action::Refuse { .. })),
+        !quiet.iter().any(|a| matches!(a, Action::Log(_) | Action::Fail(_) | Action::Reject { .. })),
         "{quiet:?}"
     );
     assert!(rig.event(end(0, Outcome::Ok, true)).iter().all(|a| matches!(a, Action::SetTimer { .. })));
@@ -765,19 +774,24 @@
         attempt: 0,
         endpoint: rig.out[&(id, 0)].endpoint,
         outcome: Outcome::Error,
-        took: 1,
-        settled: false,
-        spent: false,
-        load: Load::default(),
+        duration: 1,
+        request_completed: false,
+        body_consumed: false,
+        load_report: LoadReport::default(),
     };
     for odd in [
         Event::Timer(99),
-        Event::Abandoned(77),
+        Event::RequestAbandoned(77),
         Event::StreamStarted { request: 77, attempt: 3 },
         Event::AttemptEnded(AttemptEnd { request: 77, ..end }),
         Event::AttemptEnded(AttemptEnd { attempt: 5, ..end }),
         Event::AttemptEnded(AttemptEnd { endpoint: 50, ..end }),
-        Event::ProbeEnded { endpoint: 9, outcome: Outcome::Ok, took: 1, load: Load::default() },
+        Event::HealthCheckEnded {
+            endpoint: 9,
+            outcome: Outcome::Ok,
+            duration: 1,
+            load_report: LoadReport::default(),
+        },
         Event::PeerMessage { from: 3, bytes: vec![1, 2] },
     ] {
         let text = format!("{odd:?}");
@@ -791,7 +805,7 @@
 fn a_client_that_left_ends_the_request_and_its_attempt() {
     let mut rig = Rig::new(settings(), 2, 1);
     let (id, _) = rig.request(SAFE);
-    assert_eq!(rig.event(Event::Abandoned(id)), [Action::Cancel { request: id, attempt: 0 }]);
+    assert_eq!(rig.event(Event::RequestAbandoned(id)), [Action::Cancel { request: id, attempt: 0 }]);
     assert!(rig.end(id, 0, Outcome::Cancelled).is_empty());
 }
 
@@ -826,7 +840,7 @@
 #[test]
 fn shedding_looks_back_by_what_clients_wait() {
     let mut set = Settings { instances: 1000, ..settings() };
-    set.classes.iter_mut().for_each(|c| (c.aim, c.deadline) = (250 * MS, 1000 * MS));
+    set.classes.iter_mut().for_each(|c| (c.latency_objective, c.deadline) = (250 * MS, 1000 * MS));
     let mut rig = Rig::new(set, 12, 1);
     let mut taken = |requests: usize, time: Micros| {
         let before = rig.sends.len();
@@ -847,7 +861,7 @@
 fn retries_are_rationed() {
     let mut rig = Rig::new(settings(), 12, 1);
     used(&mut rig, 20);
-    let before: AttemptNo = rig.sends.values().sum();
+    let before: AttemptNumber = rig.sends.values().sum();
     for _ in 0..30 {
         rig.request(SAFE);
         while let Some(&(id, n)) = rig.out.keys().next() {
@@ -859,7 +873,7 @@
             rig.wait(300 * MS);
         }
     }
-    let all = rig.sends.values().sum::<AttemptNo>() - before;
+    let all = rig.sends.values().sum::<AttemptNumber>() - before;
     assert!((15..=37).contains(&all), "{all} attempts for 30 requests");
 }
 
@@ -892,8 +906,8 @@
     let mut slow = 0;
     for seed in 0..20 {
         let mut rig = Rig::new(Settings { instances: 1000, ..settings() }, 0, seed);
-        let kind = |endpoint| Listing { kind: Some(endpoint % 2), ..listing(endpoint) };
-        rig.event(Event::Endpoints(ListUpdate::Full((0..40).map(kind).collect())));
+        let kind = |endpoint| EndpointEntry { machine_type: Some(endpoint % 2), ..listing(endpoint) };
+        rig.event(Event::EndpointList(EndpointListUpdate::Full((0..40).map(kind).collect())));
         let to = sparse(&mut rig, 48, |e| if e % 2 == 1 { 900 * MS } else { 90 * MS });
         slow += to.iter().filter(|e| **e % 2 == 1).count();
     }
@@ -906,10 +920,10 @@
     let mut slow = 0;
     for seed in 0..20 {
         let mut set = Settings { instances: 1000, ..settings() };
-        set.classes.iter_mut().for_each(|c| (c.aim, c.deadline) = (250 * MS, 1000 * MS));
+        set.classes.iter_mut().for_each(|c| (c.latency_objective, c.deadline) = (250 * MS, 1000 * MS));
         let mut rig = Rig::new(set, 0, seed);
-        let kind = |endpoint| Listing { kind: Some(endpoint % 2), ..listing(endpoint) };
-        rig.event(Event::Endpoints(ListUpdate::Full((0..40).map(kind).collect())));
+        let kind = |endpoint| EndpointEntry { machine_type: Some(endpoint % 2), ..listing(endpoint) };
+        rig.event(Event::EndpointList(EndpointListUpdate::Full((0..40).map(kind).collect())));
         for n in 0..24 {
             let (id, actions) = rig.request_for(SAFE, 800 * MS, None, None);
             for to in sent(&actions) {
@@ -960,14 +974,14 @@
 fn gone_round(cold: usize) -> Vec<Vec<EndpointId>> {
     let sidecar = |seed| {
         let mut set = Settings { instances: 100, ..settings() };
-        set.classes.iter_mut().for_each(|c| (c.aim, c.deadline) = (250 * MS, 1000 * MS));
+        set.classes.iter_mut().for_each(|c| (c.latency_objective, c.deadline) = (250 * MS, 1000 * MS));
         let mut rig = Rig::new(set, 64, seed);
         let mut to = Vec::new();
         for n in 0..80 {
             if n == 32 {
                 let started = Some(rig.now);
-                let cold = (0..cold).map(|e| Listing { started, ..listing(e) });
-                rig.event(Event::Endpoints(ListUpdate::Delta(cold.collect())));
+                let cold = (0..cold).map(|e| EndpointEntry { started_at: started, ..listing(e) });
+                rig.event(Event::EndpointList(EndpointListUpdate::Delta(cold.collect())));
             }
             let (_, actions) = rig.request_for(SAFE, 800 * MS, None, None);
             to.extend(sent(&actions).into_iter().filter(|_| n >= 64));
@@ -1017,7 +1031,7 @@
 fn where_turns_are_further_apart_than_deadlines_one_error_opens_a_circuit() {
     for (deadline, opens) in [(4000 * MS, false), (1000 * MS, true)] {
         let mut set = settings();
-        set.classes.iter_mut().for_each(|c| (c.aim, c.deadline) = (deadline / 4, deadline));
+        set.classes.iter_mut().for_each(|c| (c.latency_objective, c.deadline) = (deadline / 4, deadline));
         let mut rig = Rig::new(set, 1, 1);
         used(&mut rig, 5);
         rig.wait(1500 * MS);
@@ -1105,7 +1119,9 @@
 #[test]
 fn a_repeat_of_what_may_have_run_says_how_long_it_may_wait_to_be_written() {
     let windows = |actions: &[Action]| -> Vec<_> {
-        let of = |a: &Action| if let Action::Send { window, .. } = a { Some(*window) } else { None };
+        let of = |a: &Action| {
+            if let Action::Send { idempotency_window: window, .. } = a { Some(*window) } else { None }
+        };
         actions.iter().filter_map(of).collect()
     };
     for class in [SAFE, KEYED, UNSAFE] {
--- a/crates/balancer/tests/ordinary.rs
+++ b/crates/balancer/tests/ordinary.rs
@@ -18,7 +18,10 @@
 #[test]
 fn turns_follow_listed_sizes() {
     let mut rig = Rig::new(settings(), 2, 1);
-    rig.event(Event::Endpoints(ListUpdate::Delta(vec![Listing { size: 3.0, ..listing(1) }])));
+    rig.event(Event::EndpointList(EndpointListUpdate::Delta(vec![EndpointEntry {
+        size: 3.0,
+        ..listing(1)
+    }])));
     let mut counts = [0; 2];
     for _ in 0..80 {
         counts[sent(&rig.request(SAFE).1)[0]] += 1;
@@ -52,8 +55,8 @@
         rig.serve(20 * MS);
         rig.wait(480 * MS);
     }
-    let gone = Listing { status: Status::Gone, ..listing(first.expect("a pick")) };
-    rig.event(Event::Endpoints(ListUpdate::Delta(vec![gone])));
+    let gone = EndpointEntry { status: EndpointStatus::Removed, ..listing(first.expect("a pick")) };
+    rig.event(Event::EndpointList(EndpointListUpdate::Delta(vec![gone])));
     for _ in 0..40 {
         let (_, actions) = rig.request(SAFE);
         assert!(sent(&actions).len() == 1 && sent(&actions).first() != first.as_ref());
@@ -78,9 +81,9 @@
         let (id, _) = rig.request(SAFE);
         for (n, seen) in waits.iter_mut().enumerate() {
             let failed = rig.now;
-            rig.end(id, n as AttemptNo, Outcome::Error);
+            rig.end(id, n as AttemptNumber, Outcome::Error);
             rig.wait(200 * MS);
-            let wait = rig.out[&(id, n as AttemptNo + 1)].sent - failed;
+            let wait = rig.out[&(id, n as AttemptNumber + 1)].sent - failed;
             assert!((1000 * MS / 64..=1000 * MS / 8 + 5 * MS).contains(&wait), "{wait}");
             seen.push(wait);
         }
@@ -126,20 +129,22 @@
 #[test]
 fn the_retry_filter_by_class_and_outcome() {
     use Outcome::*;
-    for outcome in [Error, Rejected, TimedOut, ConnectFailed, Reset, KeptReset, Cancelled, NotSent] {
+    for outcome in
+        [Error, Rejected, TimedOut, ConnectFailed, Reset, ReusedConnectionReset, Cancelled, NotSent]
+    {
         for class in [SAFE, KEYED, UNSAFE] {
             let mut rig = Rig::new(settings(), 6, 5);
             let (id, first) = rig.request(class);
             rig.wait(10 * MS);
             let mut after = rig.end(id, 0, outcome);
             after.extend(rig.wait(200 * MS));
-            if class == UNSAFE && !outcome.never_ran() {
+            if class == UNSAFE && !outcome.was_never_executed() {
                 assert!(failed(&after, id) && sent(&after).is_empty(), "{outcome:?}");
                 continue;
             }
             let next = sent(&after);
             assert_eq!(next.len(), 1, "{class} {outcome:?}");
-            if class == KEYED && !outcome.never_ran() {
+            if class == KEYED && !outcome.was_never_executed() {
                 assert_eq!(next[0] / 2, sent(&first)[0] / 2, "stays in its cell after {outcome:?}");
             }
         }
@@ -149,7 +154,7 @@
 #[test]
 fn keyed_retries_end_with_the_dedup_time() {
     let mut set = settings();
-    set.classes[KEYED].late_share = 0.5;
+    set.classes[KEYED].late_value_share = 0.5;
     let mut rig = Rig::new(set, 1, 5);
     let (id, _) = rig.request(KEYED);
     rig.wait(1190 * MS);
@@ -164,7 +169,7 @@
 fn what_may_have_run_is_refused_only_while_its_repeat_is_dropped() {
     for (ttl, harmless) in [(1200, true), (810, false), (500, false)] {
         let mut set = settings();
-        set.classes[KEYED].effect = Effect::Keyed { scope: DedupScope::All, ttl: ttl * MS };
+        set.classes[KEYED].idempotency = Idempotency::WithKey { scope: DedupScope::All, ttl: ttl * MS };
         set.limits.max_attempts = 1;
         let mut rig = Rig::new(set, 2, 1);
         let (id, _) = rig.request(KEYED);
@@ -255,7 +260,7 @@
     for _ in 0..14 {
         let (id, actions) = rig.request(SAFE);
         for n in 0..sent(&actions).len() {
-            rig.end(id, n as AttemptNo, Outcome::Reset);
+            rig.end(id, n as AttemptNumber, Outcome::Reset);
         }
         rig.wait(10 * MS);
     }
@@ -310,9 +315,9 @@
         Balancer::new(set, 1).is_err()
     };
     assert!(spoil(|s| s.classes.clear()));
-    assert!(spoil(|s| s.classes[0].aim = 0));
-    assert!(spoil(|s| s.rules.cold_share = f64::NAN));
-    assert!(spoil(|s| s.rules.warm_within = -1));
+    assert!(spoil(|s| s.classes[0].latency_objective = 0));
+    assert!(spoil(|s| s.rules.initial_capacity_share = f64::NAN));
+    assert!(spoil(|s| s.rules.slow_start_duration = -1));
     assert!(spoil(|s| s.limits.max_attempts = 0));
     assert!(!spoil(|_| ()));
 }
@@ -322,12 +327,12 @@
     type Spoil = fn(&mut Settings);
     let spoilt: [(Spoil, &str); 8] = [
         (|s| s.classes.clear(), "classes"),
-        (|s| s.classes[1].aim = 0, "aim"),
+        (|s| s.classes[1].latency_objective = 0, "aim"),
         (|s| s.classes[0].deadline = -1, "deadline"),
-        (|s| s.classes[2].aim_stretch = f64::NAN, "aim_stretch"),
+        (|s| s.classes[2].objective_per_work = f64::NAN, "aim_stretch"),
         (|s| s.limits.max_attempts = 0, "max_attempts"),
-        (|s| s.rules.cold_share = f64::INFINITY, "cold_share"),
-        (|s| s.rules.tip_after = Micros::MAX, "tip_after"),
+        (|s| s.rules.initial_capacity_share = f64::INFINITY, "cold_share"),
+        (|s| s.rules.overload_collapse_after = Micros::MAX, "tip_after"),
         (|s| s.tick = -5, "tick"),
     ];
     for (spoil, word) in spoilt {
@@ -343,9 +348,11 @@
     let mut rig = Rig::new(settings(), 2, 1);
     rig.event(Event::Cordoned(0));
     rig.event(Event::Cordoned(0));
-    let again = Listing { started: Some(rig.now), ..listing(0) };
-    for list in [ListUpdate::Delta(vec![listing(0)]), ListUpdate::Full(vec![again, listing(1)])] {
-        rig.event(Event::Endpoints(list));
+    let again = EndpointEntry { started_at: Some(rig.now), ..listing(0) };
+    for list in
+        [EndpointListUpdate::Delta(vec![listing(0)]), EndpointListUpdate::Full(vec![again, listing(1)])]
+    {
+        rig.event(Event::EndpointList(list));
         for outcome in [Outcome::Ok, Outcome::Rejected, Outcome::Ok] {
             let (id, actions) = rig.request(SAFE);
             assert_eq!(sent(&actions), [1]);
@@ -356,8 +363,8 @@
         }
     }
     // The number is another endpoint's.
-    rig.event(Event::Released(0));
-    rig.event(Event::Endpoints(ListUpdate::Delta(vec![listing(0)])));
+    rig.event(Event::EndpointReleased(0));
+    rig.event(Event::EndpointList(EndpointListUpdate::Delta(vec![listing(0)])));
     assert!((0..4).any(|_| sent(&rig.request(SAFE).1) == [0]));
 }
 
@@ -414,8 +421,17 @@
         let id = rig.next;
         rig.next += 1;
         let (class, due, tenant, key, work, repeat) = (KEYED, rig.now + 60_000 * MS, None, None, None, false);
-        let new = NewRequest { id, class, tenant, key, due, work, repeat, coming };
-        (id, sent(&rig.event(Event::Request(new))).len())
+        let new = NewRequest {
+            id,
+            class,
+            tenant,
+            partition_key: key,
+            deadline: due,
+            expected_work: work,
+            is_client_retry: repeat,
+            body_incomplete: coming,
+        };
+        (id, sent(&rig.event(Event::RequestReceived(new))).len())
     };
     let slow: Vec<_> = (0..60).map(|_| ask(&mut rig, true)).collect();
     assert!(slow.iter().all(|(_, sent)| *sent == 1));
@@ -425,13 +441,13 @@
     let (id, _) = ask(&mut rig, true);
     rig.wait(3000 * MS);
     let due = rig.now + 4000 * MS;
-    rig.event(Event::Received { request: id, due });
+    rig.event(Event::BodyReceived { request: id, deadline: due });
     assert!(!failed(&rig.wait(3900 * MS), id));
     assert!(failed(&rig.wait(200 * MS), id) || !rig.out.contains_key(&(id, 0)));
     // Once they are there they count.
     let slow: Vec<_> = (0..60).map(|_| ask(&mut rig, true)).collect();
     for (request, _) in slow {
-        rig.event(Event::Received { request, due: rig.now + 4000 * MS });
+        rig.event(Event::BodyReceived { request, deadline: rig.now + 4000 * MS });
     }
     assert_eq!(ask(&mut rig, false).1, 0);
 }
@@ -442,8 +458,17 @@
         let mut rig = Rig::new(settings(), 2, 1);
         let (request, actions) = rig.request(UNSAFE);
         let endpoint = sent(&actions)[0];
-        let (took, settled, spent, load) = (1, false, true, Load::default());
-        let end = AttemptEnd { request, attempt: 0, endpoint, outcome, took, settled, spent, load };
+        let (took, settled, spent, load) = (1, false, true, LoadReport::default());
+        let end = AttemptEnd {
+            request,
+            attempt: 0,
+            endpoint,
+            outcome,
+            duration: took,
+            request_completed: settled,
+            body_consumed: spent,
+            load_report: load,
+        };
         let actions = rig.event(Event::AttemptEnded(end));
         assert_eq!((refused(&actions, request), failed(&actions, request)), (refuses, !refuses));
     }
@@ -456,8 +481,8 @@
     let to_cold: usize = (1..=10)
         .map(|seed| {
             let mut rig = Rig::new(settings(), 4, seed);
-            let cold = Listing { started: Some(rig.now), ..listing(0) };
-            rig.event(Event::Endpoints(ListUpdate::Delta(vec![cold])));
+            let cold = EndpointEntry { started_at: Some(rig.now), ..listing(0) };
+            rig.event(Event::EndpointList(EndpointListUpdate::Delta(vec![cold])));
             let mut to_cold = 0;
             // A third of the time over which work served is summed up.
             for _ in 0..10 {
--- a/crates/balancer/tests/rules.rs
+++ b/crates/balancer/tests/rules.rs
@@ -16,7 +16,7 @@
     due: Micros,
     attempts: Vec<Sent>,
     /// The attempt whose answer has begun.
-    streaming: Option<AttemptNo>,
+    streaming: Option<AttemptNumber>,
 }
 
 /// What the rules allow, kept apart from the module under test.
@@ -24,14 +24,14 @@
     set: Settings,
     open: BTreeMap<RequestId, Open>,
     ended: BTreeSet<RequestId>,
-    status: Vec<Listing>,
+    status: Vec<EndpointEntry>,
     cordoned: BTreeSet<EndpointId>,
     answered: usize,
 }
 
 impl Judge {
     fn ran(open: &Open) -> impl Iterator<Item = &Sent> {
-        open.attempts.iter().filter(|a| a.outcome.is_none_or(|o| !o.never_ran()))
+        open.attempts.iter().filter(|a| a.outcome.is_none_or(|o| !o.was_never_executed()))
     }
 
     fn look(&mut self, now: Micros, actions: &[Action]) {
@@ -40,17 +40,17 @@
                 Action::Send { request, endpoint, timeout, .. } => {
                     let open = self.open.get_mut(&request).expect("a send for an open request");
                     let to = &self.status[endpoint];
-                    assert_eq!(to.status, Status::Ready, "drains are kept");
+                    assert_eq!(to.status, EndpointStatus::Ready, "drains are kept");
                     assert!(!self.cordoned.contains(&endpoint), "cordons are kept");
                     assert!(timeout > 0 && now < open.due && open.streaming.is_none());
                     assert!((open.attempts.len() as u32) < self.set.limits.max_attempts);
                     let live = open.attempts.iter().filter(|a| a.outcome.is_none()).count();
-                    assert!(live == 0 || self.set.limits.may_duplicate, "one attempt at a time");
+                    assert!(live == 0 || self.set.limits.may_hedge, "one attempt at a time");
                     for earlier in Self::ran(open) {
-                        match self.set.classes[open.class].effect {
-                            Effect::Safe => {}
-                            Effect::Unsafe => panic!("an unsafe request sent twice"),
-                            Effect::Keyed { scope, ttl } => {
+                        match self.set.classes[open.class].idempotency {
+                            Idempotency::Idempotent => {}
+                            Idempotency::NonIdempotent => panic!("an unsafe request sent twice"),
+                            Idempotency::WithKey { scope, ttl } => {
                                 let from = &self.status[earlier.endpoint];
                                 let same = match scope {
                                     DedupScope::All => true,
@@ -63,10 +63,10 @@
                     }
                     open.attempts.push(Sent { endpoint, at: now, outcome: None });
                 }
-                Action::Refuse { request, .. } => {
+                Action::Reject { request, .. } => {
                     let open = self.open.remove(&request).expect("a refusal of an open request");
-                    let harmless = match self.set.classes[open.class].effect {
-                        Effect::Safe | Effect::Keyed { scope: DedupScope::All, .. } => true,
+                    let harmless = match self.set.classes[open.class].idempotency {
+                        Idempotency::Idempotent | Idempotency::WithKey { scope: DedupScope::All, .. } => true,
                         _ => Self::ran(&open).next().is_none(),
                     };
                     assert!(harmless, "refused though it may have run");
@@ -77,14 +77,14 @@
                     self.close(request);
                 }
                 Action::Cancel { .. } => assert!(self.set.limits.may_cancel),
-                Action::Probe(_) => assert!(self.set.limits.probes),
-                Action::Tell { .. } => assert!(self.set.limits.peers),
+                Action::HealthCheck(_) => assert!(self.set.limits.may_health_check),
+                Action::SendPeerMessage { .. } => assert!(self.set.limits.may_gossip),
                 Action::SetTimer { after, .. } => assert!((0..=71 * 60_000 * MS).contains(&after)),
                 _ => {}
             }
         }
         for (id, open) in &self.open {
-            let end = open.due + self.set.rules.answer_slack;
+            let end = open.due + self.set.rules.answer_grace;
             assert!(open.streaming.is_some() || now <= end, "request {id} is unanswered after its deadline");
         }
     }
@@ -98,17 +98,17 @@
 fn random_settings(rng: &mut fastrand::Rng) -> Settings {
     let mut set = settings();
     let scopes = [DedupScope::All, DedupScope::Zone, DedupScope::Cell];
-    set.classes[KEYED].effect =
-        Effect::Keyed { scope: *rng.choice(&scopes).expect("three"), ttl: rng.i64(50..2000) * MS };
+    set.classes[KEYED].idempotency =
+        Idempotency::WithKey { scope: *rng.choice(&scopes).expect("three"), ttl: rng.i64(50..2000) * MS };
     set.classes[SAFE].streaming = rng.bool();
-    set.classes.iter_mut().for_each(|c| c.aim = rng.i64(100..1500) * MS);
-    set.classes.iter_mut().for_each(|c| c.late_share = if rng.bool() { 0.3 } else { 0.0 });
-    set.limits.may_duplicate = rng.bool();
+    set.classes.iter_mut().for_each(|c| c.latency_objective = rng.i64(100..1500) * MS);
+    set.classes.iter_mut().for_each(|c| c.late_value_share = if rng.bool() { 0.3 } else { 0.0 });
+    set.limits.may_hedge = rng.bool();
     set.limits.may_cancel = rng.bool();
     set.limits.max_attempts = rng.u32(1..6);
     set.instances = rng.u32(1..20);
-    set.discovery = if rng.bool() { Discovery::OnRequest } else { Discovery::Pushed };
-    set.tenants = vec![Tenant { quota_per_s: 10.0, share: 0.5 }; rng.usize(0..3)];
+    set.discovery = if rng.bool() { DiscoveryMode::Polled } else { DiscoveryMode::Pushed };
+    set.tenants = vec![Tenant { quota_per_s: 10.0, capacity_share: 0.5 }; rng.usize(0..3)];
     set
 }
 
@@ -170,25 +170,30 @@
                 let Some(&id) = rng.choice(&keys) else { continue };
                 judge.open.remove(&id);
                 judge.close(id);
-                let actions = rig.event(Event::Abandoned(id));
+                let actions = rig.event(Event::RequestAbandoned(id));
                 judge.look(rig.now, &actions);
             }
             74..80 => {
                 let one = rng.usize(0..endpoints);
-                let states = [Status::Ready, Status::Ready, Status::Draining, Status::Gone];
+                let states = [
+                    EndpointStatus::Ready,
+                    EndpointStatus::Ready,
+                    EndpointStatus::Draining,
+                    EndpointStatus::Removed,
+                ];
                 judge.status[one].status = *rng.choice(&states).expect("some");
-                judge.status[one].started = rng.bool().then_some(rig.now - rng.i64(0..8000) * MS);
+                judge.status[one].started_at = rng.bool().then_some(rig.now - rng.i64(0..8000) * MS);
                 let list = if rng.bool() {
-                    ListUpdate::Delta(vec![judge.status[one].clone()])
+                    EndpointListUpdate::Delta(vec![judge.status[one].clone()])
                 } else {
-                    let listed = judge.status.iter().filter(|l| l.status != Status::Gone);
-                    ListUpdate::Full(listed.cloned().collect())
+                    let listed = judge.status.iter().filter(|l| l.status != EndpointStatus::Removed);
+                    EndpointListUpdate::Full(listed.cloned().collect())
                 };
-                let actions = rig.event(Event::Endpoints(list));
+                let actions = rig.event(Event::EndpointList(list));
                 judge.look(rig.now, &actions);
             }
             80 => {
-                let actions = rig.event(Event::Endpoints(ListUpdate::Failed));
+                let actions = rig.event(Event::EndpointList(EndpointListUpdate::Failed));
                 judge.look(rig.now, &actions);
             }
             81..84 => {
@@ -224,7 +229,7 @@
     rig: &mut Rig,
     judge: &mut Judge,
     log: &mut Vec<String>,
-    key: (RequestId, AttemptNo),
+    key: (RequestId, AttemptNumber),
     outcome: Outcome,
 ) {
     let out = rig.out.remove(&key).expect("an attempt that is out");
@@ -239,8 +244,17 @@
         }
     }
     let (endpoint, took) = (out.endpoint, rig.now - out.sent);
-    let load = Load::default();
-    let end = AttemptEnd { request, attempt, endpoint, outcome, took, settled, spent: false, load };
+    let load = LoadReport::default();
+    let end = AttemptEnd {
+        request,
+        attempt,
+        endpoint,
+        outcome,
+        duration: took,
+        request_completed: settled,
+        body_consumed: false,
+        load_report: load,
+    };
     let actions = rig.event(Event::AttemptEnded(end));
     judge.look(rig.now, &actions);
     log.push(format!("{actions:?}"));
--- a/crates/fleet/src/model/decider.rs
+++ b/crates/fleet/src/model/decider.rs
@@ -170,7 +170,7 @@
     fn handle(&mut self, now: Micros, mut event: Event, _: &Sight, out: &mut Vec<Action>) {
         if let Event::AttemptEnded(end) = &mut event {
             end.outcome = match end.outcome {
-                Outcome::Error | Outcome::TimedOut | Outcome::Reset => Outcome::KeptReset,
+                Outcome::Error | Outcome::TimedOut | Outcome::Reset => Outcome::ReusedConnectionReset,
                 Outcome::Rejected | Outcome::ConnectFailed => Outcome::NotSent,
                 other => other,
             };
--- a/crates/fleet/src/model/decider/adapter.rs
+++ b/crates/fleet/src/model/decider/adapter.rs
@@ -3,7 +3,9 @@
 
 use super::{Decider, Sight};
 use crate::Micros;
-use lotusmoor_balancer::{Action, Event, ListUpdate, Listing, Load, Outcome, Status};
+use lotusmoor_balancer::{
+    Action, EndpointEntry, EndpointListUpdate, EndpointStatus, Event, LoadReport, Outcome,
+};
 use std::io::{BufRead, BufReader, Write};
 use std::path::Path;
 use std::process::{Child, ChildStdin, ChildStdout, Command, Stdio};
@@ -107,24 +109,24 @@
         Self { adapter, number, classes, zones, kinds, tenants, text }
     }
 
-    fn entries(&mut self, kind: u8, list: &[Listing]) {
+    fn entries(&mut self, kind: u8, list: &[EndpointEntry]) {
         use std::fmt::Write;
         // Lists are numbered from 0 and may be used again at once.
         let _ = writeln!(self.text, "catalog RosterId=0 Hosts={}", list.len());
         for l in list {
             let status = match l.status {
-                Status::Ready => 1,
-                Status::Draining => 2,
-                Status::Gone => 0,
+                EndpointStatus::Ready => 1,
+                EndpointStatus::Draining => 2,
+                EndpointStatus::Removed => 0,
             };
             let zone = l.zone.and_then(|z| self.zones.get(z)).map_or("-", String::as_str);
-            let kind = l.kind.and_then(|k| self.kinds.get(k)).map_or("-", String::as_str);
+            let kind = l.machine_type.and_then(|k| self.kinds.get(k)).map_or("-", String::as_str);
             let _ = write!(
                 self.text,
                 "m Endpoint=10.0.0.1:{} Campus={zone} Model={kind} Group={} Status={status} Size={}",
                 l.endpoint, l.cell, l.size
             );
-            let _ = match l.started {
+            let _ = match l.started_at {
                 Some(at) => writeln!(self.text, " ReadyAtUs={}", at.max(1)),
                 None => writeln!(self.text),
             };
@@ -136,18 +138,20 @@
         use std::fmt::Write;
         let i = self.number;
         let _ = match event {
-            Event::Endpoints(ListUpdate::Failed) => writeln!(self.text, "endpoints I={i} Epoch=1 Kind=0"),
-            Event::Endpoints(ListUpdate::Delta(list)) => return self.entries(1, list),
-            Event::Endpoints(ListUpdate::Cached(list)) => return self.entries(2, list),
-            Event::Endpoints(ListUpdate::Full(list)) => return self.entries(3, list),
-            Event::Request(new) => {
+            Event::EndpointList(EndpointListUpdate::Failed) => {
+                writeln!(self.text, "endpoints I={i} Epoch=1 Kind=0")
+            }
+            Event::EndpointList(EndpointListUpdate::Delta(list)) => return self.entries(1, list),
+            Event::EndpointList(EndpointListUpdate::Cached(list)) => return self.entries(2, list),
+            Event::EndpointList(EndpointListUpdate::Full(list)) => return self.entries(3, list),
+            Event::RequestReceived(new) => {
                 let class = self.classes.get(new.class).map_or("-", String::as_str);
-                let flags = u8::from(new.work.is_some()) + if new.repeat { 2 } else { 0 };
-                let hint = new.work.map(|w| format!(" WorkHintUs={w}")).unwrap_or_default();
-                let key = new.key.unwrap_or(0);
+                let flags = u8::from(new.expected_work.is_some()) + if new.is_client_retry { 2 } else { 0 };
+                let hint = new.expected_work.map(|w| format!(" WorkHintUs={w}")).unwrap_or_default();
+                let key = new.partition_key.unwrap_or(0);
                 let tenant = new.tenant.and_then(|t| self.tenants.get(t));
                 let tenant = tenant.map(|t| format!(" Project={t}")).unwrap_or_default();
-                let (id, due) = (new.id, new.due);
+                let (id, due) = (new.id, new.deadline);
                 writeln!(
                     self.text,
                     "demand I={i} Ticket={id} Profile={class}{tenant} PartitionKey={key} DueUs={due}{hint} Flags={flags}"
@@ -157,21 +161,22 @@
                 writeln!(self.text, "under_way I={i} Ticket={request} Go={attempt}")
             }
             Event::AttemptEnded(end) => {
-                let (how, load, settled) = (word(end.outcome), pairs(&end.load), u8::from(end.settled));
+                let (how, load, settled) =
+                    (word(end.outcome), pairs(&end.load_report), u8::from(end.request_completed));
                 writeln!(
                     self.text,
                     "returned I={i} Ticket={} Disposition={how} Endpoint=10.0.0.1:{} TookUs={} Go={} Settled={settled}{load}",
-                    end.request, end.endpoint, end.took, end.attempt
+                    end.request, end.endpoint, end.duration, end.attempt
                 )
             }
-            Event::ProbeEnded { endpoint, outcome, took, load } => {
+            Event::HealthCheckEnded { endpoint, outcome, duration: took, load_report: load } => {
                 let (how, load) = (word(*outcome), pairs(load));
                 writeln!(
                     self.text,
                     "health_result I={i} Endpoint=10.0.0.1:{endpoint} Disposition={how} TookUs={took}{load}"
                 )
             }
-            Event::Abandoned(id) => writeln!(self.text, "withdrawn I={i} Ticket={id}"),
+            Event::RequestAbandoned(id) => writeln!(self.text, "withdrawn I={i} Ticket={id}"),
             Event::Timer(token) => writeln!(self.text, "alarm I={i} Ctx={token}"),
             // No words of the simulator's: programs built by `experiments/versions` know them, others pass over them.
             Event::Cordoned(server) => writeln!(self.text, "cordon I={i} Endpoint=10.0.0.1:{server}"),
@@ -210,14 +215,14 @@
         Outcome::Rejected => "RESOURCE_EXHAUSTED",
         Outcome::TimedOut => "DEADLINE_EXCEEDED",
         Outcome::ConnectFailed => "UNAVAILABLE",
-        Outcome::Reset | Outcome::KeptReset => "ABORTED",
+        Outcome::Reset | Outcome::ReusedConnectionReset => "ABORTED",
         Outcome::Cancelled => "CANCELLED",
         Outcome::NotSent => "TOO_LATE",
     }
 }
 
 /// A load report as a field of a line.
-fn pairs(load: &Load) -> String {
+fn pairs(load: &LoadReport) -> String {
     let all = [("waiting", load.waiting), ("active", load.active), ("cpu", load.cpu)];
     let told: Vec<_> = all.iter().filter_map(|(name, v)| Some(format!("{name}:{}", (*v)?))).collect();
     if told.is_empty() { String::new() } else { format!(" Load={}", told.join(",")) }
@@ -235,16 +240,16 @@
             request: request()?,
             endpoint: endpoint()?,
             timeout: number("TimeoutUs").filter(|t| *t != 0).unwrap_or(Micros::MAX / 4),
-            window: None,
+            idempotency_window: None,
         },
-        "not_now" => Action::Refuse { request: request()?, retry_after: number("HoldOffUs").unwrap_or(0) },
+        "not_now" => Action::Reject { request: request()?, retry_after: number("HoldOffUs").unwrap_or(0) },
         "error" => Action::Fail(request()?),
         "recall" => Action::Cancel { request: request()?, attempt: number("Go")?.try_into().ok()? },
         "defer" => Action::SetTimer { after: number("FromNowUs")?, token: number("Ctx")?.unsigned_abs() },
         "tail" => Action::Subscribe(number("Active") == Some(1)),
-        "health_check" => Action::Probe(endpoint()?),
-        "read_list" => Action::FetchList,
-        "free_links" => Action::CloseIdle(endpoint()?),
+        "health_check" => Action::HealthCheck(endpoint()?),
+        "read_list" => Action::FetchEndpointList,
+        "free_links" => Action::CloseIdleConnections(endpoint()?),
         _ => return None,
     })
 }
@@ -256,8 +261,11 @@
     #[test]
     fn actions_are_read_as_the_wire_has_them() {
         let send = action("hand_off I=3 Ticket=7 Endpoint=10.0.0.1:12 TimeoutUs=80000");
-        assert_eq!(send, Some(Action::Send { request: 7, endpoint: 12, timeout: 80_000, window: None }));
-        assert_eq!(action("not_now I=3 Ticket=7"), Some(Action::Refuse { request: 7, retry_after: 0 }));
+        assert_eq!(
+            send,
+            Some(Action::Send { request: 7, endpoint: 12, timeout: 80_000, idempotency_window: None })
+        );
+        assert_eq!(action("not_now I=3 Ticket=7"), Some(Action::Reject { request: 7, retry_after: 0 }));
         assert_eq!(action("defer I=3 FromNowUs=5 Ctx=9"), Some(Action::SetTimer { after: 5, token: 9 }));
         assert_eq!(action("say_log I=5 Text=two servers known"), None);
         assert_eq!(action("hand_off I=3 Ticket=x"), None);
--- a/crates/fleet/src/model/decider/plain.rs
+++ b/crates/fleet/src/model/decider/plain.rs
@@ -4,8 +4,8 @@
 use super::{Decider, Sight};
 use crate::Micros;
 use lotusmoor_balancer::{
-    Action, AttemptEnd, DedupScope, Effect, EndpointId, Event, ListUpdate, Listing, NewRequest, Outcome,
-    RequestId, Settings, Status,
+    Action, AttemptEnd, DedupScope, EndpointEntry, EndpointId, EndpointListUpdate, EndpointStatus, Event,
+    Idempotency, NewRequest, Outcome, RequestId, Settings,
 };
 use rustc_hash::FxHashMap;
 use std::collections::BTreeSet;
@@ -25,7 +25,7 @@
     set: Settings,
     pick: Pick,
     /// Servers by number, as listed; absent ones are of no concern.
-    listed: Vec<Option<Listing>>,
+    listed: Vec<Option<EndpointEntry>>,
     in_flight: Vec<u32>,
     /// Taken out by operators.
     cordoned: BTreeSet<EndpointId>,
@@ -54,11 +54,11 @@
         Self { set, pick, listed, in_flight, cordoned, turn, open }
     }
 
-    fn list(&mut self, update: ListUpdate) {
+    fn list(&mut self, update: EndpointListUpdate) {
         let entries = match update {
-            ListUpdate::Failed => return,
-            ListUpdate::Delta(entries) => entries,
-            ListUpdate::Full(entries) | ListUpdate::Cached(entries) => {
+            EndpointListUpdate::Failed => return,
+            EndpointListUpdate::Delta(entries) => entries,
+            EndpointListUpdate::Full(entries) | EndpointListUpdate::Cached(entries) => {
                 self.listed.iter_mut().for_each(|l| *l = None);
                 entries
             }
@@ -73,12 +73,12 @@
         }
     }
 
-    fn may_go(&self, now: Micros, open: &Open, to: &Listing) -> bool {
+    fn may_go(&self, now: Micros, open: &Open, to: &EndpointEntry) -> bool {
         let mut ran = open.attempts.iter().filter(|a| a.may_have_run);
-        match self.set.classes[open.new.class].effect {
-            Effect::Safe => true,
-            Effect::Unsafe => ran.next().is_none(),
-            Effect::Keyed { scope, ttl } => ran.all(|a| {
+        match self.set.classes[open.new.class].idempotency {
+            Idempotency::Idempotent => true,
+            Idempotency::NonIdempotent => ran.next().is_none(),
+            Idempotency::WithKey { scope, ttl } => ran.all(|a| {
                 let from = self.listed.get(a.to).and_then(Option::as_ref);
                 let alike = match scope {
                     DedupScope::All => true,
@@ -95,7 +95,7 @@
         let n = self.listed.len();
         let untried = |i: EndpointId| !open.attempts.iter().any(|a| a.to == i);
         let ready = |i: &EndpointId| {
-            let entry = self.listed[*i].as_ref().filter(|l| l.status == Status::Ready);
+            let entry = self.listed[*i].as_ref().filter(|l| l.status == EndpointStatus::Ready);
             let there = entry.is_some_and(|l| self.may_go(now, open, l)) && !self.cordoned.contains(i);
             there && untried(*i)
         };
@@ -115,11 +115,17 @@
             Pick::TrueState => {
                 // Work of a request is not told; a quarter of the least aim is near what sites ask for on the mean.
                 // Queues are held to half of that aim: what waits longer is late more often than not.
-                let least = self.set.classes.iter().map(|c| c.aim).min().unwrap_or(class.aim) as f64;
+                let least = self
+                    .set
+                    .classes
+                    .iter()
+                    .map(|c| c.latency_objective)
+                    .min()
+                    .unwrap_or(class.latency_objective) as f64;
                 let work = least / 4.0;
                 let best = (0..n).filter(ready).filter_map(|i| Some((sight.wait(now, i, work)?, i)));
                 let (wait, i) = best.min_by(|a, b| a.0.total_cmp(&b.0))?;
-                let late = (now - open.arrived) as f64 + wait > class.aim as f64;
+                let late = (now - open.arrived) as f64 + wait > class.latency_objective as f64;
                 (wait < least / 2.0 + work && !late).then_some(i)
             }
         }
@@ -127,13 +133,13 @@
 
     fn go(&mut self, now: Micros, id: RequestId, sight: &Sight, out: &mut Vec<Action>) {
         let Some(open) = self.open.get(&id) else { return };
-        let left = open.new.due - 2 * self.set.tick - now;
+        let left = open.new.deadline - 2 * self.set.tick - now;
         let spent = open.attempts.len() as u32 >= self.set.limits.max_attempts;
         let to = if left <= 0 || spent { None } else { self.choose(now, id, sight) };
         let Some(open) = self.open.get_mut(&id) else { return };
         match to {
             Some(to) => {
-                let aim = self.set.classes[open.new.class].aim;
+                let aim = self.set.classes[open.new.class].latency_objective;
                 let timeout = match self.pick {
                     // It knows what it waits for; past the aim that is worth nothing.
                     Pick::TrueState => left.min(open.arrived + aim - now),
@@ -143,18 +149,23 @@
                 };
                 open.attempts.push(Sent { to, at: now, may_have_run: true });
                 self.in_flight[to] += 1;
-                out.push(Action::Send { request: id, endpoint: to, timeout: timeout.max(1), window: None });
+                out.push(Action::Send {
+                    request: id,
+                    endpoint: to,
+                    timeout: timeout.max(1),
+                    idempotency_window: None,
+                });
             }
             None => {
-                let effect = self.set.classes[open.new.class].effect;
+                let effect = self.set.classes[open.new.class].idempotency;
                 let ran = open.attempts.iter().filter(|a| a.may_have_run).map(|a| a.at).min();
                 let harmless = match (ran, effect) {
-                    (None, _) | (_, Effect::Safe) => true,
-                    (Some(at), Effect::Keyed { scope: DedupScope::All, ttl }) => now - at < ttl,
+                    (None, _) | (_, Idempotency::Idempotent) => true,
+                    (Some(at), Idempotency::WithKey { scope: DedupScope::All, ttl }) => now - at < ttl,
                     _ => false,
                 };
                 out.push(if harmless {
-                    Action::Refuse { request: id, retry_after: 0 }
+                    Action::Reject { request: id, retry_after: 0 }
                 } else {
                     Action::Fail(id)
                 });
@@ -165,12 +176,12 @@
 
     fn ended(&mut self, now: Micros, end: AttemptEnd, sight: &Sight, out: &mut Vec<Action>) {
         self.in_flight[end.endpoint] = self.in_flight[end.endpoint].saturating_sub(1);
-        if end.settled || end.outcome == Outcome::Ok {
+        if end.request_completed || end.outcome == Outcome::Ok {
             self.open.remove(&end.request);
             return;
         }
         if let Some(open) = self.open.get_mut(&end.request) {
-            open.attempts[end.attempt as usize].may_have_run = !end.outcome.never_ran();
+            open.attempts[end.attempt as usize].may_have_run = !end.outcome.was_never_executed();
             self.go(now, end.request, sight, out);
         }
     }
@@ -179,8 +190,8 @@
 impl Decider for Plain {
     fn handle(&mut self, now: Micros, event: Event, sight: &Sight, out: &mut Vec<Action>) {
         match event {
-            Event::Endpoints(update) => self.list(update),
-            Event::Request(new) => {
+            Event::EndpointList(update) => self.list(update),
+            Event::RequestReceived(new) => {
                 let id = new.id;
                 self.open.insert(id, Open { new, arrived: now, attempts: Vec::new() });
                 self.go(now, id, sight, out);
@@ -192,7 +203,7 @@
                 self.cordoned.remove(&server);
             }
             Event::AttemptEnded(end) => self.ended(now, end, sight, out),
-            Event::Abandoned(id) => {
+            Event::RequestAbandoned(id) => {
                 self.open.remove(&id);
             }
             _ => {}
--- a/crates/fleet/src/model/discovery.rs
+++ b/crates/fleet/src/model/discovery.rs
@@ -2,13 +2,13 @@
 //! at a time. What it was told and when is kept, so that any reader's version can be brought up to date.
 
 use crate::Micros;
-use lotusmoor_balancer::Status;
+use lotusmoor_balancer::EndpointStatus;
 
 /// A server's entry as the list has it.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Entry {
     /// Its state.
-    pub status: Status,
+    pub status: EndpointStatus,
     /// Start of its process; `None` is long ago.
     pub started: Option<Micros>,
 }
--- a/crates/fleet/src/model/discovery/tests.rs
+++ b/crates/fleet/src/model/discovery/tests.rs
@@ -13,7 +13,7 @@
 #[test]
 fn a_reader_is_told_what_came_after_its_version_once_it_is_published() {
     let mut discovery = Discovery::default();
-    let entry = Entry { status: Status::Ready, started: None };
+    let entry = Entry { status: EndpointStatus::Ready, started: None };
     discovery.learn(Change { server: 1, entry, since: 5 });
     assert_eq!(discovery.since(0).len(), 0);
     assert!(discovery.publish(10) && !discovery.publish(20));
@@ -23,7 +23,7 @@
 #[test]
 fn a_version_can_be_reached_from_its_round_on_or_once_discovery_is_back() {
     let mut discovery = Discovery::default();
-    let entry = Entry { status: Status::Ready, started: None };
+    let entry = Entry { status: EndpointStatus::Ready, started: None };
     let change = Change { server: 1, entry, since: 5 };
     discovery.learn(change);
     discovery.publish(100);
--- a/crates/fleet/src/model/rules.rs
+++ b/crates/fleet/src/model/rules.rs
@@ -2,7 +2,7 @@
 //! in which a rule could be broken unseen would prove nothing.
 
 use crate::Micros;
-use lotusmoor_balancer::{DedupScope, Effect};
+use lotusmoor_balancer::{DedupScope, Idempotency};
 use std::collections::BTreeMap;
 
 /// An attempt as the rules see it.
@@ -23,7 +23,7 @@
 /// What a send is checked against.
 pub struct SendCheck<'a> {
     /// What a repeat would do.
-    pub effect: Effect,
+    pub effect: Idempotency,
     /// Earlier attempts of the try.
     pub earlier: &'a [Sent],
     /// The attempt.
@@ -47,9 +47,9 @@
     let now = c.to.at;
     let ran = || c.earlier.iter().filter(|a| a.open || a.may_have_run);
     let repeat = match c.effect {
-        Effect::Safe => false,
-        Effect::Unsafe => ran().next().is_some(),
-        Effect::Keyed { scope, ttl } => ran().any(|a| {
+        Idempotency::Idempotent => false,
+        Idempotency::NonIdempotent => ran().next().is_some(),
+        Idempotency::WithKey { scope, ttl } => ran().any(|a| {
             let alike = match scope {
                 DedupScope::All => true,
                 DedupScope::Zone => a.zone == c.to.zone,
@@ -72,11 +72,11 @@
 }
 
 /// Whether a refusal, which says that a repeat is harmless, is true.
-pub fn of_refusal(now: Micros, effect: Effect, earlier: &[Sent]) -> Option<&'static str> {
+pub fn of_refusal(now: Micros, effect: Idempotency, earlier: &[Sent]) -> Option<&'static str> {
     let first = earlier.iter().filter(|a| a.open || a.may_have_run).map(|a| a.at).min();
     let harmless = match (first, effect) {
-        (None, _) | (_, Effect::Safe) => true,
-        (Some(at), Effect::Keyed { scope: DedupScope::All, ttl }) => now - at < ttl,
+        (None, _) | (_, Idempotency::Idempotent) => true,
+        (Some(at), Idempotency::WithKey { scope: DedupScope::All, ttl }) => now - at < ttl,
         _ => false,
     };
     (!harmless).then_some("a refusal of what may have run")
--- a/crates/fleet/src/model/rules/tests.rs
+++ b/crates/fleet/src/model/rules/tests.rs
@@ -2,13 +2,13 @@
 
 use super::*;
 
-const KEYED: Effect = Effect::Keyed { scope: DedupScope::Zone, ttl: 1000 };
+const KEYED: Idempotency = Idempotency::WithKey { scope: DedupScope::Zone, ttl: 1000 };
 
 fn sent(at: Micros, zone: usize, open: bool, may_have_run: bool) -> Sent {
     Sent { zone, cell: 0, at, open, may_have_run }
 }
 
-fn check(effect: Effect, earlier: &[Sent], change: impl Fn(&mut SendCheck)) -> Option<&'static str> {
+fn check(effect: Idempotency, earlier: &[Sent], change: impl Fn(&mut SendCheck)) -> Option<&'static str> {
     let to = sent(500, 1, true, true);
     let mut check = SendCheck {
         effect,
@@ -28,33 +28,36 @@
 #[test]
 fn each_rule_on_sends_is_seen_broken_and_kept() {
     let (out, ran, never) = (sent(0, 1, true, true), sent(0, 1, false, true), sent(0, 1, false, false));
-    assert_eq!(check(Effect::Safe, &[ran], |_| {}), None);
-    assert_eq!(check(Effect::Unsafe, &[never], |_| {}), None);
+    assert_eq!(check(Idempotency::Idempotent, &[ran], |_| {}), None);
+    assert_eq!(check(Idempotency::NonIdempotent, &[never], |_| {}), None);
     assert_eq!(check(KEYED, &[ran], |_| {}), None);
-    assert_eq!(check(Effect::Unsafe, &[ran], |_| {}), Some("a repeat of what may have run"));
+    assert_eq!(check(Idempotency::NonIdempotent, &[ran], |_| {}), Some("a repeat of what may have run"));
     assert_eq!(check(KEYED, &[sent(0, 2, false, true)], |_| {}), Some("a repeat of what may have run"));
     assert_eq!(check(KEYED, &[sent(-600, 1, false, true)], |_| {}), Some("a repeat of what may have run"));
-    assert_eq!(check(Effect::Safe, &[out], |_| {}), Some("a second attempt while one is out"));
-    assert_eq!(check(Effect::Safe, &[ran; 3], |_| {}), Some("more attempts than allowed"));
+    assert_eq!(check(Idempotency::Idempotent, &[out], |_| {}), Some("a second attempt while one is out"));
+    assert_eq!(check(Idempotency::Idempotent, &[ran; 3], |_| {}), Some("more attempts than allowed"));
     assert_eq!(
-        check(Effect::Safe, &[], |c| c.listed = false),
+        check(Idempotency::Idempotent, &[], |c| c.listed = false),
         Some("a send to a server that was never listed")
     );
-    assert_eq!(check(Effect::Safe, &[], |c| c.over = true), Some("a send for a request that is over"));
-    assert_eq!(check(Effect::Safe, &[], |c| c.told_gone = Some(400)), None);
-    let late = check(Effect::Safe, &[], |c| c.told_gone = Some(399));
+    assert_eq!(
+        check(Idempotency::Idempotent, &[], |c| c.over = true),
+        Some("a send for a request that is over")
+    );
+    assert_eq!(check(Idempotency::Idempotent, &[], |c| c.told_gone = Some(400)), None);
+    let late = check(Idempotency::Idempotent, &[], |c| c.told_gone = Some(399));
     assert_eq!(late, Some("a send to a server that drains or is gone"));
 }
 
 #[test]
 fn a_refusal_must_be_harmless() {
-    let all = Effect::Keyed { scope: DedupScope::All, ttl: 1000 };
+    let all = Idempotency::WithKey { scope: DedupScope::All, ttl: 1000 };
     let (ran, never) = (sent(0, 1, false, true), sent(0, 1, false, false));
     assert_eq!(of_refusal(999, all, &[ran]), None);
     assert!(of_refusal(1000, all, &[ran]).is_some());
     assert!(of_refusal(1, KEYED, &[ran]).is_some());
-    assert!(of_refusal(1, Effect::Unsafe, &[ran]).is_some());
-    assert_eq!(of_refusal(1, Effect::Unsafe, &[never]), None);
+    assert!(of_refusal(1, Idempotency::NonIdempotent, &[ran]).is_some());
+    assert_eq!(of_refusal(1, Idempotency::NonIdempotent, &[never]), None);
 }
 
 #[test]
--- a/crates/fleet/src/model/run/attempts.rs
+++ b/crates/fleet/src/model/run/attempts.rs
@@ -7,7 +7,7 @@
         let p = &mut self.processes[process as usize];
         let limits = &self.settings[p.sidecar as usize].limits;
         let (zone, to) = (self.world.sidecars[p.sidecar as usize].zone, self.servers[server].spec.zone);
-        let (most, copies) = (limits.max_attempts, limits.may_duplicate);
+        let (most, copies) = (limits.max_attempts, limits.may_hedge);
         let [listed, cordoned] = [&p.gone, &p.cordoned].map(|told| told.get(&(server as u32)).copied());
         let leaving = self.leaving[server].and_then(|version| self.counts_as_told(version));
         let told_gone = listed.into_iter().chain(cordoned).chain(leaving).min();
@@ -270,14 +270,15 @@
         if !std::mem::replace(&mut a.open, false) {
             return;
         }
-        a.may_have_run = !how.never_ran();
+        a.may_have_run = !how.was_never_executed();
         let (of, server, incarnation, took, number) = (a.of, a.server, a.incarnation, now - a.sent, a.number);
         let work = f64::from(a.work);
         let t = &self.tries[of as usize];
         let (process, request, over) = (t.process, t.request, t.over);
         let kept = matches!(how, Outcome::Ok | Outcome::Error | Outcome::Rejected);
         let p = &mut self.processes[process as usize];
-        let kept = kept || (self.world.streams > 1 && !matches!(how, Outcome::Reset | Outcome::KeptReset));
+        let kept = kept
+            || (self.world.streams > 1 && !matches!(how, Outcome::Reset | Outcome::ReusedConnectionReset));
         if kept && p.decider.is_some() && std::mem::take(&mut self.attempts[id as usize].connected) {
             p.idle.entry(server).or_default().push((now, incarnation));
         }
@@ -302,27 +303,27 @@
             attempt: number,
             endpoint: server as usize,
             outcome: how,
-            took,
-            settled: over || broke || how == Outcome::Ok,
-            spent: false,
-            load: if how == Outcome::Ok && self.world.report.as_ref().is_some_and(|r| r.on_answers) {
+            duration: took,
+            request_completed: over || broke || how == Outcome::Ok,
+            body_consumed: false,
+            load_report: if how == Outcome::Ok && self.world.report.as_ref().is_some_and(|r| r.on_answers) {
                 load
             } else {
-                Load::default()
+                LoadReport::default()
             },
         };
         self.tell(now, process, Event::AttemptEnded(end));
     }
 
-    pub(super) fn load(&mut self, now: Micros, server: u32) -> Load {
-        let Some(report) = &self.world.report else { return Load::default() };
+    pub(super) fn load(&mut self, now: Micros, server: u32) -> LoadReport {
+        let Some(report) = &self.world.report else { return LoadReport::default() };
         let s = &mut self.servers[server as usize];
         if now - s.report.1 >= report.period {
             let noise = chance::factor(self.world.seed ^ now as u64 ^ u64::from(server), report.noise);
             s.report = ([s.queued() as f64, s.held() as f64, s.use_now()].map(|read| read * noise), now);
         }
         let [waiting, active, cpu] = [0, 1, 2].map(|i| Some(s.report.0[i]).filter(|_| report.tells[i]));
-        Load { waiting, active, cpu, ..Load::default() }
+        LoadReport { waiting, active, cpu, ..LoadReport::default() }
     }
 
     /// An attempt's connection ends, if it has one.
--- a/crates/fleet/src/model/run/clients.rs
+++ b/crates/fleet/src/model/run/clients.rs
@@ -138,12 +138,12 @@
             return;
         }
         let (request, process, due, over) = (t.request, t.process, t.due, t.over);
-        let slack = self.settings[self.requests[request as usize].sidecar as usize].rules.answer_slack;
+        let slack = self.settings[self.requests[request as usize].sidecar as usize].rules.answer_grace;
         if now < due && !over {
             // It left early; what is open is called off.
             self.tries[id as usize].over = true;
             self.close(process, id);
-            self.tell(now, process, Event::Abandoned(RequestId::from(id)));
+            self.tell(now, process, Event::RequestAbandoned(RequestId::from(id)));
             return self.finish(now, request, End::Failed);
         }
         if !over {
@@ -160,7 +160,7 @@
         let process = t.process;
         self.close(process, id);
         self.broken.note(Some("no final answer in time"));
-        self.tell(now, process, Event::Abandoned(RequestId::from(id)));
+        self.tell(now, process, Event::RequestAbandoned(RequestId::from(id)));
     }
 
     /// A client tries again, if its class, its patience and its time allow.
--- a/crates/fleet/src/model/run/faults.rs
+++ b/crates/fleet/src/model/run/faults.rs
@@ -32,10 +32,16 @@
     }
 
     /// Discovery learns of a server's state after a while.
-    pub(super) fn learns(&mut self, now: Micros, server: usize, status: Status, after: crate::site::Range) {
+    pub(super) fn learns(
+        &mut self,
+        now: Micros,
+        server: usize,
+        status: EndpointStatus,
+        after: crate::site::Range,
+    ) {
         if self.roster.is_some() {
             // A server that ends by plan takes itself off; of one that does not, its lease tells.
-            let told = status != Status::Gone || self.servers[server].draining.is_some();
+            let told = status != EndpointStatus::Removed || self.servers[server].draining.is_some();
             return if told {
                 self.tell_roster(now, server, status)
             };
@@ -50,11 +56,11 @@
         match what {
             Happening::Drain(s) if self.servers[s].machine == Machine::Up => {
                 self.servers[s].draining = Some(now);
-                self.learns(now, s, Status::Draining, d.notice);
+                self.learns(now, s, EndpointStatus::Draining, d.notice);
             }
             Happening::End(s) if self.servers[s].machine != Machine::Down => {
                 self.end_server(now, s);
-                self.learns(now, s, Status::Gone, d.notice);
+                self.learns(now, s, EndpointStatus::Removed, d.notice);
             }
             Happening::Start(s) if !self.servers[s].tipped => {
                 if self.servers[s].machine == Machine::Silent {
@@ -62,12 +68,12 @@
                 }
                 self.servers[s].start(now);
                 self.starts[s] = usize::MAX;
-                self.learns(now, s, Status::Ready, d.add);
+                self.learns(now, s, EndpointStatus::Ready, d.add);
             }
             Happening::Silent(s) if self.servers[s].machine == Machine::Up => {
                 self.servers[s].advance(now);
                 self.servers[s].machine = Machine::Silent;
-                self.learns(now, s, Status::Gone, d.silent_notice);
+                self.learns(now, s, EndpointStatus::Removed, d.silent_notice);
             }
             Happening::Pause(s, begin) => {
                 self.servers[s].pause(now, begin);
--- a/crates/fleet/src/model/run/list.rs
+++ b/crates/fleet/src/model/run/list.rs
@@ -3,34 +3,34 @@
 use super::*;
 
 impl Run {
-    pub(super) fn listing(&self, server: usize, entry: Entry) -> Listing {
+    pub(super) fn listing(&self, server: usize, entry: Entry) -> EndpointEntry {
         let spec = &self.servers[server].spec;
-        Listing {
+        EndpointEntry {
             endpoint: server,
             zone: Some(spec.zone),
             cell: spec.cell,
-            kind: Some(spec.kind),
+            machine_type: Some(spec.kind),
             status: entry.status,
             size: if self.world.live_weights {
                 spec.weight / (1.0 + self.servers[server].seen)
             } else {
                 spec.weight
             },
-            started: entry.started,
+            started_at: entry.started,
         }
     }
 
     /// The list as that version has it.
-    pub(super) fn list_at(&self, version: usize) -> Vec<Listing> {
+    pub(super) fn list_at(&self, version: usize) -> Vec<EndpointEntry> {
         let first = |i: usize| Entry {
-            status: if self.servers[i].spec.later { Status::Gone } else { Status::Ready },
+            status: if self.servers[i].spec.later { EndpointStatus::Removed } else { EndpointStatus::Ready },
             started: None,
         };
         let mut entries: Vec<Entry> = (0..self.servers.len()).map(first).collect();
         for change in self.discovery.until(version) {
             entries[change.server] = change.entry;
         }
-        let listed = entries.into_iter().enumerate().filter(|(_, e)| e.status != Status::Gone);
+        let listed = entries.into_iter().enumerate().filter(|(_, e)| e.status != EndpointStatus::Removed);
         listed.map(|(i, e)| self.listing(i, e)).collect()
     }
 
@@ -58,20 +58,20 @@
         let from = self.sidecars[sidecar as usize].told;
         let changes: Vec<Change> = self.discovery.since(from).to_vec();
         if !changes.is_empty() {
-            let list: Vec<Listing> = changes.iter().map(|c| self.listing(c.server, c.entry)).collect();
+            let list: Vec<EndpointEntry> = changes.iter().map(|c| self.listing(c.server, c.entry)).collect();
             changes.iter().for_each(|c| self.gauge.told(now, now - c.since));
             self.gauge.lines += list.len() as u64;
             self.sidecars[sidecar as usize].told = self.discovery.version();
             self.note_gone(now, process, &list);
-            self.tell(now, process, Event::Endpoints(ListUpdate::Delta(list)));
+            self.tell(now, process, Event::EndpointList(EndpointListUpdate::Delta(list)));
         }
     }
 
     /// What a process was told of servers that it must not send to any more.
-    pub(super) fn note_gone(&mut self, now: Micros, process: u32, list: &[Listing]) {
+    pub(super) fn note_gone(&mut self, now: Micros, process: u32, list: &[EndpointEntry]) {
         let gone = &mut self.processes[process as usize].gone;
         for l in list {
-            if l.status == Status::Ready {
+            if l.status == EndpointStatus::Ready {
                 gone.remove(&(l.endpoint as u32));
             } else {
                 gone.entry(l.endpoint as u32).or_insert(now);
@@ -94,7 +94,7 @@
         }
         if !fine || self.discovery.down {
             if self.world.discovery.on_request {
-                return self.tell(now, process, Event::Endpoints(ListUpdate::Failed));
+                return self.tell(now, process, Event::EndpointList(EndpointListUpdate::Failed));
             }
             return self.calendar.at(now + self.world.discovery.retry, Happens::Call(process));
         }
@@ -107,7 +107,7 @@
         let list = self.list_at(version);
         self.gauge.lines += list.len() as u64;
         self.note_gone(now, process, &list);
-        self.tell(now, process, Event::Endpoints(ListUpdate::Full(list)));
+        self.tell(now, process, Event::EndpointList(EndpointListUpdate::Full(list)));
     }
 
     pub(super) fn sweep(&mut self, now: Micros) {
--- a/crates/fleet/src/model/run/mod.rs
+++ b/crates/fleet/src/model/run/mod.rs
@@ -17,8 +17,8 @@
 use crate::chance::{self, stream};
 use crate::{Micros, SECOND};
 use lotusmoor_balancer::{
-    Action, AttemptEnd, Effect, Event, ListUpdate, Listing, Load, NewRequest, Outcome, RequestId, Settings,
-    SettingsError, Status,
+    Action, AttemptEnd, EndpointEntry, EndpointListUpdate, EndpointStatus, Event, Idempotency, LoadReport,
+    NewRequest, Outcome, RequestId, Settings, SettingsError,
 };
 use rand::RngExt;
 use rand_chacha::ChaCha8Rng;
@@ -46,7 +46,7 @@
     world: World,
     source: Source,
     settings: Vec<Settings>,
-    effects: Vec<Effect>,
+    effects: Vec<Idempotency>,
     calendar: Calendar<Happens>,
     servers: Vec<Server>,
     sidecars: Vec<Sidecar>,
@@ -267,7 +267,7 @@
             bad: 0,
         };
         Ok(Self {
-            effects: settings[0].classes.iter().map(|c| c.effect).collect(),
+            effects: settings[0].classes.iter().map(|c| c.idempotency).collect(),
             settings,
             calendar: Calendar::default(),
             servers: world.servers.iter().cloned().map(Server::new).collect(),
@@ -384,8 +384,12 @@
                     s.probes = s.probes.saturating_sub(1);
                 }
                 let (endpoint, took, load) = (server as usize, now - sent, self.load(now, server));
-                let load = if outcome == Outcome::Ok { load } else { Load::default() };
-                self.tell(now, process, Event::ProbeEnded { endpoint, outcome, took, load });
+                let load = if outcome == Outcome::Ok { load } else { LoadReport::default() };
+                self.tell(
+                    now,
+                    process,
+                    Event::HealthCheckEnded { endpoint, outcome, duration: took, load_report: load },
+                );
             }
             Happens::TimeOut(id) => self.time_out(now, id),
             Happens::Timer(process, token) => self.tell(now, process, Event::Timer(token)),
@@ -397,12 +401,12 @@
             Happens::Learns(change) => {
                 let version = self.discovery.learn(change);
                 if change.entry.started == self.servers[change.server].started
-                    && change.entry.status == Status::Ready
+                    && change.entry.status == EndpointStatus::Ready
                 {
                     self.starts[change.server] = version;
                 }
                 let leaving = &mut self.leaving[change.server];
-                if change.entry.status == Status::Ready {
+                if change.entry.status == EndpointStatus::Ready {
                     *leaving = None;
                 } else {
                     leaving.get_or_insert(version);
@@ -426,5 +430,5 @@
 
 /// A connection that breaks under an attempt.
 fn reset(reused: bool) -> Outcome {
-    if reused { Outcome::KeptReset } else { Outcome::Reset }
+    if reused { Outcome::ReusedConnectionReset } else { Outcome::Reset }
 }
--- a/crates/fleet/src/model/run/roster.rs
+++ b/crates/fleet/src/model/run/roster.rs
@@ -198,16 +198,16 @@
     // ---- Servers ----
 
     /// A server has a new state, of which the roster learns from itself or by its silence.
-    pub(super) fn tell_roster(&mut self, now: Micros, server: usize, status: Status) {
+    pub(super) fn tell_roster(&mut self, now: Micros, server: usize, status: EndpointStatus) {
         let Some(roster) = &self.roster else { return };
         let name = name_of(server);
         let command = match status {
-            Status::Ready => {
+            EndpointStatus::Ready => {
                 let server = self.registration(server, &roster.spec);
                 Command::Put { servers: vec![server], expect: None, at_ms: 0 }
             }
-            Status::Draining => Command::Drain { name, expect: None, at_ms: 0 },
-            Status::Gone => Command::Remove { name, expect: None, at_ms: 0 },
+            EndpointStatus::Draining => Command::Drain { name, expect: None, at_ms: 0 },
+            EndpointStatus::Removed => Command::Remove { name, expect: None, at_ms: 0 },
         };
         self.write_to_roster(now, command, now);
     }
@@ -227,7 +227,7 @@
             let listed = s.started.is_none_or(|at| now > at + 2 * SECOND);
             let lost = roster.leases.renew(now, &name_of(server as usize)) == Renewal::Unknown;
             if lost && listed && s.draining.is_none() {
-                self.tell_roster(now, server as usize, Status::Ready);
+                self.tell_roster(now, server as usize, EndpointStatus::Ready);
             }
         }
         if now < self.world.length {
@@ -450,7 +450,7 @@
         // Without its file it has the list of its configuration, which is as old as that.
         if known.is_none() {
             let list = self.list_at(0);
-            self.tell(now, process, Event::Endpoints(ListUpdate::Cached(list)));
+            self.tell(now, process, Event::EndpointList(EndpointListUpdate::Cached(list)));
         }
         self.ride(now, process, client::Event::Start(known));
     }
@@ -517,14 +517,14 @@
     fn apply_roster(&mut self, now: Micros, process: u32, applied: client::Applied) {
         let entry = |e: &client::Entry| {
             let status = match e.status {
-                client::Status::Active => Status::Ready,
-                client::Status::Leaving => Status::Draining,
-                client::Status::Left => Status::Gone,
+                client::Status::Active => EndpointStatus::Ready,
+                client::Status::Leaving => EndpointStatus::Draining,
+                client::Status::Left => EndpointStatus::Removed,
             };
             let started = Some(e.since_ms * 1000).filter(|at| *at > 0);
             Some(self.listing(number_of(&e.name)?, Entry { status, started }))
         };
-        let list: Vec<Listing> = applied.entries.iter().filter_map(entry).collect();
+        let list: Vec<EndpointEntry> = applied.entries.iter().filter_map(entry).collect();
         let p = &mut self.processes[process as usize];
         let sidecar = p.sidecar as usize;
         let cached = p.riding.as_mut().is_some_and(|r| !std::mem::replace(&mut r.began, true));
@@ -546,11 +546,11 @@
         *told = (*told).max(applied.version.index as usize);
         self.note_gone(now, process, &list);
         let update = match (cached, applied.full) {
-            (true, _) => ListUpdate::Cached(list),
-            (false, true) => ListUpdate::Full(list),
-            (false, false) => ListUpdate::Delta(list),
+            (true, _) => EndpointListUpdate::Cached(list),
+            (false, true) => EndpointListUpdate::Full(list),
+            (false, false) => EndpointListUpdate::Delta(list),
         };
-        self.tell(now, process, Event::Endpoints(update));
+        self.tell(now, process, Event::EndpointList(update));
     }
 }
 
--- a/crates/fleet/src/model/run/sidecars.rs
+++ b/crates/fleet/src/model/run/sidecars.rs
@@ -77,7 +77,7 @@
         } else {
             let list = self.list_at(version);
             self.note_gone(now, id, &list);
-            self.tell(now, id, Event::Endpoints(ListUpdate::Cached(list)));
+            self.tell(now, id, Event::EndpointList(EndpointListUpdate::Cached(list)));
         }
         // What operators told outlives an upgrade.
         for server in self.cordoned.clone() {
@@ -118,17 +118,17 @@
             id: RequestId::from(id),
             class: usize::from(r.class),
             tenant: r.tenant.map(usize::from),
-            key: Some(u64::from(r.key)),
-            due,
-            work: self.world.hints.then(|| {
+            partition_key: Some(u64::from(r.key)),
+            deadline: due,
+            expected_work: self.world.hints.then(|| {
                 let rough = chance::factor(self.world.seed ^ u64::from(t.request) << 16, 0.3);
                 (f64::from(r.work) * rough) as Micros
             }),
-            repeat: r.tries > 1,
-            coming: false,
+            is_client_retry: r.tries > 1,
+            body_incomplete: false,
         };
         self.processes[process as usize].open.insert(id);
-        self.tell(now, process, Event::Request(new));
+        self.tell(now, process, Event::RequestReceived(new));
     }
 
     pub(super) fn close(&mut self, process: u32, id: u32) {
@@ -177,7 +177,7 @@
             Action::Send { request, endpoint, timeout, .. } => {
                 self.attempt(now, process, request as u32, endpoint, timeout)
             }
-            Action::Refuse { request, retry_after } => {
+            Action::Reject { request, retry_after } => {
                 let id = request as u32;
                 if !self.tries[id as usize].over {
                     let sent = self.sent(id);
@@ -205,19 +205,19 @@
                 let at = self.round_up(now + after.max(1));
                 self.calendar.at(at, Happens::Timer(process, token));
             }
-            Action::Subscribe(true) | Action::FetchList
+            Action::Subscribe(true) | Action::FetchEndpointList
                 if self.world.discovery.on_request && self.roster.is_none() =>
             {
                 self.calendar.at(now + 1000, Happens::Call(process));
             }
-            Action::CloseIdle(endpoint) => {
+            Action::CloseIdleConnections(endpoint) => {
                 let idle =
                     self.processes[process as usize].idle.remove(&(endpoint as u32)).unwrap_or_default();
                 let s = &mut self.servers[endpoint];
                 let held = idle.iter().filter(|(_, i)| *i == s.incarnation).count();
                 s.connections = s.connections.saturating_sub(held as u32);
             }
-            Action::Probe(endpoint) => self.probe(now, process, endpoint),
+            Action::HealthCheck(endpoint) => self.probe(now, process, endpoint),
             // Messages to peers, which the site does not allow.
             _ => {}
         }
--- a/crates/fleet/src/scale/module.rs
+++ b/crates/fleet/src/scale/module.rs
@@ -6,7 +6,8 @@
 use hdrhistogram::Histogram;
 use lotusmoor_balancer::settings::decode;
 use lotusmoor_balancer::{
-    Action, AttemptEnd, Balancer, Event, ListUpdate, Listing, Load, NewRequest, Outcome, RequestId, Status,
+    Action, AttemptEnd, Balancer, EndpointEntry, EndpointListUpdate, EndpointStatus, Event, LoadReport,
+    NewRequest, Outcome, RequestId,
 };
 use std::cmp::Reverse;
 use std::collections::BinaryHeap;
@@ -75,7 +76,7 @@
 impl Driver {
     /// Tells the module of an event now, and plans what it asks for; nanoseconds that it took.
     fn tell(&mut self, event: Event) -> u64 {
-        let asked = if let Event::Request(new) = &event { Some(new.id) } else { None };
+        let asked = if let Event::RequestReceived(new) = &event { Some(new.id) } else { None };
         let begun = Instant::now();
         self.module.handle(self.now, event, &mut self.actions);
         let ns = begun.elapsed().as_nanos() as u64;
@@ -96,8 +97,16 @@
 }
 
 /// A warm server.
-fn listing(endpoint: usize, size: f64) -> Listing {
-    Listing { endpoint, zone: Some(0), cell: 1, kind: Some(0), status: Status::Ready, size, started: None }
+fn listing(endpoint: usize, size: f64) -> EndpointEntry {
+    EndpointEntry {
+        endpoint,
+        zone: Some(0),
+        cell: 1,
+        machine_type: Some(0),
+        status: EndpointStatus::Ready,
+        size,
+        started_at: None,
+    }
 }
 
 /// Runs requests through a module with so many servers listed, for so long by the real clock, at that rate by the
@@ -112,8 +121,8 @@
     let mut driver = Driver { module, now: SECOND, due: BinaryHeap::new(), actions: Vec::new(), cost };
     let (mut lists, mut changes, mut ends) = (Mean::default(), Mean::default(), Mean::default());
     for _ in 0..3 {
-        let all: Vec<Listing> = (0..listed).map(|i| listing(i, 1.0)).collect();
-        lists.add(driver.tell(Event::Endpoints(ListUpdate::Full(all))));
+        let all: Vec<EndpointEntry> = (0..listed).map(|i| listing(i, 1.0)).collect();
+        lists.add(driver.tell(Event::EndpointList(EndpointListUpdate::Full(all))));
     }
     let spacing = ((SECOND as f64 / rate) as Micros).max(1);
     let (mut next, end) = (0, Instant::now() + length);
@@ -126,15 +135,15 @@
                 last = driver.now;
                 driver.cost.requests += 1;
                 let id = driver.cost.requests;
-                let ns = driver.tell(Event::Request(NewRequest {
+                let ns = driver.tell(Event::RequestReceived(NewRequest {
                     id,
                     class: 0,
                     tenant: None,
-                    key: None,
-                    due: driver.now + WAIT,
-                    work: None,
-                    repeat: false,
-                    coming: false,
+                    partition_key: None,
+                    deadline: driver.now + WAIT,
+                    expected_work: None,
+                    is_client_retry: false,
+                    body_incomplete: false,
                 }));
                 if id > FIRST {
                     driver.cost.decision.saturating_record(ns);
@@ -143,7 +152,7 @@
                     // Of its size: one that starts anew is cold, and a short list would soon be cold all of it.
                     let size = if (next / listed).is_multiple_of(2) { 1.1 } else { 1.0 };
                     let changed = vec![listing(next % listed, size)];
-                    changes.add(driver.tell(Event::Endpoints(ListUpdate::Delta(changed))));
+                    changes.add(driver.tell(Event::EndpointList(EndpointListUpdate::Delta(changed))));
                     next += 1;
                 }
                 // All are timed at the least that there may be a 99th percentile.
@@ -158,10 +167,10 @@
                     attempt: 0,
                     endpoint,
                     outcome: Outcome::Ok,
-                    took: WORK,
-                    settled: true,
-                    spent: false,
-                    load: Load::default(),
+                    duration: WORK,
+                    request_completed: true,
+                    body_consumed: false,
+                    load_report: LoadReport::default(),
                 })));
             }
             Due::Timer(token) => drop(driver.tell(Event::Timer(token))),
--- a/crates/sidecar/src/counts.rs
+++ b/crates/sidecar/src/counts.rs
@@ -141,7 +141,7 @@
             Outcome::Error => Self::Error,
             Outcome::Rejected => Self::Rejected,
             Outcome::ConnectFailed => Self::ConnectFailed,
-            Outcome::Reset | Outcome::KeptReset => Self::Reset,
+            Outcome::Reset | Outcome::ReusedConnectionReset => Self::Reset,
             Outcome::TimedOut => Self::TimedOut,
             Outcome::Cancelled => Self::Cancelled,
             Outcome::NotSent => Self::NotSent,
--- a/crates/sidecar/src/engine.rs
+++ b/crates/sidecar/src/engine.rs
@@ -14,8 +14,8 @@
 use crate::upstream::{Grant, Upstream};
 use lotusmoor_balancer::settings::Names;
 use lotusmoor_balancer::{
-    Action, AttemptEnd, AttemptNo, Balancer, Discovery, Event, ListUpdate, Listing, Load, Micros, NewRequest,
-    Outcome, RequestId, Status,
+    Action, AttemptEnd, AttemptNumber, Balancer, DiscoveryMode, EndpointEntry, EndpointListUpdate,
+    EndpointStatus, Event, LoadReport, Micros, NewRequest, Outcome, RequestId,
 };
 use std::cell::Cell;
 use std::cmp::Reverse;
@@ -157,7 +157,7 @@
 struct Held {
     reply: oneshot::Sender<Answer>,
     outgoing: Rc<Outgoing>,
-    attempts: AttemptNo,
+    attempts: AttemptNumber,
 }
 
 /// An attempt that is out; the module is owed one event on its end.
@@ -174,7 +174,7 @@
     inputs: mpsc::UnboundedReceiver<Input>,
     sender: Inputs,
     held: HashMap<RequestId, Held>,
-    out: HashMap<(RequestId, AttemptNo), Out>,
+    out: HashMap<(RequestId, AttemptNumber), Out>,
     endpoints: Names,
     /// Names of endpoints that operators have taken out, known now or not.
     cordoned: BTreeSet<String>,
@@ -203,8 +203,8 @@
     ) -> Result<(Self, Handle, Option<Standing>), String> {
         let decoded = config.decoded;
         let limits = &decoded.settings.limits;
-        let pushed = decoded.settings.discovery == Discovery::Pushed;
-        let upstream = Rc::new(Upstream::new(most, limits.dial_timeout, decoded.idle_close));
+        let pushed = decoded.settings.discovery == DiscoveryMode::Pushed;
+        let upstream = Rc::new(Upstream::new(most, limits.connect_timeout, decoded.idle_close));
         let balancer = Balancer::new(decoded.settings, config.seed).map_err(|e| e.to_string())?;
         let (sender, inputs) = Inputs::new();
         let (asks, asked) = mpsc::unbounded_channel();
@@ -248,7 +248,7 @@
         }
         let known = config.known.unwrap_or(HostList { snapshot: true, ..HostList::default() });
         let listings = engine.apply(known, true);
-        engine.deliver(Event::Endpoints(ListUpdate::Cached(listings)));
+        engine.deliver(Event::EndpointList(EndpointListUpdate::Cached(listings)));
         let asks = engine.asks.clone();
         Ok((engine, Handle { inputs: sender, clock, last_id: Rc::default(), asks }, standing))
     }
@@ -290,36 +290,45 @@
         match input {
             Input::Request(request, outgoing, reply) => {
                 self.held.insert(request.id, Held { reply, outgoing, attempts: 0 });
-                self.deliver(Event::Request(request));
+                self.deliver(Event::RequestReceived(request));
             }
             Input::Withdrawn(id) => {
                 // It may cross with the answer.
                 if let Some(held) = self.held.remove(&id) {
                     held.outgoing.life.settle();
-                    self.deliver(Event::Abandoned(id));
+                    self.deliver(Event::RequestAbandoned(id));
                 }
             }
             Input::Received(request, due) => {
                 // Until now its endpoint has waited for its client.
                 let now = self.clock.now();
                 self.out.iter_mut().filter(|(key, _)| key.0 == request).for_each(|(_, out)| out.sent = now);
-                self.deliver(Event::Received { request, due });
+                self.deliver(Event::BodyReceived { request, deadline: due });
             }
             Input::Ended(ended) => self.ended(ended),
             Input::Probed(endpoint, outcome, took, load) => {
-                self.deliver(Event::ProbeEnded { endpoint, outcome, took, load });
+                self.deliver(Event::HealthCheckEnded {
+                    endpoint,
+                    outcome,
+                    duration: took,
+                    load_report: load,
+                });
             }
             Input::Hosts(list) => {
                 let full = list.snapshot;
                 let listings = self.apply(list, full);
                 self.start_times.told(self.clock.now());
-                let update = if full { ListUpdate::Full(listings) } else { ListUpdate::Delta(listings) };
-                self.deliver(Event::Endpoints(update));
+                let update = if full {
+                    EndpointListUpdate::Full(listings)
+                } else {
+                    EndpointListUpdate::Delta(listings)
+                };
+                self.deliver(Event::EndpointList(update));
                 self.release_gone();
             }
             Input::HostsFailed(what) => {
                 self.complain(&format!("discovery: {what}"));
-                self.deliver(Event::Endpoints(ListUpdate::Failed));
+                self.deliver(Event::EndpointList(EndpointListUpdate::Failed));
             }
             Input::Cordons(names, done) => {
                 self.cordon(names);
@@ -351,7 +360,7 @@
     }
 
     /// Brings the sockets' view of the endpoints up to date, before the module can send anything more.
-    fn apply(&mut self, list: HostList, full: bool) -> Vec<Listing> {
+    fn apply(&mut self, list: HostList, full: bool) -> Vec<EndpointEntry> {
         if let Some(what) = list.unreadable {
             self.complain(&format!("discovery: entry left out: {what}"));
         }
@@ -365,10 +374,10 @@
             }
             let id = self.endpoints.id(&host.name);
             let status = match (host.status, host.address) {
-                (HostStatus::Active, Some(_)) => Status::Ready,
+                (HostStatus::Active, Some(_)) => EndpointStatus::Ready,
                 // One that can't be reached takes nothing.
-                (HostStatus::Active, None) | (HostStatus::Leaving, _) => Status::Draining,
-                (HostStatus::Left, _) => Status::Gone,
+                (HostStatus::Active, None) | (HostStatus::Leaving, _) => EndpointStatus::Draining,
+                (HostStatus::Left, _) => EndpointStatus::Removed,
             };
             let endpoint = self.upstream.endpoint(id);
             // Ahead of the list, as the number may be new.
@@ -376,15 +385,15 @@
                 endpoint.cordon(true);
                 self.events.push_back(Event::Cordoned(id));
             }
-            endpoint.set(host.address, status == Status::Ready, host.since_ms);
-            listings.push(Listing {
+            endpoint.set(host.address, status == EndpointStatus::Ready, host.since_ms);
+            listings.push(EndpointEntry {
                 endpoint: id,
                 zone: host.zone.map(|zone| self.zones.id(&zone)),
                 cell: host.group,
-                kind: host.kind.map(|kind| self.kinds.id(&kind)),
+                machine_type: host.kind.map(|kind| self.kinds.id(&kind)),
                 status,
                 size: host.weight,
-                started: self.start_times.started(now, id, host.since_ms),
+                started_at: self.start_times.started(now, id, host.since_ms),
             });
         }
         if full {
@@ -393,7 +402,7 @@
             self.gone.extend(self.endpoints.used().filter(|id| !listed.contains(id)));
         }
         for l in &listings {
-            if l.status == Status::Gone {
+            if l.status == EndpointStatus::Removed {
                 self.gone.insert(l.endpoint);
             } else {
                 self.gone.remove(&l.endpoint);
@@ -411,7 +420,7 @@
             self.start_times.forget(id);
             self.endpoints.release(id);
             self.upstream.forget(id);
-            self.deliver(Event::Released(id));
+            self.deliver(Event::EndpointReleased(id));
         }
     }
 
@@ -425,12 +434,18 @@
         self.deliver_end((request, attempt), &out, outcome, load);
     }
 
-    fn deliver_end(&mut self, key: (RequestId, AttemptNo), out: &Out, outcome: Outcome, load: Load) {
+    fn deliver_end(
+        &mut self,
+        key: (RequestId, AttemptNumber),
+        out: &Out,
+        outcome: Outcome,
+        load: LoadReport,
+    ) {
         let end = self.end(key, out, outcome, load);
         self.deliver(end);
     }
 
-    fn end(&self, key: (RequestId, AttemptNo), out: &Out, outcome: Outcome, load: Load) -> Event {
+    fn end(&self, key: (RequestId, AttemptNumber), out: &Out, outcome: Outcome, load: LoadReport) -> Event {
         let (request, attempt) = key;
         let counted = Attempted::of(outcome);
         counted.count();
@@ -446,10 +461,10 @@
             attempt,
             endpoint: out.endpoint,
             outcome,
-            took,
-            settled,
-            spent,
-            load,
+            duration: took,
+            request_completed: settled,
+            body_consumed: spent,
+            load_report: load,
         })
     }
 
@@ -484,19 +499,19 @@
 
     fn act(&mut self, action: Action) {
         match action {
-            Action::Send { request, endpoint, timeout, window } => {
+            Action::Send { request, endpoint, timeout, idempotency_window: window } => {
                 self.send(request, endpoint, timeout, window);
             }
-            Action::Refuse { request, retry_after } => self.answer(request, Answer::Refused(retry_after)),
+            Action::Reject { request, retry_after } => self.answer(request, Answer::Refused(retry_after)),
             Action::Fail(request) => self.answer(request, Answer::Failed),
             Action::Cancel { request, attempt } => {
                 if let Some(out) = self.out.remove(&(request, attempt)) {
                     out.task.abort();
-                    let end = self.end((request, attempt), &out, Outcome::Cancelled, Load::default());
+                    let end = self.end((request, attempt), &out, Outcome::Cancelled, LoadReport::default());
                     self.events.push_back(end);
                 }
             }
-            Action::Probe(endpoint) => {
+            Action::HealthCheck(endpoint) => {
                 let (upstream, inputs) = (Rc::clone(&self.upstream), self.sender.clone());
                 spawn_local(upstream.probe(endpoint, inputs));
             }
@@ -506,11 +521,11 @@
             Action::Subscribe(on) => {
                 let _ = self.asks.send(if on { Ask::Watch } else { Ask::StopWatch });
             }
-            Action::FetchList => {
+            Action::FetchEndpointList => {
                 let _ = self.asks.send(Ask::Fetch);
             }
-            Action::CloseIdle(endpoint) => self.upstream.endpoint(endpoint).close_idle(),
-            Action::Tell { to, bytes } => {
+            Action::CloseIdleConnections(endpoint) => self.upstream.endpoint(endpoint).close_idle(),
+            Action::SendPeerMessage { to, bytes } => {
                 if let Some(peers) = &self.peers {
                     peers.tell(to, &bytes);
                 }
--- a/crates/sidecar/src/exchange.rs
+++ b/crates/sidecar/src/exchange.rs
@@ -8,7 +8,7 @@
 use bytes::Bytes;
 use hyper::header::{HeaderMap, HeaderName, HeaderValue};
 use hyper::{Method, Request, StatusCode, Uri};
-use lotusmoor_balancer::{AttemptNo, Load, Micros, NewRequest, Outcome, RequestId};
+use lotusmoor_balancer::{AttemptNumber, LoadReport, Micros, NewRequest, Outcome, RequestId};
 use std::collections::BTreeSet;
 use std::rc::Rc;
 use tokio::sync::{OwnedSemaphorePermit, mpsc, oneshot};
@@ -70,13 +70,13 @@
     /// The request.
     pub request: RequestId,
     /// Its attempt.
-    pub attempt: AttemptNo,
+    pub attempt: AttemptNumber,
     /// The outcome.
     pub outcome: Outcome,
     /// The answer to the client, where the endpoint has given one.
     pub answer: Option<Answer>,
     /// The load report that came along.
-    pub load: Load,
+    pub load: LoadReport,
 }
 
 /// What the sockets tell the engine.
@@ -90,7 +90,7 @@
     /// An attempt ended.
     Ended(Ended),
     /// A probe of an endpoint ended.
-    Probed(usize, Outcome, Micros, Load),
+    Probed(usize, Outcome, Micros, LoadReport),
     /// Discovery answered.
     Hosts(HostList),
     /// A call to discovery failed, for this reason.
--- a/crates/sidecar/src/inbound.rs
+++ b/crates/sidecar/src/inbound.rs
@@ -381,11 +381,11 @@
             id: 0,
             class: facts.class,
             tenant: facts.tenant,
-            key: facts.key,
-            due,
-            work: facts.work,
-            repeat: facts.repeat,
-            coming: flowing.is_some(),
+            partition_key: facts.key,
+            deadline: due,
+            expected_work: facts.work,
+            is_client_retry: facts.repeat,
+            body_incomplete: flowing.is_some(),
         };
         let mut owed = shared.handle.submit(request, outgoing);
         // One that has come too late is refused by the module, which promises that it never ran.
--- a/crates/sidecar/src/request.rs
+++ b/crates/sidecar/src/request.rs
@@ -7,7 +7,7 @@
 use crate::limits::LONGEST_HEAD;
 use hyper::header::{self, HeaderMap, HeaderName, HeaderValue};
 use hyper::{Method, StatusCode, Uri};
-use lotusmoor_balancer::{Effect, Micros};
+use lotusmoor_balancer::{Idempotency, Micros};
 use std::hash::{DefaultHasher, Hash, Hasher};
 
 /// Most headers of a request.
@@ -112,7 +112,7 @@
 
 /// The classes and tenants by name.
 pub struct Lanes {
-    classes: Vec<(String, Effect, Micros)>,
+    classes: Vec<(String, Idempotency, Micros)>,
     tenants: Vec<String>,
 }
 
@@ -122,7 +122,7 @@
         let decoded = &config.decoded;
         let classes = decoded.classes.iter().zip(&decoded.settings.classes);
         Self {
-            classes: classes.map(|(name, c)| (name.clone(), c.effect, c.deadline)).collect(),
+            classes: classes.map(|(name, c)| (name.clone(), c.idempotency, c.deadline)).collect(),
             tenants: decoded.tenants.clone(),
         }
     }
@@ -162,9 +162,9 @@
         let keyed = once(&IDEMPOTENCY_KEY).is_some_and(|key| !key.is_empty());
         let (_, effect, deadline) = lanes.classes[class];
         let fits = match effect {
-            Effect::Safe => head.method == Method::GET && head.body == Framing::Sized(0),
-            Effect::Keyed { .. } => head.method == Method::POST && keyed,
-            Effect::Unsafe => head.method == Method::POST,
+            Idempotency::Idempotent => head.method == Method::GET && head.body == Framing::Sized(0),
+            Idempotency::WithKey { .. } => head.method == Method::POST && keyed,
+            Idempotency::NonIdempotent => head.method == Method::POST,
         };
         let id = text(&CORRELATION_ID).filter(|id| fits && !id.is_empty() && id.len() <= LONGEST_ID)?;
         let tenant = text(&ACCOUNT).and_then(|account| lanes.tenants.iter().position(|t| t == account));
--- a/crates/sidecar/src/request/tests.rs
+++ b/crates/sidecar/src/request/tests.rs
@@ -57,7 +57,7 @@
 
 #[test]
 fn a_client_that_says_an_hour_waits_as_long_as_its_class_allows() {
-    let classes = vec![("look".to_owned(), Effect::Safe, 4_000_000)];
+    let classes = vec![("look".to_owned(), Idempotency::Idempotent, 4_000_000)];
     let lanes = Lanes { classes, tenants: Vec::new() };
     let waits = |left: &str| {
         let lines = format!("X-Correlation-Id: a\r\nX-Service-Class: look\r\nX-Time-Left: {left}\r\n");
--- a/crates/sidecar/src/upstream.rs
+++ b/crates/sidecar/src/upstream.rs
@@ -14,7 +14,7 @@
 use hyper::body::{Body, Incoming};
 use hyper::header::{CONNECTION, CONTENT_LENGTH, HeaderMap, HeaderName, HeaderValue, TRANSFER_ENCODING};
 use hyper::{Method, StatusCode, Uri};
-use lotusmoor_balancer::{AttemptNo, Load, Micros, Outcome, RequestId};
+use lotusmoor_balancer::{AttemptNumber, LoadReport, Micros, Outcome, RequestId};
 use std::cell::{Cell, RefCell};
 use std::collections::HashSet;
 use std::net::SocketAddr;
@@ -139,7 +139,7 @@
     parked: Notify,
 }
 
-type Reply = (Outcome, Option<Answer>, Load);
+type Reply = (Outcome, Option<Answer>, LoadReport);
 
 /// What an exchange comes to.
 enum Exchanged {
@@ -203,7 +203,7 @@
     /// Makes one attempt, for which there was permission when it was decided, and tells how it ended.
     pub async fn attempt(
         self: Rc<Self>,
-        (request, attempt): (RequestId, AttemptNo),
+        (request, attempt): (RequestId, AttemptNumber),
         grant: Grant,
         outgoing: Rc<Outgoing>,
         inputs: Inputs,
@@ -229,7 +229,7 @@
         // What has not wholly been written never began, whoever gave up first.
         let exchanged = exchanged.unwrap_or_else(|_| {
             let outcome = if progress.complete() { Outcome::TimedOut } else { Outcome::ConnectFailed };
-            Exchanged::Over((outcome, None, Load::default()))
+            Exchanged::Over((outcome, None, LoadReport::default()))
         });
         let ((outcome, answer, load), flow) = match exchanged {
             Exchanged::Over(reply) => (reply, None),
@@ -276,7 +276,7 @@
         progress: &WriteProgress,
         until: Instant,
     ) -> Exchanged {
-        let plain = |outcome| Exchanged::Over((outcome, None, Load::default()));
+        let plain = |outcome| Exchanged::Over((outcome, None, LoadReport::default()));
         loop {
             let Some(permission) = permission else { return plain(Outcome::NotSent) };
             let (mut connection, permit, idle) = match self.reuse(endpoint) {
@@ -305,7 +305,7 @@
                 }
                 return plain(match connection.failure() {
                     _ if !progress.complete() => Outcome::ConnectFailed,
-                    Outcome::Reset if idle.is_some() && !progress.heard() => Outcome::KeptReset,
+                    Outcome::Reset if idle.is_some() && !progress.heard() => Outcome::ReusedConnectionReset,
                     failure => failure,
                 });
             };
@@ -422,7 +422,7 @@
             Ok(Exchanged::Over((outcome, _, load)) | Exchanged::Flows((outcome, _, load), _)) => {
                 (outcome, load)
             }
-            Err(_) => (Outcome::TimedOut, Load::default()),
+            Err(_) => (Outcome::TimedOut, LoadReport::default()),
         };
         let took = Micros::try_from(start.elapsed().as_micros()).unwrap_or(Micros::MAX);
         inputs.send(Input::Probed(id, outcome, took, load));
@@ -509,8 +509,8 @@
 }
 
 /// Reads a load report: `name=value` pairs set apart by commas. What can't be read was not reported.
-fn read_load(value: &HeaderValue) -> Load {
-    let mut load = Load::default();
+fn read_load(value: &HeaderValue) -> LoadReport {
+    let mut load = LoadReport::default();
     for (name, value) in value.to_str().unwrap_or("").split(',').filter_map(|pair| pair.split_once('=')) {
         let slot = match name.trim() {
             "inflight" => &mut load.active,
--- a/crates/sidecar/src/upstream/tests.rs
+++ b/crates/sidecar/src/upstream/tests.rs
@@ -22,7 +22,7 @@
 #[test]
 fn a_load_report_is_read_as_far_as_it_can_be() {
     let load = read_load(&HeaderValue::from_static("inflight=7,queue=,util=0.61,eps=NaN,odd=1,="));
-    assert_eq!(load, Load { active: Some(7.0), cpu: Some(0.61), ..Load::default() });
+    assert_eq!(load, LoadReport { active: Some(7.0), cpu: Some(0.61), ..LoadReport::default() });
 }
 
 /// A request to be sent, of a client that is this connection's.
--- a/crates/simulator-adapter/src/wire.rs
+++ b/crates/simulator-adapter/src/wire.rs
@@ -76,8 +76,8 @@
         let value: u64 = self.get(field)?;
         if value >> bits == 0 { Ok(value) } else { Err(format!("{}: {field} is too large", self.name)) }
     }
-    fn load(&self) -> Result<Load, String> {
-        let mut load = Load::default();
+    fn load(&self) -> Result<LoadReport, String> {
+        let mut load = LoadReport::default();
         for pair in self.find("Load").unwrap_or("").split(',').filter(|p| !p.is_empty()) {
             let (name, value) = pair.split_once(':').ok_or("Load is not name:value pairs")?;
             let slot = match name {
@@ -115,7 +115,7 @@
     zone: Option<String>,
     kind: Option<String>,
     cell: u64,
-    status: Status,
+    status: EndpointStatus,
     size: f64,
     started: Option<Micros>,
 }
@@ -123,9 +123,9 @@
 impl Entry {
     fn read(line: &Line) -> Result<Self, String> {
         let status = match line.need("Status")? {
-            "1" => Status::Ready,
-            "2" => Status::Draining,
-            "0" => Status::Gone,
+            "1" => EndpointStatus::Ready,
+            "2" => EndpointStatus::Draining,
+            "0" => EndpointStatus::Removed,
             other => return Err(format!("m: unknown Status {other}")),
         };
         Ok(Self {
@@ -165,16 +165,16 @@
                 line.get::<i64>("Epoch")?;
                 let kind: u8 = line.get("Kind")?;
                 if kind == 0 {
-                    return Ok(Some(Event::Endpoints(ListUpdate::Failed)));
+                    return Ok(Some(Event::EndpointList(EndpointListUpdate::Failed)));
                 }
                 let roster: u64 = line.get("RosterId")?;
                 let entries =
                     catalogs.get(&roster).ok_or(format!("endpoints: RosterId {roster} is no catalog"))?;
                 let list = entries.iter().map(|e| self.listing(e)).collect();
-                Event::Endpoints(match kind {
-                    1 => ListUpdate::Delta(list),
-                    2 => ListUpdate::Cached(list),
-                    3 => ListUpdate::Full(list),
+                Event::EndpointList(match kind {
+                    1 => EndpointListUpdate::Delta(list),
+                    2 => EndpointListUpdate::Cached(list),
+                    3 => EndpointListUpdate::Full(list),
                     _ => return Err(format!("endpoints: unknown Kind {kind}")),
                 })
             }
@@ -183,15 +183,15 @@
                 let class = self.classes.iter().position(|c| c == profile);
                 let flags: u64 = line.may("Flags")?.unwrap_or(0);
                 let project = line.find("Project");
-                Event::Request(NewRequest {
+                Event::RequestReceived(NewRequest {
                     id: line.bounded("Ticket", 52)?,
                     class: class.ok_or(format!("demand: unknown Profile {profile}"))?,
                     tenant: self.tenants.iter().position(|t| Some(t.as_str()) == project),
-                    key: line.may("PartitionKey")?,
-                    due: line.get("DueUs")?,
-                    work: line.may("WorkHintUs")?.filter(|_| flags & 1 != 0),
-                    repeat: flags & 2 != 0,
-                    coming: false,
+                    partition_key: line.may("PartitionKey")?,
+                    deadline: line.get("DueUs")?,
+                    expected_work: line.may("WorkHintUs")?.filter(|_| flags & 1 != 0),
+                    is_client_retry: flags & 2 != 0,
+                    body_incomplete: false,
                 })
             }
             "under_way" => {
@@ -211,10 +211,10 @@
                     attempt,
                     endpoint,
                     outcome,
-                    took,
-                    settled,
-                    spent,
-                    load,
+                    duration: took,
+                    request_completed: settled,
+                    body_consumed: spent,
+                    load_report: load,
                 })
             }
             "health_result" => {
@@ -222,9 +222,9 @@
                 let Some(endpoint) = self.endpoints.find(line.need("Endpoint")?) else {
                     return Ok(None);
                 };
-                Event::ProbeEnded { endpoint, outcome, took, load }
+                Event::HealthCheckEnded { endpoint, outcome, duration: took, load_report: load }
             }
-            "withdrawn" => Event::Abandoned(line.bounded("Ticket", 52)?),
+            "withdrawn" => Event::RequestAbandoned(line.bounded("Ticket", 52)?),
             "peer_data" => {
                 let text = line.need("Bytes")?;
                 let bytes = if text == "-" { Ok(Vec::new()) } else { STANDARD.decode(text) };
@@ -236,15 +236,15 @@
         }))
     }
 
-    fn listing(&mut self, entry: &Entry) -> Listing {
-        Listing {
+    fn listing(&mut self, entry: &Entry) -> EndpointEntry {
+        EndpointEntry {
             endpoint: self.endpoints.id(&entry.endpoint),
             zone: entry.zone.as_deref().map(|z| self.zones.id(z)),
             cell: entry.cell,
-            kind: entry.kind.as_deref().map(|k| self.kinds.id(k)),
+            machine_type: entry.kind.as_deref().map(|k| self.kinds.id(k)),
             status: entry.status,
             size: entry.size,
-            started: entry.started,
+            started_at: entry.started,
         }
     }
 
@@ -256,19 +256,21 @@
                 let endpoint = name(endpoint);
                 writeln!(out, "hand_off I={i} Ticket={request} Endpoint={endpoint} TimeoutUs={timeout}")
             }
-            Action::Refuse { request, retry_after } => {
+            Action::Reject { request, retry_after } => {
                 writeln!(out, "not_now I={i} Ticket={request} HoldOffUs={retry_after}")
             }
             Action::Fail(request) => writeln!(out, "error I={i} Ticket={request}"),
             Action::Cancel { request, attempt } => {
                 writeln!(out, "recall I={i} Ticket={request} Go={attempt}")
             }
-            Action::Probe(endpoint) => writeln!(out, "health_check I={i} Endpoint={}", name(endpoint)),
+            Action::HealthCheck(endpoint) => writeln!(out, "health_check I={i} Endpoint={}", name(endpoint)),
             Action::SetTimer { after, token } => writeln!(out, "defer I={i} FromNowUs={after} Ctx={token}"),
             Action::Subscribe(on) => writeln!(out, "tail I={i} Active={}", u8::from(*on)),
-            Action::FetchList => writeln!(out, "read_list I={i}"),
-            Action::CloseIdle(endpoint) => writeln!(out, "free_links I={i} Endpoint={}", name(endpoint)),
-            Action::Tell { to, bytes } => {
+            Action::FetchEndpointList => writeln!(out, "read_list I={i}"),
+            Action::CloseIdleConnections(endpoint) => {
+                writeln!(out, "free_links I={i} Endpoint={}", name(endpoint))
+            }
+            Action::SendPeerMessage { to, bytes } => {
                 let to = to.map_or(-1, i64::from);
                 let bytes = if bytes.is_empty() { "-".to_owned() } else { STANDARD.encode(bytes) };
                 writeln!(out, "post I={i} Dst={to} Bytes={bytes}")
