--- a/crates/fleet/src/model/run/mod.rs
+++ b/crates/fleet/src/model/run/mod.rs
@@ -155,7 +155,7 @@
     told: usize,
     starts: u64,
     /// The list that its file has, where it rides a roster.
-    file: Option<lotusmoor_registry_client::Known>,
+    file: Option<lotusmoor_registry_client::EndpointList>,
     processor: Processor,
     /// A message that is no request comes so often; 0 for never.
     bad: Micros,
--- a/crates/fleet/src/model/run/roster.rs
+++ b/crates/fleet/src/model/run/roster.rs
@@ -7,7 +7,7 @@
 use lotusmoor_registry::core::lease::{self, Leases, Renewal};
 use lotusmoor_registry::core::list::{Command, List, Outcome as Written, Registration};
 use lotusmoor_registry_client as client;
-use lotusmoor_registry_client::{Known, Rider, Update, Version};
+use lotusmoor_registry_client::{EndpointList, ListUpdate, RegistryWatcher, Version};
 
 /// What can happen about a roster. Numbers are places in its tables.
 #[derive(Clone, Copy)]
@@ -58,7 +58,7 @@
     arrived: Micros,
     waits: bool,
     /// How it ended: an answer, or a time to come again.
-    reply: Result<Box<Update>, Option<Micros>>,
+    reply: Result<Box<ListUpdate>, Option<Micros>>,
 }
 
 /// A change that was acknowledged.
@@ -147,7 +147,7 @@
 
 /// A sidecar's rider, where it rides a roster.
 pub(super) struct Riding {
-    rider: Rider,
+    rider: RegistryWatcher,
     /// Marks the wake that is still meant.
     stamp: u32,
     wakes_at: Micros,
@@ -185,12 +185,12 @@
             service: None,
             zone: Some(self.world.zones[s.spec.zone].clone()),
             region: None,
-            kind: None,
-            group: s.spec.cell,
+            machine_type: None,
+            cell: s.spec.cell,
             status: client::Status::Active,
             weight: s.spec.weight,
-            since_ms: s.started.map_or(0, |at| (at / 1000).max(1)),
-            why: client::Why::Registered,
+            started_ms: s.started.map_or(0, |at| (at / 1000).max(1)),
+            status_reason: client::StatusReason::Registered,
         };
         Registration { entry, lease_ms: spec.lease_ms }
     }
@@ -254,9 +254,9 @@
                 let a = &mut roster.asks[ask as usize];
                 let (process, number) = (a.process, a.number);
                 let event = match std::mem::replace(&mut a.reply, Err(None)) {
-                    Ok(update) => client::Event::Answer { ask: number, update: *update },
+                    Ok(update) => client::Event::Response { poll: number, update: *update },
                     Err(retry_after) => {
-                        client::Event::Failed { ask: number, retry_after, what: String::new() }
+                        client::Event::PollFailed { poll: number, retry_after, error: String::new() }
                     }
                 };
                 self.ride(now, process, event);
@@ -265,7 +265,7 @@
                 let meant =
                     self.processes[process as usize].riding.as_ref().is_some_and(|r| r.stamp == stamp);
                 if meant {
-                    self.ride(now, process, client::Event::Wake);
+                    self.ride(now, process, client::Event::Timer);
                 }
             }
             RosterEvent::Write(write) => {
@@ -373,7 +373,7 @@
     }
 
     /// Answers are made one after the other.
-    fn send_reply(&mut self, now: Micros, ask: u32, reply: Result<Box<Update>, Option<Micros>>) {
+    fn send_reply(&mut self, now: Micros, ask: u32, reply: Result<Box<ListUpdate>, Option<Micros>>) {
         let Some(roster) = &mut self.roster else { return };
         let a = &mut roster.asks[ask as usize];
         let replica = &mut roster.replicas[a.replica];
@@ -438,13 +438,13 @@
         let sidecar = self.processes[process as usize].sidecar as usize;
         let Some(roster) = &self.roster else { return };
         let known = match self.sidecars[sidecar].starts {
-            1 => Known::default().after(&roster.list.update(None), None),
+            1 => EndpointList::default().updated(&roster.list.update(None), None),
             _ => self.sidecars[sidecar].file.clone().filter(|_| roster.spec.file),
         };
         if self.sidecars[sidecar].starts == 1 {
             self.sidecars[sidecar].file = known.clone();
         }
-        let rider = Rider::new(client::Settings::new(roster.replicas.len()), seed);
+        let rider = RegistryWatcher::new(client::Settings::new(roster.replicas.len()), seed);
         let riding = Riding { rider, stamp: 0, wakes_at: 0, began: false };
         self.processes[process as usize].riding = Some(Box::new(riding));
         // Without its file it has the list of its configuration, which is as old as that.
@@ -463,7 +463,7 @@
         let Some(riding) = &mut p.riding else { return };
         let mut actions = Vec::new();
         riding.rider.handle(now, event, &mut actions);
-        if let Some(at) = riding.rider.next_wake()
+        if let Some(at) = riding.rider.next_timer()
             && (at != riding.wakes_at || now >= riding.wakes_at)
         {
             (riding.stamp, riding.wakes_at) = (riding.stamp + 1, at);
@@ -473,19 +473,19 @@
         }
         for action in actions {
             match action {
-                client::Action::Ask { ask, roster, after, wait } => {
+                client::Action::Poll { poll: ask, replica: roster, after, wait } => {
                     self.ask_roster(now, process, ask, roster, after, wait)
                 }
                 // What a call that is forgotten brings is passed over by the rider.
-                client::Action::Forget(_) => {}
+                client::Action::CancelPoll(_) => {}
                 client::Action::Apply(applied) => self.apply_roster(now, process, applied),
                 client::Action::Save => {
                     let p = &self.processes[process as usize];
-                    let known = p.riding.as_ref().and_then(|r| r.rider.known().cloned());
+                    let known = p.riding.as_ref().and_then(|r| r.rider.list().cloned());
                     self.sidecars[p.sidecar as usize].file = known;
                 }
                 client::Action::Report(report) => {
-                    self.gauge.held_back += u64::from(matches!(report, client::Report::Held { .. }));
+                    self.gauge.held_back += u64::from(matches!(report, client::Report::Withheld { .. }));
                 }
             }
         }
@@ -514,14 +514,14 @@
         }
     }
 
-    fn apply_roster(&mut self, now: Micros, process: u32, applied: client::Applied) {
+    fn apply_roster(&mut self, now: Micros, process: u32, applied: client::AppliedList) {
         let entry = |e: &client::Entry| {
             let status = match e.status {
                 client::Status::Active => EndpointStatus::Ready,
-                client::Status::Leaving => EndpointStatus::Draining,
-                client::Status::Left => EndpointStatus::Removed,
+                client::Status::Draining => EndpointStatus::Draining,
+                client::Status::Removed => EndpointStatus::Removed,
             };
-            let started = Some(e.since_ms * 1000).filter(|at| *at > 0);
+            let started = Some(e.started_ms * 1000).filter(|at| *at > 0);
             Some(self.listing(number_of(&e.name)?, Entry { status, started }))
         };
         let list: Vec<EndpointEntry> = applied.entries.iter().filter_map(entry).collect();
--- a/crates/fleet/src/scale/deployment.rs
+++ b/crates/fleet/src/scale/deployment.rs
@@ -9,7 +9,7 @@
 use crate::harness::reaper::Reaper;
 use crate::harness::rosters::{Rosters, call};
 use crate::harness::{Process, Programs, Relay, Shape, Timeline, unused_address};
-use lotusmoor_registry_client::Known;
+use lotusmoor_registry_client::EndpointList;
 use serde::de::DeserializeOwned;
 use serde_json::json;
 use std::collections::BTreeMap;
@@ -348,7 +348,7 @@
     }
 
     /// The list of one hollow reader.
-    pub fn known(&self, reader: usize) -> io::Result<Option<Known>> {
+    pub fn known(&self, reader: usize) -> io::Result<Option<EndpointList>> {
         let of = self.hollows.iter().find(|h| (h.first..h.first + h.count).contains(&reader));
         let of = of.ok_or(io::ErrorKind::NotFound)?;
         self.ask(of, Ask::Known(reader - of.first))
--- a/crates/fleet/src/scale/hollow.rs
+++ b/crates/fleet/src/scale/hollow.rs
@@ -2,7 +2,9 @@
 //! and some hold the lease of a server. The run asks them over a control connection, a line of JSON each way.
 
 use super::{allow_files, monotonic};
-use lotusmoor_registry_client::{Action, Event, Known, Micros, Rider, Settings, Update, Version};
+use lotusmoor_registry_client::{
+    Action, EndpointList, Event, ListUpdate, Micros, RegistryWatcher, Settings, Version,
+};
 use serde::{Deserialize, Serialize};
 use socket2::SockRef;
 use std::future::{Future, poll_fn};
@@ -132,7 +134,7 @@
 }
 
 struct Reader {
-    rider: Mutex<Rider>,
+    rider: Mutex<RegistryWatcher>,
     seen: Mutex<Seen>,
 }
 
@@ -166,7 +168,7 @@
     let reader = |hollow: &Hollow| {
         let settings = Settings { services: hollow.services.clone(), ..Settings::new(replicas.len()) };
         Reader {
-            rider: Mutex::new(Rider::new(settings, hollow.seed)),
+            rider: Mutex::new(RegistryWatcher::new(settings, hollow.seed)),
             seen: Mutex::new(Seen { away_since: Some(now), heard: now, ..Seen::default() }),
         }
     };
@@ -211,7 +213,7 @@
         let mut event = Event::Start(None);
         let mut actions = Vec::new();
         loop {
-            if let Event::Answer { ask, .. } | Event::Failed { ask, .. } = &event {
+            if let Event::Response { poll: ask, .. } | Event::PollFailed { poll: ask, .. } = &event {
                 calls.retain(|(a, _)| a != ask);
             }
             self.note(number, &event);
@@ -220,19 +222,19 @@
                 rider.handle(self.now(), event, &mut actions);
                 for action in actions.drain(..) {
                     match action {
-                        Action::Ask { ask, roster, after, wait } => {
-                            let path = rider.path(after, wait);
+                        Action::Poll { poll: ask, replica: roster, after, wait } => {
+                            let path = rider.poll_path(after, wait);
                             let (shared, link) = (Arc::clone(&self), Arc::clone(&links[roster]));
                             let call = async move { shared.call(ask, roster, link, source, path).await };
                             calls.push((ask, Box::pin(call)));
                         }
-                        Action::Forget(ask) => calls.retain(|(a, _)| *a != ask),
+                        Action::CancelPoll(ask) => calls.retain(|(a, _)| *a != ask),
                         Action::Apply(applied) => self.told(number, applied.version),
                         // It has no file; its failures are counted.
                         Action::Save | Action::Report(_) => {}
                     }
                 }
-                rider.next_wake()
+                rider.next_timer()
             };
             lock(&self.readers[number].seen).waiting = !calls.is_empty();
             let timer = async {
@@ -252,19 +254,19 @@
             });
             event = tokio::select! {
                 event = answered => event,
-                () = timer => Event::Wake,
+                () = timer => Event::Timer,
             };
         }
     }
 
     fn note(&self, number: usize, event: &Event) {
-        let (failed, now) = (matches!(event, Event::Failed { .. }), monotonic());
+        let (failed, now) = (matches!(event, Event::PollFailed { .. }), monotonic());
         let mut seen = lock(&self.readers[number].seen);
         if failed {
             self.failed.fetch_add(1, Ordering::Relaxed);
             seen.heard = now;
             seen.away_since.get_or_insert(now);
-        } else if matches!(event, Event::Answer { .. }) {
+        } else if matches!(event, Event::Response { .. }) {
             seen.heard = now;
             seen.listed = true;
             if let Some(since) = seen.away_since.take() {
@@ -283,15 +285,15 @@
     }
 
     async fn call(&self, ask: u64, roster: usize, link: Link, source: Ipv4Addr, path: String) -> Event {
-        let failed = |what: String, retry_after| Event::Failed { ask, retry_after, what };
+        let failed = |what: String, retry_after| Event::PollFailed { poll: ask, retry_after, error: what };
         let counts = &self.counts[roster];
         let request = format!("GET {path} HTTP/1.1\r\nHost: {}\r\n\r\n", self.replicas[roster]);
         match self.exchange(roster, &link, source, request.as_bytes()).await {
-            Ok(Answer { status: 200, body, .. }) => match Update::read(&body) {
+            Ok(Answer { status: 200, body, .. }) => match ListUpdate::from_json(&body) {
                 Ok(update) => {
                     counts.answers.fetch_add(1, Ordering::Relaxed);
                     counts.whole.fetch_add(u64::from(update.snapshot), Ordering::Relaxed);
-                    Event::Answer { ask, update }
+                    Event::Response { poll: ask, update }
                 }
                 Err(e) => failed(format!("unreadable list: {e}"), None),
             },
@@ -396,8 +398,8 @@
                     "null".to_owned()
                 }
                 Ask::Known(number) => {
-                    let known: Option<Known> =
-                        self.readers.get(number).and_then(|r| lock(&r.rider).known().cloned());
+                    let known: Option<EndpointList> =
+                        self.readers.get(number).and_then(|r| lock(&r.rider).list().cloned());
                     serde_json::to_string(&known)?
                 }
             };
--- a/crates/registry-client/src/file.rs
+++ b/crates/registry-client/src/file.rs
@@ -1,7 +1,7 @@
 //! The last good list in a file, for a reader that starts while no replica can be reached. It is put in place by
 //! rename, so that a reader finds the old one or the new one whole; what a disk makes of it is seen by a checksum.
 
-use crate::list::Known;
+use crate::list::EndpointList;
 use serde::{Deserialize, Serialize};
 use std::fs::File;
 use std::io::{self, Write};
@@ -11,7 +11,7 @@
 /// The form of the file with a list of all servers.
 const FORMAT: u32 = 1;
 /// The form with a list of some services. A program that does not know of services would take it for the whole list.
-const OF_SERVICES: u32 = 2;
+const FORMAT_BY_SERVICE: u32 = 2;
 
 /// Why a file can't be used.
 #[derive(Debug)]
@@ -19,14 +19,14 @@
     /// It can't be read or written.
     Io(PathBuf, io::Error),
     /// What stands in it is not what was written, or of another form.
-    Spoilt(PathBuf, String),
+    Corrupt(PathBuf, String),
 }
 
 impl std::fmt::Display for FileError {
     fn fmt(&self, f: &mut std::fmt::Formatter<'_>) -> std::fmt::Result {
         match self {
             Self::Io(path, error) => write!(f, "{}: {error}", path.display()),
-            Self::Spoilt(path, what) => write!(f, "{}: {what}", path.display()),
+            Self::Corrupt(path, what) => write!(f, "{}: {what}", path.display()),
         }
     }
 }
@@ -43,10 +43,10 @@
 }
 
 /// Writes a list into the file.
-pub fn save(path: &Path, known: &Known) -> Result<(), FileError> {
+pub fn save(path: &Path, known: &EndpointList) -> Result<(), FileError> {
     let failed = |e| FileError::Io(path.to_owned(), e);
     let list = serde_json::to_string(known).map_err(|e| failed(e.into()))?;
-    let format = if known.services.is_empty() { FORMAT } else { OF_SERVICES };
+    let format = if known.services.is_empty() { FORMAT } else { FORMAT_BY_SERVICE };
     let written = Written { format, checksum: checksum(list.as_bytes()), saved_ms: unix_ms(), list };
     let text = serde_json::to_vec(&written).map_err(|e| failed(e.into()))?;
     // Beside it, as a rename works within one file system; by its own name, as an old process may still run.
@@ -64,21 +64,24 @@
 }
 
 /// Reads the list of the file, and how long ago it was written by the machine's clock; `None` where there is none.
-pub fn load(path: &Path) -> Result<Option<(Known, Duration)>, FileError> {
-    let spoilt = |what: String| FileError::Spoilt(path.to_owned(), what);
+pub fn load(path: &Path) -> Result<Option<(EndpointList, Duration)>, FileError> {
+    let corrupt = |what: String| FileError::Corrupt(path.to_owned(), what);
     let text = match std::fs::read(path) {
         Ok(text) => text,
         Err(e) if e.kind() == io::ErrorKind::NotFound => return Ok(None),
         Err(e) => return Err(FileError::Io(path.to_owned(), e)),
     };
-    let written: Written = serde_json::from_slice(&text).map_err(|e| spoilt(e.to_string()))?;
-    if ![FORMAT, OF_SERVICES].contains(&written.format) {
-        return Err(spoilt(format!("format {} is neither {FORMAT} nor {OF_SERVICES}", written.format)));
+    let written: Written = serde_json::from_slice(&text).map_err(|e| corrupt(e.to_string()))?;
+    if ![FORMAT, FORMAT_BY_SERVICE].contains(&written.format) {
+        return Err(corrupt(format!(
+            "format {} is neither {FORMAT} nor {FORMAT_BY_SERVICE}",
+            written.format
+        )));
     }
     if written.checksum != checksum(written.list.as_bytes()) {
-        return Err(spoilt("the checksum is not that of the list".into()));
+        return Err(corrupt("the checksum is not that of the list".into()));
     }
-    let known = serde_json::from_str(&written.list).map_err(|e| spoilt(e.to_string()))?;
+    let known = serde_json::from_str(&written.list).map_err(|e| corrupt(e.to_string()))?;
     Ok(Some((known, Duration::from_millis(unix_ms().saturating_sub(written.saved_ms)))))
 }
 
--- a/crates/registry-client/src/file/tests.rs
+++ b/crates/registry-client/src/file/tests.rs
@@ -1,8 +1,8 @@
 use super::*;
 use crate::list::Version;
 
-fn known() -> Known {
-    Known { version: Version { epoch: 3, index: 70 }, digest: 9, ..Known::default() }
+fn known() -> EndpointList {
+    EndpointList { version: Version { epoch: 3, index: 70 }, digest: 9, ..EndpointList::default() }
 }
 
 #[test]
@@ -11,7 +11,7 @@
     let path = folder.path().join("list.json");
     assert!(load(&path).expect("it is not there").is_none());
     for index in 70..73 {
-        let known = Known { version: Version { epoch: 3, index }, ..known() };
+        let known = EndpointList { version: Version { epoch: 3, index }, ..known() };
         save(&path, &known).expect("it is written");
         assert_eq!(load(&path).expect("it is read").map(|(k, _)| k), Some(known));
     }
@@ -28,7 +28,7 @@
     };
     save(&path, &known()).expect("it is written");
     assert_eq!(format(), 1);
-    let of_services = Known { services: vec!["a".into()], ..known() };
+    let of_services = EndpointList { services: vec!["a".into()], ..known() };
     save(&path, &of_services).expect("it is written");
     assert_eq!(format(), 2);
     assert_eq!(load(&path).expect("it is read").map(|(k, _)| k), Some(of_services));
--- a/crates/registry-client/src/list.rs
+++ b/crates/registry-client/src/list.rs
@@ -28,16 +28,18 @@
     /// Takes requests.
     #[default]
     Active,
-    /// Finishes what it has and wants nothing new.
-    Leaving,
-    /// Gone; appears among changes alone.
-    Left,
+    /// Draining: it finishes what it has and takes nothing new.
+    #[serde(rename = "leaving")]
+    Draining,
+    /// Removed; appears in changes only.
+    #[serde(rename = "left")]
+    Removed,
 }
 
 /// How an entry came to be what it is.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Hash, Deserialize, Serialize)]
 #[serde(rename_all = "lowercase")]
-pub enum Why {
+pub enum StatusReason {
     /// It was registered.
     #[default]
     Registered,
@@ -65,12 +67,12 @@
     /// Its region.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub region: Option<String>,
-    /// Its kind of machine.
+    /// Its machine type.
     #[serde(default, rename = "type", skip_serializing_if = "Option::is_none")]
-    pub kind: Option<String>,
+    pub machine_type: Option<String>,
     /// Its cell.
-    #[serde(default)]
-    pub group: u64,
+    #[serde(default, rename = "group")]
+    pub cell: u64,
     /// Its state.
     #[serde(default)]
     pub status: Status,
@@ -78,11 +80,11 @@
     #[serde(default = "unit")]
     pub weight: f64,
     /// Unix time in milliseconds of its last start; 0 is long ago.
-    #[serde(default)]
-    pub since_ms: i64,
+    #[serde(default, rename = "since_ms")]
+    pub started_ms: i64,
     /// How it came to its state.
-    #[serde(default)]
-    pub why: Why,
+    #[serde(default, rename = "why")]
+    pub status_reason: StatusReason,
 }
 
 fn unit() -> f64 {
@@ -91,7 +93,7 @@
 
 /// An answer of a replica: the whole list, or what has changed since the version that was asked for.
 #[derive(Clone, Debug, Default, PartialEq, Serialize)]
-pub struct Update {
+pub struct ListUpdate {
     /// The version that it brings its reader to.
     #[serde(flatten)]
     pub version: Version,
@@ -112,16 +114,16 @@
     pub endpoints: Vec<Entry>,
     /// Entries that can't be read. What is known of them stays as it is.
     #[serde(skip)]
-    pub unreadable: Vec<Unreadable>,
+    pub unreadable: Vec<UnreadableEntry>,
 }
 
 /// An entry that can't be read.
 #[derive(Clone, Debug, PartialEq)]
-pub struct Unreadable {
+pub struct UnreadableEntry {
     /// Its name, where that much can be read.
     pub name: Option<String>,
     /// What is wrong with it.
-    pub what: String,
+    pub error: String,
 }
 
 #[derive(Deserialize)]
@@ -141,10 +143,10 @@
     endpoints: Vec<serde_json::Value>,
 }
 
-impl Update {
+impl ListUpdate {
     /// Reads an answer. An entry that can't be read is set aside, as a newer service may know words that this
     /// reader does not; given up for it, all others would be lost to this reader as well.
-    pub fn read(bytes: &[u8]) -> Result<Self, serde_json::Error> {
+    pub fn from_json(bytes: &[u8]) -> Result<Self, serde_json::Error> {
         let written: Written = serde_json::from_slice(bytes)?;
         let mut update = Self {
             version: Version { epoch: written.epoch, index: written.index },
@@ -160,16 +162,16 @@
             let name = value.get("name").and_then(|n| n.as_str()).map(str::to_owned);
             match serde_json::from_value(value) {
                 Ok(entry) => update.endpoints.push(entry),
-                Err(e) => update.unreadable.push(Unreadable { name, what: e.to_string() }),
+                Err(e) => update.unreadable.push(UnreadableEntry { name, error: e.to_string() }),
             }
         }
         Ok(update)
     }
 }
 
-/// The list as a reader has it.
+/// The list as a watcher has it, and as it stands in the cache file.
 #[derive(Clone, Debug, Default, PartialEq, Deserialize, Serialize)]
-pub struct Known {
+pub struct EndpointList {
     /// Its version.
     pub version: Version,
     /// The service's digest of it.
@@ -181,14 +183,14 @@
     pub entries: BTreeMap<String, Entry>,
 }
 
-impl Known {
-    /// What an answer makes of this list; `None` where it is changes to a list that this is not.
-    pub fn after(&self, update: &Update, asked_after: Option<Version>) -> Option<Self> {
+impl EndpointList {
+    /// This list with an update applied; `None` if the update holds changes to another list than this.
+    pub fn updated(&self, update: &ListUpdate, polled_after: Option<Version>) -> Option<Self> {
         let services = update.services.as_deref().unwrap_or_default();
         let mut entries = if update.snapshot {
-            let kept = |u: &Unreadable| self.entries.get_key_value(u.name.as_ref()?);
+            let kept = |u: &UnreadableEntry| self.entries.get_key_value(u.name.as_ref()?);
             update.unreadable.iter().filter_map(kept).map(|(n, e)| (n.clone(), e.clone())).collect()
-        } else if asked_after == Some(self.version)
+        } else if polled_after == Some(self.version)
             && update.version.epoch == self.version.epoch
             && services == self.services
         {
@@ -197,7 +199,7 @@
             return None;
         };
         for entry in &update.endpoints {
-            if entry.status == Status::Left {
+            if entry.status == Status::Removed {
                 entries.remove(&entry.name);
             } else {
                 entries.insert(entry.name.clone(), entry.clone());
@@ -206,8 +208,8 @@
         Some(Self { version: update.version, digest: update.digest, services: services.to_vec(), entries })
     }
 
-    /// Entries that take requests.
-    pub fn active(&self) -> usize {
+    /// Number of entries that take requests.
+    pub fn active_count(&self) -> usize {
         self.entries.values().filter(|e| e.status == Status::Active).count()
     }
 }
@@ -226,26 +228,27 @@
         let text = r#"{"epoch":1,"index":9,"snapshot":true,"digest":5,"endpoints":[
             {"name":"a","address":"127.0.0.1:80","status":"active"},
             {"name":"b","address":"127.0.0.1:81","status":"resting"},{"address":7}]}"#;
-        let update = Update::read(text.as_bytes()).expect("the rest is read");
+        let update = ListUpdate::from_json(text.as_bytes()).expect("the rest is read");
         assert_eq!((update.endpoints.len(), update.unreadable.len()), (1, 2));
-        let mut known = Known::default();
+        let mut known = EndpointList::default();
         known.entries.insert("b".into(), entry("b", Status::Active));
         known.entries.insert("c".into(), entry("c", Status::Active));
-        let after = known.after(&update, None).expect("a whole list");
+        let after = known.updated(&update, None).expect("a whole list");
         assert_eq!(after.entries.keys().collect::<Vec<_>>(), ["a", "b"]);
-        assert!(Update::read(b"{\"epoch\":1").is_err());
+        assert!(ListUpdate::from_json(b"{\"epoch\":1").is_err());
     }
 
     #[test]
     fn changes_apply_only_to_the_version_that_they_were_asked_for() {
-        let known = Known { version: Version { epoch: 1, index: 4 }, ..Known::default() };
+        let known = EndpointList { version: Version { epoch: 1, index: 4 }, ..EndpointList::default() };
         let to = Version { epoch: 1, index: 5 };
-        let update = Update { version: to, endpoints: vec![entry("a", Status::Active)], ..Update::default() };
-        assert_eq!(known.after(&update, Some(Version { epoch: 1, index: 3 })), None);
-        let later = known.after(&update, Some(known.version)).expect("they fit");
-        assert_eq!((later.version, later.active()), (to, 1));
-        let gone = Update { endpoints: vec![entry("a", Status::Left)], ..update };
-        assert_eq!(known.after(&gone, Some(known.version)).map(|k| k.entries.len()), Some(0));
+        let update =
+            ListUpdate { version: to, endpoints: vec![entry("a", Status::Active)], ..ListUpdate::default() };
+        assert_eq!(known.updated(&update, Some(Version { epoch: 1, index: 3 })), None);
+        let later = known.updated(&update, Some(known.version)).expect("they fit");
+        assert_eq!((later.version, later.active_count()), (to, 1));
+        let gone = ListUpdate { endpoints: vec![entry("a", Status::Removed)], ..update };
+        assert_eq!(known.updated(&gone, Some(known.version)).map(|k| k.entries.len()), Some(0));
     }
 
     #[test]
--- a/crates/registry-client/src/rider.rs
+++ b/crates/registry-client/src/watcher.rs
@@ -13,166 +13,166 @@
 //! not know of services, or that tells of others, is none: whose servers those are nobody knows.
 
 use crate::Micros;
-use crate::list::{Entry, Known, Status, Update, Version, Why};
+use crate::list::{EndpointList, Entry, ListUpdate, Status, StatusReason, Version};
 use std::collections::{BTreeMap, BTreeSet};
 
-/// How a rider rides. Times are in microseconds.
+/// Settings of a [`RegistryWatcher`]. Times are in microseconds.
 #[derive(Clone, Debug)]
 pub struct Settings {
-    /// Replicas; at least one.
-    pub rosters: usize,
-    /// A watch waits so long for news.
-    pub wait: Micros,
-    /// An answer may take so much longer than that.
-    pub patience: Micros,
-    /// Least time from one call to the next.
-    pub spacing: Micros,
-    /// Pause after a first failure, before chance.
-    pub first_pause: Micros,
-    /// Longest pause.
-    pub longest_pause: Micros,
-    /// The first call after a failure is put to a second replica as well, where it has no answer for so long.
-    pub hedge_after: Micros,
-    /// A list that takes away more than this share of what takes requests is held back.
-    pub hold_back: f64,
-    /// With a single replica there is nobody to confirm such a list: it is believed where it still stands so much later.
-    pub alone_hold: Micros,
-    /// A list is reported stale once it is so old.
+    /// Number of replicas; at least one.
+    pub replicas: usize,
+    /// How long a replica may hold a watch open without a change.
+    pub watch_wait: Micros,
+    /// How much longer than that a response may take.
+    pub response_timeout: Micros,
+    /// Least time from one poll to the next.
+    pub min_poll_interval: Micros,
+    /// Backoff after a first failure, before jitter.
+    pub initial_backoff: Micros,
+    /// Longest backoff.
+    pub max_backoff: Micros,
+    /// Time without a response after which the first poll after a failure is hedged at a second replica.
+    pub hedge_delay: Micros,
+    /// A list that removes more than this share of the active servers needs confirmation.
+    pub max_removed_share: f64,
+    /// Time after which a single replica may confirm such a list itself.
+    pub self_confirm_after: Micros,
+    /// Age from which the list is reported stale.
     pub stale_after: Micros,
-    /// Least time between two writes of the file.
-    pub save_every: Micros,
-    /// The services whose servers are wanted, each one's name made of letters, digits and `.`, `_`, `:`, `-`; none for
-    /// all servers.
+    /// Least time between two writes of the cache file.
+    pub min_save_interval: Micros,
+    /// Services whose servers are watched; names are made of letters, digits and `.`, `_`, `:`, `-`. Empty means all
+    /// servers.
     pub services: Vec<String>,
 }
 
 impl Settings {
-    /// For so many replicas. With its patience a wait ends within 6 s, by when a sidecar counts as told of what a
-    /// silent watch has missed; a list that hardly changes costs each reader fifteen calls a minute.
-    pub fn new(rosters: usize) -> Self {
+    /// Defaults for that many replicas. `watch_wait` and `response_timeout` together are 6 s: within that time after
+    /// a watch falls silent a sidecar has to know what it missed.
+    pub fn new(replicas: usize) -> Self {
         Self {
-            rosters,
-            wait: 4_000_000,
-            patience: 2_000_000,
-            spacing: 50_000,
-            first_pause: 250_000,
-            longest_pause: 8_000_000,
-            hedge_after: 300_000,
-            hold_back: 0.5,
-            alone_hold: 30_000_000,
+            replicas,
+            watch_wait: 4_000_000,
+            response_timeout: 2_000_000,
+            min_poll_interval: 50_000,
+            initial_backoff: 250_000,
+            max_backoff: 8_000_000,
+            hedge_delay: 300_000,
+            max_removed_share: 0.5,
+            self_confirm_after: 30_000_000,
             stale_after: 15_000_000,
-            save_every: 1_000_000,
+            min_save_interval: 1_000_000,
             services: Vec::new(),
         }
     }
 }
 
-/// What happens to a rider.
+/// What happens to a watcher.
 #[derive(Clone, Debug)]
 pub enum Event {
-    /// It starts, with the list of its file where there is one.
-    Start(Option<Known>),
-    /// A call was answered.
-    Answer {
-        /// The call.
-        ask: u64,
-        /// What was answered.
-        update: Update,
+    /// It starts, with the list of its cache file if there is one.
+    Start(Option<EndpointList>),
+    /// A replica responded to a poll.
+    Response {
+        /// The poll.
+        poll: u64,
+        /// The response.
+        update: ListUpdate,
     },
-    /// A call failed.
-    Failed {
-        /// The call.
-        ask: u64,
-        /// The replica says when to come again.
+    /// A poll failed.
+    PollFailed {
+        /// The poll.
+        poll: u64,
+        /// The replica's `Retry-After`.
         retry_after: Option<Micros>,
-        /// What went wrong, in plain words.
-        what: String,
+        /// What went wrong, for the log.
+        error: String,
     },
-    /// The servers of these services are wanted from now on; none for all servers.
-    Services(Vec<String>),
-    /// The instant of [`Rider::next_wake`] has come.
-    Wake,
+    /// Servers of these services are watched from now on; empty means all servers.
+    ServicesChanged(Vec<String>),
+    /// The instant of [`RegistryWatcher::next_timer`] has come.
+    Timer,
 }
 
-/// What a rider wants done.
+/// What a watcher wants done.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Action {
-    /// Call a replica.
-    Ask {
-        /// The call, for its answer to name.
-        ask: u64,
-        /// The replica, by its place among the addresses.
-        roster: usize,
-        /// What came after this version; `None` for the whole list.
+    /// Poll a replica.
+    Poll {
+        /// Number of the poll, for its [`Event`] to name.
+        poll: u64,
+        /// The replica, by its position among the addresses.
+        replica: usize,
+        /// Changes after this version are wanted; `None` for the complete list.
         after: Option<Version>,
-        /// The answer may wait so long for news.
+        /// How long the replica may wait for a change.
         wait: Micros,
     },
-    /// What that call would bring is not wanted any more.
-    Forget(u64),
-    /// The list is this from now on.
-    Apply(Applied),
-    /// The list is to be written to its file: [`Rider::known`].
+    /// Cancel that poll.
+    CancelPoll(u64),
+    /// Use this list from now on.
+    Apply(AppliedList),
+    /// Write [`RegistryWatcher::list`] to the cache file.
     Save,
-    /// Something that people should know.
+    /// Log this.
     Report(Report),
 }
 
 /// A list to be used.
 #[derive(Clone, Debug, PartialEq)]
-pub struct Applied {
+pub struct AppliedList {
     /// Its version.
     pub version: Version,
-    /// Whether it is the whole list, or changes to the one before.
+    /// Whether it is the complete list, or changes to the one before.
     pub full: bool,
-    /// Its entries; among changes, some that have left.
+    /// Its entries; changes may hold removed ones.
     pub entries: Vec<Entry>,
 }
 
-/// Something that people should know.
+/// Something to log.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Report {
-    /// A call failed.
-    Failed {
+    /// A poll failed.
+    PollFailed {
         /// The replica.
-        roster: usize,
+        replica: usize,
         /// What went wrong.
-        what: String,
+        error: String,
     },
-    /// A replica has an older list than this reader: it is not used.
-    Older {
+    /// A replica has an older list than this watcher: it is not used.
+    OlderVersion {
         /// The replica.
-        roster: usize,
+        replica: usize,
         /// Its version.
-        told: Version,
+        version: Version,
     },
-    /// Two replicas have different lists of one version, which is a fault of the service: the new one is not used.
-    Differs {
+    /// Two replicas have different lists of one version, which is a fault of the registry: the new one is not used.
+    DigestMismatch {
         /// The replica.
-        roster: usize,
+        replica: usize,
         /// The version.
-        told: Version,
+        version: Version,
     },
-    /// An entry was left out, as it can't be read.
-    Unreadable(String),
-    /// A list takes too much away: it is held back until it is confirmed.
-    Held {
+    /// An entry can't be read and was left out.
+    UnreadableEntry(String),
+    /// A list removes too many servers: it is withheld until it is confirmed.
+    Withheld {
         /// The replica that has it.
-        roster: usize,
+        replica: usize,
         /// Its version.
-        told: Version,
-        /// How many servers it takes away.
-        lost: usize,
-        /// Of how many.
+        version: Version,
+        /// How many active servers it removes.
+        removed: usize,
+        /// How many active servers there were.
         of: usize,
     },
-    /// What was held back is confirmed, by that replica, and used.
+    /// That replica confirmed the withheld list, which is used.
     Confirmed(usize),
-    /// What was held back is not what that replica says, whose list is used.
-    Released(usize),
-    /// A service that is asked for has no servers in the list that is used from now on. Told again once it had some.
+    /// That replica does not confirm the withheld list: its own is used.
+    Unconfirmed(usize),
+    /// A watched service has no servers in the list that is used from now on. Reported again once it had some.
     NoServers(String),
-    /// The list is so old, in microseconds: nothing newer is known, and it stays in use.
+    /// The list is this old, in microseconds, and nothing newer is known: it stays in use.
     Stale(Micros),
     /// It is up to date again.
     Fresh,
@@ -189,8 +189,8 @@
 }
 
 struct Call {
-    ask: u64,
-    roster: usize,
+    poll: u64,
+    replica: usize,
     after: Option<Version>,
     kind: Kind,
     sent: Micros,
@@ -198,19 +198,19 @@
 }
 
 struct Held {
-    roster: usize,
+    replica: usize,
     version: Version,
     since: Micros,
 }
 
 /// A reader of the list. See the module's page.
-pub struct Rider {
+pub struct RegistryWatcher {
     set: Settings,
     rng: fastrand::Rng,
-    known: Option<Known>,
+    known: Option<EndpointList>,
     calls: Vec<Call>,
-    asks: u64,
-    roster: usize,
+    polls: u64,
+    replica: usize,
     failures: u32,
     next: Option<Micros>,
     hedge: Option<Micros>,
@@ -228,17 +228,17 @@
     stale: bool,
 }
 
-impl Rider {
+impl RegistryWatcher {
     /// One that has not started. `seed` is for its pauses, and should differ between readers.
     pub fn new(set: Settings, seed: u64) -> Self {
         let mut rng = fastrand::Rng::with_seed(seed);
-        let roster = rng.usize(0..set.rosters.max(1));
+        let replica = rng.usize(0..set.replicas.max(1));
         Self {
             rng,
             known: None,
             calls: Vec::new(),
-            asks: 0,
-            roster,
+            polls: 0,
+            replica,
             failures: 0,
             next: None,
             hedge: None,
@@ -250,13 +250,13 @@
             true_at: None,
             started: 0,
             stale: false,
-            set: Settings { rosters: set.rosters.max(1), services: in_order(set.services), ..set },
+            set: Settings { replicas: set.replicas.max(1), services: in_order(set.services), ..set },
         }
     }
 
     /// The list in use. After a change of services, until a list of theirs has come, it is what was left of the one
     /// before.
-    pub fn known(&self) -> Option<&Known> {
+    pub fn list(&self) -> Option<&EndpointList> {
         self.known.as_ref()
     }
 
@@ -266,8 +266,8 @@
         now - self.true_at.unwrap_or(self.started)
     }
 
-    /// Path and query of the call that an [`Action::Ask`] wants.
-    pub fn path(&self, after: Option<Version>, wait: Micros) -> String {
+    /// Path and query of the request that an [`Action::Poll`] wants.
+    pub fn poll_path(&self, after: Option<Version>, wait: Micros) -> String {
         let mut path = format!("/v1/watch?wait_ms={}", wait / 1000);
         if let Some(after) = after {
             path.push_str(&format!("&epoch={}&after={}", after.epoch, after.index));
@@ -279,12 +279,12 @@
     }
 
     /// Whether a list is held back.
-    pub fn holds(&self) -> bool {
+    pub fn withholds_list(&self) -> bool {
         self.held.is_some()
     }
 
-    /// When [`Event::Wake`] is due, whatever else happens.
-    pub fn next_wake(&self) -> Option<Micros> {
+    /// When [`Event::Timer`] is due, whatever else happens.
+    pub fn next_timer(&self) -> Option<Micros> {
         let calls = self.calls.iter().map(|c| c.given_up).min();
         let stale = (!self.stale).then(|| self.true_at.unwrap_or(self.started) + self.set.stale_after);
         [calls, self.next, self.hedge, self.save, stale].into_iter().flatten().min()
@@ -303,27 +303,27 @@
                     // Of a file of other services nothing may be left: then what the driver has is better than none.
                     if !self.rest || !known.entries.is_empty() {
                         let entries = known.entries.values().cloned().collect();
-                        out.push(Action::Apply(Applied { version: known.version, full: true, entries }));
+                        out.push(Action::Apply(AppliedList { version: known.version, full: true, entries }));
                     }
                     self.known = Some(known);
                     self.look_for_bare(out);
                 }
             }
-            Event::Services(services) => self.change_services(now, in_order(services), out),
-            Event::Answer { ask, update } => {
+            Event::ServicesChanged(services) => self.change_services(now, in_order(services), out),
+            Event::Response { poll, update } => {
                 // One that was given up may still come.
-                if let Some(at) = self.calls.iter().position(|c| c.ask == ask) {
+                if let Some(at) = self.calls.iter().position(|c| c.poll == poll) {
                     let call = self.calls.swap_remove(at);
                     self.answered(now, call, update, out);
                 }
             }
-            Event::Failed { ask, retry_after, what } => {
-                if let Some(at) = self.calls.iter().position(|c| c.ask == ask) {
+            Event::PollFailed { poll, retry_after, error } => {
+                if let Some(at) = self.calls.iter().position(|c| c.poll == poll) {
                     let call = self.calls.swap_remove(at);
-                    self.failed(now, &call, retry_after, what, out);
+                    self.failed(now, &call, retry_after, error, out);
                 }
             }
-            Event::Wake => {}
+            Event::Timer => {}
         }
         self.due(now, out);
     }
@@ -347,7 +347,7 @@
             self.rest = true;
             if keep_services(known, &self.set.services) {
                 let entries = known.entries.values().cloned().collect();
-                out.push(Action::Apply(Applied { version: known.version, full: true, entries }));
+                out.push(Action::Apply(AppliedList { version: known.version, full: true, entries }));
             }
         }
     }
@@ -371,14 +371,14 @@
     fn due(&mut self, now: Micros, out: &mut Vec<Action>) {
         while let Some(at) = self.calls.iter().position(|c| c.given_up <= now) {
             let call = self.calls.swap_remove(at);
-            out.push(Action::Forget(call.ask));
+            out.push(Action::CancelPoll(call.poll));
             self.failed(now, &call, None, "no answer".into(), out);
         }
         if self.hedge.take_if(|at| *at <= now).is_some()
             && let [only] = self.calls.as_slice()
         {
-            let (roster, after, kind) = ((only.roster + 1) % self.set.rosters, only.after, only.kind);
-            self.ask(now, roster, after, kind, out);
+            let (replica, after, kind) = ((only.replica + 1) % self.set.replicas, only.after, only.kind);
+            self.ask(now, replica, after, kind, out);
         }
         if self.next.take_if(|at| *at <= now).is_some() {
             self.ask_next(now, out);
@@ -396,21 +396,28 @@
     fn ask_next(&mut self, now: Micros, out: &mut Vec<Action>) {
         let after = self.known.as_ref().filter(|_| !self.rest).map(|k| k.version);
         if self.held.is_some() {
-            return self.ask(now, self.roster, None, Kind::Confirm, out);
+            return self.ask(now, self.replica, None, Kind::Confirm, out);
         }
         let kind = if self.failures > 0 || after.is_none() { Kind::Look } else { Kind::Watch };
-        self.ask(now, self.roster, after, kind, out);
-        if self.failures > 0 && self.set.rosters > 1 {
-            self.hedge = Some(now + self.set.hedge_after);
+        self.ask(now, self.replica, after, kind, out);
+        if self.failures > 0 && self.set.replicas > 1 {
+            self.hedge = Some(now + self.set.hedge_delay);
         }
     }
 
-    fn ask(&mut self, now: Micros, roster: usize, after: Option<Version>, kind: Kind, out: &mut Vec<Action>) {
-        self.asks += 1;
-        let (ask, wait) = (self.asks, if kind == Kind::Watch { self.set.wait } else { 0 });
-        let given_up = now + wait + self.set.patience;
-        self.calls.push(Call { ask, roster, after, kind, sent: now, given_up });
-        out.push(Action::Ask { ask, roster, after, wait });
+    fn ask(
+        &mut self,
+        now: Micros,
+        replica: usize,
+        after: Option<Version>,
+        kind: Kind,
+        out: &mut Vec<Action>,
+    ) {
+        self.polls += 1;
+        let (poll, wait) = (self.polls, if kind == Kind::Watch { self.set.watch_wait } else { 0 });
+        let given_up = now + wait + self.set.response_timeout;
+        self.calls.push(Call { poll, replica, after, kind, sent: now, given_up });
+        out.push(Action::Poll { poll, replica, after, wait });
     }
 
     fn failed(
@@ -418,78 +425,81 @@
         now: Micros,
         call: &Call,
         told: Option<Micros>,
-        what: String,
+        error: String,
         out: &mut Vec<Action>,
     ) {
-        out.push(Action::Report(Report::Failed { roster: call.roster, what }));
+        out.push(Action::Report(Report::PollFailed { replica: call.replica, error }));
         // The other of a hedged pair may still answer.
         if self.calls.is_empty() {
-            self.go_on(now, call.roster, told);
+            self.go_on(now, call.replica, told);
         }
     }
 
     /// The next replica, after a pause.
     fn go_on(&mut self, now: Micros, from: usize, told: Option<Micros>) {
         self.hedge = None;
-        self.roster = (from + 1) % self.set.rosters;
-        let grown = self.set.first_pause << self.failures.min(16);
+        self.replica = (from + 1) % self.set.replicas;
+        let grown = self.set.initial_backoff << self.failures.min(16);
         self.failures += 1;
         let chance = self.rng.f64();
-        let pause = (grown.min(self.set.longest_pause) as f64 * (0.5 + 0.5 * chance)) as Micros;
+        let pause = (grown.min(self.set.max_backoff) as f64 * (0.5 + 0.5 * chance)) as Micros;
         // Those that were told the same time must not come at the same instant, and none before it.
         let told = told.map_or(0, |t| (t as f64 * (1.0 + 0.2 * chance)) as Micros);
         self.next = Some(now + pause.max(told));
     }
 
-    fn answered(&mut self, now: Micros, call: Call, update: Update, out: &mut Vec<Action>) {
+    fn answered(&mut self, now: Micros, call: Call, update: ListUpdate, out: &mut Vec<Action>) {
         if let Some(what) = self.of_others(&update) {
             return self.failed(now, &call, None, what.into(), out);
         }
         if let Some(first) = update.unreadable.first() {
             let name = first.name.as_deref().unwrap_or("one without a name");
-            out.push(Action::Report(Report::Unreadable(format!("{name}: {}", first.what))));
+            out.push(Action::Report(Report::UnreadableEntry(format!("{name}: {}", first.error))));
         }
-        let (roster, told) = (call.roster, update.version);
-        let empty = Known::default();
+        let (replica, version) = (call.replica, update.version);
+        let empty = EndpointList::default();
         let known = self.known.as_ref().unwrap_or(&empty);
-        let distrust = if told < known.version {
-            Some(Report::Older { roster, told })
-        } else if told == known.version && update.digest != known.digest && self.known.is_some() && !self.rest
+        let distrust = if version < known.version {
+            Some(Report::OlderVersion { replica, version })
+        } else if version == known.version
+            && update.digest != known.digest
+            && self.known.is_some()
+            && !self.rest
         {
-            Some(Report::Differs { roster, told })
+            Some(Report::DigestMismatch { replica, version })
         } else {
             None
         };
         if let Some(report) = distrust {
             out.push(Action::Report(report));
             if self.calls.is_empty() {
-                self.go_on(now, roster, None);
+                self.go_on(now, replica, None);
             }
             return;
         }
-        let Some(new) = known.after(&update, call.after) else {
+        let Some(new) = known.updated(&update, call.after) else {
             // Changes to a list that this reader does not have: it asks for the whole.
             self.forget_calls(out);
-            return self.ask(now, roster, None, Kind::Look, out);
+            return self.ask(now, replica, None, Kind::Look, out);
         };
-        let doubted = doubted(known, &new, &update, self.set.hold_back);
+        let doubted = doubted(known, &new, &update, self.set.max_removed_share);
         let too_many = doubted.is_some();
         if let Some((lost, of)) = doubted
-            && !self.confirmed(now, roster, told, out)
+            && !self.confirmed(now, replica, version, out)
         {
-            self.hold(now, roster, &update, lost, of, out);
+            self.hold(now, replica, &update, lost, of, out);
             return;
         }
         // Another replica's list is used, also one that is not as far as what is doubted: where that was true after
         // all, it comes from this one too, and is doubted and confirmed then.
         if !too_many && self.held.take().is_some() {
-            out.push(Action::Report(Report::Released(roster)));
+            out.push(Action::Report(Report::Unconfirmed(replica)));
         }
         self.take(now, &call, update, new, out);
     }
 
-    /// Why an answer does not tell of the services that were asked for, and of those alone.
-    fn of_others(&self, update: &Update) -> Option<&'static str> {
+    /// StatusReason an answer does not tell of the services that were asked for, and of those alone.
+    fn of_others(&self, update: &ListUpdate) -> Option<&'static str> {
         let asked = &self.set.services;
         match &update.services {
             None if asked.is_empty() => return None,
@@ -498,15 +508,22 @@
             Some(_) => {}
         }
         // One that has left may be gone over to any service.
-        let foreign = |e: &Entry| e.status != Status::Left && !among(e, asked);
+        let foreign = |e: &Entry| e.status != Status::Removed && !among(e, asked);
         update.endpoints.iter().any(foreign).then_some("told of other services")
     }
 
     /// Uses a list.
-    fn take(&mut self, now: Micros, call: &Call, update: Update, new: Known, out: &mut Vec<Action>) {
+    fn take(
+        &mut self,
+        now: Micros,
+        call: &Call,
+        update: ListUpdate,
+        new: EndpointList,
+        out: &mut Vec<Action>,
+    ) {
         self.forget_calls(out);
-        (self.failures, self.roster) = (0, call.roster);
-        self.next = Some((call.sent + self.set.spacing).max(now));
+        (self.failures, self.replica) = (0, call.replica);
+        self.next = Some((call.sent + self.set.min_poll_interval).max(now));
         let before = self.known.replace(new);
         let rest = std::mem::take(&mut self.rest);
         // What was held back in part may have been used in part.
@@ -519,8 +536,8 @@
             } else {
                 update.endpoints
             };
-            out.push(Action::Apply(Applied { version: update.version, full, entries }));
-            self.save.get_or_insert(now.max(self.saved + self.set.save_every));
+            out.push(Action::Apply(AppliedList { version: update.version, full, entries }));
+            self.save.get_or_insert(now.max(self.saved + self.set.min_save_interval));
             self.look_for_bare(out);
         }
         let (age, waited) = (millis(update.age_ms), millis(update.waited_ms));
@@ -530,17 +547,17 @@
 
     fn forget_calls(&mut self, out: &mut Vec<Action>) {
         self.hedge = None;
-        out.extend(self.calls.drain(..).map(|c| Action::Forget(c.ask)));
+        out.extend(self.calls.drain(..).map(|c| Action::CancelPoll(c.poll)));
     }
 
     /// Whether a list that takes too much away says what is held back, by another replica or, where there is none,
     /// after a while.
-    fn confirmed(&mut self, now: Micros, roster: usize, told: Version, out: &mut Vec<Action>) -> bool {
+    fn confirmed(&mut self, now: Micros, replica: usize, version: Version, out: &mut Vec<Action>) -> bool {
         let Some(held) = &self.held else { return false };
-        let alone = self.set.rosters == 1 && now - held.since >= self.set.alone_hold;
-        if told >= held.version && (roster != held.roster || alone) {
+        let alone = self.set.replicas == 1 && now - held.since >= self.set.self_confirm_after;
+        if version >= held.version && (replica != held.replica || alone) {
             self.held = None;
-            out.push(Action::Report(Report::Confirmed(roster)));
+            out.push(Action::Report(Report::Confirmed(replica)));
             return true;
         }
         false
@@ -550,21 +567,21 @@
     fn hold(
         &mut self,
         now: Micros,
-        roster: usize,
-        update: &Update,
+        replica: usize,
+        update: &ListUpdate,
         lost: usize,
         of: usize,
         out: &mut Vec<Action>,
     ) {
-        let told = update.version;
+        let version = update.version;
         self.forget_calls(out);
         match &mut self.held {
             // The same replica says so again, or another one that has not come as far.
-            Some(held) if held.version >= told => {}
-            Some(held) => held.version = told,
+            Some(held) if held.version >= version => {}
+            Some(held) => held.version = version,
             None => {
-                self.held = Some(Held { roster, version: told, since: now });
-                out.push(Action::Report(Report::Held { roster, told, lost, of }));
+                self.held = Some(Held { replica, version, since: now });
+                out.push(Action::Report(Report::Withheld { replica, version, removed: lost, of }));
                 // Another is asked at once.
                 self.failures = 0;
             }
@@ -574,50 +591,56 @@
             && !named.is_empty()
         {
             for entry in &named {
-                if entry.status == Status::Left {
+                if entry.status == Status::Removed {
                     known.entries.remove(&entry.name);
                 } else {
                     known.entries.insert(entry.name.clone(), entry.clone());
                 }
             }
             let version = known.version;
-            out.push(Action::Apply(Applied { version, full: false, entries: named }));
+            out.push(Action::Apply(AppliedList { version, full: false, entries: named }));
             self.look_for_bare(out);
         }
         let first = self.failures == 0;
-        self.go_on(now, roster, None);
+        self.go_on(now, replica, None);
         if first {
-            self.next = Some(now + if self.set.rosters > 1 { 0 } else { self.set.spacing });
+            self.next = Some(now + if self.set.replicas > 1 { 0 } else { self.set.min_poll_interval });
         }
         // The one that is doubted can't confirm itself.
         if let Some(held) = &self.held
-            && self.set.rosters > 1
-            && self.roster == held.roster
+            && self.set.replicas > 1
+            && self.replica == held.replica
         {
-            self.roster = (self.roster + 1) % self.set.rosters;
+            self.replica = (self.replica + 1) % self.set.replicas;
         }
     }
 }
 
 /// Whether an entry says that its server leaves or is gone because somebody named it.
 fn named(e: &Entry) -> bool {
-    matches!(e.why, Why::Drained | Why::Removed) && e.status != Status::Active
+    matches!(e.status_reason, StatusReason::Drained | StatusReason::Removed) && e.status != Status::Active
 }
 
 /// How many servers a list takes away, and of how many, where that is too many: of a service that was asked for, or of
 /// all servers where none was.
-fn doubted(known: &Known, new: &Known, update: &Update, hold_back: f64) -> Option<(usize, usize)> {
+fn doubted(
+    known: &EndpointList,
+    new: &EndpointList,
+    update: &ListUpdate,
+    hold_back: f64,
+) -> Option<(usize, usize)> {
     let lost = lost(known, new, update);
     let too_many = |lost: usize, of: usize, left: usize| left == 0 || lost as f64 > hold_back * of as f64;
     if new.services.is_empty() {
-        let of = known.active();
-        return (!lost.is_empty() && too_many(lost.len(), of, new.active())).then_some((lost.len(), of));
+        let of = known.active_count();
+        return (!lost.is_empty() && too_many(lost.len(), of, new.active_count()))
+            .then_some((lost.len(), of));
     }
     let mut lost_of: BTreeMap<&str, usize> = BTreeMap::new();
     for service in lost.iter().filter_map(|e| e.service.as_deref()) {
         *lost_of.entry(service).or_default() += 1;
     }
-    let active = |list: &Known, service: &str| {
+    let active = |list: &EndpointList, service: &str| {
         let of = |e: &&Entry| e.status == Status::Active && e.service.as_deref() == Some(service);
         list.entries.values().filter(of).count()
     };
@@ -630,7 +653,7 @@
 
 /// Servers that took requests and would not any more, other than by drains and removals that name them. One that goes
 /// over to another service that is asked for is not among them.
-fn lost<'a>(known: &'a Known, new: &Known, update: &Update) -> Vec<&'a Entry> {
+fn lost<'a>(known: &'a EndpointList, new: &EndpointList, update: &ListUpdate) -> Vec<&'a Entry> {
     let by_name: BTreeSet<&str> =
         update.endpoints.iter().filter(|e| named(e)).map(|e| e.name.as_str()).collect();
     let gone = |e: &&Entry| {
@@ -653,7 +676,7 @@
 }
 
 /// Leaves the entries of these services, or all where there are none of them, and tells whether any went.
-fn keep_services(known: &mut Known, services: &[String]) -> bool {
+fn keep_services(known: &mut EndpointList, services: &[String]) -> bool {
     let before = known.entries.len();
     if !services.is_empty() {
         known.entries.retain(|_, e| among(e, services));
--- a/crates/registry-client/tests/services.rs
+++ b/crates/registry-client/tests/services.rs
@@ -1,7 +1,8 @@
 //! Readers of some services against replicas that tell by service, and against some that don't.
 
 use lotusmoor_registry_client::{
-    Action, Entry, Event, Known, Micros, Report, Rider, Settings, Status, Update, Version, Why,
+    Action, EndpointList, Entry, Event, ListUpdate, Micros, RegistryWatcher, Report, Settings, Status,
+    StatusReason, Version,
 };
 use proptest::prelude::*;
 use std::collections::{BTreeMap, BTreeSet};
@@ -30,7 +31,7 @@
     name: String,
     before: Option<Entry>,
     after: Option<Entry>,
-    why: Why,
+    why: StatusReason,
 }
 
 /// The list as a replica has it, that answers as the design says.
@@ -57,7 +58,7 @@
     }
 
     /// Makes a change that is one, and tells whether it was.
-    fn change(&mut self, name: &str, after: Option<Entry>, why: Why) -> bool {
+    fn change(&mut self, name: &str, after: Option<Entry>, why: StatusReason) -> bool {
         let before = self.entries.get(name).cloned();
         if before == after {
             return false;
@@ -81,19 +82,19 @@
     }
 
     fn put(&mut self, name: &str, service: &str) -> bool {
-        self.change(name, Some(entry(name, service)), Why::Registered)
+        self.change(name, Some(entry(name, service)), StatusReason::Registered)
     }
 
-    fn leaves(&mut self, name: &str, why: Why) -> bool {
+    fn leaves(&mut self, name: &str, why: StatusReason) -> bool {
         let Some(entry) = self.entries.get(name).cloned() else { return false };
-        self.change(name, Some(Entry { status: Status::Leaving, why, ..entry }), why)
+        self.change(name, Some(Entry { status: Status::Draining, status_reason: why, ..entry }), why)
     }
 
-    fn gone(&mut self, name: &str, why: Why) -> bool {
+    fn gone(&mut self, name: &str, why: StatusReason) -> bool {
         self.change(name, None, why)
     }
 
-    fn update(&self, services: &[String], after: Option<Version>) -> Update {
+    fn update(&self, services: &[String], after: Option<Version>) -> ListUpdate {
         let digest = if services.is_empty() {
             self.digest
         } else {
@@ -112,7 +113,7 @@
         };
         let services = (!services.is_empty()).then(|| services.to_vec());
         let (version, snapshot) = (self.version, after.is_none());
-        Update { version, snapshot, digest, services, endpoints, ..Update::default() }
+        ListUpdate { version, snapshot, digest, services, endpoints, ..ListUpdate::default() }
     }
 
     fn told_since(&self, services: &[String], index: u64) -> Vec<Entry> {
@@ -121,8 +122,8 @@
         for change in self.changes.iter().filter(|c| c.index > index) {
             let out = touched.entry(&change.name).or_default();
             if let Some(before) = change.before.as_ref().filter(|e| wanted(e, services)) {
-                let why = if change.after.is_some() { Why::Removed } else { change.why };
-                *out = Some(Entry { status: Status::Left, why, ..before.clone() });
+                let why = if change.after.is_some() { StatusReason::Removed } else { change.why };
+                *out = Some(Entry { status: Status::Removed, status_reason: why, ..before.clone() });
             }
         }
         let now = |name: &str| self.entries.get(name).filter(|e| wanted(e, services)).cloned();
@@ -132,7 +133,7 @@
 
 /// A reader, with what its driver uses.
 struct Reader {
-    rider: Rider,
+    rider: RegistryWatcher,
     now: Micros,
     /// Calls that are out: what was asked for, and after which version.
     open: Vec<Asked>,
@@ -140,7 +141,7 @@
     forgotten: Vec<Asked>,
     used: BTreeMap<String, Entry>,
     newest: Version,
-    saved: Option<Known>,
+    saved: Option<EndpointList>,
     services: Vec<String>,
 }
 
@@ -156,7 +157,7 @@
     fn new(rosters: usize, services: &[&str], seed: u64) -> Self {
         let set = Settings { services: names(services), ..Settings::new(rosters) };
         Self {
-            rider: Rider::new(set, seed),
+            rider: RegistryWatcher::new(set, seed),
             now: 0,
             open: Vec::new(),
             forgotten: Vec::new(),
@@ -185,15 +186,15 @@
         self.rider.handle(self.now, event, &mut out);
         for action in &out {
             match action {
-                Action::Ask { ask, roster, after, wait } => {
-                    let path = self.rider.path(*after, *wait);
+                Action::Poll { poll: ask, replica: roster, after, wait } => {
+                    let path = self.rider.poll_path(*after, *wait);
                     let services = path
                         .split_once("&services=")
                         .map_or(Vec::new(), |(_, s)| s.split(',').map(str::to_owned).collect());
                     assert_eq!(services, self.services, "{path}");
                     self.open.push(Asked { ask: *ask, roster: *roster, after: *after, services });
                 }
-                Action::Forget(ask) => {
+                Action::CancelPoll(ask) => {
                     let at = self.open.iter().position(|o| o.ask == *ask).expect("a call that is out");
                     self.forgotten.push(self.open.remove(at));
                 }
@@ -205,12 +206,12 @@
                     }
                     for entry in &applied.entries {
                         match entry.status {
-                            Status::Left => drop(self.used.remove(&entry.name)),
+                            Status::Removed => drop(self.used.remove(&entry.name)),
                             _ => drop(self.used.insert(entry.name.clone(), entry.clone())),
                         }
                     }
                 }
-                Action::Save => self.saved = self.rider.known().cloned(),
+                Action::Save => self.saved = self.rider.list().cloned(),
                 Action::Report(_) => {}
             }
         }
@@ -218,8 +219,8 @@
     }
 
     fn wake(&mut self) -> Vec<Action> {
-        self.now = self.now.max(self.rider.next_wake().expect("there is always something to come"));
-        self.give(Event::Wake)
+        self.now = self.now.max(self.rider.next_timer().expect("there is always something to come"));
+        self.give(Event::Timer)
     }
 
     /// The next call that is out; it wakes until there is one.
@@ -239,10 +240,10 @@
         self.answer_with(&asked, list.update(&asked.services, asked.after))
     }
 
-    fn answer_with(&mut self, asked: &Asked, update: Update) -> Vec<Action> {
+    fn answer_with(&mut self, asked: &Asked, update: ListUpdate) -> Vec<Action> {
         self.now += 1000;
         self.open.retain(|o| o.ask != asked.ask);
-        self.give(Event::Answer { ask: asked.ask, update })
+        self.give(Event::Response { poll: asked.ask, update })
     }
 
     fn reload(&mut self, services: &[&str]) -> Vec<Action> {
@@ -250,7 +251,7 @@
         self.services = names(services);
         self.services.sort_unstable();
         self.services.dedup();
-        self.give(Event::Services(names(services)))
+        self.give(Event::ServicesChanged(names(services)))
     }
 
     fn used(&self) -> Vec<&str> {
@@ -262,13 +263,13 @@
     out.iter().filter_map(|a| if let Action::Report(r) = a { Some(r) } else { None }).collect()
 }
 
-fn applied(out: &[Action]) -> Option<&lotusmoor_registry_client::Applied> {
+fn applied(out: &[Action]) -> Option<&lotusmoor_registry_client::AppliedList> {
     out.iter().find_map(|a| if let Action::Apply(applied) = a { Some(applied) } else { None })
 }
 
 fn failed(out: &[Action]) -> Vec<&str> {
     fn what(report: &Report) -> Option<&str> {
-        if let Report::Failed { what, .. } = report { Some(what) } else { None }
+        if let Report::PollFailed { error: what, .. } = report { Some(what) } else { None }
     }
     reports(out).into_iter().filter_map(what).collect()
 }
@@ -287,11 +288,11 @@
 #[test]
 fn services_are_asked_for_in_order_and_each_once() {
     let set = Settings { services: names(&["b", "a.x", "b", "a"]), ..Settings::new(1) };
-    let rider = Rider::new(set, 1);
+    let rider = RegistryWatcher::new(set, 1);
     let after = Some(Version { epoch: 2, index: 9 });
-    assert_eq!(rider.path(after, 4_000_000), "/v1/watch?wait_ms=4000&epoch=2&after=9&services=a,a.x,b");
-    assert_eq!(rider.path(None, 0), "/v1/watch?wait_ms=0&services=a,a.x,b");
-    assert_eq!(Rider::new(Settings::new(1), 1).path(None, 0), "/v1/watch?wait_ms=0");
+    assert_eq!(rider.poll_path(after, 4_000_000), "/v1/watch?wait_ms=4000&epoch=2&after=9&services=a,a.x,b");
+    assert_eq!(rider.poll_path(None, 0), "/v1/watch?wait_ms=0&services=a,a.x,b");
+    assert_eq!(RegistryWatcher::new(Settings::new(1), 1).poll_path(None, 0), "/v1/watch?wait_ms=0");
 }
 
 #[test]
@@ -305,12 +306,12 @@
     list.put("b-4", "b");
     let out = reader.answer(&list);
     assert!(reports(&out).is_empty(), "{out:?}");
-    assert_eq!(reader.rider.known().map(|k| k.version), Some(list.version));
+    assert_eq!(reader.rider.list().map(|k| k.version), Some(list.version));
     list.put("z-0", "z");
     let out = reader.answer(&list);
     assert_eq!(applied(&out).map(|a| (a.full, a.entries.len())), Some((false, 1)));
     assert!(reader.used().contains(&"z-0"));
-    list.gone("z-0", Why::Removed);
+    list.gone("z-0", StatusReason::Removed);
     assert_eq!(reports(&reader.answer(&list)), [&Report::NoServers("z".into())]);
 }
 
@@ -318,8 +319,8 @@
 fn a_reader_of_one_service_that_is_not_there_has_an_empty_list_with_a_version() {
     let list = three();
     let reader = Reader::with(&list, 3, &["z"]);
-    assert_eq!(reader.rider.known().map(|k| (k.version, k.entries.len())), Some((list.version, 0)));
-    assert!(!reader.rider.holds());
+    assert_eq!(reader.rider.list().map(|k| (k.version, k.entries.len())), Some((list.version, 0)));
+    assert!(!reader.rider.withholds_list());
 }
 
 // Of all that this reader has a third goes, which a reader of everything would believe.
@@ -328,14 +329,14 @@
     let mut list = three();
     let mut reader = Reader::with(&list, 3, &["a", "b", "c"]);
     for i in 0..4 {
-        list.gone(&format!("b-{i}"), Why::Expired);
+        list.gone(&format!("b-{i}"), StatusReason::Expired);
     }
     let asked = reader.asked();
     let doubted = asked.roster;
     let out = reader.answer(&list);
-    let held = Report::Held { roster: doubted, told: list.version, lost: 4, of: 4 };
+    let held = Report::Withheld { replica: doubted, version: list.version, removed: 4, of: 4 };
     assert_eq!(reports(&out), [&held]);
-    assert!(applied(&out).is_none() && reader.rider.holds() && reader.used().len() == 12);
+    assert!(applied(&out).is_none() && reader.rider.withholds_list() && reader.used().len() == 12);
     let asked = reader.asked();
     assert!(asked.roster != doubted && asked.after.is_none());
     let out = reader.answer(&list);
@@ -344,7 +345,7 @@
     let mut all = three();
     let mut reader = Reader::with(&all, 3, &[]);
     for i in 0..4 {
-        all.gone(&format!("b-{i}"), Why::Expired);
+        all.gone(&format!("b-{i}"), StatusReason::Expired);
     }
     assert!(reports(&reader.answer(&all)).is_empty());
     assert_eq!(reader.used().len(), 8);
@@ -356,10 +357,10 @@
         let mut list = three();
         let mut reader = Reader::with(&list, 3, &["a", "b", "c"]);
         for i in 0..gone {
-            list.gone(&format!("c-{i}"), Why::Expired);
+            list.gone(&format!("c-{i}"), StatusReason::Expired);
         }
         reader.answer(&list);
-        assert_eq!(reader.rider.holds(), doubt, "{gone}");
+        assert_eq!(reader.rider.withholds_list(), doubt, "{gone}");
     }
 }
 
@@ -370,10 +371,14 @@
         let mut reader = Reader::with(&list, 3, &["a", "b", "c"]);
         for i in 0..4 {
             let name = format!("b-{i}");
-            assert!(if leave { list.leaves(&name, Why::Drained) } else { list.gone(&name, Why::Removed) });
+            assert!(if leave {
+                list.leaves(&name, StatusReason::Drained)
+            } else {
+                list.gone(&name, StatusReason::Removed)
+            });
         }
         let out = reader.answer(&list);
-        assert!(applied(&out).is_some() && !reader.rider.holds(), "{out:?}");
+        assert!(applied(&out).is_some() && !reader.rider.withholds_list(), "{out:?}");
         let active = reader.used.values().filter(|e| e.status == Status::Active).count();
         assert_eq!(active, 8);
     }
@@ -392,7 +397,7 @@
         let out = reader.answer(&list);
         let changes = applied(&out).unwrap_or_else(|| panic!("{:?}: {out:?}", reader.services));
         assert_eq!((changes.entries.len(), reader.used.len()), (told, left), "{:?}", reader.services);
-        assert!(!reader.rider.holds());
+        assert!(!reader.rider.withholds_list());
         assert!(reader.used.values().all(|e| e.service.as_deref() == Some("b")));
     }
 }
@@ -407,7 +412,7 @@
     let cut = applied(&out).expect("the list is cut");
     assert!(cut.full && cut.version == list.version && cut.entries.len() == 4);
     assert_eq!(reader.used(), ["b-0", "b-1", "b-2", "b-3"]);
-    assert!(out.contains(&Action::Forget(before.ask)));
+    assert!(out.contains(&Action::CancelPoll(before.ask)));
     let now = reader.open.first().cloned().expect("it asks at once");
     assert_eq!((now.after, now.services.as_slice()), (None, names(&["b", "c"]).as_slice()));
     // What comes for the older set is ignored.
@@ -419,7 +424,7 @@
     let out = reader.answer(&list);
     assert!(applied(&out).is_some_and(|a| a.full) && reports(&out).is_empty(), "{out:?}");
     assert_eq!(reader.used().len(), 9);
-    assert_eq!(reader.rider.known().map(|k| k.services.clone()), Some(names(&["b", "c"])));
+    assert_eq!(reader.rider.list().map(|k| k.services.clone()), Some(names(&["b", "c"])));
     // The same once more is nothing new.
     assert!(reader.reload(&["b", "c", "b"]).is_empty());
 }
@@ -433,7 +438,7 @@
     reader.reload(&["b"]);
     let roster = reader.asked().roster;
     let out = reader.answer(&old);
-    assert_eq!(reports(&out), [&Report::Older { roster, told: old.version }]);
+    assert_eq!(reports(&out), [&Report::OlderVersion { replica: roster, version: old.version }]);
     assert!(reader.used().is_empty());
     let asked = reader.asked();
     assert!(asked.roster != roster && asked.after.is_none());
@@ -446,12 +451,12 @@
     let mut list = three();
     let mut reader = Reader::with(&list, 3, &["a", "b"]);
     for i in 0..4 {
-        list.gone(&format!("a-{i}"), Why::Expired);
+        list.gone(&format!("a-{i}"), StatusReason::Expired);
     }
     reader.answer(&list);
-    assert!(reader.rider.holds());
+    assert!(reader.rider.withholds_list());
     reader.reload(&["b", "c"]);
-    assert!(!reader.rider.holds());
+    assert!(!reader.rider.withholds_list());
     assert!(reports(&reader.answer(&list)).is_empty());
     assert_eq!(reader.used().len(), 8);
 }
@@ -479,7 +484,7 @@
         }
         reader.wake();
     }
-    assert!(reader.saved.is_some() && reader.saved.as_ref() == reader.rider.known());
+    assert!(reader.saved.is_some() && reader.saved.as_ref() == reader.rider.list());
 }
 
 #[test]
@@ -505,7 +510,7 @@
         let mut reader = Reader::with(&list, 3, &services);
         let roster = reader.asked().roster;
         let out = reader.answer(&other);
-        let told = Report::Differs { roster, told: list.version };
+        let told = Report::DigestMismatch { replica: roster, version: list.version };
         assert_eq!(reports(&out).contains(&&told), differs, "{services:?}");
         assert_eq!(reader.used().len(), 8);
     }
@@ -552,7 +557,7 @@
         let mut reader = Reader::start(3, services);
         let asked = reader.asked();
         let out = reader.answer_with(&asked, list.update(&names(told), None));
-        assert!(applied(&out).is_none() && reader.rider.known().is_none());
+        assert!(applied(&out).is_none() && reader.rider.list().is_none());
         assert_eq!(failed(&out), ["told of other services"], "{services:?} {told:?}");
     };
     of(&["a", "b"], &["a"]);
@@ -562,15 +567,15 @@
     // It says that it tells of `a`, and does not.
     let mut reader = Reader::start(3, &["a"]);
     let asked = reader.asked();
-    let whole = Update { services: Some(names(&["a"])), ..list.update(&[], None) };
+    let whole = ListUpdate { services: Some(names(&["a"])), ..list.update(&[], None) };
     assert_eq!(failed(&reader.answer_with(&asked, whole)), ["told of other services"]);
 }
 
 #[test]
 fn of_a_file_of_other_services_those_still_asked_for_are_used_and_the_whole_is_asked_for() {
     let list = three();
-    let file = |services: &[&str]| Reader::with(&list, 3, services).rider.known().cloned();
-    let start = |services: &[&str], known: Option<Known>| {
+    let file = |services: &[&str]| Reader::with(&list, 3, services).rider.list().cloned();
+    let start = |services: &[&str], known: Option<EndpointList>| {
         let mut reader = Reader::new(3, services, 1);
         let out = reader.give(Event::Start(known));
         (reader, out)
@@ -600,7 +605,7 @@
     let (mut reader, out) = start(&["c"], file(&["a"]));
     assert!(applied(&out).is_none() && reader.asked().after.is_none());
     let old = Listed::founded(1);
-    assert!(matches!(reports(&reader.answer(&old))[..], [Report::Older { .. }]));
+    assert!(matches!(reports(&reader.answer(&old))[..], [Report::OlderVersion { .. }]));
 }
 
 /// What happens to the service, its replicas and a reader.
@@ -678,7 +683,7 @@
         }
     }
 
-    fn update(&self, asked: &Asked) -> Update {
+    fn update(&self, asked: &Asked) -> ListUpdate {
         let list = &self.history[self.at[asked.roster]];
         let knows = !self.old || asked.roster + 1 < self.at.len();
         list.update(if knows { &asked.services } else { &[] }, asked.after)
@@ -688,7 +693,7 @@
         let Some(asked) = self.reader.open.first().cloned() else { return drop(self.reader.wake()) };
         let update = self.update(&asked);
         let out = self.reader.answer_with(&asked, update);
-        if applied(&out).is_some() && !self.reader.rider.holds() {
+        if applied(&out).is_some() && !self.reader.rider.withholds_list() {
             let services = &self.reader.services;
             self.whole_of = (!services.is_empty()).then(|| services.iter().cloned().collect());
         }
@@ -709,9 +714,9 @@
                 let service = ["", "a", "b", "c"][usize::from(service)];
                 self.change(|l| l.put(&name(i), service));
             }
-            Step::Drain(i) => self.change(|l| l.leaves(&name(i), Why::Drained)),
-            Step::Remove(i) => self.change(|l| l.gone(&name(i), Why::Removed)),
-            Step::Expire(i) => self.change(|l| l.gone(&name(i), Why::Expired)),
+            Step::Drain(i) => self.change(|l| l.leaves(&name(i), StatusReason::Drained)),
+            Step::Remove(i) => self.change(|l| l.gone(&name(i), StatusReason::Removed)),
+            Step::Expire(i) => self.change(|l| l.gone(&name(i), StatusReason::Expired)),
             Step::Restore(i) => {
                 let from = &self.history[usize::from(i) % self.history.len()];
                 let newest = self.history.last().expect("it was founded").version.epoch;
@@ -739,7 +744,7 @@
                 if let Some(asked) = self.reader.open.pop() {
                     self.reader.now += 1000;
                     let (ask, what) = (asked.ask, "refused".into());
-                    self.reader.give(Event::Failed { ask, retry_after: None, what });
+                    self.reader.give(Event::PollFailed { poll: ask, retry_after: None, error: what });
                 }
             }
             Step::Wake => drop(self.reader.wake()),
@@ -765,9 +770,9 @@
     fn check(&self) -> Result<(), TestCaseError> {
         let reader = &self.reader;
         prop_assert!(reader.open.len() <= 2);
-        prop_assert!(reader.rider.next_wake().is_some());
+        prop_assert!(reader.rider.next_timer().is_some());
         prop_assert!(reader.used.values().all(|e| wanted(e, &reader.services)), "{:?}", reader.used);
-        let Some(known) = reader.rider.known() else {
+        let Some(known) = reader.rider.list() else {
             prop_assert!(reader.used.is_empty());
             return Ok(());
         };
@@ -784,9 +789,13 @@
             let (used, told) = (reader.used.get(name), told.get(name).copied());
             let named_since = || {
                 self.history[at..].iter().any(|l| match (used, l.entries.get(name)) {
-                    (Some(used), now) => used.why == Why::Drained && now == Some(used),
+                    (Some(used), now) => used.status_reason == StatusReason::Drained && now == Some(used),
                     // Drained in another service, for which the reader has stopped to ask meanwhile.
-                    (None, Some(now)) if now.why == Why::Drained && !wanted(now, &reader.services) => true,
+                    (None, Some(now))
+                        if now.status_reason == StatusReason::Drained && !wanted(now, &reader.services) =>
+                    {
+                        true
+                    }
                     (None, _) => l.changes.iter().any(|c| {
                         let over = c
                             .after
@@ -795,7 +804,7 @@
                         let at = Version { epoch: l.version.epoch, index: c.index };
                         at > known.version
                             && c.name == *name
-                            && (over || c.after.is_none() && c.why == Why::Removed)
+                            && (over || c.after.is_none() && c.why == StatusReason::Removed)
                     }),
                 })
             };
@@ -824,7 +833,7 @@
         // With one of two replicas of the form before nobody could confirm a list that is doubted.
         world.old = false;
         let list = world.history[newest].clone();
-        let has_all = |world: &World| world.reader.rider.known().is_some_and(|known| {
+        let has_all = |world: &World| world.reader.rider.list().is_some_and(|known| {
             let wants = |(_, e): &(&String, &Entry)| wanted(e, &world.reader.services);
             known.version == list.version && list.entries.iter().filter(wants).eq(&known.entries)
         });
@@ -835,6 +844,6 @@
             world.answer();
             world.check()?;
         }
-        prop_assert!(has_all(&world), "{:?} is not {:?}", world.reader.rider.known(), list.entries);
+        prop_assert!(has_all(&world), "{:?} is not {:?}", world.reader.rider.list(), list.entries);
     }
 }
--- a/crates/registry-client/tests/rider.rs
+++ b/crates/registry-client/tests/watcher.rs
@@ -1,13 +1,14 @@
 //! The rider against replicas that fail, lie, lag and forget.
 
 use lotusmoor_registry_client::{
-    Action, Entry, Event, Known, Micros, Report, Rider, Settings, Status, Update, Version, Why,
+    Action, EndpointList, Entry, Event, ListUpdate, Micros, RegistryWatcher, Report, Settings, Status,
+    StatusReason, Version,
 };
 use proptest::prelude::*;
 
 const SECOND: Micros = 1_000_000;
 
-fn entry(i: usize, status: Status, why: Why) -> Entry {
+fn entry(i: usize, status: Status, why: StatusReason) -> Entry {
     let address = std::net::SocketAddr::from(([127, 0, 0, 1], 1000 + i as u16));
     Entry {
         name: format!("s-{i}"),
@@ -15,12 +16,12 @@
         service: None,
         zone: None,
         region: None,
-        kind: None,
-        group: 0,
+        machine_type: None,
+        cell: 0,
         status,
         weight: 1.0,
-        since_ms: 0,
-        why,
+        started_ms: 0,
+        status_reason: why,
     }
 }
 
@@ -29,24 +30,25 @@
 }
 
 /// The whole list of version `at`, with so many active servers.
-fn whole(at: Version, servers: usize) -> Update {
-    let endpoints = (0..servers).map(|i| entry(i, Status::Active, Why::Registered)).collect();
-    Update { version: at, snapshot: true, digest: at.index, endpoints, ..Update::default() }
+fn whole(at: Version, servers: usize) -> ListUpdate {
+    let endpoints = (0..servers).map(|i| entry(i, Status::Active, StatusReason::Registered)).collect();
+    ListUpdate { version: at, snapshot: true, digest: at.index, endpoints, ..ListUpdate::default() }
 }
 
-fn nothing_new(at: Version) -> Update {
-    Update { version: at, digest: at.index, ..Update::default() }
+fn nothing_new(at: Version) -> ListUpdate {
+    ListUpdate { version: at, digest: at.index, ..ListUpdate::default() }
 }
 
 struct Played {
-    rider: Rider,
+    rider: RegistryWatcher,
     now: Micros,
     out: Vec<Action>,
 }
 
 impl Played {
     fn start(rosters: usize, seed: u64) -> Self {
-        let mut played = Self { rider: Rider::new(Settings::new(rosters), seed), now: 0, out: Vec::new() };
+        let mut played =
+            Self { rider: RegistryWatcher::new(Settings::new(rosters), seed), now: 0, out: Vec::new() };
         played.give(Event::Start(None));
         played
     }
@@ -58,8 +60,8 @@
 
     /// Goes on to the next instant at which the rider wants to be woken.
     fn wake(&mut self) -> Vec<Action> {
-        self.now = self.now.max(self.rider.next_wake().expect("there is always something to come"));
-        self.give(Event::Wake)
+        self.now = self.now.max(self.rider.next_timer().expect("there is always something to come"));
+        self.give(Event::Timer)
     }
 
     /// Wakes until a call goes out.
@@ -74,14 +76,14 @@
         panic!("no call went out: {all:?}");
     }
 
-    fn answer(&mut self, ask: u64, update: Update) -> Vec<Action> {
+    fn answer(&mut self, ask: u64, update: ListUpdate) -> Vec<Action> {
         self.now += 1000;
-        self.give(Event::Answer { ask, update })
+        self.give(Event::Response { poll: ask, update })
     }
 
     fn fail(&mut self, ask: u64, retry_after: Option<Micros>) -> Vec<Action> {
         self.now += 1000;
-        self.give(Event::Failed { ask, retry_after, what: "refused".into() })
+        self.give(Event::PollFailed { poll: ask, retry_after, error: "refused".into() })
     }
 
     /// Starts and takes a first whole list.
@@ -96,7 +98,7 @@
 
 fn asked_in(out: &[Action]) -> Option<(u64, usize, Option<Version>)> {
     out.iter().find_map(|a| match a {
-        Action::Ask { ask, roster, after, .. } => Some((*ask, *roster, *after)),
+        Action::Poll { poll: ask, replica: roster, after, .. } => Some((*ask, *roster, *after)),
         _ => None,
     })
 }
@@ -114,9 +116,12 @@
     let mut p = Played::with_list(3, v(1, 10), 4);
     let (ask, _, after, _) = p.asked();
     assert_eq!(after, Some(v(1, 10)));
-    let change = Update { endpoints: vec![entry(0, Status::Leaving, Why::Drained)], ..nothing_new(v(1, 11)) };
+    let change = ListUpdate {
+        endpoints: vec![entry(0, Status::Draining, StatusReason::Drained)],
+        ..nothing_new(v(1, 11))
+    };
     assert!(applied(&p.answer(ask, change)));
-    assert_eq!(p.rider.known().map(|k| (k.version, k.active())), Some((v(1, 11), 3)));
+    assert_eq!(p.rider.list().map(|k| (k.version, k.active_count())), Some((v(1, 11), 3)));
     let (ask, ..) = p.asked();
     let out = p.answer(ask, nothing_new(v(1, 11)));
     assert!(!applied(&out), "nothing new is not applied: {out:?}");
@@ -128,7 +133,7 @@
         let mut p = Played::with_list(3, v(2, 10), 4);
         let (ask, roster, ..) = p.asked();
         let out = p.answer(ask, whole(old, 4));
-        assert_eq!(reports(&out), [&Report::Older { roster, told: old }]);
+        assert_eq!(reports(&out), [&Report::OlderVersion { replica: roster, version: old }]);
         assert!(!applied(&out));
         let (_, next, ..) = p.asked();
         assert_ne!(next, roster, "the next replica is asked");
@@ -145,15 +150,15 @@
     let (ask, _, after) = asked_in(&out).expect("it asks for the whole list at once");
     assert_eq!(after, None);
     assert!(applied(&p.answer(ask, whole(v(2, 5_100_000), 3))));
-    assert_eq!(p.rider.known().map(|k| k.version), Some(v(2, 5_100_000)));
+    assert_eq!(p.rider.list().map(|k| k.version), Some(v(2, 5_100_000)));
 }
 
 #[test]
 fn two_contents_of_one_version_are_told_and_the_new_one_is_not_used() {
     let mut p = Played::with_list(3, v(1, 10), 4);
     let (ask, roster, ..) = p.asked();
-    let out = p.answer(ask, Update { digest: 77, ..whole(v(1, 10), 2) });
-    assert_eq!(reports(&out), [&Report::Differs { roster, told: v(1, 10) }]);
+    let out = p.answer(ask, ListUpdate { digest: 77, ..whole(v(1, 10), 2) });
+    assert_eq!(reports(&out), [&Report::DigestMismatch { replica: roster, version: v(1, 10) }]);
     assert!(!applied(&out));
 }
 
@@ -165,10 +170,15 @@
         let out = p.answer(ask, whole(v(1, 11), left));
         let lost = 4 - left;
         assert!(
-            reports(&out).contains(&&Report::Held { roster: doubted, told: v(1, 11), lost, of: 4 }),
+            reports(&out).contains(&&Report::Withheld {
+                replica: doubted,
+                version: v(1, 11),
+                removed: lost,
+                of: 4
+            }),
             "{out:?}"
         );
-        assert!(!applied(&out) && p.rider.holds());
+        assert!(!applied(&out) && p.rider.withholds_list());
         let (ask, roster, after) = asked_in(&out).unwrap_or_else(|| {
             let (ask, roster, after, _) = p.asked();
             (ask, roster, after)
@@ -176,7 +186,7 @@
         assert!(roster != doubted && after.is_none(), "another is asked for the whole list");
         let out = p.answer(ask, whole(v(1, 11), left));
         assert!(reports(&out).contains(&&Report::Confirmed(roster)) && applied(&out), "{out:?}");
-        assert_eq!(p.rider.known().map(|k| k.active()), Some(left));
+        assert_eq!(p.rider.list().map(|k| k.active_count()), Some(left));
     }
 }
 
@@ -188,8 +198,8 @@
     let (ask, roster, ..) = p.asked();
     assert_ne!(roster, doubted);
     let out = p.answer(ask, whole(v(1, 12), 4));
-    assert!(reports(&out).contains(&&Report::Released(roster)), "{out:?}");
-    assert_eq!(p.rider.known().map(|k| (k.version, k.active())), Some((v(1, 12), 4)));
+    assert!(reports(&out).contains(&&Report::Unconfirmed(roster)), "{out:?}");
+    assert_eq!(p.rider.list().map(|k| (k.version, k.active_count())), Some((v(1, 12), 4)));
 }
 
 // A replica that lost its folder and founded a list anew has the newest epoch of all, and an empty list.
@@ -210,10 +220,10 @@
             // The others go on.
             index += 1;
             p.answer(ask, whole(v(1, index), 4));
-            assert_eq!(p.rider.known().map(|k| (k.version, k.active())), Some((v(1, index), 4)));
-            assert!(!p.rider.holds());
+            assert_eq!(p.rider.list().map(|k| (k.version, k.active_count())), Some((v(1, index), 4)));
+            assert!(!p.rider.withholds_list());
         }
-        assert_eq!(p.rider.known().map(|k| k.active()), Some(4));
+        assert_eq!(p.rider.list().map(|k| k.active_count()), Some(4));
     }
     assert!(index > 20, "{index}");
 }
@@ -231,33 +241,33 @@
         } else {
             p.fail(ask, None);
         }
-        assert!(p.rider.holds());
+        assert!(p.rider.withholds_list());
     }
-    assert_eq!(p.rider.known().map(|k| k.active()), Some(4));
+    assert_eq!(p.rider.list().map(|k| k.active_count()), Some(4));
 }
 
 #[test]
 fn drains_by_name_are_heeded_at_once_however_many_and_leases_that_ran_out_are_not() {
     let change = |why| {
-        let endpoints = (0..4).map(|i| entry(i, Status::Leaving, why)).collect();
-        Update { endpoints, ..nothing_new(v(1, 11)) }
+        let endpoints = (0..4).map(|i| entry(i, Status::Draining, why)).collect();
+        ListUpdate { endpoints, ..nothing_new(v(1, 11)) }
     };
     let mut p = Played::with_list(3, v(1, 10), 4);
     let (ask, ..) = p.asked();
-    p.answer(ask, change(Why::Drained));
-    assert_eq!(p.rider.known().map(|k| k.active()), Some(0));
+    p.answer(ask, change(StatusReason::Drained));
+    assert_eq!(p.rider.list().map(|k| k.active_count()), Some(0));
     let mut p = Played::with_list(3, v(1, 10), 4);
     let (ask, ..) = p.asked();
-    p.answer(ask, change(Why::Expired));
-    assert_eq!(p.rider.known().map(|k| k.active()), Some(4));
-    assert!(p.rider.holds());
+    p.answer(ask, change(StatusReason::Expired));
+    assert_eq!(p.rider.list().map(|k| k.active_count()), Some(4));
+    assert!(p.rider.withholds_list());
     // One that is drained beside those that ran out is heeded while the others are held back.
     let mut p = Played::with_list(3, v(1, 10), 4);
     let (ask, ..) = p.asked();
-    let mut mixed = change(Why::Expired);
-    mixed.endpoints[0].why = Why::Drained;
+    let mut mixed = change(StatusReason::Expired);
+    mixed.endpoints[0].status_reason = StatusReason::Drained;
     assert!(applied(&p.answer(ask, mixed)));
-    assert_eq!(p.rider.known().map(|k| (k.version, k.active())), Some((v(1, 10), 3)));
+    assert_eq!(p.rider.list().map(|k| (k.version, k.active_count())), Some((v(1, 10), 3)));
 }
 
 #[test]
@@ -266,13 +276,13 @@
     let (ask, ..) = p.asked();
     p.answer(ask, whole(v(1, 11), 0));
     let since = p.now;
-    while p.rider.holds() {
+    while p.rider.withholds_list() {
         let (ask, ..) = p.asked();
         p.answer(ask, whole(v(1, 11), 0));
         assert!(p.now < since + 120 * SECOND, "it is believed in the end");
     }
     assert!(p.now >= since + 30 * SECOND);
-    assert_eq!(p.rider.known().map(|k| k.active()), Some(0));
+    assert_eq!(p.rider.list().map(|k| k.active_count()), Some(0));
 }
 
 #[test]
@@ -284,7 +294,7 @@
     let (second, other, ..) = p.asked();
     assert!(one != failed && other != one, "{failed} {one} {other}");
     let out = p.answer(second, nothing_new(v(1, 10)));
-    assert!(out.contains(&Action::Forget(first)), "{out:?}");
+    assert!(out.contains(&Action::CancelPoll(first)), "{out:?}");
     // What the slower one brings is not heard any more.
     assert!(!applied(&p.answer(first, whole(v(1, 12), 4))));
     let (_, roster, after, _) = p.asked();
@@ -324,7 +334,7 @@
     let mut p = Played::with_list(3, v(1, 10), 4);
     let (ask, ..) = p.asked();
     p.now += 3 * SECOND;
-    p.answer(ask, Update { age_ms: 700, waited_ms: 3000, ..nothing_new(v(1, 10)) });
+    p.answer(ask, ListUpdate { age_ms: 700, waited_ms: 3000, ..nothing_new(v(1, 10)) });
     // The answer was made 3 s after the call went out, by a replica that was 0.7 s behind.
     assert!((700_000..=720_000).contains(&p.rider.age(p.now)), "{}", p.rider.age(p.now));
     let mut stale = 0;
@@ -336,14 +346,14 @@
         }
     }
     assert_eq!(stale, 1);
-    assert_eq!(p.rider.known().map(|k| k.active()), Some(4), "a stale list stays in use");
+    assert_eq!(p.rider.list().map(|k| k.active_count()), Some(4), "a stale list stays in use");
 }
 
 #[test]
 fn a_reader_that_starts_with_its_file_has_its_list_before_any_answer() {
-    let mut p = Played { rider: Rider::new(Settings::new(3), 1), now: 0, out: Vec::new() };
-    let mut known = Known { version: v(4, 44), digest: 44, ..Known::default() };
-    known.entries.insert("s-0".into(), entry(0, Status::Active, Why::Registered));
+    let mut p = Played { rider: RegistryWatcher::new(Settings::new(3), 1), now: 0, out: Vec::new() };
+    let mut known = EndpointList { version: v(4, 44), digest: 44, ..EndpointList::default() };
+    known.entries.insert("s-0".into(), entry(0, Status::Active, StatusReason::Registered));
     let out = p.give(Event::Start(Some(known)));
     assert!(applied(&out));
     let (ask, _, after) = asked_in(&out).expect("it asks at once");
@@ -373,7 +383,7 @@
     // a list is never emptied without a second replica's word.
     #[test]
     fn whatever_replicas_say(script in replicas(), rosters in 1usize..4, seed: u64) {
-        let mut p = Played { rider: Rider::new(Settings::new(rosters), seed), now: 0, out: Vec::new() };
+        let mut p = Played { rider: RegistryWatcher::new(Settings::new(rosters), seed), now: 0, out: Vec::new() };
         let mut out = p.give(Event::Start(None));
         let mut open: Vec<(u64, usize)> = Vec::new();
         let mut newest = Version::default();
@@ -383,12 +393,12 @@
             let confirmed = reports(&out).iter().any(|r| matches!(r, Report::Confirmed(_)));
             for action in std::mem::take(&mut out) {
                 match action {
-                    Action::Ask { ask, roster, .. } => open.push((ask, roster)),
-                    Action::Forget(ask) => open.retain(|o| o.0 != ask),
+                    Action::Poll { poll: ask, replica: roster, .. } => open.push((ask, roster)),
+                    Action::CancelPoll(ask) => open.retain(|o| o.0 != ask),
                     Action::Apply(applied) => {
                         prop_assert!(applied.version >= newest, "{} after {newest}", applied.version);
                         newest = applied.version;
-                        let now = p.rider.known().map_or(0, |k| k.active());
+                        let now = p.rider.list().map_or(0, |k| k.active_count());
                         let expired_most = active > 0 && (now == 0 || (now as f64) < 0.5 * active as f64 - 1e-9);
                         prop_assert!(!expired_most || confirmed, "{active} to {now}");
                         active = now;
@@ -397,11 +407,11 @@
                 }
             }
             prop_assert!(open.len() <= 2, "{open:?}");
-            prop_assert!(p.rider.next_wake().is_some_and(|at| at < p.now + 40 * SECOND));
+            prop_assert!(p.rider.next_timer().is_some_and(|at| at < p.now + 40 * SECOND));
             let Some(replica) = script.next() else { break };
             out = match (replica, open.pop()) {
                 (Replica::Says { epoch, index, servers, snapshot }, Some((ask, _))) => {
-                    let update = Update { snapshot, ..whole(v(epoch, index), servers) };
+                    let update = ListUpdate { snapshot, ..whole(v(epoch, index), servers) };
                     p.answer(ask, update)
                 }
                 (Replica::Fails(told), Some((ask, _))) => p.fail(ask, told.then_some(SECOND)),
--- a/crates/registry/src/core/lease.rs
+++ b/crates/registry/src/core/lease.rs
@@ -6,7 +6,7 @@
 
 use super::list::{Due, Kept};
 use super::{Micros, SECOND};
-use lotusmoor_registry_client::{Status, Why};
+use lotusmoor_registry_client::{Status, StatusReason};
 use std::collections::{BTreeMap, VecDeque};
 
 /// How leases run out.
@@ -111,7 +111,7 @@
         }
         let length = Micros::try_from(kept.lease_ms).unwrap_or(3_600_000) * 1000;
         let active = kept.entry.status == Status::Active;
-        let expired = !active && kept.entry.why == Why::Expired;
+        let expired = !active && kept.entry.status_reason == StatusReason::Expired;
         let due = self.clock + if expired { self.set.leaving_for } else { length };
         let lease = Lease { registered: kept.registered, length, due, expired, active, proposed: None };
         match self.leases.get_mut(&kept.entry.name) {
--- a/crates/registry/src/core/list.rs
+++ b/crates/registry/src/core/list.rs
@@ -2,7 +2,7 @@
 //! by one, or it does not: every replica that has applied the same commands has the same list, to the last digit.
 
 use super::services::{self, Services};
-use lotusmoor_registry_client::{Entry, Status, Update, Version, Why};
+use lotusmoor_registry_client::{Entry, ListUpdate, Status, StatusReason, Version};
 use serde::{Deserialize, Serialize};
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
 
@@ -183,7 +183,7 @@
     /// What it is since.
     pub status: Status,
     /// Why.
-    pub why: Why,
+    pub why: StatusReason,
 }
 
 /// An entry with what the service keeps about it.
@@ -301,10 +301,10 @@
 
     /// What a reader is told that has the list as of that index; `None`: the whole list. So is one that is too far
     /// behind, ahead of this list, or of another epoch. Age and waiting are the caller's to fill in.
-    pub fn update(&self, after: Option<u64>) -> Update {
+    pub fn update(&self, after: Option<u64>) -> ListUpdate {
         let first = self.version.epoch << EPOCH_SHIFT;
         let reach = self.floor.max(first)..=self.version.index;
-        let mut update = Update { version: self.version, digest: self.digest, ..Update::default() };
+        let mut update = ListUpdate { version: self.version, digest: self.digest, ..ListUpdate::default() };
         match after.filter(|after| reach.contains(after)) {
             Some(after) => {
                 let changed = self.changes.range((after + 1, String::new())..);
@@ -324,12 +324,12 @@
     /// What a reader of these services alone is told, which stand in order of their names: servers that are in them
     /// and changed after that index, and tombstones of those that left them and are in none of them now. Otherwise
     /// as [`List::update`].
-    pub fn update_of(&self, after: Option<u64>, services: &[String]) -> Update {
-        let mut update = Update {
+    pub fn update_of(&self, after: Option<u64>, services: &[String]) -> ListUpdate {
+        let mut update = ListUpdate {
             version: self.version,
             digest: self.services.digest(services),
             services: Some(services.to_vec()),
-            ..Update::default()
+            ..ListUpdate::default()
         };
         let known = after.filter(|after| self.reach_of(services).contains(after));
         update.snapshot = known.is_none();
@@ -425,8 +425,12 @@
             }
             Command::Drain { name, expect, at_ms } => {
                 let kept = self.expected(name, *expect)?;
-                if kept.entry.status == Status::Active || kept.entry.why != Why::Drained {
-                    let entry = Entry { status: Status::Leaving, why: Why::Drained, ..kept.entry.clone() };
+                if kept.entry.status == Status::Active || kept.entry.status_reason != StatusReason::Drained {
+                    let entry = Entry {
+                        status: Status::Draining,
+                        status_reason: StatusReason::Drained,
+                        ..kept.entry.clone()
+                    };
                     self.change([Kept { entry, ..kept.clone() }].into(), *at_ms);
                 }
                 Ok(())
@@ -434,14 +438,22 @@
             Command::Resume { name, expect, at_ms } => {
                 let kept = self.expected(name, *expect)?;
                 if kept.entry.status != Status::Active {
-                    let entry = Entry { status: Status::Active, why: Why::Registered, ..kept.entry.clone() };
+                    let entry = Entry {
+                        status: Status::Active,
+                        status_reason: StatusReason::Registered,
+                        ..kept.entry.clone()
+                    };
                     self.change([Kept { entry, ..kept.clone() }].into(), *at_ms);
                 }
                 Ok(())
             }
             Command::Remove { name, expect, at_ms } => {
                 let kept = self.expected(name, *expect)?;
-                let entry = Entry { status: Status::Left, why: Why::Removed, ..kept.entry.clone() };
+                let entry = Entry {
+                    status: Status::Removed,
+                    status_reason: StatusReason::Removed,
+                    ..kept.entry.clone()
+                };
                 self.change([Kept { entry, ..kept.clone() }].into(), *at_ms);
                 Ok(())
             }
@@ -489,13 +501,17 @@
         let next = self.version.index + 1;
         let mut changed = Vec::new();
         for server in servers {
-            let mut entry = Entry { status: Status::Active, why: Why::Registered, ..server.entry.clone() };
+            let mut entry = Entry {
+                status: Status::Active,
+                status_reason: StatusReason::Registered,
+                ..server.entry.clone()
+            };
             let before = self.entries.get(&entry.name);
             // A server that says again that it is there does not undo its operators' drain; a new process does.
             if let Some(b) = before
-                && (b.entry.why, b.entry.since_ms) == (Why::Drained, entry.since_ms)
+                && (b.entry.status_reason, b.entry.started_ms) == (StatusReason::Drained, entry.started_ms)
             {
-                (entry.status, entry.why) = (b.entry.status, b.entry.why);
+                (entry.status, entry.status_reason) = (b.entry.status, b.entry.status_reason);
             }
             if before.is_none_or(|b| b.entry != entry || b.lease_ms != server.lease_ms) {
                 changed.push(Kept { entry, changed: next, registered: next, lease_ms: server.lease_ms });
@@ -508,10 +524,14 @@
     /// What a lease that ran out makes of its entry; nothing where it was registered again meanwhile.
     fn expired(&self, due: &Due) -> Option<Kept> {
         let kept = self.entries.get(&due.name).filter(|k| k.registered == due.registered)?;
-        let status = if due.left { Status::Left } else { Status::Leaving };
+        let status = if due.left { Status::Removed } else { Status::Draining };
         // One that was drained by name leaves by that name.
-        let why = if kept.entry.why == Why::Drained { Why::Drained } else { Why::Expired };
-        let entry = Entry { status, why, ..kept.entry.clone() };
+        let why = if kept.entry.status_reason == StatusReason::Drained {
+            StatusReason::Drained
+        } else {
+            StatusReason::Expired
+        };
+        let entry = Entry { status, status_reason: why, ..kept.entry.clone() };
         (entry != kept.entry).then_some(Kept { entry, ..kept.clone() })
     }
 
@@ -537,9 +557,9 @@
                 at_ms,
                 name: name.clone(),
                 status: entry.status,
-                why: entry.why,
+                why: entry.status_reason,
             });
-            if entry.status == Status::Left {
+            if entry.status == Status::Removed {
                 self.left.entry(index).or_default().push(entry);
                 self.left_count += 1;
             } else {
@@ -587,7 +607,7 @@
         ("service", &entry.service),
         ("zone", &entry.zone),
         ("region", &entry.region),
-        ("type", &entry.kind),
+        ("type", &entry.machine_type),
     ];
     for (key, word) in words {
         if word.as_ref().is_some_and(|w| w.is_empty() || w.len() > LONGEST_WORD || !plain(w)) {
@@ -600,7 +620,7 @@
     if !(entry.weight > 0.0 && entry.weight <= 1e6) {
         return wrong(format!("{}: weight must be above 0 and up to 1000000", entry.name));
     }
-    if entry.since_ms < 0 || entry.since_ms >> 53 != 0 || entry.group >> 53 != 0 {
+    if entry.started_ms < 0 || entry.started_ms >> 53 != 0 || entry.cell >> 53 != 0 {
         return wrong(format!("{}: since_ms and group must be 0 or more, and below 2^53", entry.name));
     }
     if *lease_ms != 0 && !LEASES_MS.contains(lease_ms) {
@@ -612,7 +632,7 @@
 #[cfg(test)]
 mod tests {
     use super::*;
-    use lotusmoor_registry_client::Known;
+    use lotusmoor_registry_client::EndpointList;
     use proptest::prelude::*;
 
     fn entry(name: &str, since_ms: i64) -> Entry {
@@ -673,7 +693,7 @@
         list.apply(&put("a", 5));
         list.apply(&drain("a", None));
         list.apply(&put("a", 5));
-        assert_eq!(list.entries()["a"].entry.status, Status::Leaving);
+        assert_eq!(list.entries()["a"].entry.status, Status::Draining);
         list.apply(&put("a", 6));
         assert_eq!(list.entries()["a"].entry.status, Status::Active);
     }
@@ -694,8 +714,8 @@
         let registered = list.entries()["a"].registered;
         list.apply(&expire(registered, false));
         assert_eq!(
-            (list.entries()["a"].entry.status, list.entries()["a"].entry.why),
-            (Status::Leaving, Why::Expired)
+            (list.entries()["a"].entry.status, list.entries()["a"].entry.status_reason),
+            (Status::Draining, StatusReason::Expired)
         );
         // It is heard of again before it is gone.
         list.apply(&put("a", 6));
@@ -761,7 +781,7 @@
         let backup = list.clone();
         list.apply(&put("b", 0));
         list.apply(&remove("a"));
-        let reader = Known::default().after(&list.update(None), None).expect("the whole");
+        let reader = EndpointList::default().updated(&list.update(None), None).expect("the whole");
         let mut restored = List::default();
         let from = Some(Box::new(backup.clone()));
         assert_eq!(
@@ -812,17 +832,17 @@
         #[test]
         fn changes_and_the_whole_list_agree(commands in commands(), at in 0usize..60) {
             let mut list = founded();
-            let mut reader = Known::default();
+            let mut reader = EndpointList::default();
             for (i, command) in commands.iter().enumerate() {
                 if i == at {
-                    reader = reader.after(&list.update(None), None).expect("the whole");
+                    reader = reader.updated(&list.update(None), None).expect("the whole");
                 }
                 list.apply(command);
             }
             let after = (reader.version.epoch > 0).then_some(reader.version.index);
             let changes = list.update(after);
-            let known = reader.after(&changes, Some(reader.version)).expect("they fit");
-            let whole = Known::default().after(&list.update(None), None).expect("the whole");
+            let known = reader.updated(&changes, Some(reader.version)).expect("they fit");
+            let whole = EndpointList::default().updated(&list.update(None), None).expect("the whole");
             prop_assert_eq!(known, whole);
         }
 
--- a/crates/registry/src/core/services.rs
+++ b/crates/registry/src/core/services.rs
@@ -2,7 +2,7 @@
 //! of a few services are told of these alone, and of nothing that happens to others.
 
 use super::list::{Kept, chain};
-use lotusmoor_registry_client::{Entry, Status, Why};
+use lotusmoor_registry_client::{Entry, Status, StatusReason};
 use serde::{Deserialize, Serialize};
 use std::collections::{BTreeMap, BTreeSet};
 
@@ -133,15 +133,19 @@
     /// An entry has changed, been registered or left; `text` is what its digest takes in.
     pub(super) fn change(&mut self, index: u64, before: Option<&Kept>, now: &Kept, text: &str) {
         let old = before.and_then(|b| b.entry.service.as_ref().map(|s| (s, b)));
-        let new = now.entry.service.as_ref().filter(|_| now.entry.status != Status::Left);
+        let new = now.entry.service.as_ref().filter(|_| now.entry.status != Status::Removed);
         if let Some((service, before)) = old {
             let record = self.touch(service, index, text);
             record.entries.remove(&(before.changed, before.entry.name.clone()));
             if new != Some(service) {
                 let gone = match now.entry.status {
-                    Status::Left => now.entry.clone(),
+                    Status::Removed => now.entry.clone(),
                     // Handed over, by name: nobody doubts it.
-                    _ => Entry { status: Status::Left, why: Why::Removed, ..before.entry.clone() },
+                    _ => Entry {
+                        status: Status::Removed,
+                        status_reason: StatusReason::Removed,
+                        ..before.entry.clone()
+                    },
                 };
                 record.left.entry(index).or_default().push(gone);
                 self.left.insert((index, service.clone()));
--- a/crates/registry/src/core/services/tests.rs
+++ b/crates/registry/src/core/services/tests.rs
@@ -2,7 +2,7 @@
 
 use super::*;
 use crate::core::list::{Command, Due, EPOCH_SHIFT, List, Outcome, Refusal, Registration};
-use lotusmoor_registry_client::{Known, Update};
+use lotusmoor_registry_client::{EndpointList, ListUpdate};
 use proptest::prelude::*;
 
 fn entry(name: &str, service: Option<&str>) -> Entry {
@@ -45,24 +45,24 @@
 #[derive(Clone)]
 struct Reader {
     services: Vec<String>,
-    known: Known,
+    known: EndpointList,
 }
 
 impl Reader {
     fn of(names: &str, list: &List) -> Self {
-        let mut reader = Self { services: set(names), known: Known::default() };
+        let mut reader = Self { services: set(names), known: EndpointList::default() };
         assert!(reader.goes_on(list).snapshot);
         reader
     }
 
-    fn goes_on(&mut self, list: &List) -> Update {
+    fn goes_on(&mut self, list: &List) -> ListUpdate {
         let before = self.known.version;
         let after = (before.epoch == list.version().epoch && before.epoch > 0).then_some(before.index);
         let update = list.update_of(after, &self.services);
         assert_eq!((update.version, update.services.as_ref()), (list.version(), Some(&self.services)));
         // Those that lack the same are told the same.
         assert_eq!(list.update_of(list.alike(after, &self.services), &self.services), update);
-        self.known = self.known.after(&update, Some(before)).expect("it fits");
+        self.known = self.known.updated(&update, Some(before)).expect("it fits");
         assert_eq!(self.known.entries, told(list, &self.services), "{update:?}");
         update
     }
@@ -79,8 +79,8 @@
     inside.map(|e| (e.name.clone(), e)).collect()
 }
 
-fn lines(update: &Update) -> Vec<(&str, Status, Why)> {
-    update.endpoints.iter().map(|e| (e.name.as_str(), e.status, e.why)).collect()
+fn lines(update: &ListUpdate) -> Vec<(&str, Status, StatusReason)> {
+    update.endpoints.iter().map(|e| (e.name.as_str(), e.status, e.status_reason)).collect()
 }
 
 #[test]
@@ -108,12 +108,15 @@
     done(&mut list, &remove("s1"));
     done(&mut list, &remove("s2"));
     let update = a.goes_on(&list);
-    assert_eq!(lines(&update), [("s1", Status::Left, Why::Removed), ("s2", Status::Left, Why::Removed)]);
+    assert_eq!(
+        lines(&update),
+        [("s1", Status::Removed, StatusReason::Removed), ("s2", Status::Removed, StatusReason::Removed)]
+    );
     assert_eq!(b.goes_on(&list).endpoints, []);
     done(&mut list, &put(&[("s1", "a")]));
     let update = a.goes_on(&list);
     assert!(!update.snapshot);
-    assert_eq!(lines(&update), [("s1", Status::Active, Why::Registered)]);
+    assert_eq!(lines(&update), [("s1", Status::Active, StatusReason::Registered)]);
 }
 
 #[test]
@@ -122,7 +125,7 @@
     done(&mut list, &put(&[("s1", "a")]));
     let mut a = Reader::of("a", &list);
     done(&mut list, &Command::Drain { name: "s1".into(), expect: None, at_ms: 0 });
-    assert_eq!(lines(&a.goes_on(&list)), [("s1", Status::Leaving, Why::Drained)]);
+    assert_eq!(lines(&a.goes_on(&list)), [("s1", Status::Draining, StatusReason::Drained)]);
     assert_eq!(list.entries()["s1"].entry.service.as_deref(), Some("a"));
 }
 
@@ -136,7 +139,8 @@
     done(&mut list, &put(&[("s1", "b"), ("s3", "a")]));
     assert_eq!(list.version().index, before + 1);
     let updates = readers.each_mut().map(|r| r.goes_on(&list));
-    let (left, active) = ((Status::Left, Why::Removed), (Status::Active, Why::Registered));
+    let (left, active) =
+        ((Status::Removed, StatusReason::Removed), (Status::Active, StatusReason::Registered));
     let line = |name, (status, why)| (name, status, why);
     assert_eq!(lines(&updates[0]), [line("s3", active), line("s1", left)]);
     assert_eq!(lines(&updates[1]), [line("s1", active), line("s3", left)]);
@@ -162,8 +166,8 @@
     let registered = list.entries()["s1"].registered;
     let due = vec![Due { name: "s1".into(), registered, left: true }];
     done(&mut list, &Command::Expire { due, at_ms: 0 });
-    assert_eq!(lines(&both.goes_on(&list)), [("s1", Status::Left, Why::Expired)]);
-    assert_eq!(lines(&a.goes_on(&list)), [("s1", Status::Left, Why::Removed)]);
+    assert_eq!(lines(&both.goes_on(&list)), [("s1", Status::Removed, StatusReason::Expired)]);
+    assert_eq!(lines(&a.goes_on(&list)), [("s1", Status::Removed, StatusReason::Removed)]);
 }
 
 #[test]
--- a/crates/registry/src/explore/check.rs
+++ b/crates/registry/src/explore/check.rs
@@ -243,7 +243,7 @@
             broken.push(Broken::Twice(version.index));
         }
         match by_index.get(&version.index) {
-            Some(c) if c.name == *name && (c.status == *status || c.status == Status::Leaving) => {}
+            Some(c) if c.name == *name && (c.status == *status || c.status == Status::Draining) => {}
             _ => broken.push(Broken::Lost(version.index, name.clone())),
         }
     }
@@ -341,7 +341,7 @@
 fn last(h: &History, name: &str, index: u64) -> u64 {
     let of = |c: &&Changed| c.name == name && c.index <= index;
     let last = h.changes.iter().filter(of).max_by_key(|c| c.index);
-    last.filter(|c| c.status != Status::Left).map_or(0, |c| c.index)
+    last.filter(|c| c.status != Status::Removed).map_or(0, |c| c.index)
 }
 
 /// Whether a server was last changed then at some point in between.
--- a/crates/registry/src/explore/readers.rs
+++ b/crates/registry/src/explore/readers.rs
@@ -8,7 +8,7 @@
 use crate::core::list::List;
 use crate::node::Node;
 use crate::raft::Transport;
-use lotusmoor_registry_client::{Entry, Known, Status, Update};
+use lotusmoor_registry_client::{EndpointList, Entry, ListUpdate, Status};
 use rand::{RngExt, SeedableRng};
 use rand_chacha::ChaCha8Rng;
 use std::collections::BTreeMap;
@@ -22,7 +22,7 @@
 
 struct Reader {
     services: Arc<[String]>,
-    known: Known,
+    known: EndpointList,
     /// The number of its last call, and when it is given up.
     call: (u64, Step),
 }
@@ -42,7 +42,7 @@
     pub(super) fn new(seed: u64) -> Self {
         let reader = |set: &&[&str]| {
             let services = set.iter().map(|s| (*s).to_owned()).collect();
-            Arc::new(Mutex::new(Reader { services, known: Known::default(), call: (0, 0) }))
+            Arc::new(Mutex::new(Reader { services, known: EndpointList::default(), call: (0, 0) }))
         };
         let rng = ChaCha8Rng::seed_from_u64(seed ^ 0x7365_7276);
         Self { rng, readers: SETS.iter().map(reader).collect(), told: Arc::default() }
@@ -131,7 +131,7 @@
         if update.version < before {
             return None;
         }
-        self.known = self.known.after(&update, Some(before))?;
+        self.known = self.known.updated(&update, Some(before))?;
         let inside = |e: &Entry| e.service.as_ref().is_some_and(|s| self.services.contains(s));
         let listed = list.entries().values().filter(|k| inside(&k.entry));
         Some(Told {
@@ -148,13 +148,13 @@
 }
 
 /// What a service that does something wrong would tell.
-fn spoilt(mut update: Update, list: &List, after: Option<u64>, wrong: Option<Wrong>) -> Update {
+fn spoilt(mut update: ListUpdate, list: &List, after: Option<u64>, wrong: Option<Wrong>) -> ListUpdate {
     match wrong {
         Some(Wrong::HandOversLeaveNoTombstone) => {
-            update.endpoints.retain(|e| e.status != Status::Left || !list.entries().contains_key(&e.name));
+            update.endpoints.retain(|e| e.status != Status::Removed || !list.entries().contains_key(&e.name));
         }
         Some(Wrong::FloorsAreIgnored) if after.is_some_and(|after| after + 3 < update.version.index) => {
-            update.endpoints.retain(|e| e.status != Status::Left);
+            update.endpoints.retain(|e| e.status != Status::Removed);
         }
         Some(Wrong::AllAreTold) => update.endpoints = list.update(after).endpoints,
         Some(Wrong::DigestsDiffer) => update.digest ^= update.replica,
--- a/crates/registry/src/explore/schedule.rs
+++ b/crates/registry/src/explore/schedule.rs
@@ -9,7 +9,7 @@
 use crate::node::{Node, Settings, WriteError};
 use crate::raft::{CallError, runtime};
 use crate::store::{Format, Store};
-use lotusmoor_registry_client::{Entry, Status, Why};
+use lotusmoor_registry_client::{Entry, Status, StatusReason};
 use rand::{RngExt, SeedableRng};
 use rand_chacha::ChaCha8Rng;
 use std::collections::BTreeMap;
@@ -439,8 +439,8 @@
         let what = self.rng.random_range(0..10);
         let op = match what {
             0..=3 => Op::Write { name: name.clone(), status: Status::Active, expect },
-            4 => Op::Write { name: name.clone(), status: Status::Leaving, expect },
-            5 => Op::Write { name: name.clone(), status: Status::Left, expect },
+            4 => Op::Write { name: name.clone(), status: Status::Draining, expect },
+            5 => Op::Write { name: name.clone(), status: Status::Removed, expect },
             6 | 7 => Op::ReadLatest,
             _ => Op::Read { replica: id },
         };
@@ -531,7 +531,7 @@
                     index: c.index,
                     name: c.name.clone(),
                     status: c.status,
-                    expired: c.why == Why::Expired,
+                    expired: c.why == StatusReason::Expired,
                 };
                 self.history.changes = state.list.history(0).map(changed).collect();
             }
@@ -563,17 +563,17 @@
                         service,
                         zone: None,
                         region: None,
-                        kind: None,
-                        group: 0,
+                        machine_type: None,
+                        cell: 0,
                         status,
                         weight: 1.0,
-                        since_ms,
-                        why: Why::Registered,
+                        started_ms: since_ms,
+                        status_reason: StatusReason::Registered,
                     };
                     Command::Put { servers: vec![Registration { entry, lease_ms: 0 }], expect, at_ms: 0 }
                 }
-                Status::Leaving => Command::Drain { name, expect, at_ms: 0 },
-                Status::Left => Command::Remove { name, expect, at_ms: 0 },
+                Status::Draining => Command::Drain { name, expect, at_ms: 0 },
+                Status::Removed => Command::Remove { name, expect, at_ms: 0 },
             };
             match node.write(command).await {
                 Ok(Outcome::Done { version, changed }) => Done::Wrote { version, changed },
--- a/crates/registry/src/http/metrics.rs
+++ b/crates/registry/src/http/metrics.rs
@@ -82,7 +82,7 @@
             let state = node.shared().state();
             set(&self.index, state.list.version().index);
             set(&self.epoch, state.list.version().epoch);
-            for (name, status) in [("active", Status::Active), ("leaving", Status::Leaving)] {
+            for (name, status) in [("active", Status::Active), ("leaving", Status::Draining)] {
                 let count = state.list.entries().values().filter(|k| k.entry.status == status).count();
                 set(&self.servers.get_or_create(&[("status", name.to_owned())]), count as u64);
             }
--- a/crates/registry/src/http/operators.rs
+++ b/crates/registry/src/http/operators.rs
@@ -62,12 +62,12 @@
             service: self.service,
             zone: self.zone,
             region: self.region,
-            kind: self.kind,
-            group: self.group,
+            machine_type: self.kind,
+            cell: self.group,
             status: Default::default(),
             weight: self.weight,
-            since_ms: self.since_ms,
-            why: Default::default(),
+            started_ms: self.since_ms,
+            status_reason: Default::default(),
         };
         Registration { entry, lease_ms: self.lease_ms }
     }
--- a/crates/registry/src/http/rendered.rs
+++ b/crates/registry/src/http/rendered.rs
@@ -4,7 +4,7 @@
 use crate::node::Node;
 use crate::raft::Transport;
 use bytes::Bytes;
-use lotusmoor_registry_client::{Entry, Update, Version};
+use lotusmoor_registry_client::{Entry, ListUpdate, Version};
 use serde::Serialize;
 use std::collections::HashMap;
 use std::sync::{Arc, Mutex, PoisonError};
@@ -45,11 +45,11 @@
             name: &e.name,
             address: e.address,
             zone: e.zone.as_deref(),
-            kind: e.kind.as_deref(),
-            group: e.group,
+            kind: e.machine_type.as_deref(),
+            group: e.cell,
             status: e.status,
             weight: e.weight,
-            since_ms: e.since_ms,
+            since_ms: e.started_ms,
         }
     }
 }
@@ -58,8 +58,8 @@
     Bytes::from(serde_json::to_vec(lines).unwrap_or_default())
 }
 
-impl From<Update> for Rendered {
-    fn from(update: Update) -> Self {
+impl From<ListUpdate> for Rendered {
+    fn from(update: ListUpdate) -> Self {
         let lines: Vec<Line> = update.endpoints.iter().map(Line::from).collect();
         Self { platform: text(&lines), ..Self::own(&update) }
     }
@@ -67,7 +67,7 @@
 
 impl Rendered {
     /// For the project's own readers alone.
-    fn own(update: &Update) -> Self {
+    fn own(update: &ListUpdate) -> Self {
         Self {
             version: update.version,
             snapshot: update.snapshot,
--- a/crates/registry/src/node.rs
+++ b/crates/registry/src/node.rs
@@ -9,7 +9,7 @@
 use crate::raft::transport::Envelope;
 use crate::raft::{CallError, LogEntry, Peers, Raft, Replica, Rpc, Target, Transport, Types};
 use crate::store::{Machine, Shared, Store, StoreError};
-use lotusmoor_registry_client::Update;
+use lotusmoor_registry_client::ListUpdate;
 use openraft::error::{CheckIsLeaderError, ClientWriteError, Fatal, InitializeError, RaftError};
 use openraft::raft::{AppendEntriesRequest, InstallSnapshotRequest, VoteRequest};
 use openraft::{ChangeMembers, EntryPayload, ServerState, SnapshotPolicy};
@@ -106,7 +106,7 @@
     /// Whether and how it may be used.
     pub reading: Reading,
     /// The list, or changes.
-    pub update: Update,
+    pub update: ListUpdate,
 }
 
 /// The leases, and for which term and up to which version they are kept.
@@ -438,7 +438,7 @@
         self.with_age(reading, update)
     }
 
-    fn with_age(&self, reading: Reading, mut update: Update) -> Read {
+    fn with_age(&self, reading: Reading, mut update: ListUpdate) -> Read {
         update.replica = self.0.settings.id;
         if let Reading::Plain(age) | Reading::Marked(age) = reading {
             update.age_ms = u64::try_from(age / 1000).unwrap_or(0);
@@ -464,12 +464,12 @@
     }
 
     /// The list with all that was acknowledged before this call.
-    pub async fn read_latest(&self) -> Result<Update, WriteError> {
+    pub async fn read_latest(&self) -> Result<ListUpdate, WriteError> {
         self.read_latest_of(None).await
     }
 
     /// The same of these services alone, where some are named.
-    pub async fn read_latest_of(&self, services: Option<&[String]>) -> Result<Update, WriteError> {
+    pub async fn read_latest_of(&self, services: Option<&[String]>) -> Result<ListUpdate, WriteError> {
         let asked = self.now();
         let index = self.committed().await?;
         let mut applied = self.0.shared.applied();
--- a/crates/sidecar/src/roster.rs
+++ b/crates/sidecar/src/roster.rs
@@ -8,7 +8,7 @@
 use hyper::StatusCode;
 use hyper::header::RETRY_AFTER;
 use lotusmoor_registry_client::{
-    Action, Entry, Event, Known, Micros, Report, Rider, Settings, Status, Update, file,
+    Action, EndpointList, Entry, Event, ListUpdate, Micros, RegistryWatcher, Report, Settings, Status, file,
 };
 use serde::Deserialize;
 use std::cell::RefCell;
@@ -65,7 +65,7 @@
 
     fn settings(&self) -> Settings {
         let mut settings = Settings::new(self.addresses.len());
-        settings.hold_back = self.hold_back.unwrap_or(settings.hold_back);
+        settings.max_removed_share = self.hold_back.unwrap_or(settings.max_removed_share);
         if let Some(ms) = self.stale_after_ms {
             settings.stale_after = Micros::from(ms) * 1000;
         }
@@ -83,7 +83,7 @@
 /// How the list stands, for operators.
 #[derive(Clone)]
 pub struct Standing {
-    rider: Rc<RefCell<Rider>>,
+    rider: Rc<RefCell<RegistryWatcher>>,
     began: Instant,
     /// The services that are asked for.
     services: Rc<watch::Sender<BTreeSet<String>>>,
@@ -105,10 +105,10 @@
     pub fn line(&self) -> String {
         let rider = self.rider.borrow();
         let (version, servers) = rider
-            .known()
+            .list()
             .map_or_else(|| ("none".to_owned(), 0), |known| (known.version.to_string(), known.entries.len()));
         let age = rider.age(micros(self.began)) / 1000;
-        let held = u8::from(rider.holds());
+        let held = u8::from(rider.withholds_list());
         let services = match self.services.borrow().len() {
             0 => String::new(),
             number => format!(" services={number}"),
@@ -123,7 +123,7 @@
 
 /// One that has not started, and how it stands from then on.
 pub fn new(config: Config, seed: u64, inputs: Inputs) -> (Riding, Standing) {
-    let rider = Rc::new(RefCell::new(Rider::new(config.settings(), seed)));
+    let rider = Rc::new(RefCell::new(RegistryWatcher::new(config.settings(), seed)));
     let (services, moved) = watch::channel(config.services.clone());
     let standing = Standing { rider, began: Instant::now(), services: Rc::new(services) };
     let links = config.addresses.iter().map(|_| Rc::default()).collect();
@@ -164,7 +164,7 @@
         let known = self.load();
         self.handle(Event::Start(known));
         loop {
-            let next = self.standing.rider.borrow().next_wake();
+            let next = self.standing.rider.borrow().next_timer();
             let timer = async {
                 match next {
                     Some(at) => {
@@ -175,17 +175,17 @@
                 }
             };
             let event = tokio::select! {
-                event = self.answered.recv() => event.unwrap_or(Event::Wake),
+                event = self.answered.recv() => event.unwrap_or(Event::Timer),
                 Ok(()) = self.services.changed() => {
-                    Event::Services(self.services.borrow_and_update().iter().cloned().collect())
+                    Event::ServicesChanged(self.services.borrow_and_update().iter().cloned().collect())
                 }
-                () = timer => Event::Wake,
+                () = timer => Event::Timer,
             };
             self.handle(event);
         }
     }
 
-    fn load(&self) -> Option<Known> {
+    fn load(&self) -> Option<EndpointList> {
         match file::load(self.config.file.as_ref()?) {
             Ok(Some((known, age))) => {
                 let (version, servers, age) = (known.version, known.entries.len(), age.as_secs());
@@ -201,7 +201,7 @@
     }
 
     fn handle(&mut self, event: Event) {
-        if let Event::Answer { ask, .. } | Event::Failed { ask, .. } = &event {
+        if let Event::Response { poll: ask, .. } | Event::PollFailed { poll: ask, .. } = &event {
             self.calls.remove(ask);
         }
         let mut actions = Vec::new();
@@ -213,8 +213,8 @@
 
     fn carry_out(&mut self, action: Action) {
         match action {
-            Action::Ask { ask, roster, after, wait } => {
-                let path = self.standing.rider.borrow().path(after, wait);
+            Action::Poll { poll: ask, replica: roster, after, wait } => {
+                let path = self.standing.rider.borrow().poll_path(after, wait);
                 let (at, link) = (self.config.addresses[roster], Rc::clone(&self.links[roster]));
                 let answers = self.answers.clone();
                 let call = spawn_local(async move {
@@ -223,7 +223,7 @@
                 });
                 self.calls.insert(ask, call.abort_handle());
             }
-            Action::Forget(ask) => {
+            Action::CancelPoll(ask) => {
                 if let Some(call) = self.calls.remove(&ask) {
                     call.abort();
                 }
@@ -240,7 +240,7 @@
 
     /// On a thread of its own, as a disk may take its time.
     fn save(&self) {
-        let known = self.standing.rider.borrow().known().cloned();
+        let known = self.standing.rider.borrow().list().cloned();
         if let (Some(path), Some(known)) = (self.config.file.clone(), known) {
             tokio::task::spawn_blocking(move || {
                 if let Err(what) = file::save(&path, &known) {
@@ -253,25 +253,27 @@
     fn report(&mut self, report: Report) {
         let at = |roster: usize| self.config.addresses[roster];
         let line = match report {
-            Report::Failed { roster, what } => {
+            Report::PollFailed { replica: roster, error: what } => {
                 if self.complained.is_some_and(|last| last.elapsed() < COMPLAINT_SPACING) {
                     return;
                 }
                 self.complained = Some(Instant::now());
                 format!("{}: {what}", at(roster))
             }
-            Report::Older { roster, told } => {
+            Report::OlderVersion { replica: roster, version: told } => {
                 format!("{}: list {told} is older than what is known", at(roster))
             }
-            Report::Differs { roster, told } => {
+            Report::DigestMismatch { replica: roster, version: told } => {
                 format!("{}: list {told} is not what others have as {told}", at(roster))
             }
-            Report::Unreadable(what) => format!("entry left out: {what}"),
-            Report::Held { roster, told, lost, of } => {
+            Report::UnreadableEntry(what) => format!("entry left out: {what}"),
+            Report::Withheld { replica: roster, version: told, removed: lost, of } => {
                 format!("{}: list {told} takes away {lost} of {of} servers, and is held back", at(roster))
             }
             Report::Confirmed(roster) => format!("{}: what was held back is confirmed", at(roster)),
-            Report::Released(roster) => format!("{}: has another list than what was held back", at(roster)),
+            Report::Unconfirmed(roster) => {
+                format!("{}: has another list than what was held back", at(roster))
+            }
             Report::NoServers(service) => format!("service {service} has no servers"),
             Report::Stale(age) => format!("the list is {} s old, and stays in use", age / 1_000_000),
             Report::Fresh => "the list is up to date again".to_owned(),
@@ -281,7 +283,7 @@
 }
 
 async fn call(ask: u64, at: SocketAddr, link: Link, path: &str) -> Event {
-    let failed = |what: String, retry_after| Event::Failed { ask, retry_after, what };
+    let failed = |what: String, retry_after| Event::PollFailed { poll: ask, retry_after, error: what };
     // One call of a pair that is hedged may go to a replica whose link is in use; it opens one of its own.
     let mut kept = link.borrow_mut().take();
     let answer = fetch::get(at, &mut kept, path).await;
@@ -289,8 +291,8 @@
         *link.borrow_mut() = kept;
     }
     match answer {
-        Ok((StatusCode::OK, _, body)) => match Update::read(&body) {
-            Ok(update) => Event::Answer { ask, update },
+        Ok((StatusCode::OK, _, body)) => match ListUpdate::from_json(&body) {
+            Ok(update) => Event::Response { poll: ask, update },
             Err(e) => failed(format!("unreadable list: {e}"), None),
         },
         Ok((status, headers, _)) => {
@@ -307,14 +309,14 @@
         name: entry.name,
         address: Some(entry.address),
         zone: entry.zone,
-        kind: entry.kind,
-        group: entry.group,
+        kind: entry.machine_type,
+        group: entry.cell,
         status: match entry.status {
             Status::Active => HostStatus::Active,
-            Status::Leaving => HostStatus::Leaving,
-            Status::Left => HostStatus::Left,
+            Status::Draining => HostStatus::Leaving,
+            Status::Removed => HostStatus::Left,
         },
         weight: entry.weight,
-        since_ms: entry.since_ms,
+        since_ms: entry.started_ms,
     }
 }
