--- a/crates/roster/tests/stored_forms/main.rs
+++ b/crates/roster/tests/stored_forms/main.rs
@@ -3,6 +3,7 @@
 //! `cargo test -p lotusmoor-roster --test stored_forms -- --ignored write_fixtures` wrote the fixtures at that commit,
 //! but for `roster.toml`. It writes over none: where a test finds a difference, what other versions read has changed.
 
+mod calls_made;
 mod configuration;
 mod database;
 mod fixtures;
@@ -16,6 +17,7 @@
 #[test]
 #[ignore = "writes the fixtures"]
 fn write_fixtures() {
+    calls_made::write_fixtures();
     messages::write_fixtures();
     raft_calls::write_fixtures();
     database::write_fixtures();
--- a/crates/roster/tests/stored_forms/raft_calls.rs
+++ b/crates/roster/tests/stored_forms/raft_calls.rs
@@ -19,7 +19,7 @@
 
 /// Calls to a replica that follows, and to one that leads: the name of a call, its body and the answer, on lines of
 /// their own.
-const TO_FOLLOWER: &str = "calls-to-follower.txt";
+pub const TO_FOLLOWER: &str = "calls-to-follower.txt";
 const TO_LEADER: &str = "calls-to-leader.txt";
 
 /// What replica 1 sends for a call.
@@ -33,7 +33,22 @@
     calls.pop().expect("it was sent")
 }
 
-fn append(vote: Vote, previous: Option<u64>, entries: std::ops::Range<usize>) -> AppendEntriesRequest<Types> {
+/// The vote of a replica that wants to lead.
+pub fn candidate() -> Vote {
+    Vote::new(1, 1)
+}
+
+/// The vote of a replica that leads.
+pub fn leader() -> Vote {
+    Vote::new_committed(1, 1)
+}
+
+/// Entries of that range, after the previous one.
+pub fn append(
+    vote: Vote,
+    previous: Option<u64>,
+    entries: std::ops::Range<usize>,
+) -> AppendEntriesRequest<Types> {
     AppendEntriesRequest {
         vote,
         prev_log_id: previous.map(|index| samples::log_id(1, index)),
@@ -42,7 +57,8 @@
     }
 }
 
-fn snapshot_request(offset: u64) -> InstallSnapshotRequest<Types> {
+/// A snapshot in one part, which begins at that offset.
+pub fn snapshot_request(offset: u64) -> InstallSnapshotRequest<Types> {
     let (last, members) = (samples::log_id(1, 40), samples::membership(false));
     let membership = Membership::new(Some(samples::log_id(0, 0)), members);
     let list = samples::list(&samples::commands());
@@ -51,12 +67,12 @@
     let snapshot_id = format!("1-1-40-{offset}");
     let meta = SnapshotMeta { last_log_id: Some(last), last_membership: membership, snapshot_id };
     let data = Format::Services.seal(&plain);
-    InstallSnapshotRequest { vote: Vote::new_committed(1, 1), meta, offset, data, done: true }
+    InstallSnapshotRequest { vote: leader(), meta, offset, data, done: true }
 }
 
 /// Calls to a replica that was just made, in their order.
 async fn calls_to_follower() -> Vec<Sent> {
-    let (candidate, leader) = (Vote::new(1, 1), Vote::new_committed(1, 1));
+    let (candidate, leader) = (candidate(), leader());
     let all = samples::every_entry().len();
     vec![
         sent(2, Rpc::Vote, VoteRequest::new(candidate, Some(samples::log_id(1, 1)))).await,
--- a/crates/roster/tests/stored_forms/samples.rs
+++ b/crates/roster/tests/stored_forms/samples.rs
@@ -49,12 +49,17 @@
 
 /// Starts the replica of that number over the file in that folder. It holds no election of its own accord.
 pub async fn start(id: u64, folder: &Path) -> Node<Recorder> {
+    start_over(id, folder, Recorder::default()).await
+}
+
+/// The same with calls that are kept there.
+pub async fn start_over(id: u64, folder: &Path, recorder: Recorder) -> Node<Recorder> {
     let store = Store::open(folder, Format::NEWEST).expect("the store opens");
     let mut settings = Settings::new(id, address(id));
     settings.heartbeat = HOUR / 4;
     settings.election = (HOUR, 2 * HOUR);
     settings.leases.leaving_for = 3600 * SECOND;
-    Node::start(settings, store, Recorder::default(), replica(id).identity).await.expect("the replica starts")
+    Node::start(settings, store, recorder, replica(id).identity).await.expect("the replica starts")
 }
 
 /// A server with nothing but what it must have.
