--- a/tests/sidecar.rs
+++ b/tests/sidecar.rs
@@ -4,6 +4,7 @@
 mod faults;
 mod operation;
 mod services;
+mod stored_state;
 mod streaming;
 mod stubs;
 mod terms;
