--- a/src/bin/tinflow/config.rs
+++ b/src/bin/tinflow/config.rs
@@ -182,3 +182,6 @@
     u64::from_str_radix(text, 16)
         .unwrap_or_else(|_| text.bytes().fold(0, |sum, byte| sum.rotate_left(8) ^ u64::from(byte)))
 }
+
+#[cfg(test)]
+mod tests;
--- /dev/null
+++ b/src/bin/tinflow/config/tests.rs
@@ -0,0 +1,107 @@
+use super::*;
+use crate::hosts::HostStatus;
+use std::path::Path;
+
+/// A configuration with every key that is read.
+const ALL_KEYS: &str =
+    include_str!(concat!(env!("CARGO_MANIFEST_DIR"), "/tests/fixtures/sidecar-config.json"));
+
+fn address(of: &str) -> SocketAddr {
+    of.parse().expect("an address")
+}
+
+fn read(text: &str) -> Config {
+    Config::read(text, None, None).unwrap_or_else(|what| panic!("{what}: {text}"))
+}
+
+fn failure(text: &str) -> String {
+    Config::read(text, None, None).err().expect("it can't be used")
+}
+
+#[test]
+fn every_key_of_the_file_is_read() {
+    let config = read(ALL_KEYS);
+    assert_eq!(config.listen, address("127.0.0.1:7000"));
+    assert_eq!(config.discovery, address("127.0.0.1:7001"));
+    assert_eq!(config.management, Some(address("127.0.0.1:7002")));
+    assert_eq!(config.seed, 0x00c0_ffee_1234_5678);
+    assert_eq!((config.sockets, config.memory_mb), (2048, 96));
+    assert_eq!(config.peer_listen, Some(address("127.0.0.1:7003")));
+    assert_eq!(config.peers, ["127.0.0.1:7003", "127.0.0.2:7003"].map(address));
+    assert_eq!(config.peers_all, Some(address("127.255.255.255:7003")));
+    assert_eq!(config.longest_deadline(), Duration::from_micros(2_040_000));
+    assert_eq!(config.decoded.classes, ["look", "book", "pay", "move", "mark"]);
+}
+
+#[test]
+fn every_key_of_the_known_list_is_read() {
+    let known = read(ALL_KEYS).known.expect("a list");
+    assert_eq!((known.index, known.snapshot, known.unreadable), (41, true, None));
+    let [full, least, gone] = &known.endpoints[..] else { panic!("three entries") };
+    assert_eq!((full.name.as_str(), full.address), ("ledger-1", Some(address("10.4.0.1:8443"))));
+    assert_eq!((full.zone.as_deref(), full.kind.as_deref()), (Some("a"), Some("m5.large")));
+    assert_eq!((full.group, full.status), (7, HostStatus::Active));
+    assert_eq!((full.weight, full.since_ms), (2.5, 1_790_000_000_123));
+    assert_eq!((least.name.as_str(), least.status), ("ledger-2", HostStatus::Leaving));
+    assert_eq!((least.address, least.zone.as_deref(), least.kind.as_deref()), (None, None, None));
+    assert_eq!((least.group, least.weight, least.since_ms), (0, 1.0, 0));
+    assert_eq!(gone.status, HostStatus::Left);
+}
+
+#[test]
+fn every_key_of_the_registry_is_read_under_its_name_roster() {
+    let registry = read(ALL_KEYS).roster.expect("a registry");
+    assert_eq!(registry.addresses, ["127.0.0.1:7101", "127.0.0.1:7102", "127.0.0.1:7103"].map(address));
+    assert_eq!(registry.file.as_deref(), Some(Path::new("/var/lib/balancer/list.json")));
+    assert_eq!((registry.hold_back, registry.stale_after_ms), (Some(0.25), Some(20_000)));
+    assert_eq!(registry.services, BTreeSet::from(["ledger".to_owned(), "mail".to_owned()]));
+    let least = ALL_KEYS.replace(r#""hold_back": 0.25,"#, "").replace(r#""stale_after_ms": 20000,"#, "");
+    let least = least.replace(r#""file": "/var/lib/balancer/list.json","#, "");
+    let registry = read(&least).roster.expect("a registry");
+    assert_eq!((registry.file, registry.hold_back, registry.stale_after_ms), (None, None, None));
+}
+
+#[test]
+fn an_unknown_key_is_let_through_but_not_in_the_registry() {
+    read(&ALL_KEYS.replacen('{', r#"{"unknown": [1],"#, 1));
+    let unknown = ALL_KEYS.replace(r#""hold_back""#, r#""hold_bakc""#);
+    assert!(failure(&unknown).contains("unknown field `hold_bakc`"), "{}", failure(&unknown));
+}
+
+#[test]
+fn what_is_absent_has_its_default_and_what_is_given_beside_the_file_holds() {
+    let settings = &ALL_KEYS[ALL_KEYS.find(r#""settings""#).expect("settings")..];
+    let config =
+        Config::read(&format!("{{{settings}"), Some(address("127.0.0.9:1")), Some(address("127.0.0.9:2")))
+            .unwrap_or_else(|what| panic!("{what}"));
+    assert_eq!((config.listen, config.discovery), (address("127.0.0.9:1"), address("127.0.0.9:2")));
+    assert_eq!((config.sockets, config.memory_mb, config.seed), (1024, 192, 0));
+    assert_eq!((config.management, config.peer_listen, config.peers_all), (None, None, None));
+    assert!(config.peers.is_empty() && config.known.is_none() && config.roster.is_none());
+    let config = Config::read(ALL_KEYS, Some(address("127.0.0.9:1")), Some(address("127.0.0.9:2")));
+    let config = config.unwrap_or_else(|what| panic!("{what}"));
+    assert_eq!((config.listen, config.discovery), (address("127.0.0.9:1"), address("127.0.0.9:2")));
+}
+
+#[test]
+fn what_cannot_be_meant_is_named_by_its_key() {
+    for (right, wrong, what) in [
+        (r#""sockets": 2048"#, r#""sockets": 31"#, "limits: sockets must be 32 or more"),
+        (r#""memory_mb": 96"#, r#""memory_mb": 15"#, "limits: memory_mb must be 16 or more"),
+        (r#""hold_back": 0.25"#, r#""hold_back": 0"#, "roster: hold_back must lie above 0 and up to 1"),
+        (r#""stale_after_ms": 20000"#, r#""stale_after_ms": 0"#, "roster: stale_after_ms must be above 0"),
+        (
+            r#""services": ["ledger", "mail"]"#,
+            r#""services": ["a b"]"#,
+            "roster: services: a name has 1 to 64 letters, digits or . _ : -",
+        ),
+        (
+            r#"["127.0.0.1:7101", "127.0.0.1:7102", "127.0.0.1:7103"]"#,
+            "[]",
+            "roster: addresses: at least one is wanted",
+        ),
+    ] {
+        assert!(ALL_KEYS.contains(right), "{right}");
+        assert_eq!(failure(&ALL_KEYS.replace(right, wrong)), what);
+    }
+}
