--- a/src/wire.rs
+++ b/src/wire.rs
@@ -369,3 +369,6 @@
         Ok(false)
     }
 }
+
+#[cfg(test)]
+mod tests;
--- /dev/null
+++ b/src/wire/tests.rs
@@ -0,0 +1,160 @@
+use super::*;
+
+const SETTINGS: &str = r#"{"Lanes": [{"AimUs": 1000000, "DeadlineUs": 4000000, "Effect": "pure", "Name": "look"},
+{"AimUs": 800000, "DeadlineUs": 1500000, "Effect": "side_effect", "Name": "book"}],
+"Limits": {"MaxAttempts": 3},
+"Rules": {"ColdShare": 0.3, "OverloadFactor": 3.0, "TipAfterUs": 1500000, "WarmWithinUs": 8900000},
+"Tenants": [{"Name": "one"}, {"Name": "two"}], "Zones": ["a", "b"]}"#;
+
+const CATALOG: u64 = 6;
+
+/// An instance that knows the endpoints `10.0.0.1:80` (0) and `10.0.0.2:80` (1), and the catalogs behind it.
+fn instance() -> (Instance, HashMap<u64, Vec<Entry>>) {
+    let start = format!("start I=3 RandomSeed=-9 Conf={}", SETTINGS.replace('\n', " "));
+    let mut instance = Instance::start(&Line::new(&start)).expect("it starts");
+    let entries = [
+        "m Endpoint=10.0.0.1:80 Campus=b Model=x Group=4 Status=1 Size=1.5 ReadyAtUs=6100000",
+        "m Endpoint=10.0.0.2:80 Status=2 ReadyAtUs=0",
+        "m Endpoint=10.0.0.3:80 Campus=new Model=y Status=0",
+    ];
+    let entries = entries.map(|line| Entry::read(&Line::new(line)).expect("an entry"));
+    let catalogs = HashMap::from([(CATALOG, Vec::from(entries))]);
+    event(&mut instance, &catalogs, "endpoints I=3 Epoch=1 Kind=3 RosterId=6");
+    (instance, catalogs)
+}
+
+fn event(instance: &mut Instance, catalogs: &HashMap<u64, Vec<Entry>>, line: &str) -> Event {
+    instance.event(&Line::new(line), catalogs).expect("it can be read").expect("it is of concern")
+}
+
+fn read(line: &str) -> Event {
+    let (mut instance, catalogs) = instance();
+    event(&mut instance, &catalogs, line)
+}
+
+#[test]
+fn every_action_is_written_in_its_words() {
+    let (instance, _) = instance();
+    let log = Action::Log("circuit of endpoint 0 open\r\nfor good".to_owned());
+    for (action, line) in [
+        (
+            Action::Send { request: 593_372_770_898_372, endpoint: 1, timeout: 250_000, window: Some(7) },
+            "hand_off I=3 Ticket=593372770898372 Endpoint=10.0.0.2:80 TimeoutUs=250000",
+        ),
+        (Action::Refuse { request: 5, retry_after: 40_000 }, "not_now I=3 Ticket=5 HoldOffUs=40000"),
+        (Action::Fail(6), "error I=3 Ticket=6"),
+        (Action::Cancel { request: 7, attempt: 2 }, "recall I=3 Ticket=7 Go=2"),
+        (Action::Probe(0), "health_check I=3 Endpoint=10.0.0.1:80"),
+        (Action::SetTimer { after: 5_000, token: 77 }, "defer I=3 FromNowUs=5000 Ctx=77"),
+        (Action::Subscribe(true), "tail I=3 Active=1"),
+        (Action::Subscribe(false), "tail I=3 Active=0"),
+        (Action::FetchList, "read_list I=3"),
+        (Action::CloseIdle(0), "free_links I=3 Endpoint=10.0.0.1:80"),
+        (Action::Tell { to: Some(1), bytes: b"hi 7".to_vec() }, "post I=3 Dst=1 Bytes=aGkgNw=="),
+        (Action::Tell { to: None, bytes: Vec::new() }, "post I=3 Dst=-1 Bytes=-"),
+        (log, "say_log I=3 Text=circuit of endpoint 0 open  for good"),
+    ] {
+        let mut written = String::new();
+        instance.write(3, &action, &mut written);
+        assert_eq!(written, format!("{line}\n"));
+    }
+}
+
+#[test]
+fn every_field_of_a_demand_is_read() {
+    let line =
+        "demand I=3 Ticket=9 Profile=book Project=two PartitionKey=4 DueUs=9900000 WorkHintUs=1200 Flags=3";
+    let Event::Request(new) = read(line) else { panic!("a request") };
+    assert_eq!((new.id, new.class, new.tenant, new.key), (9, 1, Some(1), Some(4)));
+    assert_eq!((new.due, new.work, new.repeat, new.coming), (9_900_000, Some(1_200), true, false));
+    let Event::Request(new) = read(&line.replace("Flags=3", "Flags=0")) else { panic!("a request") };
+    assert_eq!((new.work, new.repeat), (None, false), "a hint counts where a flag says so");
+    let Event::Request(new) = read("demand I=3 Ticket=9 Profile=look Project=strange DueUs=1") else {
+        panic!("a request")
+    };
+    assert_eq!((new.class, new.tenant, new.key, new.work, new.repeat), (0, None, None, None, false));
+}
+
+#[test]
+fn every_field_of_the_end_of_an_attempt_is_read() {
+    let load = "active:3,waiting:2,cpu:0.5,avg_ms:7.25,rps:11,err_rps:0.125,odd:1";
+    let Event::AttemptEnded(end) = read(&format!(
+        "returned I=3 Ticket=9 Disposition=OK Endpoint=10.0.0.2:80 TookUs=18500 Go=1 Settled=1 Load={load}"
+    )) else {
+        panic!("an end")
+    };
+    assert_eq!((end.request, end.attempt, end.endpoint, end.outcome), (9, 1, 1, Outcome::Ok));
+    assert_eq!((end.took, end.settled, end.spent), (18_500, true, false));
+    let reported = Load {
+        active: Some(3.0),
+        waiting: Some(2.0),
+        cpu: Some(0.5),
+        avg_ms: Some(7.25),
+        rps: Some(11.0),
+        err_rps: Some(0.125),
+    };
+    assert_eq!(end.load, reported);
+    for (word, outcome) in [
+        ("OK", Outcome::Ok),
+        ("INTERNAL", Outcome::Error),
+        ("RESOURCE_EXHAUSTED", Outcome::Rejected),
+        ("DEADLINE_EXCEEDED", Outcome::TimedOut),
+        ("UNAVAILABLE", Outcome::ConnectFailed),
+        ("ABORTED", Outcome::Reset),
+        ("CANCELLED", Outcome::Cancelled),
+        ("TOO_LATE", Outcome::NotSent),
+    ] {
+        let line = format!("returned I=3 Ticket=9 Disposition={word} Endpoint=10.0.0.1:80 TookUs=1 Go=0");
+        let Event::AttemptEnded(end) = read(&line) else { panic!("an end") };
+        assert_eq!((end.outcome, end.endpoint, end.settled), (outcome, 0, false), "{word}");
+        assert_eq!(end.load, Load::default());
+    }
+}
+
+#[test]
+fn every_field_of_the_other_events_is_read() {
+    let Event::StreamStarted { request, attempt } =
+        read("under_way I=3 Ticket=9 Go=2 Endpoint=10.0.0.1:80 TookUs=5")
+    else {
+        panic!("a stream")
+    };
+    assert_eq!((request, attempt), (9, 2));
+    let Event::ProbeEnded { endpoint, outcome, took, load } =
+        read("health_result I=3 Endpoint=10.0.0.2:80 Disposition=ABORTED TookUs=4 Load=cpu:0.5")
+    else {
+        panic!("a probe")
+    };
+    assert_eq!((endpoint, outcome, took), (1, Outcome::Reset, 4));
+    assert_eq!(load, Load { cpu: Some(0.5), ..Load::default() });
+    assert!(matches!(read("withdrawn I=3 Ticket=9"), Event::Abandoned(9)));
+    assert!(matches!(read("alarm I=3 Ctx=77"), Event::Timer(77)));
+    let Event::PeerMessage { from, bytes } = read("peer_data I=3 By=1 Bytes=aGkgNw==") else {
+        panic!("a message")
+    };
+    assert_eq!((from, bytes.as_slice()), (1, &b"hi 7"[..]));
+    let Event::PeerMessage { bytes, .. } = read("peer_data I=3 By=1 Bytes=-") else { panic!("a message") };
+    assert!(bytes.is_empty());
+}
+
+#[test]
+fn every_field_of_a_catalog_is_read() {
+    for (kind, name) in [(1, "changes"), (2, "a list from before"), (3, "the whole list")] {
+        let Event::Endpoints(update) = read(&format!("endpoints I=3 Epoch=1 Kind={kind} RosterId=6")) else {
+            panic!("a list")
+        };
+        let list = match (kind, update) {
+            (1, ListUpdate::Delta(list)) | (2, ListUpdate::Cached(list)) | (3, ListUpdate::Full(list)) => {
+                list
+            }
+            other => panic!("{name}: {other:?}"),
+        };
+        let [full, least, gone] = &list[..] else { panic!("three entries") };
+        assert_eq!((full.endpoint, full.zone, full.cell, full.kind), (0, Some(1), 4, Some(0)));
+        assert_eq!((full.status, full.size, full.started), (Status::Ready, 1.5, Some(6_100_000)));
+        assert_eq!((least.endpoint, least.zone, least.cell, least.kind), (1, None, 0, None));
+        assert_eq!((least.status, least.size, least.started), (Status::Draining, 1.0, None));
+        assert_eq!((gone.zone, gone.kind, gone.status), (Some(2), Some(1), Status::Gone));
+    }
+    let failed = read("endpoints I=3 Epoch=1 Kind=0 RosterId=0");
+    assert!(matches!(failed, Event::Endpoints(ListUpdate::Failed)));
+}
--- /dev/null
+++ b/tests/stored_forms.rs
@@ -0,0 +1,169 @@
+//! What is sent to the balancer and back: its settings object, and a transcript of the simulator's wire that the program
+//! wrote at commit 3f326ce. Names in the code may change; what is read and written may not.
+
+use linenproxy::settings::{Decoded, decode};
+use linenproxy::wire::serve;
+use linenproxy::*;
+use serde_json::value::RawValue;
+use std::collections::{BTreeMap, BTreeSet};
+
+const CONFIGURATION: &str = include_str!("fixtures/sidecar-config.json");
+const WIRE_INPUT: &str = include_str!("fixtures/adapter-input.txt");
+const WIRE_OUTPUT: &str = include_str!("fixtures/adapter-output.txt");
+
+/// The settings object of the configuration, with every key that is read.
+fn all_keys() -> String {
+    let parts: BTreeMap<String, Box<RawValue>> = serde_json::from_str(CONFIGURATION).expect("an object");
+    parts["settings"].get().to_owned()
+}
+
+fn read(text: &str) -> Decoded {
+    decode(text).unwrap_or_else(|what| panic!("{what}: {text}"))
+}
+
+/// The settings object with one part replaced.
+fn with(right: &str, other: &str) -> Settings {
+    let text = all_keys();
+    assert!(text.contains(right), "{right}");
+    read(&text.replace(right, other)).settings
+}
+
+#[test]
+fn every_key_of_the_settings_is_read() {
+    let Decoded { settings, classes, tenants, zones, idle_close } = read(&all_keys());
+    assert_eq!(classes, ["look", "book", "pay", "move", "mark"]);
+    assert_eq!(tenants, ["acme", "other"]);
+    assert_eq!(["a", "b", "c"].map(|zone| zones.find(zone)), [Some(0), Some(1), Some(2)]);
+    assert_eq!(idle_close, 7_000_000);
+    assert_eq!((settings.instances, settings.index, settings.zone), (3, 2, Some(1)));
+    assert_eq!(settings.discovery, Discovery::OnRequest);
+    assert_eq!(settings.weights, WeightSource::Size);
+    assert_eq!(settings.reports, ReportSource::Piggyback);
+    assert_eq!((settings.over_share_worth, settings.worth_by_work), (0.35, true));
+    assert_eq!((settings.marks_repeat, settings.tick), (true, 5_000));
+    assert!(settings.check().is_ok());
+}
+
+#[test]
+fn every_key_of_a_class_is_read() {
+    let settings = read(&all_keys()).settings;
+    let [look, book, pay, moved, mark] = &settings.classes[..] else { panic!("five classes") };
+    assert_eq!((look.aim, look.aim_stretch, look.deadline), (800_000, 1.5, 2_000_000));
+    assert_eq!((look.late_share, look.worth, look.streaming), (0.25, 5.0, true));
+    assert_eq!((book.aim, book.aim_stretch, book.deadline), (810_000, 0.0, 2_010_000));
+    assert_eq!((book.late_share, book.worth, book.streaming), (0.0, 1.0, false));
+    assert_eq!((look.effect, book.effect), (Effect::Safe, Effect::Unsafe));
+    assert_eq!(pay.effect, Effect::Keyed { scope: DedupScope::Zone, ttl: 900_000 });
+    assert_eq!(moved.effect, Effect::Keyed { scope: DedupScope::Cell, ttl: 910_000 });
+    assert_eq!(mark.effect, Effect::Keyed { scope: DedupScope::All, ttl: 920_000 });
+}
+
+#[test]
+fn every_key_of_the_other_parts_is_read() {
+    let Settings { limits, rules, prices, goal, tenants, .. } = read(&all_keys()).settings;
+    assert_eq!((limits.max_attempts, limits.max_retry_after, limits.dial_timeout), (4, 1_500_000, 300_000));
+    assert_eq!((rules.answer_slack, rules.ask_within), (50_000, 3_000_000));
+    assert_eq!((rules.cold_share, rules.overload_factor), (0.3, 2.5));
+    assert_eq!((rules.tip_after, rules.warm_within), (1_400_000, 8_900_000));
+    assert_eq!((prices.cross_zone, prices.handshake, prices.late_fail), (0.01, 0.02, 0.03));
+    assert_eq!((prices.probe, prices.waste), (0.04, 0.05));
+    assert_eq!((goal.whole, goal.worst_class), (0.4, 0.3));
+    assert_eq!((goal.worst_tenant, goal.worst_window), (0.2, 0.1));
+    assert_eq!((tenants[0].quota_per_s, tenants[0].share), (98.5, 0.75));
+    assert_eq!((tenants[1].quota_per_s, tenants[1].share), (0.0, 0.0));
+}
+
+// Each key has its own flag: one that is read for another would go unseen with all of them on.
+#[test]
+fn every_permission_is_read_from_its_own_key() {
+    let flags = |limits: &Limits| {
+        [limits.may_cancel, limits.may_duplicate, limits.peers, limits.probes, limits.retry_after]
+    };
+    let all = read(&all_keys()).settings.limits;
+    assert_eq!(flags(&all), [true; 5]);
+    for (number, key) in ["MayCancel", "MayDuplicate", "Peers", "Probes", "RetryAfter"].iter().enumerate() {
+        let without = with(&format!(r#""{key}": true"#), &format!(r#""{key}": false"#)).limits;
+        let mut wanted = [true; 5];
+        wanted[number] = false;
+        assert_eq!(flags(&without), wanted, "{key}");
+    }
+    assert!(!with(r#""MarksRetry": true"#, r#""MarksRetry": false"#).marks_repeat);
+    assert!(!with(r#""CountedBy": "work""#, r#""CountedBy": "request""#).worth_by_work);
+}
+
+#[test]
+fn every_word_of_a_choice_is_read() {
+    for (word, discovery) in [("on_request", Discovery::OnRequest), ("pushed", Discovery::Pushed)] {
+        let read = with(r#""on_request""#, &format!("{word:?}")).discovery;
+        assert_eq!(read, discovery, "{word}");
+    }
+    for (word, weights) in [
+        ("nominal", WeightSource::Size),
+        ("rough", WeightSource::Size),
+        ("live", WeightSource::Live),
+        ("silent", WeightSource::Silent),
+    ] {
+        assert_eq!(with(r#""nominal""#, &format!("{word:?}")).weights, weights, "{word}");
+    }
+    for (word, reports) in [
+        ("piggyback", ReportSource::Piggyback),
+        ("pull", ReportSource::Probe),
+        ("silent", ReportSource::Silent),
+    ] {
+        assert_eq!(with(r#""piggyback""#, &format!("{word:?}")).reports, reports, "{word}");
+    }
+    let unknown = decode(&all_keys().replace(r#""pure""#, r#""impure""#)).err();
+    assert_eq!(unknown.as_deref(), Some("unknown Effect impure"));
+}
+
+#[test]
+fn settings_with_the_least_that_they_must_have_are_read_with_the_defaults() {
+    let Decoded { settings, tenants, zones, idle_close, .. } = read(
+        r#"{"Lanes":[{"AimUs":1,"DeadlineUs":2,"Effect":"pure","Name":"look"}],"Limits":{"MaxAttempts":3},
+        "Rules":{"ColdShare":0.3,"OverloadFactor":3.0,"TipAfterUs":4,"WarmWithinUs":5}}"#,
+    );
+    assert_eq!((settings.instances, settings.index, settings.zone), (1, 0, None));
+    assert_eq!(settings.discovery, Discovery::Pushed);
+    assert_eq!((settings.weights, settings.reports), (WeightSource::Silent, ReportSource::Silent));
+    assert_eq!((settings.rules.answer_slack, settings.rules.ask_within), (0, 0));
+    assert_eq!((settings.limits.max_retry_after, settings.limits.dial_timeout), (0, 0));
+    assert_eq!((settings.tick, settings.over_share_worth, idle_close), (0, 0.0, 0));
+    assert!(tenants.is_empty() && zones.used().count() == 0);
+}
+
+#[test]
+fn the_wire_is_answered_to_the_letter() {
+    let mut answered = Vec::new();
+    serve(WIRE_INPUT.as_bytes(), &mut answered).unwrap_or_else(|what| panic!("{what}"));
+    let answered = String::from_utf8(answered).expect("text");
+    for (number, (line, stored)) in answered.lines().zip(WIRE_OUTPUT.lines()).enumerate() {
+        assert_eq!(line, stored, "line {}", number + 1);
+    }
+    assert_eq!(answered, WIRE_OUTPUT);
+}
+
+#[test]
+fn the_stored_transcript_has_messages_of_each_kind_that_the_balancer_uses() {
+    let names = |text: &'static str| -> BTreeSet<&'static str> {
+        text.lines().filter_map(|line| line.split(' ').next()).filter(|name| !name.is_empty()).collect()
+    };
+    let events = [
+        "alarm",
+        "catalog",
+        "demand",
+        "endpoints",
+        "go",
+        "health_result",
+        "kill",
+        "m",
+        "mark",
+        "peer_data",
+        "returned",
+        "start",
+        "under_way",
+        "withdrawn",
+    ];
+    assert_eq!(names(WIRE_INPUT), BTreeSet::from(events));
+    let actions = ["defer", "error", "hand_off", "next", "not_now", "recall", "say_log", "tail"];
+    assert_eq!(names(WIRE_OUTPUT), BTreeSet::from(actions));
+}
