--- /dev/null
+++ b/crates/fleet/tests/stored_forms.rs
@@ -0,0 +1,579 @@
+//! The forms in which results and plans are stored, and what the harness's processes send each other: fixtures that were
+//! written by the program at commit 3f326ce. Names in the code may change; what is read from these files and written
+//! again may not.
+//!
+//! Reading a float may change its last digit (serde_json without `float_roundtrip`). Lines of results with floats were
+//! therefore read and written once more by that program before they became fixtures: from then on their text is the same.
+
+use lotusmoor_faults::{Call, errno};
+use lotusmoor_fleet::capacity::Runs;
+use lotusmoor_fleet::experiment::{Line as RunLine, Point, Results, measure, measures};
+use lotusmoor_fleet::harness::ledger::{Conduct, Noted, Over, Seen};
+use lotusmoor_fleet::harness::list::{Listed, Told};
+use lotusmoor_fleet::model::Figures;
+use lotusmoor_fleet::scale::hollow::{Ask, Assignment, Hollow, Lease, Standing, Taken};
+use lotusmoor_fleet::scale::lines::{At, Line as ScaleLine, Lines, Mode, Role, Sweep};
+use lotusmoor_fleet::soak::{LinkKind, Plan, Trouble, Window};
+use lotusmoor_fleet::sweep::Case;
+use serde::Serialize;
+use serde::de::DeserializeOwned;
+use serde_json::Value;
+use std::collections::BTreeSet;
+use std::net::SocketAddr;
+use std::path::{Path, PathBuf};
+
+const SCALE_LINES: &str = "scale-lines.jsonl";
+const EXPERIMENT_LINES: &str = "experiment-lines.jsonl";
+const SOAK_PLAN: &str = "soak-plan.json";
+const SOAK_LINE: &str = "soak-line.jsonl";
+const SWEEP_LINES: &str = "sweep-lines.jsonl";
+const SERVER_NOTES: &str = "server-notes.jsonl";
+const DISCOVERY_NOTES: &str = "discovery-notes.jsonl";
+const SERVER_CONDUCT: &str = "server-conduct.json";
+const DISCOVERY_LIST: &str = "discovery-list.json";
+const HOLLOW_ASSIGNMENT: &str = "hollow-assignment.json";
+const HOLLOW_CALLS: &str = "hollow-calls.jsonl";
+const HOLLOW_STANDING: &str = "hollow-standing.json";
+const HOLLOW_TAKEN: &str = "hollow-taken.json";
+
+fn fixture(name: &str) -> PathBuf {
+    Path::new(env!("CARGO_MANIFEST_DIR")).join("tests/fixtures").join(name)
+}
+
+fn text(name: &str) -> String {
+    std::fs::read_to_string(fixture(name)).expect("a fixture")
+}
+
+fn json(value: &impl Serialize) -> String {
+    serde_json::to_string(value).expect("it can be written")
+}
+
+fn read<T: DeserializeOwned>(text: &str) -> T {
+    serde_json::from_str(text).expect("it can be read")
+}
+
+fn address(of: &str) -> SocketAddr {
+    of.parse().expect("an address")
+}
+
+/// One value a line, each written as its line was.
+fn read_lines<T: DeserializeOwned + Serialize>(name: &str) -> Vec<T> {
+    let text = text(name);
+    let values: Vec<T> = text.lines().map(read).collect();
+    for (value, line) in values.iter().zip(text.lines()) {
+        assert_eq!(json(value), line, "{name}");
+    }
+    values
+}
+
+// ---- Scale runs ----
+
+#[test]
+fn every_kind_of_scale_line_is_read_and_written_again_as_the_same_text() {
+    let stored = text(SCALE_LINES);
+    let lines = Lines::read(&fixture(SCALE_LINES)).expect("they can be read");
+    let folder = tempfile::tempdir().expect("a folder");
+    let copy = folder.path().join("lines.jsonl");
+    let mut written = Lines::create(&copy).expect("it is new");
+    for line in &lines {
+        written.add(line).expect("it can be written");
+    }
+    assert_eq!(std::fs::read_to_string(&copy).expect("it can be read"), stored);
+    let sweeps: BTreeSet<_> = lines.iter().map(|line| line.sweep).collect();
+    let roles: BTreeSet<_> = lines.iter().map(|line| line.role).collect();
+    let modes: BTreeSet<_> = lines.iter().map(|line| line.mode).collect();
+    let all_sweeps = [
+        Sweep::Hollow,
+        Sweep::Listed,
+        Sweep::Changes,
+        Sweep::Events,
+        Sweep::SidecarListed,
+        Sweep::SidecarChanges,
+        Sweep::ModuleListed,
+    ];
+    let all_roles = [Role::Leader, Role::Follower, Role::Hollow, Role::Sidecar, Role::Module, Role::Fleet];
+    assert_eq!(sweeps, BTreeSet::from(all_sweeps));
+    assert_eq!(roles, BTreeSet::from(all_roles));
+    assert_eq!(modes, BTreeSet::from([Mode::Whole, Mode::Services]));
+}
+
+/// The relative difference that reading a float may make.
+const READ_ERROR: f64 = 1e-15;
+
+/// Whether both have the same keys, texts and counts, and the same floats but for their last digit.
+fn is_same(one: &Value, other: &Value) -> bool {
+    match (one, other) {
+        (Value::Number(a), Value::Number(b)) if a.is_f64() && b.is_f64() => {
+            let (a, b) = (a.as_f64().expect("a float"), b.as_f64().expect("a float"));
+            (a - b).abs() <= READ_ERROR * a.abs()
+        }
+        (Value::Object(a), Value::Object(b)) => {
+            a.len() == b.len() && a.iter().zip(b).all(|((k, v), (l, w))| k == l && is_same(v, w))
+        }
+        (Value::Array(a), Value::Array(b)) => {
+            a.len() == b.len() && a.iter().zip(b).all(|(v, w)| is_same(v, w))
+        }
+        (one, other) => one == other,
+    }
+}
+
+#[test]
+fn recorded_scale_runs_are_read_and_written_again_with_the_same_keys_and_values() {
+    let folder = Path::new(env!("CARGO_MANIFEST_DIR")).join("../../experiments/scale/results");
+    let mut count = 0;
+    for entry in std::fs::read_dir(folder).expect("recorded runs") {
+        let path = entry.expect("an entry").path();
+        let recorded = std::fs::read_to_string(&path).expect("it can be read");
+        let lines = Lines::read(&path).expect("they can be read");
+        assert_eq!(lines.len(), recorded.lines().count(), "{}", path.display());
+        for (line, text) in lines.iter().zip(recorded.lines()) {
+            let written = serde_json::to_value(line).expect("it can be written");
+            assert!(is_same(&written, &read(text)), "{}: {text}", path.display());
+        }
+        count += lines.len();
+    }
+    assert!(count >= 198, "{count} lines");
+}
+
+#[test]
+fn a_scale_line_means_what_it_says() {
+    let lines = Lines::read(&fixture(SCALE_LINES)).expect("they can be read");
+    let found = lines.iter().find(|line| line.sweep == Sweep::ModuleListed).expect("a line of the module");
+    let mut wanted = ScaleLine {
+        sweep: Sweep::ModuleListed,
+        mode: Mode::Whole,
+        step: 1,
+        at: At { hollow: 0, listed: 100, changes_per_s: 0.0, services: 0 },
+        role: Role::Module,
+        event: None,
+        seconds: 3.0,
+        measured: Default::default(),
+        failed: None,
+        seed: 1,
+        commit: "17ca7cd5e1d1".to_owned(),
+    };
+    for (name, value) in [
+        ("change_ns", 130.19543010752687),
+        ("decision_ns", 14880.139132868337),
+        ("decision_ns_p99", 29295.0),
+        ("decisions", 185808.0),
+        ("end_ns", 672.1651756913681),
+        ("list_ns", 8292.0),
+    ] {
+        wanted.set(name, value);
+    }
+    assert_eq!(*found, wanted);
+    let event = lines.iter().find(|line| line.sweep == Sweep::Events && line.role == Role::Leader);
+    let event = event.expect("a line of an event");
+    assert_eq!(event.event.as_deref(), Some("steady"));
+    assert_eq!(event.at, At { hollow: 20_000, listed: 21_000, changes_per_s: 1.0, services: 3 });
+    assert_eq!(event.measured["watches"], 6117.0);
+}
+
+#[test]
+fn a_failed_scale_line_keeps_its_keys() {
+    let lines = Lines::read(&fixture(SCALE_LINES)).expect("they can be read");
+    let failed = ScaleLine {
+        event: Some("roll".to_owned()),
+        failed: Some("no leader".to_owned()),
+        measured: Default::default(),
+        ..lines[0].clone()
+    };
+    let written = json(&failed);
+    assert!(
+        written.contains(r#""event":"roll""#) && written.contains(r#""failed":"no leader""#),
+        "{written}"
+    );
+    assert_eq!(read::<ScaleLine>(&written), failed);
+}
+
+#[test]
+fn the_capacity_plan_reads_scale_lines() {
+    let folder = tempfile::tempdir().expect("a folder");
+    std::fs::copy(fixture(SCALE_LINES), folder.path().join("runs.jsonl")).expect("it can be copied");
+    let runs = Runs::read(folder.path()).expect("they can be read");
+    let events: Vec<_> = runs.events().collect();
+    assert_eq!(events.len(), 5);
+    for (file, step) in events {
+        assert_eq!((file, step.event.as_deref()), ("runs.jsonl", Some("steady")));
+        assert_eq!((step.value("hollow"), step.failed.as_deref()), (Some(20_000.0), None));
+    }
+}
+
+// ---- Experiments ----
+
+#[test]
+fn experiment_lines_are_read_and_written_again_as_the_same_text() {
+    let (lines, torn) = Results::read(&fixture(EXPERIMENT_LINES)).expect("they can be read");
+    assert!(!torn);
+    let folder = tempfile::tempdir().expect("a folder");
+    let copy = folder.path().join("results.jsonl");
+    let mut results = Results::open(&copy, &lines[0].commit).expect("it is new");
+    for line in &lines {
+        results.add(line).expect("it can be written");
+    }
+    assert_eq!(std::fs::read_to_string(&copy).expect("it can be read"), text(EXPERIMENT_LINES));
+}
+
+#[test]
+fn an_experiment_line_means_what_it_says() {
+    let (lines, _) = Results::read(&fixture(EXPERIMENT_LINES)).expect("they can be read");
+    let line = &lines[0];
+    let point = Point { load: Some(0.7), sidecars: Some(4), servers: Some(6) };
+    assert_eq!((line.experiment.as_str(), line.scenario.as_str()), ("stored", "stored-day"));
+    assert_eq!((line.variant.as_str(), line.point, line.seed), ("registry", point, 1));
+    let figures = &line.figures;
+    let stored: Value = read(text(EXPERIMENT_LINES).lines().next().expect("a line"));
+    let value = |path: &str| stored.pointer(path).unwrap_or_else(|| panic!("{path} is not there")).clone();
+    for (path, measured) in [
+        ("/figures/g", figures.g),
+        ("/figures/whole", figures.whole),
+        ("/figures/worst_window", figures.worst_window),
+        ("/figures/worst_class", figures.worst_class),
+        ("/figures/worst_tenant", figures.worst_tenant),
+        ("/figures/late", figures.late),
+        ("/figures/refused", figures.refused),
+        ("/figures/failed", figures.failed),
+        ("/figures/tries", figures.tries),
+        ("/figures/attempts", figures.attempts),
+        ("/figures/crossed", figures.crossed),
+        ("/figures/handshakes", figures.handshakes),
+        ("/figures/wasted", figures.wasted),
+        ("/figures/latency_ms/1", figures.latency_ms[1]),
+        ("/figures/staleness_ms/2", figures.staleness_ms[2]),
+        ("/figures/told_after_ms/0", figures.told_after_ms[0]),
+        ("/figures/told_last_ms/2", figures.told_last_ms[2]),
+        ("/figures/classes/0/in_time", figures.classes[0].in_time),
+        ("/figures/classes/0/latency_ms/0", figures.classes[0].latency_ms[0]),
+        ("/figures/windows/0/worth", figures.windows[0].worth),
+        ("/figures/windows/0/served", figures.windows[0].served),
+        ("/figures/windows/0/p50_ms", figures.windows[0].p50_ms),
+        ("/figures/windows/0/p99_ms", figures.windows[0].p99_ms),
+        ("/figures/windows/0/p999_ms", figures.windows[0].p999_ms),
+        ("/figures/windows/0/staleness_ms", figures.windows[0].staleness_ms),
+    ] {
+        assert_eq!(value(path).as_f64(), Some(measured), "{path}");
+    }
+    for (path, counted) in [
+        ("/figures/asked", figures.asked),
+        ("/figures/tipped", figures.tipped),
+        ("/figures/list_calls", figures.list_calls),
+        ("/figures/turned_away", figures.turned_away),
+        ("/figures/held_back", figures.held_back),
+        ("/figures/events", figures.events),
+        ("/figures/digest", figures.digest),
+        ("/figures/classes/0/asked", figures.classes[0].asked),
+        ("/figures/windows/0/asked", figures.windows[0].asked),
+        ("/figures/windows/0/in_time", figures.windows[0].in_time),
+        ("/figures/windows/0/late", figures.windows[0].late),
+        ("/figures/windows/0/refused", figures.windows[0].refused),
+        ("/figures/windows/0/failed", figures.windows[0].failed),
+        ("/figures/windows/0/tries", figures.windows[0].tries),
+        ("/figures/windows/0/refusals", figures.windows[0].refusals),
+        ("/figures/windows/0/attempts", figures.windows[0].attempts),
+        ("/figures/windows/0/crossed", figures.windows[0].crossed),
+        ("/figures/windows/0/handshakes", figures.windows[0].handshakes),
+        ("/figures/windows/0/connections", figures.windows[0].connections),
+    ] {
+        assert_eq!(value(path).as_u64(), Some(counted), "{path}");
+    }
+    assert_eq!(value("/figures/classes/0/name").as_str(), Some(figures.classes[0].name.as_str()));
+    assert_eq!(value("/figures/broken"), serde_json::to_value(&figures.broken).expect("counts"));
+}
+
+#[test]
+fn an_experiment_line_of_the_time_before_registries_is_read() {
+    let stored = text(EXPERIMENT_LINES);
+    let mut older: Value = read(stored.lines().next().expect("a line"));
+    let figures = older["figures"].as_object_mut().expect("figures");
+    for added_later in ["told_after_ms", "told_last_ms", "list_calls", "turned_away", "held_back"] {
+        assert!(figures.remove(added_later).is_some(), "{added_later}");
+    }
+    older["point"] = read("{}");
+    let line: RunLine = serde_json::from_value(older).expect("it can be read");
+    let newer: RunLine = read(stored.lines().next().expect("a line"));
+    let wanted = Figures {
+        told_after_ms: [0.0; 3],
+        told_last_ms: [0.0; 3],
+        list_calls: 0,
+        turned_away: 0,
+        held_back: 0,
+        ..newer.figures
+    };
+    assert_eq!((line.point, line.figures), (Point::default(), wanted));
+}
+
+/// The names by which `--measure` and experiments' files call figures.
+#[test]
+fn measures_are_named_as_before() {
+    let (lines, _) = Results::read(&fixture(EXPERIMENT_LINES)).expect("they can be read");
+    let figures = &lines[0].figures;
+    let named = [
+        ("g", figures.g),
+        ("whole", figures.whole),
+        ("worst_window", figures.worst_window),
+        ("worst_class", figures.worst_class),
+        ("worst_tenant", figures.worst_tenant),
+        ("late", figures.late),
+        ("refused", figures.refused),
+        ("failed", figures.failed),
+        ("tries", figures.tries),
+        ("attempts", figures.attempts),
+        ("crossed", figures.crossed),
+        ("handshakes", figures.handshakes),
+        ("wasted", figures.wasted),
+        ("tipped", figures.tipped as f64),
+        ("p50_ms", figures.latency_ms[0]),
+        ("p99_ms", figures.latency_ms[1]),
+        ("p999_ms", figures.latency_ms[2]),
+        ("staleness_p99_ms", figures.staleness_ms[1]),
+        ("told_after_p99_ms", figures.told_after_ms[1]),
+        ("told_last_p50_ms", figures.told_last_ms[0]),
+        ("told_last_p99_ms", figures.told_last_ms[1]),
+        ("told_last_most_ms", figures.told_last_ms[2]),
+        ("broken", figures.broken.values().sum::<u64>() as f64),
+    ];
+    for (name, value) in named {
+        assert_eq!(measure(name, figures), Some(value), "{name}");
+    }
+    assert_eq!(measures().collect::<Vec<_>>(), named.map(|(name, _)| name));
+}
+
+// ---- Soak and sweep ----
+
+/// A conduct with every figure other than its default.
+fn full_conduct() -> Conduct {
+    Conduct {
+        work_us: 30_000,
+        first_byte_us: 400_000,
+        errors: 0.7,
+        turns_away: true,
+        silent: true,
+        resets: 0.6,
+        halves: 0.25,
+        idle_us: 150_000,
+    }
+}
+
+/// A plan with every trouble and every kind of link.
+fn plan_of_all_troubles() -> Plan {
+    let link = |kind| Trouble::Link { sidecar: 2, server: 3, kind };
+    let troubles = [
+        Trouble::KillSidecar(1),
+        Trouble::StopSidecar(2),
+        Trouble::RollSidecars(vec![3, 4, 5]),
+        Trouble::ReloadSidecar { sidecar: 6, twice: true, unreadable_ms: 300 },
+        Trouble::HoldSidecar(7),
+        Trouble::Calls { sidecar: 8, call: 3, errno: errno::EINTR, every: 4 },
+        Trouble::WallClock { sidecar: 9, ahead_us: -3_600_000_000 },
+        Trouble::Drain(1),
+        Trouble::KillServer(2),
+        Trouble::HoldServer(3),
+        Trouble::Misbehaves { server: 4, conduct: full_conduct() },
+        Trouble::Silence,
+        link(LinkKind::Cut),
+        link(LinkKind::CutBack),
+        link(LinkKind::Slow),
+        link(LinkKind::Narrow),
+        link(LinkKind::HalfOpen),
+        link(LinkKind::Stalls),
+        Trouble::Resets(5),
+        Trouble::HandOver(6),
+        Trouble::Cordon { sidecar: 7, server: 0 },
+        Trouble::Quiesce(8),
+        Trouble::Strangers { sidecar: 9, count: 29 },
+    ];
+    let window = |(number, trouble): (usize, Trouble)| {
+        let number = number as u64;
+        Window { at_ms: 500 + 15 * number, lasts_ms: 200 + number, trouble }
+    };
+    Plan {
+        seed: 17,
+        sidecars: 12,
+        servers: 7,
+        rosters: 3,
+        zones: 2,
+        pushed: true,
+        wait_ms: 1_500,
+        window_ms: 7_500,
+        rate: 12.0,
+        leaving: 0.3,
+        bodies: 0.8,
+        work_us: 10_000,
+        idle_us: 30_000,
+        cores: 2,
+        passed: true,
+        windows: troubles.into_iter().enumerate().map(window).collect(),
+    }
+}
+
+#[test]
+fn a_stored_plan_of_the_soak_is_read_and_written_again_as_the_same_text() {
+    let stored = text(SOAK_PLAN);
+    let plan: Plan = read(&stored);
+    assert_eq!(plan, plan_of_all_troubles());
+    assert_eq!(json(&plan), stored);
+}
+
+#[test]
+fn a_plan_from_before_some_of_its_keys_is_read_with_their_defaults() {
+    let mut older: Value = read(&text(SOAK_PLAN));
+    let keys = older.as_object_mut().expect("a plan");
+    for added_later in ["bodies", "idle_us", "cores", "passed"] {
+        assert!(keys.remove(added_later).is_some(), "{added_later}");
+    }
+    let plan: Plan = serde_json::from_value(older).expect("it can be read");
+    let wanted = Plan { bodies: 0.0, idle_us: 0, cores: 64, passed: false, ..plan_of_all_troubles() };
+    assert_eq!(plan, wanted);
+}
+
+#[test]
+fn a_soak_line_holds_the_plan_that_its_seed_draws() {
+    let line: Value = read(text(SOAK_LINE).trim_end());
+    let keys: Vec<_> = line.as_object().expect("a line").keys().map(String::as_str).collect();
+    assert_eq!(keys, ["attempts", "cold_load", "passed", "plan", "requests", "seed", "served", "strangers"]);
+    let seed = line["seed"].as_u64().expect("a seed");
+    let plan: Plan = serde_json::from_value(line["plan"].clone()).expect("a plan");
+    assert_eq!(plan, Plan::draw(seed));
+    assert_eq!(serde_json::to_value(&plan).expect("it can be written"), line["plan"]);
+}
+
+#[test]
+fn sweep_lines_hold_cases_that_are_read_and_written_again() {
+    let lines: Vec<Value> = text(SWEEP_LINES).lines().map(read).collect();
+    let cases: Vec<Case> = lines
+        .iter()
+        .map(|line| {
+            let keys: Vec<_> = line.as_object().expect("a line").keys().map(String::as_str).collect();
+            assert_eq!(keys, ["case", "failure", "passed"]);
+            let case: Case = serde_json::from_value(line["case"].clone()).expect("a case");
+            assert_eq!(serde_json::to_value(case).expect("it can be written"), line["case"]);
+            case
+        })
+        .collect();
+    let said: Vec<_> = cases.iter().map(ToString::to_string).collect();
+    assert!(
+        said.iter().any(|case| case.ends_with(&format!(": error {}", cases_errno(&lines[0])))),
+        "{said:?}"
+    );
+    assert!(said.iter().any(|case| case.contains("and all after it for 500 ms")), "{said:?}");
+    assert!(said.iter().any(|case| !case.contains("and all after it")), "{said:?}");
+}
+
+fn cases_errno(line: &Value) -> i64 {
+    line["case"]["errno"].as_i64().expect("an error")
+}
+
+#[test]
+fn a_case_as_a_failure_prints_it_is_read_and_written_again_as_the_same_text() {
+    for (stored, said) in [
+        (r#"{"call":9,"errno":28,"number":7,"extent":"once"}"#, "number 7: error 28"),
+        (
+            r#"{"call":0,"errno":4,"number":1,"extent":"for_a_while"}"#,
+            "number 1 and all after it for 500 ms: error 4",
+        ),
+    ] {
+        let case: Case = read(stored);
+        assert_eq!(json(&case), stored);
+        assert_eq!(case.to_string(), format!("{} {said}", case.call()));
+    }
+    assert_eq!(read::<Case>(r#"{"call":9,"errno":28,"number":7,"extent":"once"}"#).call(), Call::Write);
+    assert_eq!(read::<Case>(r#"{"call":0,"errno":4,"number":1,"extent":"once"}"#).call(), Call::Accept);
+}
+
+// ---- Processes of the harness ----
+
+fn server_notes() -> Vec<Noted> {
+    let keyed = Seen {
+        number: 4,
+        id: "r-17".to_owned(),
+        method: "POST".to_owned(),
+        key: Some("5c0f6e1a".to_owned()),
+        came: (1_790_000_000_000_001, 1_790_000_000_000_250),
+        stale: true,
+        told: Some(19_000_000),
+    };
+    let plain = Seen { key: None, stale: false, told: None, method: "GET".to_owned(), ..keyed.clone() };
+    let served = Over {
+        number: 4,
+        at: 1_790_000_000_005_000,
+        ran: true,
+        status: Some(200),
+        body: Some("ledger-1 r-17".to_owned()),
+    };
+    let lost = Over { ran: false, status: None, body: None, ..served.clone() };
+    vec![Noted::Seen(keyed), Noted::Seen(plain), Noted::Over(served), Noted::Over(lost)]
+}
+
+fn discovery_notes() -> Vec<Told> {
+    vec![Told { sidecar: 11, index: 42, at: 1_790_000_000_000_003 }]
+}
+
+fn discovery_list() -> Vec<Listed> {
+    vec![Listed {
+        name: "ledger-1".to_owned(),
+        zone: "a".to_owned(),
+        status: "leaving".to_owned(),
+        since_ms: 1_790_000_000_123,
+        addresses: vec![address("127.0.0.1:8001"), address("[::1]:8002")],
+    }]
+}
+
+#[test]
+fn what_servers_and_discovery_write_down_is_read_and_written_again_as_the_same_text() {
+    assert_eq!(read_lines::<Noted>(SERVER_NOTES), server_notes());
+    assert_eq!(read_lines::<Told>(DISCOVERY_NOTES), discovery_notes());
+    let without_told = text(SERVER_NOTES).lines().nth(1).expect("a line").replace(r#","told":null"#, "");
+    assert_eq!(read::<Noted>(&without_told), server_notes()[1], "as it was written before it was told");
+}
+
+#[test]
+fn what_servers_and_discovery_are_told_is_read_and_written_again_as_the_same_text() {
+    assert_eq!(read_lines::<Conduct>(SERVER_CONDUCT), [full_conduct()]);
+    assert_eq!(read_lines::<Vec<Listed>>(DISCOVERY_LIST), [discovery_list()]);
+    assert_eq!(read::<Conduct>("{}"), Conduct::default());
+    assert!(serde_json::from_str::<Conduct>(r#"{"unknown":1}"#).is_err());
+}
+
+fn hollow_assignment() -> Assignment {
+    let lease = Lease {
+        name: "ledger-1".to_owned(),
+        lease_ms: 6_000,
+        body: r#"{"address":"127.0.0.1:80"}"#.to_owned(),
+    };
+    Assignment {
+        replicas: vec![address("127.0.0.1:7001"), address("127.0.0.1:7002")],
+        sources: vec![[127, 0, 0, 2].into()],
+        control: address("127.0.0.1:7100"),
+        sidecars: vec![
+            Hollow { seed: 5, services: vec!["ledger".to_owned()], lease: Some(lease) },
+            Hollow { seed: 6, services: Vec::new(), lease: None },
+        ],
+    }
+}
+
+fn hollow_standing() -> Standing {
+    Standing { readers: 1, listed: 2, away: 3, heard_since: 4, least: 5, waiting: 6 }
+}
+
+fn hollow_taken() -> Taken {
+    Taken {
+        told: vec![(1, 2, 3)],
+        back: vec![(4, 5)],
+        answers: vec![6, 7],
+        whole: vec![8, 9],
+        bytes: vec![10, 11],
+        failed: 12,
+        renewals: 13,
+        went_back: 14,
+    }
+}
+
+#[test]
+fn what_hollow_sidecars_are_told_and_tell_is_read_and_written_again_as_the_same_text() {
+    assert_eq!(json(&read_lines::<Assignment>(HOLLOW_ASSIGNMENT)), json(&[hollow_assignment()]));
+    let calls = json(&[Ask::Standing, Ask::Take, Ask::Reset, Ask::Known(3)]);
+    assert_eq!(json(&read_lines::<Ask>(HOLLOW_CALLS)), calls);
+    assert_eq!(read_lines::<Standing>(HOLLOW_STANDING), [hollow_standing()]);
+    assert_eq!(json(&read_lines::<Taken>(HOLLOW_TAKEN)), json(&[hollow_taken()]));
+}
