--- a/crates/roster/tests/stored_forms/calls_made.rs
+++ b/crates/registry/tests/stored_forms/calls_made.rs
@@ -2,8 +2,8 @@
 
 use crate::samples::{self, Recorder, Sent, replica};
 use crate::{fixtures, raft_calls};
-use lotusmoor_roster::node::WriteError;
-use lotusmoor_roster::raft::{Peers, Rpc};
+use lotusmoor_registry::node::WriteError;
+use lotusmoor_registry::raft::{Peers, Rpc};
 use openraft::network::{RPCOption, RaftNetwork, RaftNetworkFactory};
 use openraft::raft::VoteRequest;
 use std::time::Duration;
--- a/crates/roster/tests/stored_forms/configuration.rs
+++ b/crates/registry/tests/stored_forms/configuration.rs
@@ -1,7 +1,7 @@
 //! A replica's configuration file with all of its keys. It was written by hand, after the keys of commit 3f326ce.
 
 use crate::fixtures;
-use lotusmoor_roster::config::Config;
+use lotusmoor_registry::config::Config;
 use std::collections::BTreeMap;
 use std::path::Path;
 
--- a/crates/roster/tests/stored_forms/database.rs
+++ b/crates/registry/tests/stored_forms/database.rs
@@ -2,11 +2,11 @@
 
 use crate::samples::{self, Recorder};
 use crate::{fixtures, raft_calls};
-use lotusmoor_client::{Status, Why};
-use lotusmoor_roster::core::list::{List, Outcome};
-use lotusmoor_roster::node::Node;
-use lotusmoor_roster::raft::{LogEntry, LogId, Replica};
-use lotusmoor_roster::store::{Format, Snapshot, Store, StoreError};
+use lotusmoor_registry::core::list::{List, Outcome};
+use lotusmoor_registry::node::Node;
+use lotusmoor_registry::raft::{LogEntry, LogId, Replica};
+use lotusmoor_registry::store::{Format, Snapshot, Store, StoreError};
+use lotusmoor_registry_client::{Status, StatusReason};
 use openraft::RaftLogReader;
 use openraft::storage::RaftLogStorage;
 use redb::{Database, ReadableDatabase, ReadableTable, TableDefinition, TableHandle};
@@ -167,13 +167,13 @@
     assert_eq!(list.entries().keys().collect::<Vec<_>>(), ["a", "b", "c", "m", "w2"]);
     let standing = |name: &str| {
         let kept = &list.entries()[name];
-        (kept.entry.status, kept.entry.why, kept.lease_ms, kept.entry.service.as_deref())
+        (kept.entry.status, kept.entry.status_reason, kept.lease_ms, kept.entry.service.as_deref())
     };
-    assert_eq!(standing("a"), (Status::Active, Why::Registered, 0, None));
-    assert_eq!(standing("b"), (Status::Leaving, Why::Drained, samples::LEASE_MS, None));
-    assert_eq!(standing("c"), (Status::Leaving, Why::Expired, samples::LEASE_MS, None));
-    assert_eq!(standing("m"), (Status::Active, Why::Registered, samples::LEASE_MS, Some("web")));
-    assert_eq!(standing("w2"), (Status::Leaving, Why::Drained, samples::LEASE_MS, Some("web")));
+    assert_eq!(standing("a"), (Status::Active, StatusReason::Registered, 0, None));
+    assert_eq!(standing("b"), (Status::Draining, StatusReason::Drained, samples::LEASE_MS, None));
+    assert_eq!(standing("c"), (Status::Draining, StatusReason::Expired, samples::LEASE_MS, None));
+    assert_eq!(standing("m"), (Status::Active, StatusReason::Registered, samples::LEASE_MS, Some("web")));
+    assert_eq!(standing("w2"), (Status::Draining, StatusReason::Drained, samples::LEASE_MS, Some("web")));
 }
 
 /// In both directions: the fixture has the rows that it had, and a replica that does the same now writes these rows.
--- a/crates/roster/tests/stored_forms/http_answers.rs
+++ b/crates/registry/tests/stored_forms/http_answers.rs
@@ -6,10 +6,10 @@
 use crate::http_calls::{BUSY, FOLLOWER, LAST, LEADER, NEW, SCENES, STORE_FAILED, TOO_OFTEN, calls, request};
 use crate::samples::{self, EPOCH, FIRST, LEASE_MS};
 use crate::{database, fixtures, raft_calls};
-use lotusmoor_client::Update;
-use lotusmoor_roster::core::list::Kept;
-use lotusmoor_roster::http::{Limits, serve, unavailable};
-use lotusmoor_roster::store::Snapshot;
+use lotusmoor_registry::core::list::Kept;
+use lotusmoor_registry::http::{Limits, serve, unavailable};
+use lotusmoor_registry::store::Snapshot;
+use lotusmoor_registry_client::ListUpdate;
 use std::future::Future;
 use std::time::Duration;
 use tokio::io::{AsyncReadExt, AsyncWriteExt};
@@ -192,19 +192,19 @@
 #[test]
 fn lists_are_decoded_by_readers_and_encoded_as_they_were() {
     let consistent = body("02-list-consistent");
-    let update = Update::read(&consistent).expect("it is read");
+    let update = ListUpdate::from_json(&consistent).expect("it is read");
     assert_eq!((update.version.epoch, update.version.index, update.replica), (EPOCH, LAST, 1));
     assert!(update.snapshot && update.services.is_none() && update.unreadable.is_empty());
     assert_eq!(update.endpoints.len(), 5);
     assert_eq!(serde_json::to_vec(&update).expect("it is encoded"), consistent);
     let of_service = body("04-list-services-consistent");
-    let update = Update::read(&of_service).expect("it is read");
+    let update = ListUpdate::from_json(&of_service).expect("it is read");
     assert_eq!(update.services.as_deref(), Some(["web".to_owned()].as_slice()));
     assert_eq!(serde_json::to_vec(&update).expect("it is encoded"), of_service);
     for (name, snapshot, endpoints) in
         [("01-list", true, 5), ("05-list-delta", false, 5), ("08-watch-nothing", false, 0)]
     {
-        let update = Update::read(&body(name)).expect("it is read");
+        let update = ListUpdate::from_json(&body(name)).expect("it is read");
         assert_eq!((update.snapshot, update.endpoints.len()), (snapshot, endpoints), "{name}");
     }
 }
@@ -225,7 +225,7 @@
     assert_eq!(snapshot.list, samples::list(&samples::commands()));
     let file = tempfile::NamedTempFile::new().expect("a file");
     std::fs::write(file.path(), &response[head..]).expect("it is written");
-    let read = lotusmoor_roster::process::read_backup(file.path()).expect("the backup is read");
+    let read = lotusmoor_registry::process::read_backup(file.path()).expect("the backup is read");
     assert_eq!(read, snapshot.list);
     let restored = raft_calls::runtime().block_on(async {
         let folder = tempfile::tempdir().expect("a folder");
--- a/crates/roster/tests/stored_forms/main.rs
+++ b/crates/registry/tests/stored_forms/main.rs
@@ -1,6 +1,6 @@
 //! What replicas store and send, as commit 3f326ce wrote it: names in the code may change, these bytes may not.
 //!
-//! `cargo test -p lotusmoor-roster --test stored_forms -- --ignored write_fixtures` wrote the fixtures at that commit,
+//! `cargo test -p lotusmoor-registry --test stored_forms -- --ignored write_fixtures` wrote the fixtures at that commit,
 //! but for `roster.toml`. It writes over none: where a test finds a difference, what other versions read has changed.
 
 mod calls_made;
--- a/crates/roster/tests/stored_forms/messages.rs
+++ b/crates/registry/tests/stored_forms/messages.rs
@@ -1,10 +1,10 @@
 //! Values by themselves: encoded and decoded, to the letter.
 
 use crate::{fixtures, samples};
-use lotusmoor_roster::core::list::{Command, List, Outcome};
-use lotusmoor_roster::node::WriteError;
-use lotusmoor_roster::raft::{LogEntry, Membership, Rpc, Vote};
-use lotusmoor_roster::store::{Format, Snapshot};
+use lotusmoor_registry::core::list::{Command, List, Outcome};
+use lotusmoor_registry::node::WriteError;
+use lotusmoor_registry::raft::{LogEntry, Membership, Rpc, Vote};
+use lotusmoor_registry::store::{Format, Snapshot};
 use openraft::raft::AppendEntriesResponse;
 use serde::Serialize;
 use serde::de::DeserializeOwned;
@@ -118,7 +118,7 @@
 #[test]
 fn a_backup_is_read_as_it_was() {
     for (name, format) in SNAPSHOTS {
-        let list: List = lotusmoor_roster::process::read_backup(&fixtures::path(name)).expect("it is read");
+        let list: List = lotusmoor_registry::process::read_backup(&fixtures::path(name)).expect("it is read");
         assert_eq!(list, snapshot(format).list, "{name}");
     }
 }
--- a/crates/roster/tests/stored_forms/raft_calls.rs
+++ b/crates/registry/tests/stored_forms/raft_calls.rs
@@ -2,11 +2,11 @@
 
 use crate::fixtures;
 use crate::samples::{self, Recorder, Sent, replica};
-use lotusmoor_roster::core::list::{Command, Outcome};
-use lotusmoor_roster::node::{Node, WriteError};
-use lotusmoor_roster::raft::transport::Envelope;
-use lotusmoor_roster::raft::{CallError, Membership, Peers, Rpc, Target, Types, Vote};
-use lotusmoor_roster::store::{Format, Snapshot};
+use lotusmoor_registry::core::list::{Command, Outcome};
+use lotusmoor_registry::node::{Node, WriteError};
+use lotusmoor_registry::raft::transport::Envelope;
+use lotusmoor_registry::raft::{CallError, Membership, Peers, Rpc, Target, Types, Vote};
+use lotusmoor_registry::store::{Format, Snapshot};
 use openraft::SnapshotMeta;
 use openraft::error::{InstallSnapshotError, RaftError};
 use openraft::raft::{
--- a/crates/roster/tests/stored_forms/samples.rs
+++ b/crates/registry/tests/stored_forms/samples.rs
@@ -1,11 +1,11 @@
 //! Values of which the fixtures were written, and replicas to try them on.
 
-use lotusmoor_client::{Entry, Status, Version, Why};
-use lotusmoor_roster::core::SECOND;
-use lotusmoor_roster::core::list::{Command, Due, List, Outcome, Refusal, Registration};
-use lotusmoor_roster::node::{Node, Settings, WriteError};
-use lotusmoor_roster::raft::{CallError, LogEntry, LogId, Replica, Rpc, Target, Transport};
-use lotusmoor_roster::store::{Format, Store};
+use lotusmoor_registry::core::SECOND;
+use lotusmoor_registry::core::list::{Command, Due, List, Outcome, Refusal, Registration};
+use lotusmoor_registry::node::{Node, Settings, WriteError};
+use lotusmoor_registry::raft::{CallError, LogEntry, LogId, Replica, Rpc, Target, Transport};
+use lotusmoor_registry::store::{Format, Store};
+use lotusmoor_registry_client::{Entry, Status, StatusReason, Version};
 use openraft::{CommittedLeaderId, EntryPayload, Membership};
 use std::collections::{BTreeMap, BTreeSet};
 use std::path::Path;
@@ -70,12 +70,12 @@
         service: None,
         zone: None,
         region: None,
-        kind: None,
-        group: 0,
+        machine_type: None,
+        cell: 0,
         status: Status::Active,
         weight: 1.0,
-        since_ms: 0,
-        why: Why::Registered,
+        started_ms: 0,
+        status_reason: StatusReason::Registered,
     };
     Registration { entry, lease_ms: 0 }
 }
@@ -86,10 +86,10 @@
         address: "[2001:db8::1]:443".parse().expect("an address"),
         zone: Some("zone-a".into()),
         region: Some("north".into()),
-        kind: Some("large".into()),
-        group: 3,
+        machine_type: Some("large".into()),
+        cell: 3,
         weight: 2.5,
-        since_ms: 1_600_000_000_123,
+        started_ms: 1_600_000_000_123,
         ..plain(name).entry
     };
     Registration { entry, lease_ms: LEASE_MS }
--- a/crates/simulator-adapter/src/wire.rs
+++ b/crates/simulator-adapter/src/wire.rs
@@ -371,3 +371,6 @@
         Ok(false)
     }
 }
+
+#[cfg(test)]
+mod tests;
