--- a/crates/simulator-adapter/src/lib.rs
+++ b/crates/simulator-adapter/src/lib.rs
@@ -1,4 +1,12 @@
-//! The adapter between the simulator's line protocol and the balancer: it reads events, hands each to its
-//! instance of the balancer, and writes the actions. It takes no decisions.
+//! The adapter between the simulator's line protocol and the balancer: it decodes events, hands each to its
+//! instance of the balancer, and encodes the actions. It takes no decisions.
 
-pub mod wire;
+mod decode;
+mod encode;
+mod error;
+mod host;
+mod line;
+mod names;
+
+pub use error::{FieldError, LineError, WireError};
+pub use host::serve;
--- a/crates/simulator-adapter/src/main.rs
+++ b/crates/simulator-adapter/src/main.rs
@@ -1,13 +1,13 @@
-//! Hosts any number of instances on the simulator's wire: standard input in, standard output out.
+//! Hosts any number of instances on the simulator's line protocol: standard input in, standard output out.
 
 use std::io::{BufWriter, stdin, stdout};
 use std::process::ExitCode;
 
+const OUTPUT_BUFFER_BYTES: usize = 1 << 16;
+
 fn main() -> ExitCode {
-    match lotusmoor_simulator_adapter::wire::serve(
-        stdin().lock(),
-        BufWriter::with_capacity(1 << 16, stdout().lock()),
-    ) {
+    let output = BufWriter::with_capacity(OUTPUT_BUFFER_BYTES, stdout().lock());
+    match lotusmoor_simulator_adapter::serve(stdin().lock(), output) {
         Ok(()) => ExitCode::SUCCESS,
         Err(error) => {
             eprintln!("lotusmoor-simulator-adapter: {error}");
--- a/crates/simulator-adapter/tests/wire.rs
+++ b/crates/simulator-adapter/tests/wire.rs
@@ -1,6 +1,6 @@
 //! The adapter: what it reads, what it writes, and how it ends on what cannot be read.
 
-use lotusmoor_simulator_adapter::wire::serve;
+use lotusmoor_simulator_adapter::serve;
 
 const CONF: &str = r#"{"Balancers": 2, "Clients": {"MarksRetry": true}, "Discovery": "pushed", "Index": 0,
 "Lanes": [{"AimUs": 1000000, "DeadlineUs": 4000000, "Effect": "pure", "Name": "look", "Worth": 5.0},
