--- a/crates/sidecar/src/config.rs
+++ b/crates/sidecar/src/config.rs
@@ -1,9 +1,9 @@
 //! What the sidecar is told at its start: the file that `LB_CONFIG` names, and the variables beside it.
 
-use crate::hosts::HostList;
+use crate::endpoint_list::HostList;
 use crate::io_failure::IoFailure;
-use crate::limits::Limits;
-use crate::persistence::at_start;
+use crate::resource_limits::Limits;
+use crate::retry::at_start;
 use crate::roster;
 use lotusmoor_balancer::settings::{self, Decoded};
 use serde::Deserialize;
--- a/crates/sidecar/src/connection.rs
+++ b/crates/sidecar/src/connection.rs
@@ -2,8 +2,8 @@
 //! (dropping its future) closes the connection, and nothing is written behind an attempt's back.
 
 use crate::body::Outbound;
+use crate::client_liveness::peek;
 use crate::io_failure::IoFailure;
-use crate::presence::peek;
 use crate::write_progress::WriteProgress;
 use hyper::body::Incoming;
 use hyper::client::conn::http1;
--- a/crates/sidecar/src/discovery.rs
+++ b/crates/sidecar/src/discovery.rs
@@ -2,9 +2,9 @@
 //! time where changes are to come unasked. On sockets nothing does.
 
 use crate::connection::Connection;
+use crate::endpoint_list::HostList;
 use crate::exchange::{Input, Inputs};
-use crate::fetch;
-use crate::hosts::HostList;
+use crate::http_get;
 use hyper::StatusCode;
 use std::cell::Cell;
 use std::net::SocketAddr;
@@ -223,7 +223,7 @@
 }
 
 async fn exchange(at: SocketAddr, link: &mut Option<Connection>, path: &str) -> Result<HostList, String> {
-    let (status, _, body) = fetch::get(at, link, path).await?;
+    let (status, _, body) = http_get::get(at, link, path).await?;
     if status != StatusCode::OK {
         return Err(format!("status {}", status.as_u16()));
     }
--- a/crates/sidecar/src/engine.rs
+++ b/crates/sidecar/src/engine.rs
@@ -2,13 +2,13 @@
 //! are carried out. Nothing is decided here.
 
 use crate::config::Config;
-use crate::counts::{Answered, Attempted};
 use crate::discovery::{self, Ask};
+use crate::endpoint_list::{HostList, HostStatus};
 use crate::exchange::{Answer, Ended, Input, Inputs, Outgoing};
-use crate::hosts::{HostList, HostStatus};
-use crate::limits::Limits;
+use crate::gossip::Peers;
 use crate::log::log_line;
-use crate::peers::Peers;
+use crate::metrics::{Answered, Attempted};
+use crate::resource_limits::Limits;
 use crate::roster::{self, Standing};
 use crate::start_times::StartTimes;
 use crate::upstream::{Grant, Upstream};
--- a/crates/sidecar/src/exchange.rs
+++ b/crates/sidecar/src/exchange.rs
@@ -1,8 +1,8 @@
 //! What goes between the sockets and the engine: requests, attempts' ends, answers, lists.
 
 use crate::body::{Inbound, Outbound, Rest};
-use crate::hosts::HostList;
-use crate::memory::Share;
+use crate::endpoint_list::HostList;
+use crate::memory_budget::Share;
 use crate::send_gate::RequestLife;
 use crate::write_progress::WriteProgress;
 use bytes::Bytes;
--- a/crates/sidecar/src/inbound/accept.rs
+++ b/crates/sidecar/src/inbound/accept.rs
@@ -2,10 +2,10 @@
 
 use super::{LAST_LOOK, Shared, connection};
 use crate::connection_age::age_of_unanswered;
+use crate::connection_limiter::Room;
 use crate::io_failure::{IoFailure, RESOURCE_PAUSE};
 use crate::log::log_line;
-use crate::room::Room;
-use crate::service::Service;
+use crate::service_state::Service;
 use std::future::poll_fn;
 use std::io;
 use std::net::SocketAddr;
--- a/crates/sidecar/src/inbound/reply.rs
+++ b/crates/sidecar/src/inbound/reply.rs
@@ -2,9 +2,9 @@
 
 use crate::body::Inbound;
 use crate::exchange::{Answer, Served};
-use crate::ids::OpenId;
-use crate::memory::Share;
+use crate::memory_budget::Share;
 use crate::request::end_to_end;
+use crate::request_ids::OpenId;
 use bytes::{Buf, Bytes};
 use hyper::StatusCode;
 use hyper::header::{HeaderMap, RETRY_AFTER};
--- a/crates/sidecar/src/main.rs
+++ b/crates/sidecar/src/main.rs
@@ -1,32 +1,32 @@
 //! A sidecar load balancer on real sockets. One thread; every task shares it.
 
 mod body;
+mod client_liveness;
 mod config;
 mod connection;
 mod connection_age;
-mod counts;
+mod connection_limiter;
 mod discovery;
+mod endpoint_list;
 mod engine;
 mod exchange;
-mod fetch;
-mod handover;
-mod hosts;
+mod gossip;
+mod http_get;
 mod idle;
-mod ids;
 mod inbound;
+mod inherited_socket;
 mod io_failure;
-mod limits;
 mod log;
 mod management;
-mod memory;
-mod peers;
-mod persistence;
-mod presence;
+mod memory_budget;
+mod metrics;
 mod request;
-mod room;
+mod request_ids;
+mod resource_limits;
+mod retry;
 mod roster;
 mod send_gate;
-mod service;
+mod service_state;
 mod start_times;
 mod state_file;
 mod upstream;
@@ -36,9 +36,9 @@
 use engine::{Engine, Handle};
 use log::log_line;
 use management::Operators;
-use persistence::{Backoff, at_start};
+use retry::{Backoff, at_start};
 use roster::Standing;
-use service::Service;
+use service_state::Service;
 use state_file::StateFile;
 use std::process::ExitCode;
 use std::rc::Rc;
@@ -72,7 +72,7 @@
 }
 
 fn start() -> Result<(), String> {
-    let passed = handover::passed()?;
+    let passed = inherited_socket::passed()?;
     let config = Config::from_env()?;
     let runtime = tokio::runtime::Builder::new_current_thread()
         .enable_all()
@@ -109,7 +109,7 @@
     let mut int = signal(SignalKind::interrupt()).map_err(|e| format!("cannot await SIGINT: {e}"))?;
     let peers = match config.peer_listen {
         Some(at) => Some(
-            at_start(|| peers::Peers::bind(at, &config.peers, config.peers_all))
+            at_start(|| gossip::Peers::bind(at, &config.peers, config.peers_all))
                 .map_err(|e| format!("cannot bind {at}: {e}"))?,
         ),
         None => None,
@@ -128,8 +128,8 @@
     let shared = inbound::Shared {
         lanes,
         handle,
-        memory: memory::Memory::new(limits.bodies),
-        ids: ids::Ids::default(),
+        memory: memory_budget::Memory::new(limits.bodies),
+        ids: request_ids::Ids::default(),
         service: in_service,
         stall: upstream::STALL,
     };
--- a/crates/sidecar/src/management.rs
+++ b/crates/sidecar/src/management.rs
@@ -1,11 +1,11 @@
 //! Where operators call: one line to a connection, one line back, or counts in many lines. Nothing is decided here.
 
-use crate::counts;
 use crate::engine::Handle;
 use crate::io_failure::{IoFailure, RESOURCE_PAUSE};
-use crate::persistence::at_start;
+use crate::metrics;
+use crate::retry::at_start;
 use crate::roster::Standing;
-use crate::service::Service;
+use crate::service_state::Service;
 use crate::state_file::StateFile;
 use std::cell::{Cell, RefCell};
 use std::collections::BTreeMap;
@@ -102,7 +102,7 @@
             return list.ok_or_else(|| "no roster is configured".to_owned());
         }
         if call == Call::Metrics {
-            return Ok(counts::text());
+            return Ok(metrics::text());
         }
         let kept = &mut *self.kept.lock().await;
         if stopping && call == Call::Resume && !kept.outlives() {
--- a/crates/sidecar/src/request.rs
+++ b/crates/sidecar/src/request.rs
@@ -4,7 +4,7 @@
 use crate::body::{Framing, LONGEST_BODY};
 use crate::config::Config;
 use crate::exchange::TIME_LEFT;
-use crate::limits::LONGEST_HEAD;
+use crate::resource_limits::LONGEST_HEAD;
 use hyper::header::{self, HeaderMap, HeaderName, HeaderValue};
 use hyper::{Method, StatusCode, Uri};
 use lotusmoor_balancer::{Idempotency, Micros};
--- a/crates/sidecar/src/roster.rs
+++ b/crates/sidecar/src/roster.rs
@@ -1,9 +1,9 @@
 //! The list from a roster, where one is configured: carries out what the rider wants. Nothing is decided here.
 
 use crate::connection::Connection;
+use crate::endpoint_list::{Host, HostList, HostStatus};
 use crate::exchange::{Input, Inputs};
-use crate::fetch;
-use crate::hosts::{Host, HostList, HostStatus};
+use crate::http_get;
 use crate::log::log_line;
 use hyper::StatusCode;
 use hyper::header::RETRY_AFTER;
@@ -286,7 +286,7 @@
     let failed = |what: String, retry_after| Event::PollFailed { poll: ask, retry_after, error: what };
     // One call of a pair that is hedged may go to a replica whose link is in use; it opens one of its own.
     let mut kept = link.borrow_mut().take();
-    let answer = fetch::get(at, &mut kept, path).await;
+    let answer = http_get::get(at, &mut kept, path).await;
     if kept.is_some() {
         *link.borrow_mut() = kept;
     }
--- a/crates/sidecar/src/send_gate.rs
+++ b/crates/sidecar/src/send_gate.rs
@@ -2,9 +2,9 @@
 //! protocol's rules hold. What was decided some turns of the runtime or a late connection ago may not hold any more,
 //! so it is asked at the moment in which the first byte is written.
 
-use crate::counts::{Denied, Violation};
+use crate::client_liveness::Presence;
 use crate::log::{self, log_line};
-use crate::presence::Presence;
+use crate::metrics::{Denied, Violation};
 use std::cell::{Cell, RefCell};
 use std::fmt;
 use std::rc::Rc;
--- a/crates/sidecar/src/state_file.rs
+++ b/crates/sidecar/src/state_file.rs
@@ -2,7 +2,7 @@
 //! each heeds what the other was told.
 
 use crate::log::log_line;
-use crate::persistence::at_start;
+use crate::retry::at_start;
 use serde::{Deserialize, Serialize};
 use std::collections::BTreeSet;
 use std::fs::{self, File, TryLockError};
--- a/crates/sidecar/src/upstream/tests.rs
+++ b/crates/sidecar/src/upstream/tests.rs
@@ -1,5 +1,5 @@
 use super::*;
-use crate::presence::Presence;
+use crate::client_liveness::Presence;
 
 #[tokio::test]
 async fn without_room_for_a_connection_an_idle_one_makes_way_or_none_is_dialled() {
