--- a/crates/sidecar/src/client_liveness.rs
+++ b/crates/sidecar/src/client_liveness.rs
@@ -30,9 +30,9 @@
 
 /// A client's connection, looked at for its end by those that only want to know that.
 #[derive(Clone)]
-pub struct Presence(Rc<TcpStream>);
+pub struct ClientLiveness(Rc<TcpStream>);
 
-impl Presence {
+impl ClientLiveness {
     /// At the other end of that.
     pub fn of(stream: &Rc<TcpStream>) -> Self {
         Self(Rc::clone(stream))
@@ -43,7 +43,7 @@
     pub fn left(&self) -> bool {
         let ended = match self.peek() {
             Ok(length) => length == 0,
-            Err(failure) => !failure.passes(),
+            Err(failure) => !failure.is_transient(),
         };
         let polled = pin!(self.0.ready(Interest::READABLE)).poll(&mut Context::from_waker(Waker::noop()));
         ended || matches!(polled, Poll::Ready(Ok(ready)) if ready.is_read_closed())
--- a/crates/sidecar/src/client_liveness/tests.rs
+++ b/crates/sidecar/src/client_liveness/tests.rs
@@ -18,7 +18,7 @@
     for unread in [&b""[..], b"half a body"] {
         for resets in [false, true] {
             let (mut client, stream) = pair().await;
-            let presence = Presence::of(&stream);
+            let presence = ClientLiveness::of(&stream);
             client.write_all(unread).expect("it is taken");
             assert!(!presence.left());
             if resets {
@@ -36,7 +36,7 @@
 async fn a_client_that_has_left_or_sent_more_is_not_quiet_though_nothing_was_polled() {
     for (unread, leaves) in [(&b""[..], true), (b"more", true), (b"more", false)] {
         let (mut client, stream) = pair().await;
-        let presence = Presence::of(&stream);
+        let presence = ClientLiveness::of(&stream);
         assert!(presence.quiet());
         client.write_all(unread).expect("it is taken");
         let _stays = (!leaves).then_some(client);
--- a/crates/sidecar/src/config.rs
+++ b/crates/sidecar/src/config.rs
@@ -1,9 +1,9 @@
 //! What the sidecar is told at its start: the file that `LB_CONFIG` names, and the variables beside it.
 
-use crate::endpoint_list::HostList;
+use crate::endpoint_list::ListMessage;
 use crate::io_failure::IoFailure;
-use crate::resource_limits::Limits;
-use crate::retry::at_start;
+use crate::resource_limits::ResourceLimits;
+use crate::retry::retry_at_startup;
 use crate::roster;
 use lotusmoor_balancer::settings::{self, Decoded};
 use serde::Deserialize;
@@ -33,7 +33,7 @@
     /// The address that reaches all of them.
     pub peers_all: Option<SocketAddr>,
     /// The endpoints as last known.
-    pub known: Option<HostList>,
+    pub known: Option<ListMessage>,
     /// A roster, which takes discovery's place.
     pub roster: Option<roster::Config>,
     /// The settings object.
@@ -48,24 +48,24 @@
     #[serde(default)]
     seed: String,
     #[serde(default)]
-    limits: LimitsPart,
+    limits: FileLimits,
     peer_listen: Option<SocketAddr>,
     #[serde(default)]
     peers: Vec<SocketAddr>,
     peers_all: Option<SocketAddr>,
-    known: Option<HostList>,
+    known: Option<ListMessage>,
     roster: Option<roster::Config>,
     settings: Box<RawValue>,
 }
 
 #[derive(Deserialize)]
 #[serde(default)]
-struct LimitsPart {
+struct FileLimits {
     sockets: usize,
     memory_mb: usize,
 }
 
-impl Default for LimitsPart {
+impl Default for FileLimits {
     fn default() -> Self {
         Self { sockets: 1024, memory_mb: 192 }
     }
@@ -104,7 +104,7 @@
     /// Reads the configuration; the text of a failure is one plain line.
     pub fn from_env() -> Result<Self, String> {
         let path = std::env::var_os("LB_CONFIG").ok_or("LB_CONFIG is not set")?;
-        let text = at_start(|| std::fs::read_to_string(&path))
+        let text = retry_at_startup(|| std::fs::read_to_string(&path))
             .map_err(|e| format!("cannot read LB_CONFIG {}: {e}", path.display()))?;
         let address = |name: &str| match std::env::var(name) {
             Ok(value) => {
@@ -127,7 +127,7 @@
             std::env::var_os("LB_CONFIG").ok_or_else(|| unusable("LB_CONFIG is not set".to_owned()))?;
         let text = std::fs::read_to_string(&path).map_err(|e| {
             let what = format!("cannot read LB_CONFIG {}: {e}", path.display());
-            if IoFailure::of_file(&e).passes() { ConfigError::Unreadable(what) } else { unusable(what) }
+            if IoFailure::of_file(&e).is_transient() { ConfigError::Unreadable(what) } else { unusable(what) }
         })?;
         let beside = |name: &str| std::env::var(name).ok().and_then(|value| value.parse().ok());
         let config = Self::read(&text, beside("LB_LISTEN"), None)
@@ -166,8 +166,8 @@
     }
 
     /// How descriptors and memory are shared out, over so many processes that are one sidecar together.
-    pub fn limits(&self, processes: usize) -> Limits {
-        Limits::of(self.sockets / processes, self.memory_mb / processes)
+    pub fn limits(&self, processes: usize) -> ResourceLimits {
+        ResourceLimits::new(self.sockets / processes, self.memory_mb / processes)
     }
 
     /// The longest that a client waits.
--- a/crates/sidecar/src/connection/tests.rs
+++ b/crates/sidecar/src/connection/tests.rs
@@ -1,12 +1,12 @@
 use super::*;
-use crate::send_gate::{GatedSend, RequestLife, SendPermit};
+use crate::send_gate::{GatedSend, RequestLifecycle, SendPermit};
 use bytes::Bytes;
 use std::time::Duration;
 
 /// Progress of a request without a body that may begin while that holds.
 fn gated(holds: impl Fn() -> bool + 'static) -> WriteProgress {
-    let life = RequestLife::new(b"1", None, false);
-    let permit = SendPermit { life, endpoint: Box::new(holds), until: None, write_by: None };
+    let lifecycle = RequestLifecycle::new(b"1", None, false);
+    let permit = SendPermit { lifecycle, endpoint: Box::new(holds), until: None, write_by: None };
     WriteProgress::of_send(Some(0), GatedSend::new(permit))
 }
 
--- a/crates/sidecar/src/connection_limiter.rs
+++ b/crates/sidecar/src/connection_limiter.rs
@@ -1,9 +1,8 @@
-//! Room for clients' connections: so many permits, and who makes way when more than half are taken.
+//! Limits the number of clients' connections, and evicts idle ones when more than half of the permits are taken.
 //!
-//! Half, and not all: clients may be held to fewer connections than there are permits, and with all of those kept
-//! idle by them, no further one comes to show that room is wanted. It also keeps permits free for a sudden crowd.
-//! A client that keeps more idle connections than half of the permits loses some that it would have used again,
-//! and has to connect anew.
+//! Half, and not all: clients may be limited to fewer connections than there are permits. Were all of theirs idle, no
+//! further one would come to show that a permit is wanted. It also keeps permits free for a sudden rush. A client that
+//! keeps more idle connections than half of the permits loses some and has to connect again.
 
 use std::cell::{Cell, RefCell};
 use std::collections::BTreeMap;
@@ -12,130 +11,140 @@
 use tokio::sync::Notify;
 use tokio::time::{Instant, timeout_at};
 
-/// Why a connection has no request open that could be answered. With many permits taken, it is closed after a while.
+/// A client sends its first request at once, so a new connection need not wait long for it.
+const NEW_GRACE: Duration = Duration::from_millis(50);
+/// The same for a connection between requests.
+const IDLE_GRACE: Duration = Duration::from_millis(100);
+/// The same for a connection whose request is being read.
+const READING_GRACE: Duration = Duration::from_millis(500);
+
+/// Why a connection has no request that could be answered.
 #[derive(Clone, Copy)]
-pub enum Waiting {
-    /// It was just made. A client's first request is as good as here then, so it need not wait long.
+pub enum WaitState {
+    /// It was just accepted.
     New,
-    /// It has carried requests, and its client keeps it for the next one.
+    /// It has carried requests, and waits for the next one.
     Used,
-    /// Its request has begun to come.
-    Reading,
+    /// Its request is being read.
+    ReadingRequest,
 }
 
-impl Waiting {
-    fn patience(self) -> Duration {
-        Duration::from_millis(match self {
-            Self::New => 50,
-            Self::Used => 100,
-            Self::Reading => 500,
-        })
+impl WaitState {
+    /// How long the connection is safe from eviction.
+    fn grace(self) -> Duration {
+        match self {
+            Self::New => NEW_GRACE,
+            Self::Used => IDLE_GRACE,
+            Self::ReadingRequest => READING_GRACE,
+        }
     }
 }
 
-/// The permits.
-pub struct Room {
+/// The permits for clients' connections.
+pub struct ConnectionLimiter {
     permits: usize,
     taken: Cell<usize>,
-    /// Those that were told to go and have not done so yet.
-    leaving: Cell<usize>,
-    /// Who waits, by the time from which on it may be told to go.
-    waiting: RefCell<BTreeMap<(Instant, u64), Rc<Notify>>>,
-    freed: Notify,
+    /// Connections that were asked to close and still hold their permits.
+    closing: Cell<usize>,
+    /// Connections that may be evicted, by the time from which on they may.
+    evictable: RefCell<BTreeMap<(Instant, u64), Rc<Notify>>>,
+    released: Notify,
     changed: Notify,
-    last: Cell<u64>,
+    last_number: Cell<u64>,
 }
 
-/// A place in the room, free again when dropped.
-pub struct Permit {
-    room: Rc<Room>,
+/// A permit for one connection, released when dropped.
+pub struct ConnectionPermit {
+    limiter: Rc<ConnectionLimiter>,
     number: u64,
 }
 
-/// A connection that has to make way if need be, for as long as this is held.
-pub struct Yielding<'a> {
-    permit: &'a Permit,
+/// Marks a connection as evictable for as long as it is held.
+pub struct EvictableConnection<'a> {
+    permit: &'a ConnectionPermit,
     from: Instant,
-    wanted: Rc<Notify>,
+    evict: Rc<Notify>,
 }
 
-impl Room {
-    /// With so many permits.
+impl ConnectionLimiter {
+    /// Creates a limiter with that number of permits.
     pub fn new(permits: usize) -> Rc<Self> {
         Rc::new(Self {
             permits,
             taken: Cell::new(0),
-            leaving: Cell::new(0),
-            waiting: RefCell::default(),
-            freed: Notify::new(),
+            closing: Cell::new(0),
+            evictable: RefCell::default(),
+            released: Notify::new(),
             changed: Notify::new(),
-            last: Cell::new(0),
+            last_number: Cell::new(0),
         })
     }
 
-    /// A permit, once there is one.
-    pub async fn permit(self: &Rc<Self>) -> Permit {
+    /// Waits for a permit.
+    pub async fn acquire(self: &Rc<Self>) -> ConnectionPermit {
         while self.taken.get() >= self.permits {
-            self.freed.notified().await;
+            self.released.notified().await;
         }
         self.taken.set(self.taken.get() + 1);
-        self.last.set(self.last.get() + 1);
+        self.last_number.set(self.last_number.get() + 1);
         self.changed.notify_one();
-        Permit { room: Rc::clone(self), number: self.last.get() }
+        ConnectionPermit { limiter: Rc::clone(self), number: self.last_number.get() }
     }
 
-    /// With more than half of the permits taken, tells those that have waited for too long to go, the longest over
-    /// their time first, and no more than there is need for. Runs for good.
-    pub async fn keep_free(self: Rc<Self>) {
+    /// While more than half of the permits are taken, evicts connections whose grace has ended, the longest over it
+    /// first, and no more than needed. Never returns.
+    pub async fn evict_when_crowded(self: Rc<Self>) {
         loop {
-            let crowded = self.taken.get() - self.leaving.get() > self.permits / 2;
-            let first = self.waiting.borrow().first_key_value().map(|((from, _), _)| *from);
+            let crowded = self.taken.get() - self.closing.get() > self.permits / 2;
+            let first = self.evictable.borrow().first_key_value().map(|((from, _), _)| *from);
             match first.filter(|_| crowded) {
-                Some(from) if from <= Instant::now() => {
-                    if let Some((_, told)) = self.waiting.borrow_mut().pop_first() {
-                        self.leaving.set(self.leaving.get() + 1);
-                        told.notify_one();
-                    }
-                }
+                Some(from) if from <= Instant::now() => self.evict_first(),
                 Some(from) => drop(timeout_at(from, self.changed.notified()).await),
                 None => self.changed.notified().await,
             }
         }
     }
+
+    fn evict_first(&self) {
+        if let Some((_, evict)) = self.evictable.borrow_mut().pop_first() {
+            self.closing.set(self.closing.get() + 1);
+            evict.notify_one();
+        }
+    }
 }
 
-impl Permit {
-    /// The connection waits from now on.
-    pub fn yielding(&self, why: Waiting) -> Yielding<'_> {
-        let from = Instant::now() + why.patience();
-        let wanted = Rc::new(Notify::new());
-        self.room.waiting.borrow_mut().insert((from, self.number), Rc::clone(&wanted));
-        self.room.changed.notify_one();
-        Yielding { permit: self, from, wanted }
+impl ConnectionPermit {
+    /// Marks the connection as evictable once the grace of its state has ended.
+    pub fn evictable(&self, state: WaitState) -> EvictableConnection<'_> {
+        let from = Instant::now() + state.grace();
+        let evict = Rc::new(Notify::new());
+        self.limiter.evictable.borrow_mut().insert((from, self.number), Rc::clone(&evict));
+        self.limiter.changed.notify_one();
+        EvictableConnection { permit: self, from, evict }
     }
 }
 
-impl Yielding<'_> {
-    /// Waits until another wants the permit.
-    pub async fn wanted(&self) {
-        self.wanted.notified().await;
+impl EvictableConnection<'_> {
+    /// Waits until the connection has to close.
+    pub async fn evicted(&self) {
+        self.evict.notified().await;
     }
 }
 
-impl Drop for Yielding<'_> {
+impl Drop for EvictableConnection<'_> {
     fn drop(&mut self) {
-        let room = &self.permit.room;
-        if room.waiting.borrow_mut().remove(&(self.from, self.permit.number)).is_none() {
-            // Told to go but with its request there at last, it stays: the next one has to be told.
-            room.leaving.set(room.leaving.get() - 1);
+        let limiter = &self.permit.limiter;
+        if limiter.evictable.borrow_mut().remove(&(self.from, self.permit.number)).is_none() {
+            // Evicted, but its request has come after all: it stays, and another has to be evicted in its place.
+            limiter.closing.set(limiter.closing.get() - 1);
         }
-        room.changed.notify_one();
+        limiter.changed.notify_one();
     }
 }
 
-impl Drop for Permit {
+impl Drop for ConnectionPermit {
     fn drop(&mut self) {
-        self.room.taken.set(self.room.taken.get() - 1);
-        self.room.freed.notify_one();
+        self.limiter.taken.set(self.limiter.taken.get() - 1);
+        self.limiter.released.notify_one();
     }
 }
--- a/crates/sidecar/src/endpoint_list.rs
+++ b/crates/sidecar/src/endpoint_list.rs
@@ -1,40 +1,41 @@
-//! The list of endpoints as it is written: by discovery, and in the configuration.
+//! The endpoint list as discovery sends it and the configuration names it. This is where the protocol's field names
+//! are mapped to the program's.
 
 use serde::Deserialize;
 use serde_json::value::RawValue;
 use std::net::SocketAddr;
 
-/// A list, or the changes to one.
+/// A list of endpoints, or the changes to one.
 #[derive(Debug, Default, Deserialize)]
-#[serde(from = "Written")]
-pub struct HostList {
+#[serde(from = "EncodedList")]
+pub struct ListMessage {
     /// Its version.
     pub index: u64,
-    /// The whole list rather than changes.
+    /// The complete list rather than changes.
     pub snapshot: bool,
-    /// Its entries, as far as they can be read.
-    pub endpoints: Vec<Host>,
-    /// What is wrong with the first of those that can't be.
+    /// The readable entries.
+    pub endpoints: Vec<ListedEndpoint>,
+    /// What is wrong with the first unreadable entry.
     pub unreadable: Option<String>,
 }
 
-/// The same as it is written.
+/// The same before its entries are decoded.
 #[derive(Deserialize)]
-struct Written {
+struct EncodedList {
     index: u64,
     #[serde(default)]
     snapshot: bool,
     endpoints: Vec<Box<RawValue>>,
 }
 
-impl From<Written> for HostList {
-    /// An entry that can't be read is left out. Given up for it, the whole list would come again and again, and
-    /// nothing that it says of others would be heard.
-    fn from(written: Written) -> Self {
-        let mut list = Self { index: written.index, snapshot: written.snapshot, ..Self::default() };
-        for entry in written.endpoints {
+impl From<EncodedList> for ListMessage {
+    /// Leaves out unreadable entries. Were the list refused for one, discovery would send it again and again, and
+    /// every change to the other entries would be lost.
+    fn from(encoded: EncodedList) -> Self {
+        let mut list = Self { index: encoded.index, snapshot: encoded.snapshot, ..Self::default() };
+        for entry in encoded.endpoints {
             match serde_json::from_str(entry.get()) {
-                Ok(host) => list.endpoints.push(host),
+                Ok(endpoint) => list.endpoints.push(endpoint),
                 Err(e) => drop(list.unreadable.get_or_insert_with(|| e.to_string())),
             }
         }
@@ -42,43 +43,45 @@
     }
 }
 
-/// An entry.
+/// One endpoint.
 #[derive(Debug, Deserialize)]
-pub struct Host {
-    /// The name, the same at every sidecar.
+pub struct ListedEndpoint {
+    /// Its name, the same at every sidecar.
     pub name: String,
     /// Where this sidecar reaches it.
     pub address: Option<SocketAddr>,
     /// Its zone.
     pub zone: Option<String>,
-    /// Its kind of machine.
+    /// Its type of machine.
     #[serde(rename = "type")]
-    pub kind: Option<String>,
+    pub machine_type: Option<String>,
     /// Its cell.
-    #[serde(default)]
-    pub group: u64,
-    /// Its state.
-    pub status: HostStatus,
-    /// Its size.
-    #[serde(default = "unit")]
+    #[serde(default, rename = "group")]
+    pub cell: u64,
+    /// Its status.
+    pub status: ListedStatus,
+    /// Its size relative to others.
+    #[serde(default = "default_weight")]
     pub weight: f64,
     /// Unix time in milliseconds of its last start; 0 is long ago.
-    #[serde(default)]
-    pub since_ms: i64,
+    #[serde(default, rename = "since_ms")]
+    pub started_ms: i64,
 }
 
-/// State of an entry.
+/// The status of an endpoint.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Deserialize)]
-#[serde(rename_all = "lowercase")]
-pub enum HostStatus {
+pub enum ListedStatus {
     /// Takes requests.
+    #[serde(rename = "active")]
     Active,
-    /// Finishes what it has.
-    Leaving,
-    /// Gone.
-    Left,
+    /// Finishes the requests it has.
+    #[serde(rename = "leaving")]
+    Draining,
+    /// No longer there.
+    #[serde(rename = "left")]
+    Removed,
 }
 
-fn unit() -> f64 {
+fn default_weight() -> f64 {
     1.0
 }
--- a/crates/sidecar/src/engine.rs
+++ b/crates/sidecar/src/engine.rs
@@ -1,277 +1,147 @@
-//! Owns the decision module: everything that happens on the sockets becomes an event for it, and its actions
-//! are carried out. Nothing is decided here.
+//! The engine owns the balancer. Everything that happens on the sockets becomes an event for it, and its actions are
+//! carried out; no decision is made here.
+
+mod attempts;
+mod clock;
+mod endpoint_table;
+mod handle;
+
+pub use handle::EngineHandle;
 
 use crate::config::Config;
-use crate::discovery::{self, Ask};
-use crate::endpoint_list::{HostList, HostStatus};
-use crate::exchange::{Answer, Ended, Input, Inputs, Outgoing};
-use crate::gossip::Peers;
-use crate::log::log_line;
-use crate::metrics::{Answered, Attempted};
-use crate::resource_limits::Limits;
+use crate::discovery::{self, DiscoveryCommand};
+use crate::endpoint_list::ListMessage;
+use crate::exchange::{Answer, Input, Inputs};
+use crate::gossip::GossipSocket;
+use crate::log::{ThrottledLog, log_line};
+use crate::resource_limits::ResourceLimits;
 use crate::roster::{self, Standing};
-use crate::start_times::StartTimes;
-use crate::upstream::{Grant, Upstream};
-use lotusmoor_balancer::settings::Names;
+use crate::upstream::Upstream;
+use attempts::{AttemptKey, InFlightAttempt, OpenRequest, SendDecision};
+use clock::Clock;
+use endpoint_table::EndpointTable;
 use lotusmoor_balancer::{
-    Action, AttemptEnd, AttemptNumber, Balancer, DiscoveryMode, EndpointEntry, EndpointListUpdate,
-    EndpointStatus, Event, LoadReport, Micros, NewRequest, Outcome, RequestId,
+    Action, Balancer, DiscoveryMode, EndpointEntry, EndpointListUpdate, Event, Micros, RequestId,
+    SettingsError,
 };
-use std::cell::Cell;
 use std::cmp::Reverse;
 use std::collections::{BTreeSet, BinaryHeap, HashMap, HashSet, VecDeque};
-use std::net::SocketAddr;
+use std::future::pending;
 use std::rc::Rc;
 use std::sync::Arc;
-use std::time::{Duration, SystemTime, UNIX_EPOCH};
-use tokio::sync::{Semaphore, mpsc, oneshot};
-use tokio::task::{AbortHandle, spawn_local};
-use tokio::time::{Instant, sleep_until};
-
-/// Datagrams that may wait to be looked at; further ones are dropped, as the network may drop any.
-const MOST_DATAGRAMS: usize = 64;
-/// Log lines about bad input from outside: one in this time.
-const COMPLAINT_SPACING: Duration = Duration::from_secs(5);
-
-/// The module's clock: Unix time as it was at the start, and from there on the monotonic clock, so that setting
-/// the system's clock moves nothing. Nothing from outside is compared with it: see `start_times`.
-#[derive(Clone, Copy)]
-pub struct Clock {
-    start: Instant,
-    start_us: Micros,
-}
-
-impl Clock {
-    fn new() -> Self {
-        let unix = SystemTime::now().duration_since(UNIX_EPOCH).unwrap_or_default();
-        Self { start: Instant::now(), start_us: Micros::try_from(unix.as_micros()).unwrap_or(0) }
-    }
-
-    /// Now, on the module's clock.
-    pub fn now(&self) -> Micros {
-        self.time_of(Instant::now())
-    }
-
-    /// Also of an instant before the start: what a socket that was passed on holds came earlier.
-    fn time_of(&self, instant: Instant) -> Micros {
-        let micros = |span: Duration| Micros::try_from(span.as_micros()).unwrap_or(Micros::MAX);
-        match instant.checked_duration_since(self.start) {
-            Some(since) => self.start_us.saturating_add(micros(since)),
-            None => self.start_us.saturating_sub(micros(self.start.duration_since(instant))),
-        }
-    }
-
-    fn instant(&self, at: Micros) -> Instant {
-        let span = Duration::from_micros(at.abs_diff(self.start_us));
-        let instant =
-            if at >= self.start_us { self.start.checked_add(span) } else { self.start.checked_sub(span) };
-        instant.unwrap_or(self.start)
-    }
-}
-
-/// The engine as the application's side sees it.
-#[derive(Clone)]
-pub struct Handle {
-    inputs: Inputs,
-    clock: Clock,
-    last_id: Rc<Cell<RequestId>>,
-    asks: mpsc::UnboundedSender<Ask>,
-}
-
-impl Handle {
-    /// The time of an instant on the module's clock.
-    pub fn time_of(&self, instant: Instant) -> Micros {
-        self.clock.time_of(instant)
-    }
-
-    /// The instant of a time on the module's clock.
-    pub fn instant(&self, at: Micros) -> Instant {
-        self.clock.instant(at)
-    }
-
-    /// Discovery is at another address from now on.
-    pub fn move_discovery(&self, to: SocketAddr) {
-        // The task that is asked ends only with the process.
-        let _ = self.asks.send(Ask::Move(to));
-    }
+use std::time::Duration;
+use tokio::sync::{Semaphore, mpsc};
+use tokio::task::spawn_local;
+use tokio::time::sleep_until;
 
-    /// Takes these endpoints out, and no others. Returns once that holds.
-    pub async fn cordon(&self, names: BTreeSet<String>) {
-        let (done, holds) = oneshot::channel();
-        self.inputs.send(Input::Cordons(names, done));
-        let _ = holds.await;
-    }
-
-    /// Whether an endpoint of that name is known.
-    pub async fn knows(&self, name: &str) -> bool {
-        let (answer, known) = oneshot::channel();
-        self.inputs.send(Input::Known(name.to_owned(), answer));
-        known.await.unwrap_or(false)
-    }
-
-    /// Hands over a request, which gets a new id.
-    pub fn submit(&self, request: NewRequest, outgoing: Outgoing) -> Owed {
-        let id = self.last_id.get() + 1;
-        self.last_id.set(id);
-        let (sender, answer) = oneshot::channel();
-        let outgoing = Rc::new(outgoing);
-        self.inputs.send(Input::Request(NewRequest { id, ..request }, Rc::clone(&outgoing), sender));
-        Owed { id, outgoing, answer, answered: false, inputs: self.inputs.clone() }
-    }
-}
-
-/// An answer that a client is owed. Dropped before it has come, it withdraws the request.
-pub struct Owed {
-    id: RequestId,
-    outgoing: Rc<Outgoing>,
-    answer: oneshot::Receiver<Answer>,
-    answered: bool,
-    inputs: Inputs,
-}
+/// Datagrams that may wait to be handled; further ones are dropped, as the network may drop any.
+const MAX_QUEUED_DATAGRAMS: usize = 64;
+/// Least time between two log lines about bad input from outside.
+const BAD_INPUT_LOG_SPACING: Duration = Duration::from_secs(5);
 
-impl Owed {
-    /// The last byte of the request has come; it is due then.
-    pub fn received(&self, due: Micros) {
-        self.inputs.send(Input::Received(self.id, due));
-    }
-
-    /// Waits for the answer.
-    pub async fn answer(&mut self) -> Answer {
-        let answer = (&mut self.answer).await;
-        self.answered = true;
-        answer.unwrap_or(Answer::Failed)
-    }
-}
-
-impl Drop for Owed {
-    fn drop(&mut self) {
-        if !self.answered {
-            // At once: the engine may have much to do before it comes to this, and attempts to be written.
-            self.outgoing.life.settle();
-            self.inputs.send(Input::Withdrawn(self.id));
-        }
-    }
-}
-
-/// A request without its final answer.
-struct Held {
-    reply: oneshot::Sender<Answer>,
-    outgoing: Rc<Outgoing>,
-    attempts: AttemptNumber,
-}
-
-/// An attempt that is out; the module is owed one event on its end.
-struct Out {
-    endpoint: usize,
-    sent: Micros,
-    task: AbortHandle,
-}
-
-/// The module and all that it has under way.
+/// The balancer, and all that it has in flight.
 pub struct Engine {
     balancer: Balancer,
     clock: Clock,
     inputs: mpsc::UnboundedReceiver<Input>,
     sender: Inputs,
-    held: HashMap<RequestId, Held>,
-    out: HashMap<(RequestId, AttemptNumber), Out>,
-    endpoints: Names,
-    /// Names of endpoints that operators have taken out, known now or not.
-    cordoned: BTreeSet<String>,
-    /// Endpoints that are gone and still have their numbers.
-    gone: HashSet<usize>,
-    zones: Names,
-    kinds: Names,
-    /// When servers started.
-    start_times: StartTimes,
+    requests: HashMap<RequestId, OpenRequest>,
+    attempts: HashMap<AttemptKey, InFlightAttempt>,
+    endpoints: EndpointTable,
     upstream: Rc<Upstream>,
-    asks: mpsc::UnboundedSender<Ask>,
-    peers: Option<Peers>,
+    discovery: mpsc::UnboundedSender<DiscoveryCommand>,
+    gossip: Option<GossipSocket>,
+    /// The balancer's timers: when they fire, and their tokens.
     timers: BinaryHeap<Reverse<(Micros, u64)>>,
     /// Events that follow from actions.
     events: VecDeque<Event>,
-    complained: Option<Instant>,
+    bad_input_log: ThrottledLog,
+}
+
+/// An engine that is ready to run, and what others need of it.
+pub struct NewEngine {
+    /// The engine.
+    pub engine: Engine,
+    /// How the others reach it.
+    pub handle: EngineHandle,
+    /// The status of the registry's list, where a registry is configured.
+    pub list_status: Option<Standing>,
 }
 
 impl Engine {
-    /// Starts the module with the list as last known, and the tasks that serve it.
-    pub fn new(
+    /// Starts the balancer with the cached list of the configuration, and the tasks that feed it.
+    pub fn start(
         config: Config,
-        most: Limits,
-        peers: Option<Peers>,
+        limits: ResourceLimits,
+        gossip: Option<GossipSocket>,
         cordoned: BTreeSet<String>,
-    ) -> Result<(Self, Handle, Option<Standing>), String> {
+    ) -> Result<NewEngine, SettingsError> {
         let decoded = config.decoded;
-        let limits = &decoded.settings.limits;
         let pushed = decoded.settings.discovery == DiscoveryMode::Pushed;
-        let upstream = Rc::new(Upstream::new(most, limits.connect_timeout, decoded.idle_close));
-        let balancer = Balancer::new(decoded.settings, config.seed).map_err(|e| e.to_string())?;
+        let connect_timeout = decoded.settings.limits.connect_timeout;
+        let upstream = Rc::new(Upstream::new(limits, connect_timeout, decoded.idle_close));
+        let balancer = Balancer::new(decoded.settings, config.seed)?;
         let (sender, inputs) = Inputs::new();
-        let (asks, asked) = mpsc::unbounded_channel();
+        let (discovery, commands) = mpsc::unbounded_channel();
         let clock = Clock::new();
         let mut engine = Self {
             balancer,
             clock,
             inputs,
             sender: sender.clone(),
-            held: HashMap::new(),
-            out: HashMap::new(),
-            endpoints: Names::default(),
-            cordoned,
-            gone: HashSet::new(),
-            zones: decoded.zones,
-            kinds: Names::default(),
-            start_times: StartTimes::default(),
+            requests: HashMap::new(),
+            attempts: HashMap::new(),
+            endpoints: EndpointTable::new(decoded.zones, cordoned, Rc::clone(&upstream)),
             upstream: Rc::clone(&upstream),
-            asks,
-            peers: peers.clone(),
+            discovery: discovery.clone(),
+            gossip: gossip.clone(),
             timers: BinaryHeap::new(),
             events: VecDeque::new(),
-            complained: None,
+            bad_input_log: ThrottledLog::new(BAD_INPUT_LOG_SPACING),
         };
         spawn_local(upstream.retire_idle());
-        let known = config.known.as_ref().map(|list| list.index);
-        let standing = match config.roster {
+        let known_index = config.known.as_ref().map(|list| list.index);
+        let list_status = match config.roster {
             None => {
-                spawn_local(discovery::run(config.discovery, pushed, known, asked, sender.clone()));
+                let watch = discovery::Watch { address: config.discovery, pushed, known_index };
+                spawn_local(discovery::run(watch, commands, sender.clone()));
                 None
             }
-            // It brings changes unasked, whatever the settings say of discovery.
-            Some(roster) => {
-                let (riding, standing) = roster::new(roster, config.seed, sender.clone());
-                spawn_local(riding.run());
-                Some(standing)
+            // A registry pushes changes, whatever the settings say of discovery.
+            Some(registry) => {
+                let (watcher, status) = roster::new(registry, config.seed, sender.clone());
+                spawn_local(watcher.run());
+                Some(status)
             }
         };
-        if let Some(peers) = peers {
-            spawn_local(hear(peers, sender.clone()));
+        if let Some(gossip) = gossip {
+            spawn_local(receive_gossip(gossip, sender.clone()));
         }
-        let known = config.known.unwrap_or(HostList { snapshot: true, ..HostList::default() });
-        let listings = engine.apply(known, true);
-        engine.deliver(Event::EndpointList(EndpointListUpdate::Cached(listings)));
-        let asks = engine.asks.clone();
-        Ok((engine, Handle { inputs: sender, clock, last_id: Rc::default(), asks }, standing))
+        let known = config.known.unwrap_or(ListMessage { snapshot: true, ..ListMessage::default() });
+        let entries = engine.apply_list(known, true);
+        engine.deliver(Event::EndpointList(EndpointListUpdate::Cached(entries)));
+        Ok(NewEngine { engine, handle: EngineHandle::new(sender, clock, discovery), list_status })
     }
 
-    /// Runs for good.
+    /// Handles inputs and timers. Never returns while its handles exist.
     pub async fn run(mut self) {
         loop {
             let next = self.timers.peek().map(|Reverse((at, _))| self.clock.instant(*at));
             let timer = async {
                 match next {
                     Some(at) => sleep_until(at).await,
-                    None => std::future::pending().await,
+                    None => pending().await,
                 }
             };
             tokio::select! {
                 biased;
                 input = self.inputs.recv() => match input {
-                    Some(input) => self.take(input),
+                    Some(input) => self.handle_input(input),
                     None => return,
                 },
                 () = timer => {}
             }
-            // Also after inputs, so that a stream of them can't hold up the timers.
+            // Also after inputs, so that a stream of them can't delay the timers.
             self.fire_timers();
         }
     }
@@ -286,289 +156,128 @@
         }
     }
 
-    fn take(&mut self, input: Input) {
+    fn handle_input(&mut self, input: Input) {
         match input {
             Input::Request(request, outgoing, reply) => {
-                self.held.insert(request.id, Held { reply, outgoing, attempts: 0 });
+                self.requests.insert(request.id, OpenRequest { reply, outgoing, attempts: 0 });
                 self.deliver(Event::RequestReceived(request));
             }
-            Input::Withdrawn(id) => {
-                // It may cross with the answer.
-                if let Some(held) = self.held.remove(&id) {
-                    held.outgoing.life.settle();
-                    self.deliver(Event::RequestAbandoned(id));
-                }
+            Input::Abandoned(id) => self.abandon(id),
+            Input::BodyReceived(id, deadline) => self.body_received(id, deadline),
+            Input::AttemptEnded(result) => self.attempt_ended(result),
+            Input::HealthCheckEnded(endpoint, outcome, duration, load_report) => {
+                self.deliver(Event::HealthCheckEnded { endpoint, outcome, duration, load_report });
             }
-            Input::Received(request, due) => {
-                // Until now its endpoint has waited for its client.
-                let now = self.clock.now();
-                self.out.iter_mut().filter(|(key, _)| key.0 == request).for_each(|(_, out)| out.sent = now);
-                self.deliver(Event::BodyReceived { request, deadline: due });
-            }
-            Input::Ended(ended) => self.ended(ended),
-            Input::Probed(endpoint, outcome, took, load) => {
-                self.deliver(Event::HealthCheckEnded {
-                    endpoint,
-                    outcome,
-                    duration: took,
-                    load_report: load,
-                });
-            }
-            Input::Hosts(list) => {
-                let full = list.snapshot;
-                let listings = self.apply(list, full);
-                self.start_times.told(self.clock.now());
-                let update = if full {
-                    EndpointListUpdate::Full(listings)
-                } else {
-                    EndpointListUpdate::Delta(listings)
-                };
-                self.deliver(Event::EndpointList(update));
-                self.release_gone();
-            }
-            Input::HostsFailed(what) => {
-                self.complain(&format!("discovery: {what}"));
+            Input::ListReceived(list) => self.list_received(list),
+            Input::ListFailed(error) => {
+                self.bad_input_log.line(format_args!("discovery: {error}"));
                 self.deliver(Event::EndpointList(EndpointListUpdate::Failed));
             }
-            Input::Cordons(names, done) => {
-                self.cordon(names);
-                // Whoever asked may have given up waiting.
+            Input::SetCordoned(names, done) => {
+                self.set_cordoned(names);
+                // The caller may have given up waiting.
                 let _ = done.send(());
             }
-            Input::Known(name, answer) => drop(answer.send(self.endpoints.find(&name).is_some())),
-            Input::Peer(from, bytes, _permit) => self.deliver(Event::PeerMessage { from, bytes }),
+            Input::IsKnown(name, answer) => drop(answer.send(self.endpoints.is_known(&name))),
+            Input::Datagram(from, bytes, _permit) => self.deliver(Event::PeerMessage { from, bytes }),
         }
     }
 
-    fn complain(&mut self, what: &str) {
-        if self.complained.is_none_or(|last| last.elapsed() >= COMPLAINT_SPACING) {
-            self.complained = Some(Instant::now());
-            log_line!("{what}");
-        }
+    fn list_received(&mut self, list: ListMessage) {
+        let full = list.snapshot;
+        let entries = self.apply_list(list, full);
+        self.endpoints.list_applied(self.clock.now());
+        let update =
+            if full { EndpointListUpdate::Full(entries) } else { EndpointListUpdate::Delta(entries) };
+        self.deliver(Event::EndpointList(update));
+        self.release_removed();
     }
 
-    /// Takes endpoints out and gives others back. One that is not known now is met when a list names it.
-    fn cordon(&mut self, names: BTreeSet<String>) {
-        let before = std::mem::replace(&mut self.cordoned, names);
-        for name in before.symmetric_difference(&self.cordoned.clone()) {
-            if let Some(id) = self.endpoints.find(name) {
-                let out = self.cordoned.contains(name);
-                self.upstream.endpoint(id).cordon(out);
-                self.deliver(if out { Event::Cordoned(id) } else { Event::Uncordoned(id) });
-            }
+    /// Applies a list to the connections, before the balancer can send anything more.
+    fn apply_list(&mut self, list: ListMessage, full: bool) -> Vec<EndpointEntry> {
+        if let Some(what) = &list.unreadable {
+            self.bad_input_log.line(format_args!("discovery: entry left out: {what}"));
         }
+        let applied = self.endpoints.apply(self.clock.now(), list, full);
+        self.events.extend(applied.events_before);
+        applied.entries
     }
 
-    /// Brings the sockets' view of the endpoints up to date, before the module can send anything more.
-    fn apply(&mut self, list: HostList, full: bool) -> Vec<EndpointEntry> {
-        if let Some(what) = list.unreadable {
-            self.complain(&format!("discovery: entry left out: {what}"));
-        }
-        let now = self.clock.now();
-        self.start_times.observe(now, list.endpoints.iter().map(|host| host.since_ms));
-        let mut listings = Vec::with_capacity(list.endpoints.len());
-        for host in list.endpoints {
-            // One that is gone and not known needs no number.
-            if host.status == HostStatus::Left && self.endpoints.find(&host.name).is_none() {
-                continue;
-            }
-            let id = self.endpoints.id(&host.name);
-            let status = match (host.status, host.address) {
-                (HostStatus::Active, Some(_)) => EndpointStatus::Ready,
-                // One that can't be reached takes nothing.
-                (HostStatus::Active, None) | (HostStatus::Leaving, _) => EndpointStatus::Draining,
-                (HostStatus::Left, _) => EndpointStatus::Removed,
-            };
-            let endpoint = self.upstream.endpoint(id);
-            // Ahead of the list, as the number may be new.
-            if self.cordoned.contains(&host.name) {
-                endpoint.cordon(true);
-                self.events.push_back(Event::Cordoned(id));
-            }
-            endpoint.set(host.address, status == EndpointStatus::Ready, host.since_ms);
-            listings.push(EndpointEntry {
-                endpoint: id,
-                zone: host.zone.map(|zone| self.zones.id(&zone)),
-                cell: host.group,
-                machine_type: host.kind.map(|kind| self.kinds.id(&kind)),
-                status,
-                size: host.weight,
-                started_at: self.start_times.started(now, id, host.since_ms),
-            });
-        }
-        if full {
-            let listed: HashSet<usize> = listings.iter().map(|l| l.endpoint).collect();
-            self.upstream.keep_only(&listed);
-            self.gone.extend(self.endpoints.used().filter(|id| !listed.contains(id)));
-        }
-        for l in &listings {
-            if l.status == EndpointStatus::Removed {
-                self.gone.insert(l.endpoint);
-            } else {
-                self.gone.remove(&l.endpoint);
-            }
-        }
-        listings
-    }
-
-    /// Gives up the numbers of endpoints that are gone: a fleet that replaces its machines has ever new names.
-    /// One with attempts out keeps its number for now, or their outcomes would be told of the next to have it.
-    fn release_gone(&mut self) {
-        let busy: HashSet<usize> = self.out.values().map(|out| out.endpoint).collect();
-        let free: Vec<usize> = self.gone.extract_if(|id| !busy.contains(id)).collect();
-        for id in free {
-            self.start_times.forget(id);
+    fn release_removed(&mut self) {
+        let busy: HashSet<usize> = self.attempts.values().map(|attempt| attempt.endpoint).collect();
+        for id in self.endpoints.take_releasable(&busy) {
             self.endpoints.release(id);
-            self.upstream.forget(id);
             self.deliver(Event::EndpointReleased(id));
         }
     }
 
-    /// An attempt ended by itself. One that was called back has ended already, whatever it still brings.
-    fn ended(&mut self, ended: Ended) {
-        let Ended { request, attempt, outcome, answer, load } = ended;
-        let Some(out) = self.out.remove(&(request, attempt)) else { return };
-        if let Some(answer) = answer {
-            self.answer(request, answer);
-        }
-        self.deliver_end((request, attempt), &out, outcome, load);
-    }
-
-    fn deliver_end(
-        &mut self,
-        key: (RequestId, AttemptNumber),
-        out: &Out,
-        outcome: Outcome,
-        load: LoadReport,
-    ) {
-        let end = self.end(key, out, outcome, load);
-        self.deliver(end);
-    }
-
-    fn end(&self, key: (RequestId, AttemptNumber), out: &Out, outcome: Outcome, load: LoadReport) -> Event {
-        let (request, attempt) = key;
-        let counted = Attempted::of(outcome);
-        counted.count();
-        if let Some(held) = self.held.get(&request) {
-            let (how, to) = (counted.name(), self.endpoints.name(out.endpoint));
-            held.outgoing.life.trace(format_args!("attempt {attempt} at {to}: {how}"));
-        }
-        let took = self.clock.now() - out.sent;
-        let held = self.held.get(&request);
-        let (settled, spent) = (held.is_none(), held.is_some_and(|held| held.outgoing.spent()));
-        Event::AttemptEnded(AttemptEnd {
-            request,
-            attempt,
-            endpoint: out.endpoint,
-            outcome,
-            duration: took,
-            request_completed: settled,
-            body_consumed: spent,
-            load_report: load,
-        })
-    }
-
-    /// The only place where a request gets its final answer; a second one finds nothing to answer.
-    fn answer(&mut self, id: RequestId, answer: Answer) {
-        if let Some(held) = self.held.remove(&id) {
-            held.outgoing.life.settle();
-            let how = match &answer {
-                Answer::Served(_) => Answered::Served,
-                Answer::Refused(_) => Answered::Refused,
-                Answer::Barred(_) => Answered::Barred,
-                Answer::Failed => Answered::Failed,
-            };
-            how.count();
-            held.outgoing.life.trace(format_args!("{} after {} attempts", how.name(), held.attempts));
-            // A client that has just left needs none.
-            let _ = held.reply.send(answer);
+    /// Cordons these endpoints and no others.
+    fn set_cordoned(&mut self, names: BTreeSet<String>) {
+        for change in self.endpoints.set_cordoned(names) {
+            let endpoint = change.endpoint;
+            self.upstream.endpoint(endpoint).cordon(change.cordoned);
+            self.deliver(if change.cordoned {
+                Event::Cordoned(endpoint)
+            } else {
+                Event::Uncordoned(endpoint)
+            });
         }
     }
 
-    /// Tells the module of an event and of those that its actions bring about.
+    /// Delivers an event to the balancer, and those that follow from its actions.
     fn deliver(&mut self, event: Event) {
         self.events.push_back(event);
         let mut actions = Vec::new();
         while let Some(event) = self.events.pop_front() {
             self.balancer.handle(self.clock.now(), event, &mut actions);
             for action in actions.drain(..) {
-                self.act(action);
+                self.perform(action);
             }
         }
     }
 
-    fn act(&mut self, action: Action) {
+    fn perform(&mut self, action: Action) {
         match action {
-            Action::Send { request, endpoint, timeout, idempotency_window: window } => {
-                self.send(request, endpoint, timeout, window);
+            Action::Send { request, endpoint, timeout, idempotency_window } => {
+                self.send(SendDecision { request, endpoint, timeout, idempotency_window });
             }
-            Action::Reject { request, retry_after } => self.answer(request, Answer::Refused(retry_after)),
+            Action::Reject { request, retry_after } => self.answer(request, Answer::Shed(retry_after)),
             Action::Fail(request) => self.answer(request, Answer::Failed),
-            Action::Cancel { request, attempt } => {
-                if let Some(out) = self.out.remove(&(request, attempt)) {
-                    out.task.abort();
-                    let end = self.end((request, attempt), &out, Outcome::Cancelled, LoadReport::default());
-                    self.events.push_back(end);
-                }
-            }
+            Action::Cancel { request, attempt } => self.cancel((request, attempt)),
             Action::HealthCheck(endpoint) => {
                 let (upstream, inputs) = (Rc::clone(&self.upstream), self.sender.clone());
-                spawn_local(upstream.probe(endpoint, inputs));
+                spawn_local(upstream.health_check(endpoint, inputs));
             }
             Action::SetTimer { after, token } => {
                 self.timers.push(Reverse((self.clock.now().saturating_add(after), token)));
             }
             Action::Subscribe(on) => {
-                let _ = self.asks.send(if on { Ask::Watch } else { Ask::StopWatch });
-            }
-            Action::FetchEndpointList => {
-                let _ = self.asks.send(Ask::Fetch);
+                self.command_discovery(if on { DiscoveryCommand::Watch } else { DiscoveryCommand::StopWatch })
             }
+            Action::FetchEndpointList => self.command_discovery(DiscoveryCommand::Fetch),
             Action::CloseIdleConnections(endpoint) => self.upstream.endpoint(endpoint).close_idle(),
             Action::SendPeerMessage { to, bytes } => {
-                if let Some(peers) = &self.peers {
-                    peers.tell(to, &bytes);
+                if let Some(gossip) = &self.gossip {
+                    gossip.send(to, &bytes);
                 }
             }
             Action::Log(text) => log_line!("{text}"),
         }
     }
 
-    fn send(&mut self, request: RequestId, endpoint: usize, timeout: Micros, window: Option<Micros>) {
-        // The module holds no request that is not held here: both learn of every end in the same turn.
-        let Some(held) = self.held.get_mut(&request) else { return };
-        let attempt = held.attempts;
-        held.attempts += 1;
-        // From now on: what changes before it is written ends the permission.
-        let (now, to) = (Instant::now(), self.upstream.endpoint(endpoint));
-        let until = now + duration(timeout);
-        let grant = Grant {
-            permission: to.permission(),
-            to,
-            until,
-            write_by: window.map(|left| now + duration(left)),
-        };
-        let attempting = Rc::clone(&self.upstream).attempt(
-            (request, attempt),
-            grant,
-            Rc::clone(&held.outgoing),
-            self.sender.clone(),
-        );
-        let task = spawn_local(attempting).abort_handle();
-        self.out.insert((request, attempt), Out { endpoint, sent: self.clock.now(), task });
+    fn command_discovery(&self, command: DiscoveryCommand) {
+        // With a registry in discovery's place nobody receives it.
+        let _ = self.discovery.send(command);
     }
 }
 
-fn duration(time: Micros) -> Duration {
-    Duration::from_micros(time.max(0).unsigned_abs())
-}
-
-async fn hear(peers: Peers, inputs: Inputs) {
-    let room = Arc::new(Semaphore::new(MOST_DATAGRAMS));
+/// Passes datagrams of peers to the engine. Never returns.
+async fn receive_gossip(gossip: GossipSocket, inputs: Inputs) {
+    let queue = Arc::new(Semaphore::new(MAX_QUEUED_DATAGRAMS));
     loop {
-        let (from, bytes) = peers.hear().await;
-        if let Ok(permit) = Arc::clone(&room).try_acquire_owned() {
-            inputs.send(Input::Peer(from, bytes, permit));
+        let (from, bytes) = gossip.receive().await;
+        if let Ok(permit) = Arc::clone(&queue).try_acquire_owned() {
+            inputs.send(Input::Datagram(from, bytes, permit));
         }
     }
 }
--- /dev/null
+++ b/crates/sidecar/src/engine/endpoint_table.rs
@@ -0,0 +1,151 @@
+//! The endpoints by number: what lists and operators say of them, translated for the balancer and the connections.
+
+use crate::endpoint_list::{ListMessage, ListedEndpoint, ListedStatus};
+use crate::start_times::StartTimes;
+use crate::upstream::Upstream;
+use lotusmoor_balancer::settings::Names;
+use lotusmoor_balancer::{EndpointEntry, EndpointStatus, Event, Micros};
+use std::collections::{BTreeSet, HashSet};
+use std::rc::Rc;
+
+/// The endpoints, with the numbers that stand for their names.
+pub(super) struct EndpointTable {
+    names: Names,
+    /// Names of cordoned endpoints, listed or not.
+    cordoned: BTreeSet<String>,
+    /// Removed endpoints that still have their numbers.
+    removed: HashSet<usize>,
+    zones: Names,
+    machine_types: Names,
+    start_times: StartTimes,
+    upstream: Rc<Upstream>,
+}
+
+/// A list as the balancer receives it.
+pub(super) struct AppliedList {
+    /// Its entries.
+    pub(super) entries: Vec<EndpointEntry>,
+    /// What the balancer has to handle before them.
+    pub(super) events_before: Vec<Event>,
+}
+
+/// An endpoint that operators cordoned or uncordoned.
+pub(super) struct CordonChange {
+    /// Its number.
+    pub(super) endpoint: usize,
+    /// Whether it is cordoned now.
+    pub(super) cordoned: bool,
+}
+
+impl EndpointTable {
+    /// An empty table; `zones` have the numbers that the settings use.
+    pub(super) fn new(zones: Names, cordoned: BTreeSet<String>, upstream: Rc<Upstream>) -> Self {
+        Self {
+            names: Names::default(),
+            cordoned,
+            removed: HashSet::new(),
+            zones,
+            machine_types: Names::default(),
+            start_times: StartTimes::default(),
+            upstream,
+        }
+    }
+
+    /// Whether an endpoint of that name has a number.
+    pub(super) fn is_known(&self, name: &str) -> bool {
+        self.names.find(name).is_some()
+    }
+
+    /// The name of an endpoint.
+    pub(super) fn name(&self, id: usize) -> &str {
+        self.names.name(id)
+    }
+
+    /// Applies a list to the connections, before the balancer can send anything more.
+    pub(super) fn apply(&mut self, now: Micros, list: ListMessage, full: bool) -> AppliedList {
+        self.start_times.observe(now, list.endpoints.iter().map(|endpoint| endpoint.started_ms));
+        let mut applied =
+            AppliedList { entries: Vec::with_capacity(list.endpoints.len()), events_before: Vec::new() };
+        for endpoint in list.endpoints {
+            self.apply_endpoint(now, endpoint, &mut applied);
+        }
+        if full {
+            self.remove_unlisted(&applied.entries);
+        }
+        for entry in &applied.entries {
+            if entry.status == EndpointStatus::Removed {
+                self.removed.insert(entry.endpoint);
+            } else {
+                self.removed.remove(&entry.endpoint);
+            }
+        }
+        applied
+    }
+
+    fn apply_endpoint(&mut self, now: Micros, listed: ListedEndpoint, applied: &mut AppliedList) {
+        // A removed endpoint that is not known needs no number.
+        if listed.status == ListedStatus::Removed && !self.is_known(&listed.name) {
+            return;
+        }
+        let id = self.names.id(&listed.name);
+        let status = match (listed.status, listed.address) {
+            (ListedStatus::Active, Some(_)) => EndpointStatus::Ready,
+            // An endpoint without an address can't be reached.
+            (ListedStatus::Active, None) | (ListedStatus::Draining, _) => EndpointStatus::Draining,
+            (ListedStatus::Removed, _) => EndpointStatus::Removed,
+        };
+        let endpoint = self.upstream.endpoint(id);
+        // The number may be new to the balancer, so it has to know before the list.
+        if self.cordoned.contains(&listed.name) {
+            endpoint.cordon(true);
+            applied.events_before.push(Event::Cordoned(id));
+        }
+        endpoint.set(listed.address, status == EndpointStatus::Ready, listed.started_ms);
+        applied.entries.push(EndpointEntry {
+            endpoint: id,
+            zone: listed.zone.map(|zone| self.zones.id(&zone)),
+            cell: listed.cell,
+            machine_type: listed.machine_type.map(|name| self.machine_types.id(&name)),
+            status,
+            size: listed.weight,
+            started_at: self.start_times.started(now, id, listed.started_ms),
+        });
+    }
+
+    fn remove_unlisted(&mut self, entries: &[EndpointEntry]) {
+        let listed: HashSet<usize> = entries.iter().map(|entry| entry.endpoint).collect();
+        self.upstream.keep_only(&listed);
+        self.removed.extend(self.names.used().filter(|id| !listed.contains(id)));
+    }
+
+    /// Records that a list from discovery has been applied.
+    pub(super) fn list_applied(&mut self, now: Micros) {
+        self.start_times.list_applied(now);
+    }
+
+    /// Removed endpoints whose numbers can be released: a fleet that replaces its machines has ever new names. Endpoints
+    /// with attempts in flight keep theirs for now, or the next endpoint of that number would be blamed for these.
+    pub(super) fn take_releasable(&mut self, busy: &HashSet<usize>) -> Vec<usize> {
+        self.removed.extract_if(|id| !busy.contains(id)).collect()
+    }
+
+    /// Releases the number of a removed endpoint.
+    pub(super) fn release(&mut self, id: usize) {
+        self.start_times.forget(id);
+        self.names.release(id);
+        self.upstream.forget(id);
+    }
+
+    /// Replaces the set of cordoned names; returns the known endpoints for which that is a change. An unlisted one is
+    /// cordoned once a list names it.
+    pub(super) fn set_cordoned(&mut self, names: BTreeSet<String>) -> Vec<CordonChange> {
+        let before = std::mem::replace(&mut self.cordoned, names);
+        let changed = before.symmetric_difference(&self.cordoned);
+        changed
+            .filter_map(|name| {
+                let endpoint = self.names.find(name)?;
+                Some(CordonChange { endpoint, cordoned: self.cordoned.contains(name) })
+            })
+            .collect()
+    }
+}
--- /dev/null
+++ b/crates/sidecar/src/engine/handle.rs
@@ -0,0 +1,105 @@
+//! The engine as the connections of clients and operators see it.
+
+use super::clock::Clock;
+use crate::discovery::DiscoveryCommand;
+use crate::exchange::{Answer, Input, Inputs, Outgoing};
+use lotusmoor_balancer::{Micros, NewRequest, RequestId};
+use std::cell::Cell;
+use std::collections::BTreeSet;
+use std::net::SocketAddr;
+use std::rc::Rc;
+use tokio::sync::{mpsc, oneshot};
+use tokio::time::Instant;
+
+/// A handle to the engine.
+#[derive(Clone)]
+pub struct EngineHandle {
+    inputs: Inputs,
+    clock: Clock,
+    last_request: Rc<Cell<RequestId>>,
+    discovery: mpsc::UnboundedSender<DiscoveryCommand>,
+}
+
+impl EngineHandle {
+    /// A handle to the engine that receives `inputs` and whose list `discovery` maintains.
+    pub(super) fn new(
+        inputs: Inputs,
+        clock: Clock,
+        discovery: mpsc::UnboundedSender<DiscoveryCommand>,
+    ) -> Self {
+        Self { inputs, clock, last_request: Rc::default(), discovery }
+    }
+
+    /// The time of an instant on the balancer's clock.
+    pub fn time_of(&self, instant: Instant) -> Micros {
+        self.clock.time_of(instant)
+    }
+
+    /// The instant of a time on the balancer's clock.
+    pub fn instant(&self, time: Micros) -> Instant {
+        self.clock.instant(time)
+    }
+
+    /// Moves discovery to another address.
+    pub fn move_discovery(&self, to: SocketAddr) {
+        // The receiving task ends only with the process.
+        let _ = self.discovery.send(DiscoveryCommand::Move(to));
+    }
+
+    /// Cordons these endpoints, and no others. Returns once that is in effect.
+    pub async fn set_cordoned(&self, names: BTreeSet<String>) {
+        let (done, in_effect) = oneshot::channel();
+        self.inputs.send(Input::SetCordoned(names, done));
+        let _ = in_effect.await;
+    }
+
+    /// Whether an endpoint of that name is listed.
+    pub async fn is_known(&self, name: &str) -> bool {
+        let (answer, known) = oneshot::channel();
+        self.inputs.send(Input::IsKnown(name.to_owned(), answer));
+        known.await.unwrap_or(false)
+    }
+
+    /// Submits a request, which gets a new id.
+    pub fn submit(&self, request: NewRequest, outgoing: Outgoing) -> PendingResponse {
+        let id = self.last_request.get() + 1;
+        self.last_request.set(id);
+        let (sender, answer) = oneshot::channel();
+        let outgoing = Rc::new(outgoing);
+        self.inputs.send(Input::Request(NewRequest { id, ..request }, Rc::clone(&outgoing), sender));
+        PendingResponse { id, outgoing, answer, answered: false, inputs: self.inputs.clone() }
+    }
+}
+
+/// The answer to a submitted request. Dropped before the answer is there, it abandons the request.
+pub struct PendingResponse {
+    id: RequestId,
+    outgoing: Rc<Outgoing>,
+    answer: oneshot::Receiver<Answer>,
+    answered: bool,
+    inputs: Inputs,
+}
+
+impl PendingResponse {
+    /// Reports that the last byte of the request was received, and its deadline.
+    pub fn body_received(&self, deadline: Micros) {
+        self.inputs.send(Input::BodyReceived(self.id, deadline));
+    }
+
+    /// Waits for the answer.
+    pub async fn answer(&mut self) -> Answer {
+        let answer = (&mut self.answer).await;
+        self.answered = true;
+        answer.unwrap_or(Answer::Failed)
+    }
+}
+
+impl Drop for PendingResponse {
+    fn drop(&mut self) {
+        if !self.answered {
+            // At once: before the engine handles the input, attempts could begin to be written.
+            self.outgoing.lifecycle.complete();
+            self.inputs.send(Input::Abandoned(self.id));
+        }
+    }
+}
--- a/crates/sidecar/src/exchange.rs
+++ b/crates/sidecar/src/exchange.rs
@@ -1,15 +1,16 @@
 //! What goes between the sockets and the engine: requests, attempts' ends, answers, lists.
 
 use crate::body::{Inbound, Outbound, Rest};
-use crate::endpoint_list::HostList;
-use crate::memory_budget::Share;
-use crate::send_gate::RequestLife;
+use crate::endpoint_list::ListMessage;
+use crate::memory_budget::MemoryReservation;
+use crate::send_gate::RequestLifecycle;
 use crate::write_progress::WriteProgress;
 use bytes::Bytes;
 use hyper::header::{HeaderMap, HeaderName, HeaderValue};
 use hyper::{Method, Request, StatusCode, Uri};
 use lotusmoor_balancer::{AttemptNumber, LoadReport, Micros, NewRequest, Outcome, RequestId};
 use std::collections::BTreeSet;
+use std::error::Error;
 use std::rc::Rc;
 use tokio::sync::{OwnedSemaphorePermit, mpsc, oneshot};
 use tokio::time::Instant;
@@ -30,9 +31,9 @@
     /// The rest of that.
     pub rest: Option<Rest>,
     /// Where the request is on its way to its answer.
-    pub life: Rc<RequestLife>,
+    pub lifecycle: Rc<RequestLifecycle>,
     /// The memory that the body takes.
-    pub _share: Option<Share>,
+    pub _share: Option<MemoryReservation>,
 }
 
 /// An endpoint's 200 answer.
@@ -42,12 +43,12 @@
     /// Its body.
     pub body: Inbound,
     /// The memory that the body takes.
-    pub share: Share,
+    pub share: MemoryReservation,
 }
 
 impl Outgoing {
-    /// Some of a body that flows is gone, and can't go out again.
-    pub fn spent(&self) -> bool {
+    /// Some of a streamed body was sent already, and can't be sent again.
+    pub fn body_consumed(&self) -> bool {
         self.rest.as_ref().is_some_and(Rest::spent)
     }
 
@@ -57,16 +58,16 @@
         *request.method_mut() = self.method.clone();
         *request.uri_mut() = self.uri.clone();
         *request.headers_mut() = self.headers.clone();
-        let left = self.life.time_to_tell(until);
-        progress.promise(left);
+        let left = self.lifecycle.advertised_wait(until);
+        progress.advertise_wait(left);
         let left = left.as_micros();
         request.headers_mut().insert(TIME_LEFT, HeaderValue::from_str(&format!("{left}u")).ok()?);
         Some(request)
     }
 }
 
-/// How an attempt ended, as the engine is told.
-pub struct Ended {
+/// How an attempt ended.
+pub struct AttemptResult {
     /// The request.
     pub request: RequestId,
     /// Its attempt.
@@ -79,28 +80,28 @@
     pub load: LoadReport,
 }
 
-/// What the sockets tell the engine.
+/// What the sockets report to the engine.
 pub enum Input {
-    /// A client's request, what goes on to endpoints, and where its answer goes.
+    /// A client's request, what is sent to endpoints, and where its answer goes.
     Request(NewRequest, Rc<Outgoing>, oneshot::Sender<Answer>),
-    /// Its client has left, or its answer is overdue.
-    Withdrawn(RequestId),
-    /// The last byte of a request has come that was passed on as it came; it is due then.
-    Received(RequestId, Micros),
+    /// The client of a request has closed its connection, or the deadline has passed without an answer.
+    Abandoned(RequestId),
+    /// The last byte of a request with a streamed body was received; its deadline.
+    BodyReceived(RequestId, Micros),
     /// An attempt ended.
-    Ended(Ended),
-    /// A probe of an endpoint ended.
-    Probed(usize, Outcome, Micros, LoadReport),
+    AttemptEnded(AttemptResult),
+    /// A health check of an endpoint ended, after that time.
+    HealthCheckEnded(usize, Outcome, Micros, LoadReport),
     /// Discovery answered.
-    Hosts(HostList),
-    /// A call to discovery failed, for this reason.
-    HostsFailed(String),
-    /// Operators want these endpoints out, and no others; told once that holds.
-    Cordons(BTreeSet<String>, oneshot::Sender<()>),
-    /// Whether an endpoint of that name is known.
-    Known(String, oneshot::Sender<bool>),
+    ListReceived(ListMessage),
+    /// A poll of discovery failed.
+    ListFailed(Box<dyn Error>),
+    /// Operators cordon these endpoints, and no others; notified once that is in effect.
+    SetCordoned(BTreeSet<String>, oneshot::Sender<()>),
+    /// Whether an endpoint of that name is listed.
+    IsKnown(String, oneshot::Sender<bool>),
     /// A datagram from a peer.
-    Peer(u32, Vec<u8>, OwnedSemaphorePermit),
+    Datagram(u32, Vec<u8>, OwnedSemaphorePermit),
 }
 
 /// The one final answer to a request.
@@ -108,9 +109,9 @@
     /// An endpoint's answer.
     Served(Served),
     /// Trying again is harmless, best after that time.
-    Refused(Micros),
+    Shed(Micros),
     /// An endpoint says that the request itself is at fault.
-    Barred(StatusCode),
+    ClientError(StatusCode),
     /// Nothing is promised.
     Failed,
 }
--- a/crates/sidecar/src/gossip.rs
+++ b/crates/sidecar/src/gossip.rs
@@ -1,54 +1,56 @@
-//! Datagrams between sidecars.
+//! The datagram socket over which the sidecars of a tier gossip.
 
 use std::io;
 use std::net::{SocketAddr, UdpSocket as StdSocket};
 use std::rc::Rc;
 use std::time::Duration;
 use tokio::net::UdpSocket;
+use tokio::time::sleep;
 
 /// Pause after a failed receive.
-const PAUSE: Duration = Duration::from_millis(10);
-/// Longest datagram.
-pub const LONGEST: usize = 256;
+const RECEIVE_RETRY_PAUSE: Duration = Duration::from_millis(10);
+/// Longest datagram, in bytes.
+const MAX_DATAGRAM_BYTES: usize = 256;
 
 /// The socket to the other sidecars of the tier.
 #[derive(Clone)]
-pub struct Peers {
+pub struct GossipSocket {
     socket: Rc<UdpSocket>,
-    addresses: Rc<[SocketAddr]>,
-    all: Option<SocketAddr>,
+    peers: Rc<[SocketAddr]>,
+    broadcast: Option<SocketAddr>,
 }
 
-impl Peers {
-    /// Binds `at`; `addresses` are the peers' in the order of their numbers, `all` reaches every one.
-    pub fn bind(at: SocketAddr, addresses: &[SocketAddr], all: Option<SocketAddr>) -> io::Result<Self> {
-        let socket = StdSocket::bind(at)?;
+impl GossipSocket {
+    /// Binds the socket. `peers` are the peers' addresses by number, `broadcast` reaches all of them.
+    pub fn bind(listen: SocketAddr, peers: &[SocketAddr], broadcast: Option<SocketAddr>) -> io::Result<Self> {
+        let socket = StdSocket::bind(listen)?;
         socket.set_nonblocking(true)?;
-        Ok(Self { socket: Rc::new(UdpSocket::from_std(socket)?), addresses: addresses.into(), all })
+        Ok(Self { socket: Rc::new(UdpSocket::from_std(socket)?), peers: peers.into(), broadcast })
     }
 
-    /// Sends to one peer or to all. Datagrams may be lost, so one that can't leave now is.
-    pub fn tell(&self, to: Option<u32>, bytes: &[u8]) {
-        let to = match to {
-            Some(number) => self.addresses.get(number as usize).copied(),
-            None => self.all,
+    /// Sends to one peer, or to all. Datagrams may be lost on the way, so one that can't be sent now is dropped.
+    pub fn send(&self, peer: Option<u32>, bytes: &[u8]) {
+        let address = match peer {
+            Some(number) => self.peers.get(number as usize).copied(),
+            None => self.broadcast,
         };
-        if let Some(to) = to.filter(|_| bytes.len() <= LONGEST) {
-            let _ = self.socket.try_send_to(bytes, to);
+        if let Some(address) = address.filter(|_| bytes.len() <= MAX_DATAGRAM_BYTES) {
+            let _ = self.socket.try_send_to(bytes, address);
         }
     }
 
-    /// The next datagram from a known peer, with the peer's number. Others are dropped.
-    pub async fn hear(&self) -> (u32, Vec<u8>) {
-        let mut bytes = [0; LONGEST + 1];
+    /// Receives the next datagram from a known peer, with the peer's number. Others are dropped.
+    pub async fn receive(&self) -> (u32, Vec<u8>) {
+        // One byte more shows that a datagram is too long.
+        let mut bytes = [0; MAX_DATAGRAM_BYTES + 1];
         loop {
             let Ok((length, from)) = self.socket.recv_from(&mut bytes).await else {
-                // An earlier send that was refused shows here; the socket itself stays good.
-                tokio::time::sleep(PAUSE).await;
+                // A rejected earlier send is reported here; the socket itself is still good.
+                sleep(RECEIVE_RETRY_PAUSE).await;
                 continue;
             };
-            let number = self.addresses.iter().position(|a| *a == from);
-            if let Some(number) = number.filter(|_| length <= LONGEST) {
+            let number = self.peers.iter().position(|address| *address == from);
+            if let Some(number) = number.filter(|_| length <= MAX_DATAGRAM_BYTES) {
                 return (number as u32, bytes[..length].to_vec());
             }
         }
--- a/crates/sidecar/src/http_get.rs
+++ b/crates/sidecar/src/http_get.rs
@@ -1,4 +1,4 @@
-//! One GET over a kept connection, as lists are asked for. The caller bounds the time.
+//! One HTTP GET over a reusable connection, for endpoint lists. The caller bounds the total time.
 
 use crate::body::Outbound;
 use crate::connection::Connection;
@@ -6,47 +6,99 @@
 use bytes::Bytes;
 use http_body_util::{BodyExt, Limited};
 use hyper::{HeaderMap, Request, StatusCode};
+use std::error::Error;
+use std::fmt;
+use std::io;
 use std::net::SocketAddr;
 use std::time::Duration;
 use tokio::time::timeout;
 
-/// How long a connection may take to come up. The system itself tries to make one again after 1, 3 and 7 s, so what is
-/// asked of a peer that is back would go out seconds after that: a new connection goes out at once.
-const DIAL_TIME: Duration = Duration::from_secs(1);
-/// How long a list may take from the head of its answer to its end. One that never ends would else hold up the next call
-/// for as long as a watch may wait.
+/// How long a connection may take to come up. The system repeats a lost SYN after 1, 3 and 7 s, so a server that is back
+/// would be reached seconds late; a new connection sends its SYN at once.
+const CONNECT_TIME: Duration = Duration::from_secs(1);
+/// How long a body may take after its head. One that never ends would otherwise hold up the next poll for as long as
+/// a watch may take.
 const BODY_TIME: Duration = Duration::from_secs(2);
-/// Longest list taken.
-const LONGEST: usize = 4 << 20;
+/// Longest body.
+const MAX_BODY_BYTES: usize = 4 << 20;
 
-/// Asks, over the connection of the last call where that is still good; status, headers and body.
+/// Why a GET got no response.
+#[derive(Debug)]
+pub enum GetError {
+    /// The request can't be expressed in HTTP.
+    InvalidRequest(hyper::http::Error),
+    /// No connection in time.
+    ConnectTimeout,
+    /// No connection.
+    Connect(io::Error),
+    /// The exchange failed before the response's head was complete.
+    Exchange(&'static str),
+    /// The body did not end in time.
+    BodyTimeout,
+    /// The connection was lost within the body.
+    ConnectionLost,
+    /// The body is unreadable or too long.
+    Body(Box<dyn Error + Send + Sync>),
+}
+
+impl fmt::Display for GetError {
+    fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
+        match self {
+            Self::InvalidRequest(e) => e.fmt(f),
+            Self::ConnectTimeout => f.write_str("no connection"),
+            Self::Connect(e) => e.fmt(f),
+            Self::Exchange(e) => e.fmt(f),
+            Self::BodyTimeout => f.write_str("no end of the answer"),
+            Self::ConnectionLost => f.write_str("connection lost"),
+            Self::Body(e) => e.fmt(f),
+        }
+    }
+}
+
+impl Error for GetError {
+    fn source(&self) -> Option<&(dyn Error + 'static)> {
+        match self {
+            Self::InvalidRequest(e) => e.source(),
+            Self::Connect(e) => e.source(),
+            Self::Body(e) => e.source(),
+            Self::ConnectTimeout | Self::Exchange(_) | Self::BodyTimeout | Self::ConnectionLost => None,
+        }
+    }
+}
+
+/// Gets `path` from `address`, over the connection of the last call where that is still usable. Returns the status,
+/// headers and body, and leaves the connection in `reusable` where the status is 200.
 pub async fn get(
-    at: SocketAddr,
-    link: &mut Option<Connection>,
+    address: SocketAddr,
+    reusable: &mut Option<Connection>,
     path: &str,
-) -> Result<(StatusCode, HeaderMap, Bytes), String> {
+) -> Result<(StatusCode, HeaderMap, Bytes), GetError> {
     let progress = WriteProgress::new(Some(0));
     let request = Request::get(path)
-        .header(hyper::header::HOST, at.to_string())
+        .header(hyper::header::HOST, address.to_string())
         .body(Outbound::new(Bytes::new(), None, progress.clone()))
-        .map_err(|e| e.to_string())?;
-    let mut connection = match link.take().filter(Connection::usable) {
+        .map_err(GetError::InvalidRequest)?;
+    let mut connection = match reusable.take().filter(Connection::usable) {
         Some(connection) => connection,
-        None => match timeout(DIAL_TIME, Connection::open(at)).await {
-            Ok(connection) => connection.map_err(|e| e.to_string())?,
-            Err(_) => return Err("no connection".to_owned()),
-        },
+        None => connect(address).await?,
     };
-    let response = connection.request(request, progress).await.map_err(|e| e.to_string())?;
+    let response = connection.request(request, progress).await.map_err(GetError::Exchange)?;
     let (head, body) = response.into_parts();
-    let body = timeout(BODY_TIME, connection.drive(Limited::new(body, LONGEST).collect())).await;
+    let body = timeout(BODY_TIME, connection.drive(Limited::new(body, MAX_BODY_BYTES).collect())).await;
     let body = body
-        .map_err(|_| "no end of the answer")?
-        .ok_or("connection lost")?
-        .map_err(|e| e.to_string())?
+        .map_err(|_| GetError::BodyTimeout)?
+        .ok_or(GetError::ConnectionLost)?
+        .map_err(GetError::Body)?
         .to_bytes();
     if head.status == StatusCode::OK {
-        *link = Some(connection);
+        *reusable = Some(connection);
     }
     Ok((head.status, head.headers, body))
 }
+
+async fn connect(address: SocketAddr) -> Result<Connection, GetError> {
+    match timeout(CONNECT_TIME, Connection::open(address)).await {
+        Ok(connection) => connection.map_err(GetError::Connect),
+        Err(_) => Err(GetError::ConnectTimeout),
+    }
+}
--- a/crates/sidecar/src/inbound.rs
+++ b/crates/sidecar/src/inbound.rs
@@ -7,18 +7,18 @@
 pub use accept::{accept, bind};
 
 use crate::body::{FLOWING, Feed, Framing, KEPT, LONGEST_BODY, Reader, Rest};
-use crate::client_liveness::Presence;
-use crate::connection_limiter::{Permit, Waiting, Yielding};
-use crate::engine::Handle;
+use crate::client_liveness::ClientLiveness;
+use crate::connection_limiter::{ConnectionPermit, EvictableConnection, WaitState};
+use crate::engine::EngineHandle;
 use crate::exchange::{Answer, Outgoing};
 use crate::io_failure::{IoFailure, RESOURCE_PAUSE};
-use crate::memory_budget::{Memory, Share};
-use crate::metrics::{Answered, Closed, Violation};
-use crate::request::{Facts, Head, Lanes, end_to_end};
-use crate::request_ids::Ids;
-use crate::resource_limits::LONGEST_HEAD;
-use crate::send_gate::RequestLife;
-use crate::service_state::Service;
+use crate::memory_budget::{MemoryBudget, MemoryReservation};
+use crate::metrics::{ConnectionEnd, RequestOutcome, RuleViolation};
+use crate::request::{RequestHead, RequestMetadata, TrafficClasses, end_to_end};
+use crate::request_ids::RequestIds;
+use crate::resource_limits::MAX_HEAD_BYTES;
+use crate::send_gate::RequestLifecycle;
+use crate::service_state::ServiceState;
 use bytes::{Buf, BufMut, Bytes, BytesMut};
 use hyper::StatusCode;
 use lotusmoor_balancer::{Micros, NewRequest};
@@ -66,15 +66,15 @@
 /// What all connections share.
 pub struct Shared {
     /// Classes and tenants.
-    pub lanes: Lanes,
+    pub traffic_classes: TrafficClasses,
     /// The engine.
-    pub handle: Handle,
+    pub handle: EngineHandle,
     /// Memory for the bodies of requests.
-    pub memory: Memory,
+    pub memory: MemoryBudget,
     /// Ids of requests.
-    pub ids: Ids,
+    pub ids: RequestIds,
     /// Whether the sidecar is in service.
-    pub service: watch::Receiver<Service>,
+    pub service: watch::Receiver<ServiceState>,
     /// How long a body or an answer that flows may stand still on the way to its receiver.
     pub stall: Duration,
 }
@@ -100,7 +100,7 @@
     /// Its client has left.
     Left,
     /// There is none, and the connection is to go. Its permit counts as given up for as long as this is held.
-    Over(Yielding<'a>),
+    Over(EvictableConnection<'a>),
 }
 
 /// A connection of a client, with what has come in and is not looked at yet.
@@ -113,26 +113,26 @@
     /// A body was given up in the midst of it.
     unfinished: bool,
     /// A request that was read whole, or begins to flow on, and whose answer is not begun.
-    owes: Option<Rc<RequestLife>>,
+    pending: Option<Rc<RequestLifecycle>>,
 }
 
 impl Drop for Client {
     fn drop(&mut self) {
-        if let Some(life) = self.owes.take()
-            && !Presence::of(&self.stream).left()
+        if let Some(lifecycle) = self.pending.take()
+            && !ClientLiveness::of(&self.stream).left()
         {
-            life.violated(Violation::Lost);
+            lifecycle.report_violation(RuleViolation::Unanswered);
         }
     }
 }
 
 /// A request to be decided on.
 struct Api {
-    facts: Facts,
+    facts: RequestMetadata,
     body: Bytes,
     reader: Reader,
     pace: Pace,
-    share: Share,
+    share: MemoryReservation,
 }
 
 /// How fast a body comes.
@@ -171,7 +171,7 @@
     feed: Feed,
 }
 
-async fn connection(stream: TcpStream, not_before: Instant, permit: Permit, shared: Rc<Shared>) {
+async fn connection(stream: TcpStream, not_before: Instant, permit: ConnectionPermit, shared: Rc<Shared>) {
     // Without it an answer could wait for an acknowledgement; it is no reason to turn anyone away.
     let _ = stream.set_nodelay(true);
     let mut client = Client::new(stream, not_before);
@@ -180,14 +180,14 @@
     loop {
         match client.await_request(&permit, new, until, &shared).await {
             Wait::Begun => {}
-            Wait::Left => return Closed::ClientLeft.count(),
+            Wait::Left => return ConnectionEnd::ClientClosed.count(),
             // Its permit is as good as free until it is: nobody else has to go for it.
-            Wait::Over(_yielding) => {
-                let serving = *shared.service.borrow() == Service::Serving;
+            Wait::Over(_evictable) => {
+                let serving = *shared.service.borrow() == ServiceState::Serving;
                 if serving {
-                    Closed::Resting.count()
+                    ConnectionEnd::Idle.count()
                 } else {
-                    Closed::OutOfService.count()
+                    ConnectionEnd::OutOfService.count()
                 }
                 return client.close_unread().await;
             }
@@ -198,19 +198,19 @@
         new = false;
         let (keep_alive, reply) = match client.request(&permit, until, &shared).await {
             Ok((keep_alive, reply)) => {
-                (keep_alive && !client.unfinished && *shared.service.borrow() == Service::Serving, reply)
+                (keep_alive && !client.unfinished && *shared.service.borrow() == ServiceState::Serving, reply)
             }
             Err(End::Told(status)) => {
-                Answered::TurnedAway.count();
+                RequestOutcome::Rejected.count();
                 (false, Reply::plain(status))
             }
-            Err(End::Left) => return Closed::ClientLeft.count(),
+            Err(End::Left) => return ConnectionEnd::ClientClosed.count(),
         };
         if !client.reply(reply, keep_alive, &mut shared.service.clone()).await {
-            return Closed::AnswerBrokeOff.count();
+            return ConnectionEnd::AnswerIncomplete.count();
         }
         if !keep_alive {
-            Closed::Answered.count();
+            ConnectionEnd::AfterAnswer.count();
             return client.close_answered().await;
         }
         // Clients send the next request once they have this answer.
@@ -239,7 +239,7 @@
             unread: BytesMut::new(),
             arrived: not_before,
             unfinished: false,
-            owes: None,
+            pending: None,
         }
     }
 
@@ -248,7 +248,7 @@
     /// just connected is owed the answer to what it came for.
     async fn await_request<'a>(
         &mut self,
-        permit: &'a Permit,
+        permit: &'a ConnectionPermit,
         new: bool,
         mut until: Instant,
         shared: &Shared,
@@ -256,9 +256,9 @@
         if !self.unread.is_empty() {
             return Wait::Begun;
         }
-        let yielding = permit.yielding(if new { Waiting::New } else { Waiting::Used });
+        let evictable = permit.evictable(if new { WaitState::New } else { WaitState::Used });
         let mut service = shared.service.clone();
-        let mut serving = *service.borrow_and_update() == Service::Serving;
+        let mut serving = *service.borrow_and_update() == ServiceState::Serving;
         if !serving {
             until = until.min(Instant::now() + IDLE_AT_STOP);
         }
@@ -266,7 +266,7 @@
             tokio::select! {
                 biased;
                 read = self.fill(BUFFER) => break Some(read),
-                () = yielding.wanted() => break None,
+                () = evictable.evicted() => break None,
                 () = sleep_until(until) => break None,
                 _ = service.changed(), if serving => {
                     if !new {
@@ -283,7 +283,7 @@
         match read {
             Ok(Ok(())) => Wait::Begun,
             Ok(Err(_)) => Wait::Left,
-            Err(_) => Wait::Over(yielding),
+            Err(_) => Wait::Over(evictable),
         }
     }
 
@@ -330,18 +330,18 @@
     /// Reads one request and gets its answer.
     async fn request(
         &mut self,
-        permit: &Permit,
+        permit: &ConnectionPermit,
         until: Instant,
         shared: &Shared,
     ) -> Result<(bool, Reply), End> {
-        let yielding = permit.yielding(Waiting::Reading);
+        let evictable = permit.evictable(WaitState::ReadingRequest);
         let (head, api) = tokio::select! {
             biased;
             read = self.read(until, shared) => read?,
-            () = yielding.wanted() => return Err(End::Told(StatusCode::REQUEST_TIMEOUT)),
+            () = evictable.evicted() => return Err(End::Told(StatusCode::REQUEST_TIMEOUT)),
         };
-        drop(yielding);
-        let serving = *shared.service.borrow() == Service::Serving;
+        drop(evictable);
+        let serving = *shared.service.borrow() == ServiceState::Serving;
         let Some(Api { facts, body, reader, pace, share }) = api else {
             let up = if serving { StatusCode::OK } else { StatusCode::SERVICE_UNAVAILABLE };
             return Ok((head.keep_alive, Reply::plain(up)));
@@ -364,17 +364,17 @@
             let (feed, fed) = Rest::new(length);
             (flowing, rest) = (Some(Flowing { reader, pace, feed }), Some(fed));
         }
-        let client = Some(Presence::of(&self.stream));
-        let life = RequestLife::new(&facts.id, client, flowing.is_some());
-        life.set_soonest_due(shared.handle.instant(due_after(self.arrived)));
-        self.owes = Some(Rc::clone(&life));
+        let client = Some(ClientLiveness::of(&self.stream));
+        let lifecycle = RequestLifecycle::new(&facts.id, client, flowing.is_some());
+        lifecycle.set_earliest_deadline(shared.handle.instant(due_after(self.arrived)));
+        self.pending = Some(Rc::clone(&lifecycle));
         let outgoing = Outgoing {
             method: head.method,
             uri: head.uri,
             headers: end_to_end(head.headers),
             body,
             rest,
-            life: Rc::clone(&life),
+            lifecycle: Rc::clone(&lifecycle),
             _share: Some(share),
         };
         let request = NewRequest {
@@ -387,7 +387,7 @@
             is_client_retry: facts.repeat,
             body_incomplete: flowing.is_some(),
         };
-        let mut owed = shared.handle.submit(request, outgoing);
+        let mut pending = shared.handle.submit(request, outgoing);
         // One that has come too late is refused by the module, which promises that it never ran.
         let first_word = Instant::now() + FIRST_WORD;
         let mut service = shared.service.clone();
@@ -396,23 +396,23 @@
         let answer = loop {
             tokio::select! {
                 biased;
-                answer = owed.answer() => break answer,
+                answer = pending.answer() => break answer,
                 more = self.more(&mut flowing, shared.stall) => match more {
                     Ok(()) if flowing.is_some() => {
                         flowing.take().into_iter().for_each(|flowing| flowing.feed.end());
                         due = due_after(self.arrived);
-                        life.set_soonest_due(shared.handle.instant(due));
-                        owed.received(due);
+                        lifecycle.set_earliest_deadline(shared.handle.instant(due));
+                        pending.body_received(due);
                     }
                     Ok(()) => return Err(End::Told(StatusCode::BAD_REQUEST)),
                     Err(end) => return Err(end),
                 },
                 () = sleep_until(shared.handle.instant(due).max(first_word)) => {
-                    Answered::Overdue.count();
+                    RequestOutcome::DeadlineExceeded.count();
                     break Answer::Failed;
                 }
-                _ = service.wait_for(|s| *s == Service::Now) => {
-                    Answered::Stopped.count();
+                _ = service.wait_for(|s| *s == ServiceState::Aborting) => {
+                    RequestOutcome::ShutDown.count();
                     break Answer::Failed;
                 }
             }
@@ -428,7 +428,7 @@
     /// Passes on the rest of a body, up to its end; without one, waits for what must not come.
     async fn more(&mut self, flowing: &mut Option<Flowing>, stall: Duration) -> Result<(), End> {
         let Some(Flowing { reader, pace, feed }) = flowing else { return Ok(self.fill(BUFFER).await?) };
-        let client = Presence::of(&self.stream);
+        let client = ClientLiveness::of(&self.stream);
         while !reader.ended() {
             match reader.take(&mut self.unread).map_err(End::Told)? {
                 Some(piece) => {
@@ -468,7 +468,7 @@
 
     /// Reads one request, as far as it is worth it and is kept; one that only asks whether the sidecar is up has no
     /// more than its head.
-    async fn read(&mut self, until: Instant, shared: &Shared) -> Result<(Head, Option<Api>), End> {
+    async fn read(&mut self, until: Instant, shared: &Shared) -> Result<(RequestHead, Option<Api>), End> {
         let late = |_| End::Told(StatusCode::REQUEST_TIMEOUT);
         let head = timeout_at(until, self.head()).await.map_err(late)??;
         match head.uri.path() {
@@ -476,16 +476,17 @@
             path if path == "/api" || path.starts_with("/api/") => {}
             _ => return Err(End::Told(StatusCode::NOT_FOUND)),
         }
-        let facts = Facts::read(&shared.lanes, &head).ok_or(End::Told(StatusCode::BAD_REQUEST))?;
+        let facts = RequestMetadata::read(&shared.traffic_classes, &head)
+            .ok_or(End::Told(StatusCode::BAD_REQUEST))?;
         let taken = head.body.length().filter(|length| *length <= KEPT).unwrap_or(FLOWING);
-        let client = Presence::of(&self.stream);
+        let client = ClientLiveness::of(&self.stream);
         let mut pace = Pace::since(until - REQUEST_TIME);
         // Its client may be waiting for its answer, for all that is known.
         let (began, left) = (Instant::now(), Duration::from_micros(facts.time_left.unsigned_abs()));
         let bound = (self.arrived + left).min(began + REQUEST_TIME);
         let share = tokio::select! {
             biased;
-            share = timeout_at(bound, shared.memory.share(taken)) => {
+            share = timeout_at(bound, shared.memory.reserve(taken)) => {
                 share.map_err(|_| End::Told(StatusCode::SERVICE_UNAVAILABLE))?
             }
             () = client.gone() => return Err(End::Left),
@@ -498,13 +499,13 @@
 
     /// Reads a head. Looks for it anew only when there is twice as much, or a blank line: otherwise one that
     /// comes byte by byte would be read as many times.
-    async fn head(&mut self) -> Result<Head, End> {
+    async fn head(&mut self) -> Result<RequestHead, End> {
         let (mut looked_at, mut next) = (0, 0);
         loop {
             let new = &self.unread[looked_at..];
             let ended = new.windows(3).any(|w| w == b"\n\r\n") || new.windows(2).any(|w| w == b"\n\n");
-            if ended || self.unread.len() >= next.min(LONGEST_HEAD) {
-                if let Some((head, length)) = Head::read(&self.unread).map_err(End::Told)? {
+            if ended || self.unread.len() >= next.min(MAX_HEAD_BYTES) {
+                if let Some((head, length)) = RequestHead::read(&self.unread).map_err(End::Told)? {
                     self.unread.advance(length);
                     return Ok(head);
                 }
@@ -517,7 +518,7 @@
     }
 
     /// Reads the body behind a head, or as much of it as is kept.
-    async fn body(&mut self, head: &Head, reader: &mut Reader, pace: &mut Pace) -> Result<Bytes, End> {
+    async fn body(&mut self, head: &RequestHead, reader: &mut Reader, pace: &mut Pace) -> Result<Bytes, End> {
         if head.awaits_continue && head.body.length().is_none_or(|length| self.unread.len() < length) {
             self.put_all(&b"HTTP/1.1 100 Continue\r\n\r\n"[..]).await?;
         }
@@ -538,9 +539,9 @@
         &mut self,
         mut reply: Reply,
         keep_alive: bool,
-        service: &mut watch::Receiver<Service>,
+        service: &mut watch::Receiver<ServiceState>,
     ) -> bool {
-        self.owes = None;
+        self.pending = None;
         let head = reply.head(keep_alive);
         let first = std::mem::take(&mut reply.body.first);
         let bytes = head.chain(reply.piece(first));
@@ -556,7 +557,7 @@
             let next = tokio::select! {
                 biased;
                 piece = rest.recv() => piece,
-                _ = service.wait_for(|s| *s == Service::Now) => None,
+                _ = service.wait_for(|s| *s == ServiceState::Aborting) => None,
             };
             match next {
                 Some(piece) if !piece.is_empty() => {
--- a/crates/sidecar/src/inbound/accept.rs
+++ b/crates/sidecar/src/inbound/accept.rs
@@ -2,10 +2,10 @@
 
 use super::{LAST_LOOK, Shared, connection};
 use crate::connection_age::age_of_unanswered;
-use crate::connection_limiter::Room;
+use crate::connection_limiter::ConnectionLimiter;
 use crate::io_failure::{IoFailure, RESOURCE_PAUSE};
 use crate::log::log_line;
-use crate::service_state::Service;
+use crate::service_state::ServiceState;
 use std::future::poll_fn;
 use std::io;
 use std::net::SocketAddr;
@@ -36,10 +36,11 @@
 /// Accepts connections, so many at a time, until told that no more are to come. What is left in the queue of a
 /// socket that others hold as well is theirs.
 pub async fn accept(listener: TcpListener, others: bool, clients: usize, shared: Rc<Shared>) {
-    let room = Room::new(clients);
-    spawn_local(Rc::clone(&room).keep_free());
+    let limiter = ConnectionLimiter::new(clients);
+    spawn_local(Rc::clone(&limiter).evict_when_crowded());
     let mut closed = shared.service.clone();
-    let mut closed = pin!(async move { closed.wait_for(|s| *s >= Service::Closed).await.map(drop) });
+    let mut closed =
+        pin!(async move { closed.wait_for(|s| *s >= ServiceState::NotAccepting).await.map(drop) });
     let mut last_failure = None;
     if others {
         // The runtime has not looked at the socket yet, and would take it for empty.
@@ -56,7 +57,7 @@
             Ok(stream) => {
                 let not_before = queue.not_before(&stream);
                 // Whoever comes next waits in the system's queue, with no descriptor of this process.
-                let permit = room.permit().await;
+                let permit = limiter.acquire().await;
                 spawn_local(connection(stream, not_before, permit, Rc::clone(&shared)));
             }
             Err(e) => {
@@ -71,7 +72,7 @@
         }
     }
     if !others {
-        queue.empty(&room, &shared).await;
+        queue.empty(&limiter, &shared).await;
     }
 }
 
@@ -111,14 +112,14 @@
 
     /// Accepts what the system holds already as accepting ends: it counts as taken, and is still served. A failed
     /// accept says nothing of what is behind it in the queue.
-    async fn empty(&mut self, room: &Rc<Room>, shared: &Rc<Shared>) {
+    async fn empty(&mut self, limiter: &Rc<ConnectionLimiter>, shared: &Rc<Shared>) {
         let mut failing_since = None;
         while let Ok(accepted) = timeout(LAST_LOOK, self.accept()).await {
             match accepted {
                 Ok(stream) => {
                     failing_since = None;
                     let not_before = self.not_before(&stream);
-                    let permit = room.permit().await;
+                    let permit = limiter.acquire().await;
                     spawn_local(connection(stream, not_before, permit, Rc::clone(shared)));
                 }
                 Err(e) => {
--- a/crates/sidecar/src/inbound/reply.rs
+++ b/crates/sidecar/src/inbound/reply.rs
@@ -2,9 +2,9 @@
 
 use crate::body::Inbound;
 use crate::exchange::{Answer, Served};
-use crate::memory_budget::Share;
+use crate::memory_budget::MemoryReservation;
 use crate::request::end_to_end;
-use crate::request_ids::OpenId;
+use crate::request_ids::OpenRequestId;
 use bytes::{Buf, Bytes};
 use hyper::StatusCode;
 use hyper::header::{HeaderMap, RETRY_AFTER};
@@ -18,7 +18,7 @@
     /// The body goes out in chunks.
     pub(super) chunked: bool,
     /// Held until the answer is out.
-    pub(super) _held: (Option<Share>, Option<OpenId>),
+    pub(super) _held: (Option<MemoryReservation>, Option<OpenRequestId>),
 }
 
 impl Reply {
@@ -28,7 +28,7 @@
         Self { status, headers, retry_after: None, body, chunked: false, _held: (None, None) }
     }
 
-    pub(super) fn of(answer: Answer, id: OpenId) -> Self {
+    pub(super) fn of(answer: Answer, id: OpenRequestId) -> Self {
         let mut reply = match answer {
             Answer::Served(Served { headers, body, share }) => Self {
                 headers: end_to_end(headers),
@@ -36,11 +36,11 @@
                 _held: (Some(share), None),
                 ..Self::plain(StatusCode::OK)
             },
-            Answer::Refused(retry_after) => Self {
+            Answer::Shed(retry_after) => Self {
                 retry_after: Some(retry_after).filter(|us| *us > 0).map(|us| us as f64 / 1e6),
                 ..Self::plain(StatusCode::SERVICE_UNAVAILABLE)
             },
-            Answer::Barred(status) => Self::plain(status),
+            Answer::ClientError(status) => Self::plain(status),
             // Neither 429 nor 503, which would promise that trying again is harmless.
             Answer::Failed => Self::plain(StatusCode::BAD_GATEWAY),
         };
--- a/crates/sidecar/src/inbound/tests.rs
+++ b/crates/sidecar/src/inbound/tests.rs
@@ -10,7 +10,7 @@
     let _peer = TcpStream::connect(address).await.expect("it connects");
     let (stream, _) = listener.accept().await.expect("a connection");
     let mut client = Client::new(stream, Instant::now());
-    let (_service, mut in_service) = watch::channel(Service::Serving);
+    let (_service, mut in_service) = watch::channel(ServiceState::Serving);
     let more_than_the_system_holds = Inbound::whole(Bytes::from(vec![0; 64 << 20]));
     let reply = Reply { body: more_than_the_system_holds, ..Reply::plain(StatusCode::OK) };
     assert!(!client.reply(reply, true, &mut in_service).await);
--- a/crates/sidecar/src/io_failure.rs
+++ b/crates/sidecar/src/io_failure.rs
@@ -1,10 +1,10 @@
-//! What a failed call on a socket or a file means. The one place that tells failures that pass from those that last:
-//! whoever reads a failure as the end of something, or as nothing being there, asks here first.
+//! Classifies failed calls on sockets and files into transient and final ones. All code that treats a failure as the end
+//! of a connection or the absence of a file asks here first.
 
 use std::io;
 use std::time::Duration;
 
-/// Numbers of errors that the standard library has no kind for.
+// Error numbers for which the standard library has no stable `ErrorKind`; see errno(3).
 const EIO: i32 = 5;
 const ENFILE: i32 = 23;
 const EMFILE: i32 = 24;
@@ -13,24 +13,24 @@
 const ENOBUFS: i32 = 105;
 const EDQUOT: i32 = 122;
 
-/// Pause before a call is made again that failed for want of a resource.
+/// Pause before a call that failed for want of a resource is retried.
 pub const RESOURCE_PAUSE: Duration = Duration::from_millis(10);
 
 /// What a failed call means.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum IoFailure {
-    /// Nothing is there now; the system says when something is.
+    /// The call would block; the system notifies when it would not.
     NotReady,
-    /// The call was interrupted: the same one may be made again at once.
+    /// The call was interrupted, and may be retried at once.
     Interrupted,
-    /// This machine is short of something. The same call may be made again after a pause.
+    /// This machine is short of a resource. The call may be retried after a pause.
     Shortage,
-    /// What was called on is at its end.
+    /// The connection or file can't be used any more.
     Final,
 }
 
 impl IoFailure {
-    /// Of a call on a connection.
+    /// Classifies the failure of a call on a connection.
     pub fn of(error: &io::Error) -> Self {
         match error.kind() {
             io::ErrorKind::WouldBlock => Self::NotReady,
@@ -43,7 +43,7 @@
         }
     }
 
-    /// Of a call on a file, or on the way to one. A disk may fail for a while.
+    /// Classifies the failure of a call on a file or its directory. A disk may fail for a while.
     pub fn of_file(error: &io::Error) -> Self {
         match error.raw_os_error() {
             Some(EIO | ENOSPC | EDQUOT) => Self::Shortage,
@@ -51,11 +51,11 @@
         }
     }
 
-    /// Of an accept. Whatever befell one connection, the next in the queue may be sound; only this process's own
-    /// socket could be at fault for good, and then there is nothing better to do than to try again.
+    /// Classifies the failure of an accept, which is never final: it concerns one connection, and the next one in the
+    /// queue may be good. Were the listener itself broken, there would be nothing better to do than to retry.
     pub fn of_accept(error: &io::Error) -> Self {
         match error.kind() {
-            // The client has gone before it was accepted.
+            // The client closed the connection before it was accepted.
             io::ErrorKind::ConnectionAborted => Self::Interrupted,
             _ => match Self::of(error) {
                 Self::Final => Self::Shortage,
@@ -64,8 +64,8 @@
         }
     }
 
-    /// Of the making of a connection. An address that this machine can't give is its own shortage, and says nothing
-    /// of the peer.
+    /// Classifies the failure of a connect. That no local address is free is this machine's shortage, and no fault of
+    /// the peer.
     pub fn of_connect(error: &io::Error) -> Self {
         match error.raw_os_error() {
             Some(EADDRNOTAVAIL) => Self::Shortage,
@@ -73,8 +73,8 @@
         }
     }
 
-    /// Whether the same call may go well a moment later.
-    pub fn passes(self) -> bool {
+    /// Whether the same call may succeed a moment later.
+    pub fn is_transient(self) -> bool {
         self != Self::Final
     }
 }
--- a/crates/sidecar/src/io_failure/tests.rs
+++ b/crates/sidecar/src/io_failure/tests.rs
@@ -27,10 +27,10 @@
     const ENOENT: i32 = 2;
     const EACCES: i32 = 13;
     for passing in [EIO, ENOSPC, EDQUOT, EMFILE] {
-        assert!(IoFailure::of_file(&raw(passing)).passes(), "{passing}");
+        assert!(IoFailure::of_file(&raw(passing)).is_transient(), "{passing}");
     }
     for lasting in [ENOENT, EACCES] {
-        assert!(!IoFailure::of_file(&raw(lasting)).passes(), "{lasting}");
+        assert!(!IoFailure::of_file(&raw(lasting)).is_transient(), "{lasting}");
     }
 }
 
@@ -40,7 +40,7 @@
     const EPERM: i32 = 1;
     const ECONNREFUSED: i32 = 111;
     assert_eq!(IoFailure::of_accept(&raw(ECONNABORTED)), IoFailure::Interrupted);
-    assert!(IoFailure::of_accept(&raw(EPERM)).passes());
+    assert!(IoFailure::of_accept(&raw(EPERM)).is_transient());
     assert_eq!(IoFailure::of_connect(&raw(EADDRNOTAVAIL)), IoFailure::Shortage);
     assert_eq!(IoFailure::of_connect(&raw(ECONNREFUSED)), IoFailure::Final);
 }
--- a/crates/sidecar/src/log.rs
+++ b/crates/sidecar/src/log.rs
@@ -1,32 +1,35 @@
-//! Log lines on standard error: one plain line each, so many a second at most. A line that can't be written, as the
-//! disk behind it is full say, is lost, and nothing else is.
+//! Log lines on standard error: one plain line each, at a limited rate. A line that can't be written, for a full disk
+//! say, is lost, and nothing else is.
 
 use std::cell::RefCell;
 use std::fmt;
 use std::io::{self, Write};
 use std::time::{Duration, Instant};
 
-/// Lines in one [`WINDOW`]; further ones are counted, and the count is told with the next line after it.
-const MOST: u32 = 100;
+/// Lines in one [`WINDOW`]; further ones are counted, and the count is logged with the next line after it.
+const MAX_LINES: u32 = 100;
+/// The time over which lines are counted.
 const WINDOW: Duration = Duration::from_secs(1);
+/// Environment variable that names what is logged in addition: `requests`.
+const VARIABLE: &str = "LB_LOG";
 
-/// Bounds the rate of lines.
+/// Limits the rate of lines.
 #[derive(Default)]
-struct Rate {
-    began: Option<Instant>,
+struct RateLimit {
+    window_start: Option<Instant>,
     written: u32,
-    left_out: u64,
+    dropped: u64,
 }
 
-impl Rate {
-    /// Whether a line may be written now; and how many were left out before it, where it is the first since.
-    fn ask(&mut self, now: Instant) -> Option<u64> {
-        if self.began.is_none_or(|began| now.saturating_duration_since(began) >= WINDOW) {
-            (self.began, self.written) = (Some(now), 1);
-            return Some(std::mem::take(&mut self.left_out));
+impl RateLimit {
+    /// Admits a line or drops it; for an admitted line, returns how many were dropped just before it.
+    fn admit(&mut self, now: Instant) -> Option<u64> {
+        if self.window_start.is_none_or(|start| now.saturating_duration_since(start) >= WINDOW) {
+            (self.window_start, self.written) = (Some(now), 1);
+            return Some(std::mem::take(&mut self.dropped));
         }
-        if self.written >= MOST {
-            self.left_out += 1;
+        if self.written >= MAX_LINES {
+            self.dropped += 1;
             return None;
         }
         self.written += 1;
@@ -34,31 +37,29 @@
     }
 }
 
-/// Environment variable that names what is logged beside the rest: `requests`.
-const VARIABLE: &str = "LB_LOG";
+thread_local! {
+    static RATE_LIMIT: RefCell<RateLimit> = RefCell::default();
+}
 
-/// Whether events of single requests are logged.
+/// Whether the events of single requests are logged.
 pub fn traces_requests() -> bool {
     thread_local! {
-        static WANTED: bool = std::env::var(VARIABLE).is_ok_and(|what| what.split(',').any(|w| w == "requests"));
+        static WANTED: bool =
+            std::env::var(VARIABLE).is_ok_and(|topics| topics.split(',').any(|topic| topic == "requests"));
     }
     WANTED.with(|wanted| *wanted)
 }
 
-thread_local! {
-    static RATE: RefCell<Rate> = RefCell::default();
-}
-
 /// Writes a line.
 pub fn line(text: fmt::Arguments<'_>) {
-    let Some(left_out) = RATE.with_borrow_mut(|rate| rate.ask(Instant::now())) else { return };
-    let mut whole = String::new();
-    if left_out > 0 {
-        whole.push_str(&format!("lotusmoor-sidecar: {left_out} lines left out\n"));
+    let Some(dropped) = RATE_LIMIT.with_borrow_mut(|limit| limit.admit(Instant::now())) else { return };
+    let mut output = String::new();
+    if dropped > 0 {
+        output.push_str(&format!("lotusmoor-sidecar: {dropped} lines left out\n"));
     }
-    whole.push_str(&format!("lotusmoor-sidecar: {text}\n"));
-    // Whoever reads the log has lost it, or its disk is full: requests go on.
-    let _ = io::stderr().write_all(whole.as_bytes());
+    output.push_str(&format!("lotusmoor-sidecar: {text}\n"));
+    // A closed pipe or a full disk must not end requests.
+    let _ = io::stderr().write_all(output.as_bytes());
 }
 
 /// Writes a formatted line.
@@ -67,5 +68,26 @@
 }
 pub(crate) use log_line;
 
+/// A source of lines that would come too often: after each line, others are dropped for a while.
+pub struct ThrottledLog {
+    spacing: Duration,
+    last: Option<Instant>,
+}
+
+impl ThrottledLog {
+    /// Writes lines at least `spacing` apart.
+    pub fn new(spacing: Duration) -> Self {
+        Self { spacing, last: None }
+    }
+
+    /// Writes the line, unless the last one was too recent.
+    pub fn line(&mut self, text: fmt::Arguments<'_>) {
+        if self.last.is_none_or(|last| last.elapsed() >= self.spacing) {
+            self.last = Some(Instant::now());
+            line(text);
+        }
+    }
+}
+
 #[cfg(test)]
 mod tests;
--- a/crates/sidecar/src/main.rs
+++ b/crates/sidecar/src/main.rs
@@ -33,12 +33,12 @@
 mod write_progress;
 
 use config::{Config, ConfigError, Reread};
-use engine::{Engine, Handle};
+use engine::{Engine, EngineHandle, NewEngine};
 use log::log_line;
 use management::Operators;
-use retry::{Backoff, at_start};
+use retry::{Backoff, retry_at_startup};
 use roster::Standing;
-use service_state::Service;
+use service_state::ServiceState;
 use state_file::StateFile;
 use std::process::ExitCode;
 use std::rc::Rc;
@@ -82,7 +82,7 @@
 }
 
 /// Does as a new configuration says.
-fn follow(reread: &Reread, engine: &Handle, roster: Option<&Standing>) {
+fn follow(reread: &Reread, engine: &EngineHandle, roster: Option<&Standing>) {
     let at = reread.discovery;
     log_line!("configuration read again, discovery at {at}");
     engine.move_discovery(at);
@@ -98,7 +98,7 @@
     let shared_socket = passed.is_some();
     let listener = match passed {
         Some(listener) => TcpListener::from_std(listener),
-        None => at_start(|| inbound::bind(config.listen)),
+        None => retry_at_startup(|| inbound::bind(config.listen)),
     };
     let listener = listener.map_err(|e| format!("cannot listen on {}: {e}", config.listen))?;
     let operators = match config.management {
@@ -109,7 +109,7 @@
     let mut int = signal(SignalKind::interrupt()).map_err(|e| format!("cannot await SIGINT: {e}"))?;
     let peers = match config.peer_listen {
         Some(at) => Some(
-            at_start(|| gossip::Peers::bind(at, &config.peers, config.peers_all))
+            retry_at_startup(|| gossip::GossipSocket::bind(at, &config.peers, config.peers_all))
                 .map_err(|e| format!("cannot bind {at}: {e}"))?,
         ),
         None => None,
@@ -117,19 +117,20 @@
     let longest = config.longest_deadline().min(LONGEST_GRACE);
     // With a socket that is passed on, the process before this one or after it may run beside it.
     let limits = config.limits(if shared_socket { 2 } else { 1 });
-    let lanes = request::Lanes::of(&config);
+    let traffic_classes = request::TrafficClasses::of(&config);
     let kept = if shared_socket { StateFile::shared(config.listen) } else { StateFile::alone() };
-    let (engine, handle, list) = Engine::new(config, limits, peers, kept.state().cordoned.clone())?;
+    let NewEngine { engine, handle, list_status: list } =
+        Engine::start(config, limits, peers, kept.state().cordoned.clone()).map_err(|e| e.to_string())?;
     let (reloading, roster) = (handle.clone(), list.clone());
-    let at_first = if kept.state().drained { Service::Draining } else { Service::Serving };
+    let at_first = if kept.state().drained { ServiceState::Draining } else { ServiceState::Serving };
     let (service, in_service) = watch::channel(at_first);
     let service = Rc::new(service);
     let mut running = spawn_local(engine.run());
     let shared = inbound::Shared {
-        lanes,
+        traffic_classes,
         handle,
-        memory: memory_budget::Memory::new(limits.bodies),
-        ids: request_ids::Ids::default(),
+        memory: memory_budget::MemoryBudget::new(limits.bodies),
+        ids: request_ids::RequestIds::default(),
         service: in_service,
         stall: upstream::STALL,
     };
@@ -163,7 +164,7 @@
                 }
                 Err(ConfigError::Unreadable(what)) => {
                     if let Some((at, backoff)) = &mut reload {
-                        let pause = backoff.pause();
+                        let pause = backoff.next_pause();
                         log_line!("{what}: it is read again in {} ms", pause.as_millis());
                         *at = Instant::now() + pause;
                     }
@@ -174,13 +175,13 @@
         }
     }
     let told = Instant::now();
-    log_line!("told to stop");
-    service.send_replace(Service::Stopping);
+    log_line!("shutting down");
+    service.send_replace(ServiceState::Stopping);
     // Who still connects to a socket that others hold as well is theirs to serve.
     if !shared_socket {
         sleep(ACCEPT_AFTER_TERM).await;
     }
-    service.send_replace(Service::Closed);
+    service.send_replace(ServiceState::NotAccepting);
     // Ends once every connection has.
     let all_closed = async {
         if accepting.await.is_ok() {
@@ -192,7 +193,7 @@
         () = &mut all_closed => return Ok(()),
         () = sleep_until(told + longest + ANSWER_AFTER_TERM) => {}
     }
-    service.send_replace(Service::Now);
+    service.send_replace(ServiceState::Aborting);
     let _ = tokio::time::timeout(LAST_WRITES, all_closed).await;
     Ok(())
 }
--- a/crates/sidecar/src/management.rs
+++ b/crates/sidecar/src/management.rs
@@ -1,11 +1,11 @@
 //! Where operators call: one line to a connection, one line back, or counts in many lines. Nothing is decided here.
 
-use crate::engine::Handle;
+use crate::engine::EngineHandle;
 use crate::io_failure::{IoFailure, RESOURCE_PAUSE};
 use crate::metrics;
-use crate::retry::at_start;
+use crate::retry::retry_at_startup;
 use crate::roster::Standing;
-use crate::service_state::Service;
+use crate::service_state::{self, ServiceState};
 use crate::state_file::StateFile;
 use std::cell::{Cell, RefCell};
 use std::collections::BTreeMap;
@@ -81,9 +81,9 @@
     /// What was told so far. Held while a call takes effect: calls do so one after the other.
     pub kept: Mutex<StateFile>,
     /// Whether the sidecar is in service.
-    pub service: Rc<watch::Sender<Service>>,
+    pub service: Rc<watch::Sender<ServiceState>>,
     /// The engine.
-    pub handle: Handle,
+    pub handle: EngineHandle,
     /// The list from a roster, where one is configured.
     pub list: Option<Standing>,
 }
@@ -92,7 +92,7 @@
     /// Carries out a call, and gives what is to be said of it. Its effect holds, here and in the process after this
     /// one, once this returns well.
     async fn carry_out(&self, call: Call) -> Result<String, String> {
-        let stopping = *self.service.borrow() >= Service::Stopping;
+        let stopping = *self.service.borrow() >= ServiceState::Stopping;
         // Whoever gets here has the engine and the clients' socket.
         if call == Call::Health {
             return if stopping { Err(STOPPING.to_owned()) } else { Ok(String::new()) };
@@ -102,7 +102,7 @@
             return list.ok_or_else(|| "no roster is configured".to_owned());
         }
         if call == Call::Metrics {
-            return Ok(metrics::text());
+            return Ok(metrics::to_prometheus_text());
         }
         let kept = &mut *self.kept.lock().await;
         if stopping && call == Call::Resume && !kept.outlives() {
@@ -127,13 +127,13 @@
 
     /// One that is out may be gone from the list for a while.
     async fn known(&self, kept: &StateFile, id: &str) -> Result<(), String> {
-        let known = kept.state().cordoned.contains(id) || self.handle.knows(id).await;
+        let known = kept.state().cordoned.contains(id) || self.handle.is_known(id).await;
         if known { Ok(()) } else { Err("unknown id".to_owned()) }
     }
 
     async fn take_effect(&self, kept: &StateFile) {
-        self.handle.cordon(kept.state().cordoned.clone()).await;
-        Service::drain(&self.service, kept.state().drained);
+        self.handle.set_cordoned(kept.state().cordoned.clone()).await;
+        service_state::set_drained(&self.service, kept.state().drained);
     }
 
     /// Follows what another process of this sidecar is told. Runs for good.
@@ -154,7 +154,7 @@
 
 /// Binds the address that operators call.
 pub fn bind(at: SocketAddr) -> Result<TcpListener, String> {
-    let bound = at_start(|| std::net::TcpListener::bind(at)).and_then(|listener| {
+    let bound = retry_at_startup(|| std::net::TcpListener::bind(at)).and_then(|listener| {
         listener.set_nonblocking(true)?;
         TcpListener::from_std(listener)
     });
@@ -225,7 +225,7 @@
         match stream.write(bytes).await {
             Ok(0) => return Err(io::ErrorKind::WriteZero.into()),
             Ok(length) => bytes = &bytes[length..],
-            Err(e) if IoFailure::of(&e).passes() => sleep(RESOURCE_PAUSE).await,
+            Err(e) if IoFailure::of(&e).is_transient() => sleep(RESOURCE_PAUSE).await,
             Err(e) => return Err(e),
         }
     }
@@ -245,7 +245,7 @@
             let read = stream.take((LONGEST_LINE + 2 - line.len()) as u64).read_buf(&mut line).await;
             match read {
                 Ok(length) if length > 0 => continue,
-                Err(e) if IoFailure::of(&e).passes() => {
+                Err(e) if IoFailure::of(&e).is_transient() => {
                     sleep(RESOURCE_PAUSE).await;
                     continue;
                 }
--- a/crates/sidecar/src/memory_budget.rs
+++ b/crates/sidecar/src/memory_budget.rs
@@ -1,33 +1,33 @@
-//! The memory that bodies may take: with thousands of connections, each of which may bring a whole one, they
-//! would not fit into what the process is allowed.
+//! The memory that bodies may take. Thousands of connections, each with a large body, would exceed what the process is
+//! allowed.
 
 use std::sync::Arc;
 use tokio::sync::{OwnedSemaphorePermit, Semaphore};
 
-/// Memory is counted in pieces of this size.
-const PIECE: usize = 1 << 10;
+/// The unit in which memory is counted.
+const UNIT_BYTES: usize = 1 << 10;
 
-/// An amount of memory.
-pub struct Memory {
-    pieces: Arc<Semaphore>,
-    most: usize,
+/// A bounded amount of memory.
+pub struct MemoryBudget {
+    units: Arc<Semaphore>,
+    total_units: usize,
 }
 
-/// A part of it, given back when dropped.
-pub struct Share {
-    _pieces: Option<OwnedSemaphorePermit>,
+/// A part of the budget, given back when dropped.
+pub struct MemoryReservation {
+    _units: Option<OwnedSemaphorePermit>,
 }
 
-impl Memory {
-    /// So many bytes.
+impl MemoryBudget {
+    /// Creates a budget of that many bytes.
     pub fn new(bytes: usize) -> Self {
-        let most = (bytes / PIECE).clamp(1, Semaphore::MAX_PERMITS >> 1);
-        Self { pieces: Arc::new(Semaphore::new(most)), most }
+        let total_units = (bytes / UNIT_BYTES).clamp(1, Semaphore::MAX_PERMITS >> 1);
+        Self { units: Arc::new(Semaphore::new(total_units)), total_units }
     }
 
-    /// Waits for so many bytes, in turn; the caller bounds the time.
-    pub async fn share(&self, bytes: usize) -> Share {
-        let pieces = bytes.div_ceil(PIECE).min(self.most);
-        Share { _pieces: Arc::clone(&self.pieces).acquire_many_owned(pieces as u32).await.ok() }
+    /// Waits for that many bytes, first come, first served. The caller bounds the time.
+    pub async fn reserve(&self, bytes: usize) -> MemoryReservation {
+        let units = bytes.div_ceil(UNIT_BYTES).min(self.total_units);
+        MemoryReservation { _units: Arc::clone(&self.units).acquire_many_owned(units as u32).await.ok() }
     }
 }
--- a/crates/sidecar/src/metrics.rs
+++ b/crates/sidecar/src/metrics.rs
@@ -1,14 +1,14 @@
-//! What this process counts, by reason: ends of clients' connections, answers, ends of attempts, denied sends, and
-//! breaches of the protocol's rules. Operators get them as text in Prometheus' form.
+//! Counters of this process, by reason: ends of clients' connections, answers, ends of attempts, denied sends and
+//! breaches of the protocol's rules. Operators get them in Prometheus' text format.
 //!
-//! The sidecar has one thread, so counts are plain cells of that thread.
+//! The sidecar has one thread, so a counter is a plain cell of that thread.
 
 use lotusmoor_balancer::Outcome;
 use std::cell::Cell;
 use std::fmt::Write;
 
-/// A family of counters: an enum of reasons, and a cell for each.
-macro_rules! family {
+/// Declares a family of counters: an enum of label values, with one counter for each.
+macro_rules! counter_family {
     ($(#[$doc:meta])* $name:ident, $metric:literal, $label:literal, $help:literal,
      { $($(#[$variant_doc:meta])* $variant:ident = $value:literal,)+ }) => {
         $(#[$doc])*
@@ -20,122 +20,126 @@
         impl $name {
             const ALL: &[Self] = &[$(Self::$variant,)+];
 
-            fn cells<T>(with: impl FnOnce(&[Cell<u64>]) -> T) -> T {
+            fn with_counters<T>(read: impl FnOnce(&[Cell<u64>]) -> T) -> T {
                 thread_local! {
-                    static CELLS: Vec<Cell<u64>> = vec![Cell::new(0); $name::ALL.len()];
+                    static COUNTERS: Vec<Cell<u64>> = vec![Cell::new(0); $name::ALL.len()];
                 }
-                CELLS.with(|cells| with(cells))
+                COUNTERS.with(|counters| read(counters))
             }
 
-            /// Its value in logs and metrics.
+            /// The label value, as it appears in metrics and logs.
             pub fn name(self) -> &'static str {
                 match self {
                     $(Self::$variant => $value,)+
                 }
             }
 
-            /// Counts one.
+            /// Increments the counter.
             pub fn count(self) {
-                Self::cells(|cells| cells[self as usize].set(cells[self as usize].get() + 1));
+                Self::with_counters(|counters| {
+                    let counter = &counters[self as usize];
+                    counter.set(counter.get() + 1);
+                });
             }
 
-            /// How many were counted.
+            /// The counter's value.
             pub fn total(self) -> u64 {
-                Self::cells(|cells| cells[self as usize].get())
+                Self::with_counters(|counters| counters[self as usize].get())
             }
 
-            fn write(to: &mut String) {
+            fn write_all(text: &mut String) {
                 // Writing to a string does not fail.
-                let _ = write!(to, "# HELP {} {}\n# TYPE {} counter\n", $metric, $help, $metric);
-                for one in Self::ALL {
-                    let _ = writeln!(to, "{}_total{{{}=\"{}\"}} {}", $metric, $label, one.name(), one.total());
+                let _ = writeln!(text, "# HELP {} {}", $metric, $help);
+                let _ = writeln!(text, "# TYPE {} counter", $metric);
+                for value in Self::ALL {
+                    let (name, total) = (value.name(), value.total());
+                    let _ = writeln!(text, "{}_total{{{}=\"{name}\"}} {total}", $metric, $label);
                 }
             }
         }
     };
 }
 
-family! {
+counter_family! {
     /// Why a client's connection ended.
-    Closed, "lotusmoor_sidecar_connections_closed", "reason", "Ends of clients' connections.",
+    ConnectionEnd, "lotusmoor_sidecar_connections_closed", "reason", "Ends of clients' connections.",
     {
-        /// It rested for too long, was not used, or was wanted for another client.
-        Resting = "resting",
+        /// It was idle for too long, was never used, or its place was needed for another client.
+        Idle = "idle",
         /// The sidecar is out of service.
         OutOfService = "out_of_service",
-        /// Its answer said so.
-        Answered = "answered",
-        /// Its client has closed or reset it.
-        ClientLeft = "client_left",
-        /// Its client did not take its answer, or the answer broke off.
-        AnswerBrokeOff = "answer_broke_off",
+        /// Its answer announced it.
+        AfterAnswer = "after_answer",
+        /// The client closed or reset it.
+        ClientClosed = "client_closed",
+        /// The client did not read its answer, or the answer broke off.
+        AnswerIncomplete = "answer_incomplete",
     }
 }
 
-family! {
+counter_family! {
     /// How a request was answered.
-    Answered, "lotusmoor_sidecar_requests_answered", "how", "Final answers to requests.",
+    RequestOutcome, "lotusmoor_sidecar_requests_answered", "outcome", "Final answers to requests.",
     {
         /// With an endpoint's answer.
         Served = "served",
-        /// With a promise that it has not run.
-        Refused = "refused",
-        /// With an endpoint's judgement of it.
-        Barred = "barred",
-        /// Failed by the decision module.
+        /// Shed by the balancer: surely not run.
+        Shed = "shed",
+        /// With a status by which an endpoint blames the request.
+        ClientError = "client_error",
+        /// Failed by the balancer.
         Failed = "failed",
-        /// Failed as its time was over and the module had not answered.
-        Overdue = "overdue",
+        /// Failed as its deadline passed and the balancer had not answered.
+        DeadlineExceeded = "deadline_exceeded",
         /// Failed as the process is about to end.
-        Stopped = "stopped",
-        /// Turned away before it came to the module.
-        TurnedAway = "turned_away",
+        ShutDown = "shut_down",
+        /// Rejected before it reached the balancer.
+        Rejected = "rejected",
     }
 }
 
-family! {
+counter_family! {
     /// Why a send was denied at the moment of writing.
-    Denied, "lotusmoor_sidecar_sends_denied", "reason", "Attempts that were denied their first byte.",
+    SendDenial, "lotusmoor_sidecar_sends_denied", "reason", "Attempts that were denied their first byte.",
     {
-        /// The endpoint drains, is gone, has moved, was taken out or is a new process.
-        Revoked = "permission_revoked",
-        /// The request has its answer, or was withdrawn.
-        Settled = "settled",
-        /// The client has closed its connection, or sent what does not belong to the request.
-        ClientLeft = "client_left",
+        /// The endpoint is draining, removed, moved, cordoned or a new process.
+        PermissionRevoked = "permission_revoked",
+        /// The request has its answer, or was abandoned.
+        Completed = "request_completed",
+        /// The client closed its connection, or sent bytes that do not belong to the request.
+        ClientClosed = "client_closed",
         /// The time for an answer is over.
-        TimeOver = "time_over",
-        /// The endpoint might not know the request's key any more.
-        RepeatWindowOver = "repeat_window_over",
+        DeadlineExceeded = "deadline_exceeded",
+        /// The endpoint may have forgotten the request's idempotency key.
+        IdempotencyWindowExpired = "idempotency_window_expired",
     }
 }
 
-family! {
-    /// How an attempt ended, as the decision module was told.
-    Attempted, "lotusmoor_sidecar_attempts_ended", "outcome", "Ends of attempts.",
+counter_family! {
+    /// How an attempt ended, as reported to the balancer.
+    AttemptOutcome, "lotusmoor_sidecar_attempts_ended", "outcome", "Ends of attempts.",
     {
         /// With an answer.
         Ok = "ok",
-        /// With an error, or what can't be read.
+        /// With an error, or an unreadable answer.
         Error = "error",
-        /// Turned away, surely not run.
+        /// Rejected by the endpoint: surely not run.
         Rejected = "rejected",
-        /// No connection, or none to the last byte.
+        /// No connection, or it broke before the last byte was written.
         ConnectFailed = "connect_failed",
         /// The connection broke after that.
         Reset = "reset",
         /// No answer in time.
         TimedOut = "timed_out",
-        /// Called back.
+        /// Cancelled by the balancer.
         Cancelled = "cancelled",
         /// Never sent.
         NotSent = "not_sent",
     }
 }
 
-impl Attempted {
-    /// Of an outcome.
-    pub fn of(outcome: Outcome) -> Self {
+impl From<Outcome> for AttemptOutcome {
+    fn from(outcome: Outcome) -> Self {
         match outcome {
             Outcome::Ok | Outcome::BadRequest => Self::Ok,
             Outcome::Error => Self::Error,
@@ -149,31 +153,31 @@
     }
 }
 
-family! {
-    /// A rule of the protocol that was seen to be broken at run time; each count is a fault of this program.
-    Violation, "lotusmoor_sidecar_rule_violations", "rule", "Breaches of the protocol's rules, which are faults of the sidecar.",
+counter_family! {
+    /// A breach of the protocol's rules, detected at run time: each one is a fault of this program.
+    RuleViolation, "lotusmoor_sidecar_rule_violations", "rule", "Breaches of the protocol's rules, which are faults of the sidecar.",
     {
-        /// A request that was read ended without an answer, though its client was there.
-        Lost = "lost",
-        /// An attempt began while another of its request was out.
+        /// A request that was read ended without an answer, though its client was still connected.
+        Unanswered = "unanswered",
+        /// An attempt began while another of the same request was in flight.
         Duplicate = "duplicate",
-        /// An attempt began after its request had its answer, or its client had gone.
-        Withdrawn = "withdrawn",
-        /// An attempt began at an endpoint without permission.
-        Drain = "drain",
-        /// An attempt was told more time than its client had left.
+        /// An attempt began after its request had its answer, or its client had closed.
+        AfterCompletion = "after_completion",
+        /// An attempt began at an endpoint that did not permit it.
+        NotPermitted = "not_permitted",
+        /// An attempt advertised more time than its client had left.
         Deadline = "deadline",
     }
 }
 
-/// All counts as text in Prometheus' form.
-pub fn text() -> String {
+/// All counters in Prometheus' text format.
+pub fn to_prometheus_text() -> String {
     let mut text = String::new();
-    Closed::write(&mut text);
-    Answered::write(&mut text);
-    Denied::write(&mut text);
-    Attempted::write(&mut text);
-    Violation::write(&mut text);
+    ConnectionEnd::write_all(&mut text);
+    RequestOutcome::write_all(&mut text);
+    SendDenial::write_all(&mut text);
+    AttemptOutcome::write_all(&mut text);
+    RuleViolation::write_all(&mut text);
     text
 }
 
--- a/crates/sidecar/src/metrics/tests.rs
+++ b/crates/sidecar/src/metrics/tests.rs
@@ -2,12 +2,18 @@
 
 #[test]
 fn what_is_counted_stands_in_the_text_by_its_reason() {
-    Denied::Settled.count();
-    Denied::Settled.count();
-    Violation::Lost.count();
-    let text = text();
-    assert!(text.contains("lotusmoor_sidecar_sends_denied_total{reason=\"settled\"} 2\n"), "{text}");
-    assert!(text.contains("lotusmoor_sidecar_sends_denied_total{reason=\"time_over\"} 0\n"), "{text}");
-    assert!(text.contains("lotusmoor_sidecar_rule_violations_total{rule=\"lost\"} 1\n"), "{text}");
-    assert_eq!((Denied::Settled.total(), Violation::Deadline.total()), (2, 0));
+    SendDenial::Completed.count();
+    SendDenial::Completed.count();
+    RuleViolation::Unanswered.count();
+    let text = to_prometheus_text();
+    assert!(
+        text.contains("lotusmoor_sidecar_sends_denied_total{reason=\"request_completed\"} 2\n"),
+        "{text}"
+    );
+    assert!(
+        text.contains("lotusmoor_sidecar_sends_denied_total{reason=\"deadline_exceeded\"} 0\n"),
+        "{text}"
+    );
+    assert!(text.contains("lotusmoor_sidecar_rule_violations_total{rule=\"unanswered\"} 1\n"), "{text}");
+    assert_eq!((SendDenial::Completed.total(), RuleViolation::Deadline.total()), (2, 0));
 }
--- a/crates/sidecar/src/request.rs
+++ b/crates/sidecar/src/request.rs
@@ -4,7 +4,7 @@
 use crate::body::{Framing, LONGEST_BODY};
 use crate::config::Config;
 use crate::exchange::TIME_LEFT;
-use crate::resource_limits::LONGEST_HEAD;
+use crate::resource_limits::MAX_HEAD_BYTES;
 use hyper::header::{self, HeaderMap, HeaderName, HeaderValue};
 use hyper::{Method, StatusCode, Uri};
 use lotusmoor_balancer::{Idempotency, Micros};
@@ -35,7 +35,7 @@
 
 /// The head of a request.
 #[derive(Debug)]
-pub struct Head {
+pub struct RequestHead {
     /// The method.
     pub method: Method,
     /// Path and query, as they go on to endpoints.
@@ -52,14 +52,14 @@
     pub awaits_continue: bool,
 }
 
-impl Head {
+impl RequestHead {
     /// Reads a head and tells its length; `None` while its end has not come, a status where none is to be had.
     pub fn read(bytes: &[u8]) -> Result<Option<(Self, usize)>, StatusCode> {
         let mut fields = [httparse::EMPTY_HEADER; MOST_HEADERS];
         let mut parsed = httparse::Request::new(&mut fields);
         let length = match parsed.parse(bytes) {
-            Ok(httparse::Status::Complete(length)) if length <= LONGEST_HEAD => length,
-            Ok(httparse::Status::Partial) if bytes.len() < LONGEST_HEAD => return Ok(None),
+            Ok(httparse::Status::Complete(length)) if length <= MAX_HEAD_BYTES => length,
+            Ok(httparse::Status::Partial) if bytes.len() < MAX_HEAD_BYTES => return Ok(None),
             Ok(_) | Err(httparse::Error::TooManyHeaders) => {
                 return Err(StatusCode::REQUEST_HEADER_FIELDS_TOO_LARGE);
             }
@@ -111,12 +111,12 @@
 }
 
 /// The classes and tenants by name.
-pub struct Lanes {
+pub struct TrafficClasses {
     classes: Vec<(String, Idempotency, Micros)>,
     tenants: Vec<String>,
 }
 
-impl Lanes {
+impl TrafficClasses {
     /// As the configuration has them.
     pub fn of(config: &Config) -> Self {
         let decoded = &config.decoded;
@@ -129,7 +129,7 @@
 }
 
 /// What the headers say of a request.
-pub struct Facts {
+pub struct RequestMetadata {
     /// Its class.
     pub class: usize,
     /// Its tenant.
@@ -147,9 +147,9 @@
     pub id: Box<[u8]>,
 }
 
-impl Facts {
+impl RequestMetadata {
     /// Reads them; `None` where the request can't be served as it is.
-    pub fn read(lanes: &Lanes, head: &Head) -> Option<Self> {
+    pub fn read(traffic_classes: &TrafficClasses, head: &RequestHead) -> Option<Self> {
         // A header that is there twice says two things.
         let once = |name: &HeaderName| {
             let mut values = head.headers.get_all(name).iter();
@@ -157,17 +157,18 @@
         };
         let text = |name: &HeaderName| once(name).and_then(|v| v.to_str().ok()).map(str::trim);
         let class = text(&SERVICE_CLASS)?;
-        let class = lanes.classes.iter().position(|(name, ..)| name == class)?;
+        let class = traffic_classes.classes.iter().position(|(name, ..)| name == class)?;
         // The method follows from the class: a request in another form is not what the class promises.
         let keyed = once(&IDEMPOTENCY_KEY).is_some_and(|key| !key.is_empty());
-        let (_, effect, deadline) = lanes.classes[class];
+        let (_, effect, deadline) = traffic_classes.classes[class];
         let fits = match effect {
             Idempotency::Idempotent => head.method == Method::GET && head.body == Framing::Sized(0),
             Idempotency::WithKey { .. } => head.method == Method::POST && keyed,
             Idempotency::NonIdempotent => head.method == Method::POST,
         };
         let id = text(&CORRELATION_ID).filter(|id| fits && !id.is_empty() && id.len() <= LONGEST_ID)?;
-        let tenant = text(&ACCOUNT).and_then(|account| lanes.tenants.iter().position(|t| t == account));
+        let tenant =
+            text(&ACCOUNT).and_then(|account| traffic_classes.tenants.iter().position(|t| t == account));
         let work = text(&WEIGHT_HINT).and_then(|hint| hint.parse().ok()).filter(|us: &Micros| *us > 0);
         Some(Self {
             class,
--- a/crates/sidecar/src/request/tests.rs
+++ b/crates/sidecar/src/request/tests.rs
@@ -17,7 +17,7 @@
 fn a_body_has_one_plain_length_or_none() {
     let read = |lines: &str| {
         let head = format!("POST /api HTTP/1.1\r\nHost: x\r\n{lines}\r\n");
-        Head::read(head.as_bytes()).map(|head| head.map(|(head, _)| head.body))
+        RequestHead::read(head.as_bytes()).map(|head| head.map(|(head, _)| head.body))
     };
     assert_eq!(read(""), Ok(Some(Framing::Sized(0))));
     assert_eq!(read("Content-Length: 17\r\n"), Ok(Some(Framing::Sized(17))));
@@ -44,26 +44,26 @@
         assert_eq!(read(lines), Err(bad), "{lines}");
     }
     let old = format!("POST /api HTTP/1.0\r\nHost: x\r\n{encoded}\r\n");
-    assert_eq!(Head::read(old.as_bytes()).err(), Some(bad));
+    assert_eq!(RequestHead::read(old.as_bytes()).err(), Some(bad));
     assert_eq!(read("Content-Length : 4\r\n"), Err(bad));
 }
 
 #[test]
 fn a_head_without_an_end_has_its_bound() {
-    let head = format!("GET / HTTP/1.1\r\nA: {}", "a".repeat(LONGEST_HEAD));
-    assert!(Head::read(&head.as_bytes()[..LONGEST_HEAD - 1]).is_ok_and(|head| head.is_none()));
-    assert!(Head::read(&head.as_bytes()[..LONGEST_HEAD]).is_err());
+    let head = format!("GET / HTTP/1.1\r\nA: {}", "a".repeat(MAX_HEAD_BYTES));
+    assert!(RequestHead::read(&head.as_bytes()[..MAX_HEAD_BYTES - 1]).is_ok_and(|head| head.is_none()));
+    assert!(RequestHead::read(&head.as_bytes()[..MAX_HEAD_BYTES]).is_err());
 }
 
 #[test]
 fn a_client_that_says_an_hour_waits_as_long_as_its_class_allows() {
     let classes = vec![("look".to_owned(), Idempotency::Idempotent, 4_000_000)];
-    let lanes = Lanes { classes, tenants: Vec::new() };
+    let traffic_classes = TrafficClasses { classes, tenants: Vec::new() };
     let waits = |left: &str| {
         let lines = format!("X-Correlation-Id: a\r\nX-Service-Class: look\r\nX-Time-Left: {left}\r\n");
-        let head = Head::read(format!("GET /api HTTP/1.1\r\n{lines}\r\n").as_bytes());
+        let head = RequestHead::read(format!("GET /api HTTP/1.1\r\n{lines}\r\n").as_bytes());
         let (head, _) = head.expect("a head").expect("all of it");
-        Facts::read(&lanes, &head).map(|facts| facts.time_left)
+        RequestMetadata::read(&traffic_classes, &head).map(|facts| facts.time_left)
     };
     assert_eq!((waits("3600000m"), waits("300m"), waits("soon")), (Some(4_000_000), Some(300_000), None));
 }
--- a/crates/sidecar/src/request_ids.rs
+++ b/crates/sidecar/src/request_ids.rs
@@ -1,4 +1,4 @@
-//! The ids of requests: new with every one, so that one that is open, or was of late, is no other request's.
+//! Correlation ids of requests. Each is new, so that an endpoint never sees one id for two requests.
 
 use std::cell::RefCell;
 use std::collections::{HashSet, VecDeque};
@@ -6,45 +6,51 @@
 use std::time::Duration;
 use tokio::time::Instant;
 
-/// How long and how many ids are known for after their requests are over. A copy of an open request may come a
-/// little later than the answer.
-const REMEMBERED: Duration = Duration::from_secs(5);
-const MOST_REMEMBERED: usize = 8192;
+/// How long an id stays known after its request: a copy of the request may come a little later than the answer.
+const RETENTION: Duration = Duration::from_secs(5);
+/// Ids of completed requests that are remembered at the most.
+const MAX_RETAINED: usize = 8192;
 
-/// All ids that are known. An endpoint that gets one twice can't tell whose request it runs.
+/// The ids of open and of recently completed requests.
 #[derive(Clone, Default)]
-pub struct Ids(Rc<RefCell<Known>>);
+pub struct RequestIds(Rc<RefCell<KnownIds>>);
 
 #[derive(Default)]
-struct Known {
+struct KnownIds {
     ids: HashSet<Rc<[u8]>>,
-    over: VecDeque<(Instant, Rc<[u8]>)>,
+    completed: VecDeque<(Instant, Rc<[u8]>)>,
 }
 
-/// The id of an open request; over when dropped.
-pub struct OpenId {
-    all: Ids,
+/// The id of an open request. The request is completed when this is dropped.
+pub struct OpenRequestId {
+    ids: RequestIds,
     id: Rc<[u8]>,
 }
 
-impl Ids {
+impl RequestIds {
     /// Opens an id; `None` if it is known already.
-    pub fn open(&self, id: &[u8], now: Instant) -> Option<OpenId> {
+    pub fn open(&self, id: &[u8], now: Instant) -> Option<OpenRequestId> {
         let known = &mut *self.0.borrow_mut();
-        while let Some((since, old)) = known.over.front()
-            && (known.over.len() > MOST_REMEMBERED || now.duration_since(*since) >= REMEMBERED)
+        known.forget_expired(now);
+        let id: Rc<[u8]> = id.into();
+        known.ids.insert(Rc::clone(&id)).then(|| OpenRequestId { ids: self.clone(), id })
+    }
+}
+
+impl KnownIds {
+    fn forget_expired(&mut self, now: Instant) {
+        while let Some((since, id)) = self.completed.front()
+            && (self.completed.len() > MAX_RETAINED || now.duration_since(*since) >= RETENTION)
         {
-            known.ids.remove(old);
-            known.over.pop_front();
+            self.ids.remove(id);
+            self.completed.pop_front();
         }
-        let id: Rc<[u8]> = id.into();
-        known.ids.insert(Rc::clone(&id)).then(|| OpenId { all: self.clone(), id })
     }
 }
 
-impl Drop for OpenId {
+impl Drop for OpenRequestId {
     fn drop(&mut self) {
-        self.all.0.borrow_mut().over.push_back((Instant::now(), Rc::clone(&self.id)));
+        self.ids.0.borrow_mut().completed.push_back((Instant::now(), Rc::clone(&self.id)));
     }
 }
 
--- a/crates/sidecar/src/request_ids/tests.rs
+++ b/crates/sidecar/src/request_ids/tests.rs
@@ -2,14 +2,14 @@
 
 #[test]
 fn an_id_is_free_again_only_some_time_after_its_request() {
-    let (ids, now) = (Ids::default(), Instant::now());
+    let (ids, now) = (RequestIds::default(), Instant::now());
     let open = ids.open(b"a", now).expect("it is new");
-    assert!(ids.open(b"a", now + 2 * REMEMBERED).is_none() && ids.open(b"b", now).is_some());
+    assert!(ids.open(b"a", now + 2 * RETENTION).is_none() && ids.open(b"b", now).is_some());
     drop(open);
     assert!(ids.open(b"a", now).is_none());
-    assert!(ids.open(b"a", now + 2 * REMEMBERED).is_some());
-    for number in 0..2 * MOST_REMEMBERED {
+    assert!(ids.open(b"a", now + 2 * RETENTION).is_some());
+    for number in 0..2 * MAX_RETAINED {
         assert!(ids.open(&number.to_be_bytes(), now).is_some());
     }
-    assert!(ids.0.borrow().ids.len() <= MOST_REMEMBERED + 2, "they would grow for good");
+    assert!(ids.0.borrow().ids.len() <= MAX_RETAINED + 2, "they would grow for good");
 }
--- a/crates/sidecar/src/roster.rs
+++ b/crates/sidecar/src/roster.rs
@@ -1,7 +1,7 @@
 //! The list from a roster, where one is configured: carries out what the rider wants. Nothing is decided here.
 
 use crate::connection::Connection;
-use crate::endpoint_list::{Host, HostList, HostStatus};
+use crate::endpoint_list::{ListMessage, ListedEndpoint, ListedStatus};
 use crate::exchange::{Input, Inputs};
 use crate::http_get;
 use crate::log::log_line;
@@ -231,7 +231,12 @@
             Action::Apply(applied) => {
                 let endpoints = applied.entries.into_iter().map(host).collect();
                 let (index, snapshot) = (applied.version.index, applied.full);
-                self.inputs.send(Input::Hosts(HostList { index, snapshot, endpoints, unreadable: None }));
+                self.inputs.send(Input::ListReceived(ListMessage {
+                    index,
+                    snapshot,
+                    endpoints,
+                    unreadable: None,
+                }));
             }
             Action::Save => self.save(),
             Action::Report(report) => self.report(report),
@@ -300,23 +305,23 @@
             let told = told.filter(|s| s.is_finite() && *s >= 0.0).map(|s| (s.min(60.0) * 1e6) as Micros);
             failed(format!("status {}", status.as_u16()), told)
         }
-        Err(what) => failed(what, None),
+        Err(e) => failed(e.to_string(), None),
     }
 }
 
-fn host(entry: Entry) -> Host {
-    Host {
+fn host(entry: Entry) -> ListedEndpoint {
+    ListedEndpoint {
         name: entry.name,
         address: Some(entry.address),
         zone: entry.zone,
-        kind: entry.machine_type,
-        group: entry.cell,
+        machine_type: entry.machine_type,
+        cell: entry.cell,
         status: match entry.status {
-            Status::Active => HostStatus::Active,
-            Status::Draining => HostStatus::Leaving,
-            Status::Removed => HostStatus::Left,
+            Status::Active => ListedStatus::Active,
+            Status::Draining => ListedStatus::Draining,
+            Status::Removed => ListedStatus::Removed,
         },
         weight: entry.weight,
-        since_ms: entry.started_ms,
+        started_ms: entry.started_ms,
     }
 }
--- a/crates/sidecar/src/send_gate.rs
+++ b/crates/sidecar/src/send_gate.rs
@@ -2,9 +2,9 @@
 //! protocol's rules hold. What was decided some turns of the runtime or a late connection ago may not hold any more,
 //! so it is asked at the moment in which the first byte is written.
 
-use crate::client_liveness::Presence;
+use crate::client_liveness::ClientLiveness;
 use crate::log::{self, log_line};
-use crate::metrics::{Denied, Violation};
+use crate::metrics::{RuleViolation, SendDenial};
 use std::cell::{Cell, RefCell};
 use std::fmt;
 use std::rc::Rc;
@@ -20,65 +20,65 @@
     /// It is read; attempts may begin.
     Open,
     /// It has its final answer, or needs none any more: no attempt may begin.
-    Settled,
+    Completed,
 }
 
 /// A request's life, as far as sends depend on it. Shared by its client's connection, the engine and its attempts.
-pub struct RequestLife {
+pub struct RequestLifecycle {
     /// The id that the client gave it.
     id: Box<str>,
     stage: Cell<Stage>,
     /// The client, where there is one.
-    client: Option<Presence>,
+    client: Option<ClientLiveness>,
     /// More of its body is to come: what lies unread belongs to it.
     body_flows: bool,
     /// When its client may stop waiting at the soonest, by what is known of when its last byte came; absent where it has
     /// no client.
-    soonest_due: Cell<Option<Instant>>,
+    earliest_deadline: Cell<Option<Instant>>,
     /// Attempts that have begun to be written and are not over.
     out: Cell<u32>,
 }
 
-impl RequestLife {
+impl RequestLifecycle {
     /// Of a request that was just read.
-    pub fn new(id: &[u8], client: Option<Presence>, body_flows: bool) -> Rc<Self> {
+    pub fn new(id: &[u8], client: Option<ClientLiveness>, body_flows: bool) -> Rc<Self> {
         let id = String::from_utf8_lossy(id).into();
-        let (stage, soonest_due, out) = (Cell::new(Stage::Open), Cell::default(), Cell::default());
-        Rc::new(Self { id, stage, client, body_flows, soonest_due, out })
+        let (stage, earliest_deadline, out) = (Cell::new(Stage::Open), Cell::default(), Cell::default());
+        Rc::new(Self { id, stage, client, body_flows, earliest_deadline, out })
     }
 
     /// How long an endpoint may be told that its answer is waited for, where it is until then. Endpoints count that
     /// from the last byte of a request, as its client does: the time that a body takes to come is not theirs.
-    pub fn time_to_tell(&self, until: Instant) -> Duration {
-        let until = self.soonest_due.get().map_or(until, |due| due.min(until));
+    pub fn advertised_wait(&self, until: Instant) -> Duration {
+        let until = self.earliest_deadline.get().map_or(until, |due| due.min(until));
         until.saturating_duration_since(Instant::now())
     }
 
     /// The client stops waiting then, or later where its body flows on: the rest of that may lie in the system's queue
     /// already, and the client have begun to wait.
-    pub fn set_soonest_due(&self, due: Instant) {
-        self.soonest_due.set(Some(due));
+    pub fn set_earliest_deadline(&self, due: Instant) {
+        self.earliest_deadline.set(Some(due));
     }
 
     /// It has its final answer, or needs none any more.
-    pub fn settle(&self) {
-        self.stage.set(Stage::Settled);
+    pub fn complete(&self) {
+        self.stage.set(Stage::Completed);
     }
 
     /// Whether a send for it may begin.
-    fn check(&self) -> Result<(), Denied> {
-        if self.stage.get() == Stage::Settled {
-            return Err(Denied::Settled);
+    fn check(&self) -> Result<(), SendDenial> {
+        if self.stage.get() == Stage::Completed {
+            return Err(SendDenial::Completed);
         }
-        if self.soonest_due.get().is_some_and(|due| Instant::now() >= due) {
-            return Err(Denied::TimeOver);
+        if self.earliest_deadline.get().is_some_and(|due| Instant::now() >= due) {
+            return Err(SendDenial::DeadlineExceeded);
         }
         let there = self.client.as_ref().is_none_or(|client| match self.body_flows {
             // Who sends anything behind a whole request is told 400, if it is there at all.
             false => client.quiet(),
             true => !client.left(),
         });
-        if there { Ok(()) } else { Err(Denied::ClientLeft) }
+        if there { Ok(()) } else { Err(SendDenial::ClientClosed) }
     }
 
     /// Logs an event of its life, where operators want that.
@@ -89,7 +89,7 @@
     }
 
     /// A rule was broken: that is counted and logged, and the process goes on.
-    pub fn violated(&self, rule: Violation) {
+    pub fn report_violation(&self, rule: RuleViolation) {
         rule.count();
         log_line!("rule broken: {}, request {}", rule.name(), self.id);
     }
@@ -98,7 +98,7 @@
 /// Why a send may begin: what was decided, and what has to hold still when its first byte is written.
 pub struct SendPermit {
     /// The request.
-    pub life: Rc<RequestLife>,
+    pub lifecycle: Rc<RequestLifecycle>,
     /// Whether the endpoint may still be sent to as was decided.
     pub endpoint: Box<dyn Fn() -> bool>,
     /// No answer is waited for after this, where the attempt has a bound of its own.
@@ -109,17 +109,17 @@
 
 impl SendPermit {
     /// Whether the send may begin now.
-    pub fn check(&self) -> Result<(), Denied> {
+    pub fn check(&self) -> Result<(), SendDenial> {
         let now = Instant::now();
         if !(self.endpoint)() {
-            return Err(Denied::Revoked);
+            return Err(SendDenial::PermissionRevoked);
         }
-        self.life.check()?;
+        self.lifecycle.check()?;
         if self.until.is_some_and(|until| now >= until) {
-            return Err(Denied::TimeOver);
+            return Err(SendDenial::DeadlineExceeded);
         }
         if self.write_by.is_some_and(|by| now >= by) {
-            return Err(Denied::RepeatWindowOver);
+            return Err(SendDenial::IdempotencyWindowExpired);
         }
         Ok(())
     }
@@ -130,20 +130,20 @@
     /// Dropped as it begins or ends: it holds what the request needs.
     permit: RefCell<Option<SendPermit>>,
     /// Dropped as it ends: the connection that carries it may be kept for long.
-    life: RefCell<Option<Rc<RequestLife>>>,
-    denied: Cell<Option<Denied>>,
+    lifecycle: RefCell<Option<Rc<RequestLifecycle>>>,
+    denied: Cell<Option<SendDenial>>,
     begun: Cell<bool>,
     /// How long the endpoint is told that the answer is waited for.
-    promised: Cell<Option<Duration>>,
+    advertised: Cell<Option<Duration>>,
 }
 
 impl GatedSend {
     /// With that permit.
     pub fn new(permit: SendPermit) -> Rc<Self> {
-        let life = RefCell::new(Some(Rc::clone(&permit.life)));
+        let lifecycle = RefCell::new(Some(Rc::clone(&permit.lifecycle)));
         let permit = RefCell::new(Some(permit));
-        let (denied, begun, promised) = (Cell::default(), Cell::default(), Cell::default());
-        Rc::new(Self { permit, life, denied, begun, promised })
+        let (denied, begun, advertised) = (Cell::default(), Cell::default(), Cell::default());
+        Rc::new(Self { permit, lifecycle, denied, begun, advertised })
     }
 
     /// Whether its next byte may be written. Asked at that moment; once it has begun, it may go on.
@@ -152,13 +152,13 @@
             return true;
         }
         // One that has ended without a byte is over.
-        let checked = self.permit.borrow().as_ref().map_or(Err(Denied::Settled), SendPermit::check);
+        let checked = self.permit.borrow().as_ref().map_or(Err(SendDenial::Completed), SendPermit::check);
         if let Err(why) = checked
             && self.denied.get().is_none()
         {
             why.count();
-            if let Some(life) = &*self.life.borrow() {
-                life.trace(format_args!("a send was denied: {}", why.name()));
+            if let Some(lifecycle) = &*self.lifecycle.borrow() {
+                lifecycle.trace(format_args!("a send was denied: {}", why.name()));
             }
         }
         self.denied.set(checked.err());
@@ -166,13 +166,13 @@
     }
 
     /// Why it was denied, if it was.
-    pub fn denied(&self) -> Option<Denied> {
+    pub fn denied(&self) -> Option<SendDenial> {
         self.denied.get()
     }
 
     /// The endpoint is told that its answer is waited for so long from now on.
-    pub fn promise(&self, wait: Duration) {
-        self.promised.set(Some(wait));
+    pub fn advertise_wait(&self, wait: Duration) {
+        self.advertised.set(Some(wait));
     }
 
     /// The system has taken its first byte: what must hold then is looked at once more.
@@ -181,41 +181,41 @@
             return;
         }
         let permit = self.permit.borrow_mut().take();
-        let life = self.life.borrow();
-        let Some(life) = life.as_deref() else { return };
-        if life.stage.get() == Stage::Settled {
-            life.violated(Violation::Withdrawn);
+        let lifecycle = self.lifecycle.borrow();
+        let Some(lifecycle) = lifecycle.as_deref() else { return };
+        if lifecycle.stage.get() == Stage::Completed {
+            lifecycle.report_violation(RuleViolation::AfterCompletion);
         }
         if permit.is_some_and(|permit| !(permit.endpoint)()) {
-            life.violated(Violation::Drain);
+            lifecycle.report_violation(RuleViolation::NotPermitted);
         }
-        if life.out.get() > 0 {
-            life.violated(Violation::Duplicate);
+        if lifecycle.out.get() > 0 {
+            lifecycle.report_violation(RuleViolation::Duplicate);
         }
-        let due = life.soonest_due.get();
+        let due = lifecycle.earliest_deadline.get();
         let left = due.map(|due| due.saturating_duration_since(Instant::now()));
         let past_due = |told: Duration| left.is_some_and(|left| told > left + DEADLINE_SLACK);
-        if self.promised.get().is_some_and(past_due) {
-            life.violated(Violation::Deadline);
+        if self.advertised.get().is_some_and(past_due) {
+            lifecycle.report_violation(RuleViolation::Deadline);
         }
-        life.out.set(life.out.get() + 1);
+        lifecycle.out.set(lifecycle.out.get() + 1);
     }
 
     /// Its attempt is over: its connection is closed, or has brought the answer.
     pub fn end(&self) {
         self.permit.borrow_mut().take();
-        if let Some(life) = self.life.borrow_mut().take()
+        if let Some(lifecycle) = self.lifecycle.borrow_mut().take()
             && self.begun.get()
         {
-            life.out.set(life.out.get() - 1);
+            lifecycle.out.set(lifecycle.out.get() - 1);
         }
     }
 }
 
 /// Ends a send when dropped, as at the end of its attempt or when that is called back.
-pub struct EndsSend(pub Rc<GatedSend>);
+pub struct SendGuard(pub Rc<GatedSend>);
 
-impl Drop for EndsSend {
+impl Drop for SendGuard {
     fn drop(&mut self) {
         self.0.end();
     }
--- a/crates/sidecar/src/service_state.rs
+++ b/crates/sidecar/src/service_state.rs
@@ -1,27 +1,31 @@
-//! Whether the sidecar is in service.
+//! Whether the sidecar is in service, and how far a graceful shutdown has come.
 
 use tokio::sync::watch;
 
-/// Whether the sidecar is in service, and how far a planned stop has come. What is not serving says so at `/up`,
-/// and its connections close once what is open on them is answered.
+/// The sidecar's service state, in the order in which a shutdown passes through it. Out of service, `/up` says so and
+/// connections close once the requests on them are answered.
 #[derive(Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
-pub enum Service {
+pub enum ServiceState {
     /// In service.
     Serving,
-    /// Emptied by operators; may serve again.
+    /// Drained by operators; may serve again.
     Draining,
-    /// Told to stop.
+    /// Shutting down.
     Stopping,
-    /// New connections are no longer accepted.
-    Closed,
-    /// What is still open is failed at once.
-    Now,
+    /// Shutting down, and new connections are no longer accepted.
+    NotAccepting,
+    /// Requests that are still open are failed at once.
+    Aborting,
 }
 
-impl Service {
-    /// Drains the sidecar or ends the drain. A stop is for good, whatever operators call.
-    pub fn drain(service: &watch::Sender<Self>, drained: bool) {
-        let to = if drained { Self::Draining } else { Self::Serving };
-        service.send_if_modified(|now| *now < Self::Stopping && std::mem::replace(now, to) != to);
-    }
+/// Drains the sidecar or ends the drain. A shutdown is final, whatever operators call.
+pub fn set_drained(state: &watch::Sender<ServiceState>, drained: bool) {
+    let target = if drained { ServiceState::Draining } else { ServiceState::Serving };
+    state.send_if_modified(|current| {
+        let changes = *current < ServiceState::Stopping && *current != target;
+        if changes {
+            *current = target;
+        }
+        changes
+    });
 }
--- a/crates/sidecar/src/start_times.rs
+++ b/crates/sidecar/src/start_times.rs
@@ -85,7 +85,7 @@
     }
 
     /// A list from discovery has been taken: what it did not say otherwise held until now.
-    pub fn told(&mut self, now: Micros) {
+    pub fn list_applied(&mut self, now: Micros) {
         self.told = Some(now);
     }
 
--- a/crates/sidecar/src/start_times/tests.rs
+++ b/crates/sidecar/src/start_times/tests.rs
@@ -14,7 +14,7 @@
 fn list(times: &mut StartTimes, now: Micros, servers: &[(usize, i64)]) -> Vec<Option<Micros>> {
     times.observe(now, servers.iter().map(|(_, stamp)| *stamp));
     let starts = servers.iter().map(|(server, stamp)| times.started(now, *server, *stamp)).collect();
-    times.told(now);
+    times.list_applied(now);
     starts
 }
 
--- a/crates/sidecar/src/state_file.rs
+++ b/crates/sidecar/src/state_file.rs
@@ -2,7 +2,7 @@
 //! each heeds what the other was told.
 
 use crate::log::log_line;
-use crate::retry::at_start;
+use crate::retry::retry_at_startup;
 use serde::{Deserialize, Serialize};
 use std::collections::BTreeSet;
 use std::fs::{self, File, TryLockError};
@@ -64,7 +64,7 @@
         let file = PathBuf::from(folder).join(format!("tinflow-{listen}.json"));
         let mut kept = Self { file: Some(file), ..Self::alone() };
         // What operators have said holds from the first request on.
-        if let Err(e) = at_start(|| kept.refresh().map(drop)) {
+        if let Err(e) = retry_at_startup(|| kept.refresh().map(drop)) {
             log_line!("{e}: what operators said is followed once it can be read");
         }
         kept
--- a/crates/sidecar/src/upstream.rs
+++ b/crates/sidecar/src/upstream.rs
@@ -2,12 +2,12 @@
 
 use crate::body::{FLOWING, Inbound, KEPT, LONGEST_BODY, Rest};
 use crate::connection::{Connection, socket_for};
-use crate::exchange::{Answer, Ended, Input, Inputs, Outgoing, Served};
+use crate::exchange::{Answer, AttemptResult, Input, Inputs, Outgoing, Served};
 use crate::idle::IdleBound;
 use crate::io_failure::IoFailure;
-use crate::memory_budget::Memory;
-use crate::resource_limits::Limits;
-use crate::send_gate::{EndsSend, GatedSend, RequestLife, SendPermit};
+use crate::memory_budget::MemoryBudget;
+use crate::resource_limits::ResourceLimits;
+use crate::send_gate::{GatedSend, RequestLifecycle, SendGuard, SendPermit};
 use crate::write_progress::WriteProgress;
 use bytes::{Bytes, BytesMut};
 use http_body_util::BodyExt;
@@ -61,7 +61,7 @@
     since: Instant,
 }
 
-/// SendPermission to send to an endpoint, as it was when that was decided.
+/// The permission to send to an endpoint, as of the decision to send.
 #[derive(Clone, Copy, PartialEq, Eq)]
 pub struct SendPermission {
     address: SocketAddr,
@@ -72,7 +72,7 @@
 pub struct Grant {
     /// The endpoint.
     pub to: Rc<Endpoint>,
-    /// SendPermission to send there.
+    /// The permission to send there.
     pub permission: Option<SendPermission>,
     /// No answer is waited for after this.
     pub until: Instant,
@@ -110,7 +110,7 @@
         self.idle.borrow_mut().clear();
     }
 
-    /// SendPermission to send, if anything may be sent at all.
+    /// The permission to send, if anything may be sent at all.
     pub fn permission(&self) -> Option<SendPermission> {
         let address = self.address.get().filter(|_| self.ready.get() && !self.cordoned.get())?;
         Some(SendPermission { address, term: self.term.get() })
@@ -133,7 +133,7 @@
 pub struct Upstream {
     endpoints: RefCell<Vec<Rc<Endpoint>>>,
     permits: Arc<Semaphore>,
-    memory: Memory,
+    memory: MemoryBudget,
     dial_timeout: Duration,
     idle_bound: RefCell<IdleBound>,
     parked: Notify,
@@ -161,13 +161,13 @@
 
 impl Upstream {
     /// As many connections as `limits` say, made within `dial_timeout`, closed by endpoints after `idle_close`.
-    pub fn new(limits: Limits, dial_timeout: Micros, idle_close: Micros) -> Self {
+    pub fn new(limits: ResourceLimits, dial_timeout: Micros, idle_close: Micros) -> Self {
         let time = |us: Micros| Duration::from_micros(us.unsigned_abs());
         let idle_close = time(if idle_close > 0 { idle_close } else { 10_000_000 });
         Self {
             endpoints: RefCell::default(),
             permits: Arc::new(Semaphore::new(limits.upstream)),
-            memory: Memory::new(limits.bodies),
+            memory: MemoryBudget::new(limits.bodies),
             dial_timeout: time(if dial_timeout > 0 { dial_timeout } else { 250_000 }),
             idle_bound: RefCell::new(IdleBound::new(idle_close - idle_close / IDLE_MARGIN, Instant::now())),
             parked: Notify::new(),
@@ -211,14 +211,14 @@
         let Grant { to: endpoint, permission, until, write_by } = grant;
         let length = outgoing.rest.as_ref().map_or(Some(outgoing.body.len()), Rest::length);
         let send = GatedSend::new(SendPermit {
-            life: Rc::clone(&outgoing.life),
+            lifecycle: Rc::clone(&outgoing.lifecycle),
             endpoint: endpoint.permits(permission),
             // The time of a body that flows is its client's.
             until: outgoing.rest.is_none().then_some(until),
             write_by,
         });
         // Also where this attempt is called back, which drops it here.
-        let _ends = EndsSend(Rc::clone(&send));
+        let _ends = SendGuard(Rc::clone(&send));
         let progress = WriteProgress::of_send(length, send);
         let exchange = self.exchange(&endpoint, permission, &outgoing, &progress, until);
         // The time of a body that flows is its client's: the module ends what is overdue after its last byte.
@@ -235,7 +235,7 @@
             Exchanged::Over(reply) => (reply, None),
             Exchanged::Flows(reply, flow) => (reply, Some(flow)),
         };
-        inputs.send(Input::Ended(Ended { request, attempt, outcome, answer, load }));
+        inputs.send(Input::AttemptEnded(AttemptResult { request, attempt, outcome, answer, load }));
         if let Some(flow) = flow {
             self.flow(&endpoint, *flow).await;
         }
@@ -300,7 +300,7 @@
                     return plain(Outcome::NotSent);
                 }
                 // Closed by the endpoint in the moment it was taken up again, before anything was written.
-                if idle.is_some() && !progress.begun() && !out.spent() {
+                if idle.is_some() && !progress.begun() && !out.body_consumed() {
                     continue;
                 }
                 return plain(match connection.failure() {
@@ -329,7 +329,7 @@
                 return Exchanged::Over((Outcome::Error, None, load));
             }
             let length = length.exact().map(|length| length as usize);
-            let share = self.memory.share(length.filter(|l| *l <= KEPT).unwrap_or(FLOWING)).await;
+            let share = self.memory.reserve(length.filter(|l| *l <= KEPT).unwrap_or(FLOWING)).await;
             let mut body = body;
             let mut kept = BytesMut::new();
             // Known to be longer than is kept, it is passed on from its first byte. Of unknown length, it may be the
@@ -378,7 +378,7 @@
                 }
                 // Its judgement of the request is as good as any other's, and is passed on.
                 status if status.is_client_error() && status != StatusCode::TOO_MANY_REQUESTS => {
-                    (Outcome::BadRequest, Some(Answer::Barred(status)), load)
+                    (Outcome::BadRequest, Some(Answer::ClientError(status)), load)
                 }
                 // Only the whole of such an answer is believed: one that is spoilt has run.
                 StatusCode::SERVICE_UNAVAILABLE | StatusCode::GATEWAY_TIMEOUT if unprocessed => {
@@ -390,7 +390,7 @@
     }
 
     /// Probes an endpoint, where the settings allow it, and tells how that ended.
-    pub async fn probe(self: Rc<Self>, id: usize, inputs: Inputs) {
+    pub async fn health_check(self: Rc<Self>, id: usize, inputs: Inputs) {
         let (start, endpoint) = (Instant::now(), self.endpoint(id));
         let mut headers = HeaderMap::new();
         headers.insert(hyper::header::HOST, HeaderValue::from_static("endpoint"));
@@ -401,17 +401,17 @@
             headers,
             body: Bytes::new(),
             rest: None,
-            life: RequestLife::new(b"probe", None, false),
+            lifecycle: RequestLifecycle::new(b"probe", None, false),
             _share: None,
         };
         let (until, permission) = (start + PROBE_TIME, endpoint.permission());
         let send = GatedSend::new(SendPermit {
-            life: Rc::clone(&outgoing.life),
+            lifecycle: Rc::clone(&outgoing.lifecycle),
             endpoint: endpoint.permits(permission),
             until: Some(until),
             write_by: None,
         });
-        let _ends = EndsSend(Rc::clone(&send));
+        let _ends = SendGuard(Rc::clone(&send));
         let progress = WriteProgress::of_send(Some(0), send);
         let (outcome, load) = match timeout_at(
             until,
@@ -425,7 +425,7 @@
             Err(_) => (Outcome::TimedOut, LoadReport::default()),
         };
         let took = Micros::try_from(start.elapsed().as_micros()).unwrap_or(Micros::MAX);
-        inputs.send(Input::Probed(id, outcome, took, load));
+        inputs.send(Input::HealthCheckEnded(id, outcome, took, load));
     }
 
     /// The most recently used idle connection that has rested and is still good: the others may then grow old
--- a/crates/sidecar/src/upstream/tests.rs
+++ b/crates/sidecar/src/upstream/tests.rs
@@ -1,11 +1,11 @@
 use super::*;
-use crate::client_liveness::Presence;
+use crate::client_liveness::ClientLiveness;
 
 #[tokio::test]
 async fn without_room_for_a_connection_an_idle_one_makes_way_or_none_is_dialled() {
     let listener = std::net::TcpListener::bind("127.0.0.1:0").expect("a free port");
     let address = listener.local_addr().expect("an address");
-    let limits = Limits { clients: 1, upstream: 1, bodies: KEPT };
+    let limits = ResourceLimits { clients: 1, upstream: 1, bodies: KEPT };
     let upstream = Upstream::new(limits, 5_000_000, 10_000_000);
     let (connection, permit) = upstream.dial(address).await.expect("there is room");
     assert_eq!(upstream.dial(address).await.err(), Some(Outcome::NotSent));
@@ -26,14 +26,14 @@
 }
 
 /// A request to be sent, of a client that is this connection's.
-fn outgoing(client: Option<Presence>) -> Rc<Outgoing> {
+fn outgoing(client: Option<ClientLiveness>) -> Rc<Outgoing> {
     Rc::new(Outgoing {
         method: Method::POST,
         uri: Uri::from_static("/api"),
         headers: HeaderMap::new(),
         body: Bytes::new(),
         rest: None,
-        life: RequestLife::new(b"1", client, false),
+        lifecycle: RequestLifecycle::new(b"1", client, false),
         _share: None,
     })
 }
@@ -56,7 +56,7 @@
     type Change = fn(&Endpoint, &Rc<Outgoing>, &mut Option<std::net::TcpStream>);
     let changes: [(&str, bool, Change); 8] = [
         ("nothing has changed", true, |_, _, _| {}),
-        ("its request is answered", true, |_, out, _| out.life.settle()),
+        ("its request is answered", true, |_, out, _| out.lifecycle.complete()),
         ("its client has left", true, |_, _, client| drop(client.take())),
         ("the window for its repeat is over", true, |_, _, _| {}),
         ("its endpoint is leaving", false, |e, _, _| e.set(e.address.get(), false, 0)),
@@ -78,14 +78,14 @@
     for (number, (what, kept, change)) in changes.into_iter().enumerate() {
         let (listener, address, filler) = held_up();
         let upstream =
-            Rc::new(Upstream::new(Limits { clients: 1, upstream: 1, bodies: KEPT }, 30_000_000, 0));
+            Rc::new(Upstream::new(ResourceLimits { clients: 1, upstream: 1, bodies: KEPT }, 30_000_000, 0));
         let endpoint = upstream.endpoint(0);
         endpoint.set(Some(address), true, 0);
         let client =
             std::net::TcpStream::connect(clients.local_addr().expect("an address")).expect("it connects");
         let (accepted, _) = clients.accept().await.expect("a connection");
         let (mut client, accepted) = (Some(client), Rc::new(accepted));
-        let out = outgoing(Some(Presence::of(&accepted)));
+        let out = outgoing(Some(ClientLiveness::of(&accepted)));
         let until = Instant::now() + Duration::from_secs(60);
         // Over before the connection is there: the system tries again to make one after a second.
         let write_by = what.contains("window").then(|| Instant::now() + Duration::from_millis(100));
@@ -120,7 +120,9 @@
             attempting.await.expect("no panic");
             // They end in any order.
             while !ends.contains_key(&(number as u64)) {
-                let Some(Input::Ended(end)) = ended.recv().await else { panic!("{what}: it has not ended") };
+                let Some(Input::AttemptEnded(end)) = ended.recv().await else {
+                    panic!("{what}: it has not ended")
+                };
                 ends.insert(end.request, end.outcome);
             }
             assert_eq!(ends[&(number as u64)], Outcome::NotSent, "{what}");
--- a/crates/sidecar/src/write_progress.rs
+++ b/crates/sidecar/src/write_progress.rs
@@ -46,9 +46,9 @@
     }
 
     /// The endpoint is told that its answer is waited for so long from now on.
-    pub fn promise(&self, wait: Duration) {
+    pub fn advertise_wait(&self, wait: Duration) {
         if let Some(send) = &self.0.send {
-            send.promise(wait);
+            send.advertise_wait(wait);
         }
     }
 
--- a/crates/sidecar/tests/operation/mod.rs
+++ b/crates/sidecar/tests/operation/mod.rs
@@ -340,10 +340,10 @@
     let told = sidecar.call("metrics");
     for line in [
         "# TYPE lotusmoor_sidecar_requests_answered counter",
-        "lotusmoor_sidecar_requests_answered_total{how=\"served\"} 3",
-        "lotusmoor_sidecar_requests_answered_total{how=\"turned_away\"} 1",
+        "lotusmoor_sidecar_requests_answered_total{outcome=\"served\"} 3",
+        "lotusmoor_sidecar_requests_answered_total{outcome=\"rejected\"} 1",
         "lotusmoor_sidecar_attempts_ended_total{outcome=\"ok\"} 3",
-        "lotusmoor_sidecar_rule_violations_total{rule=\"lost\"} 0",
+        "lotusmoor_sidecar_rule_violations_total{rule=\"unanswered\"} 0",
         "lotusmoor_sidecar_rule_violations_total{rule=\"duplicate\"} 0",
     ] {
         assert!(told.lines().any(|l| l == line), "{line} is not in\n{told}");
