--- a/crates/sidecar/src/config.rs
+++ b/crates/sidecar/src/config.rs
@@ -1,7 +1,10 @@
-//! What the sidecar is told at its start: the file that `LB_CONFIG` names, and the variables beside it.
+//! The sidecar's configuration: the file that `LB_CONFIG` names, and the variables beside it.
+
+mod error;
+
+pub use error::{ConfigError, InvalidConfig};
 
 use crate::endpoint_list::ListMessage;
-use crate::io_failure::IoFailure;
 use crate::resource_limits::ResourceLimits;
 use crate::retry::retry_at_startup;
 use crate::roster;
@@ -9,12 +12,30 @@
 use serde::Deserialize;
 use serde_json::value::RawValue;
 use std::collections::BTreeSet;
+use std::ffi::OsString;
 use std::net::SocketAddr;
 use std::time::Duration;
 
-/// Everything that a sidecar is told.
+/// The variable that names the configuration's file.
+const FILE_VARIABLE: &str = "LB_CONFIG";
+/// The variable that gives the address that clients connect to.
+const LISTEN_VARIABLE: &str = "LB_LISTEN";
+/// The variable that gives discovery's address.
+const DISCOVERY_VARIABLE: &str = "LB_DISCOVERY";
+/// The variable that gives the address that operators call.
+const MANAGEMENT_VARIABLE: &str = "LB_MANAGEMENT";
+/// Fewest file descriptors with which requests can be served at all.
+const MIN_SOCKETS: usize = 32;
+/// Least memory, as the program itself takes a few MB.
+const MIN_MEMORY_MB: usize = 16;
+/// File descriptors where the file does not limit them.
+const DEFAULT_SOCKETS: usize = 1024;
+/// Memory where the file does not limit it.
+const DEFAULT_MEMORY_MB: usize = 192;
+
+/// The configuration of a sidecar.
 pub struct Config {
-    /// Where the application connects.
+    /// Where clients connect.
     pub listen: SocketAddr,
     /// Discovery.
     pub discovery: SocketAddr,
@@ -28,15 +49,15 @@
     pub memory_mb: usize,
     /// Where peers' datagrams arrive.
     pub peer_listen: Option<SocketAddr>,
-    /// One address for each sidecar of the tier, in the order of their numbers.
+    /// One address for each sidecar of the tier, by number.
     pub peers: Vec<SocketAddr>,
     /// The address that reaches all of them.
     pub peers_all: Option<SocketAddr>,
-    /// The endpoints as last known.
+    /// The endpoint list as last known.
     pub known: Option<ListMessage>,
-    /// A roster, which takes discovery's place.
+    /// A registry, which takes discovery's place.
     pub roster: Option<roster::Config>,
-    /// The settings object.
+    /// The decoded settings object.
     pub decoded: Decoded,
 }
 
@@ -67,91 +88,71 @@
 
 impl Default for FileLimits {
     fn default() -> Self {
-        Self { sockets: 1024, memory_mb: 192 }
+        Self { sockets: DEFAULT_SOCKETS, memory_mb: DEFAULT_MEMORY_MB }
     }
 }
 
-/// What may change while a sidecar runs.
-pub struct Reread {
+/// The part of the configuration that may change while the sidecar runs.
+pub struct ReloadedConfig {
     /// Discovery.
     pub discovery: SocketAddr,
-    /// The services whose servers are asked for of the roster; `None` where no roster is named.
+    /// The services whose servers the registry is asked for; `None` where no registry is configured.
     pub services: Option<BTreeSet<String>>,
 }
 
-/// Why a configuration can't be had; each is one plain line.
-#[derive(Debug)]
-pub enum ConfigError {
-    /// Its file can't be read now, and may be later.
-    Unreadable(String),
-    /// What it says can't be used, or there is none.
-    Unusable(String),
-}
-
-impl std::fmt::Display for ConfigError {
-    fn fmt(&self, f: &mut std::fmt::Formatter<'_>) -> std::fmt::Result {
-        let (Self::Unreadable(what) | Self::Unusable(what)) = self;
-        f.write_str(what)
-    }
-}
-
-/// Fewest descriptors with which requests can be served at all.
-const FEWEST_SOCKETS: usize = 32;
-/// The same of memory: the program itself takes a few MB.
-const LEAST_MEMORY_MB: usize = 16;
-
 impl Config {
-    /// Reads the configuration; the text of a failure is one plain line.
-    pub fn from_env() -> Result<Self, String> {
-        let path = std::env::var_os("LB_CONFIG").ok_or("LB_CONFIG is not set")?;
-        let text = retry_at_startup(|| std::fs::read_to_string(&path))
-            .map_err(|e| format!("cannot read LB_CONFIG {}: {e}", path.display()))?;
-        let address = |name: &str| match std::env::var(name) {
-            Ok(value) => {
-                value.parse().map(Some).map_err(|_| format!("{name} is not an address and port: {value}"))
-            }
-            Err(_) => Ok(None),
+    /// Reads the configuration at startup.
+    pub fn from_env() -> Result<Self, ConfigError> {
+        let path = file_path()?;
+        let text = match retry_at_startup(|| std::fs::read_to_string(&path)) {
+            Ok(text) => text,
+            Err(source) => return Err(ConfigError::Read { path: path.into(), source }),
         };
-        let mut config = Self::read(&text, address("LB_LISTEN")?, address("LB_DISCOVERY")?)
-            .map_err(|e| format!("LB_CONFIG {}: {e}", path.display()))?;
-        config.management = address("LB_MANAGEMENT")?.or(config.management);
+        let listen = address_variable(LISTEN_VARIABLE)?;
+        let discovery = address_variable(DISCOVERY_VARIABLE)?;
+        let mut config = Self::parse(&text, listen, discovery)
+            .map_err(|reason| ConfigError::Invalid { path: path.into(), reason })?;
+        config.management = address_variable(MANAGEMENT_VARIABLE)?.or(config.management);
         Ok(config)
     }
 
-    /// Reads the file again, in which discovery may have moved and a roster's services may be others. For discovery
-    /// the file's address comes first, as the environment still says what held at the start. Everything else holds for
-    /// the life of the process, but a file that could not be started with is not trusted for these either.
-    pub fn read_again() -> Result<Reread, ConfigError> {
-        let unusable = ConfigError::Unusable;
-        let path =
-            std::env::var_os("LB_CONFIG").ok_or_else(|| unusable("LB_CONFIG is not set".to_owned()))?;
-        let text = std::fs::read_to_string(&path).map_err(|e| {
-            let what = format!("cannot read LB_CONFIG {}: {e}", path.display());
-            if IoFailure::of_file(&e).is_transient() { ConfigError::Unreadable(what) } else { unusable(what) }
-        })?;
-        let beside = |name: &str| std::env::var(name).ok().and_then(|value| value.parse().ok());
-        let config = Self::read(&text, beside("LB_LISTEN"), None)
-            .map_err(|e| unusable(format!("LB_CONFIG {}: {e}", path.display())))?;
-        Ok(Reread { discovery: config.discovery, services: config.roster.map(|roster| roster.services) })
+    /// Reads the file again. For discovery the file's address comes first, as the environment still says what held at
+    /// the start. Everything that is not returned holds for the life of the process, but a file that a process could not
+    /// be started with is not trusted for the rest either.
+    pub fn reload() -> Result<ReloadedConfig, ConfigError> {
+        let path = file_path()?;
+        let text = match std::fs::read_to_string(&path) {
+            Ok(text) => text,
+            Err(source) => return Err(ConfigError::Read { path: path.into(), source }),
+        };
+        let listen = std::env::var(LISTEN_VARIABLE).ok().and_then(|value| value.parse().ok());
+        let config = Self::parse(&text, listen, None)
+            .map_err(|reason| ConfigError::Invalid { path: path.into(), reason })?;
+        let services = config.roster.map(|registry| registry.services);
+        Ok(ReloadedConfig { discovery: config.discovery, services })
     }
 
-    /// Reads the text of the file; an address given beside it holds.
-    fn read(text: &str, listen: Option<SocketAddr>, discovery: Option<SocketAddr>) -> Result<Self, String> {
-        let file: File = serde_json::from_str(text).map_err(|e| e.to_string())?;
-        let decoded = settings::decode(file.settings.get()).map_err(|e| format!("settings: {e}"))?;
-        decoded.settings.check().map_err(|e| e.to_string())?;
-        if file.limits.sockets < FEWEST_SOCKETS {
-            return Err(format!("limits: sockets must be {FEWEST_SOCKETS} or more"));
+    /// Parses the text of the file; addresses given beside it come first.
+    fn parse(
+        text: &str,
+        listen: Option<SocketAddr>,
+        discovery: Option<SocketAddr>,
+    ) -> Result<Self, InvalidConfig> {
+        let file: File = serde_json::from_str(text).map_err(InvalidConfig::Json)?;
+        let decoded = settings::decode(file.settings.get()).map_err(|e| InvalidConfig::Settings(e.into()))?;
+        decoded.settings.check().map_err(InvalidConfig::SettingsCheck)?;
+        if file.limits.sockets < MIN_SOCKETS {
+            return Err(InvalidConfig::TooFewSockets { least: MIN_SOCKETS });
         }
-        if file.limits.memory_mb < LEAST_MEMORY_MB {
-            return Err(format!("limits: memory_mb must be {LEAST_MEMORY_MB} or more"));
+        if file.limits.memory_mb < MIN_MEMORY_MB {
+            return Err(InvalidConfig::TooLittleMemory { least_mb: MIN_MEMORY_MB });
         }
-        if let Some(what) = file.roster.as_ref().and_then(roster::Config::wrong) {
-            return Err(what.to_owned());
+        if let Some(reason) = file.roster.as_ref().and_then(roster::Config::wrong) {
+            return Err(InvalidConfig::Registry(reason));
         }
         Ok(Self {
-            listen: listen.or(file.listen).ok_or("no address to listen on")?,
-            discovery: discovery.or(file.discovery).ok_or("no address of discovery")?,
+            listen: listen.or(file.listen).ok_or(InvalidConfig::NoListenAddress)?,
+            discovery: discovery.or(file.discovery).ok_or(InvalidConfig::NoDiscoveryAddress)?,
             management: file.management,
             seed: seed(&file.seed),
             sockets: file.limits.sockets,
@@ -165,15 +166,27 @@
         })
     }
 
-    /// How descriptors and memory are shared out, over so many processes that are one sidecar together.
+    /// The limits of one of several processes that are one sidecar together.
     pub fn limits(&self, processes: usize) -> ResourceLimits {
         ResourceLimits::new(self.sockets / processes, self.memory_mb / processes)
     }
 
-    /// The longest that a client waits.
+    /// The longest deadline of all classes.
     pub fn longest_deadline(&self) -> Duration {
-        let longest = self.decoded.settings.classes.iter().map(|c| c.deadline).max().unwrap_or(0);
-        Duration::from_micros(longest.unsigned_abs())
+        let deadlines = self.decoded.settings.classes.iter().map(|class| class.deadline);
+        Duration::from_micros(deadlines.max().unwrap_or(0).unsigned_abs())
+    }
+}
+
+fn file_path() -> Result<OsString, ConfigError> {
+    std::env::var_os(FILE_VARIABLE).ok_or(ConfigError::NoFile)
+}
+
+fn address_variable(variable: &'static str) -> Result<Option<SocketAddr>, ConfigError> {
+    let Ok(value) = std::env::var(variable) else { return Ok(None) };
+    match value.parse() {
+        Ok(address) => Ok(Some(address)),
+        Err(_) => Err(ConfigError::Address { variable, value }),
     }
 }
 
--- /dev/null
+++ b/crates/sidecar/src/config/error.rs
@@ -0,0 +1,119 @@
+//! Why a configuration can't be used. Each error is one plain line.
+
+use crate::io_failure::IoFailure;
+use lotusmoor_balancer::SettingsError;
+use std::error::Error;
+use std::fmt;
+use std::io;
+use std::path::PathBuf;
+
+/// Why there is no configuration.
+#[derive(Debug)]
+pub enum ConfigError {
+    /// `LB_CONFIG` is not set.
+    NoFile,
+    /// The file can't be read.
+    Read {
+        /// The file.
+        path: PathBuf,
+        /// Why it can't be read.
+        source: io::Error,
+    },
+    /// A variable is not an address.
+    Address {
+        /// Its name.
+        variable: &'static str,
+        /// Its value.
+        value: String,
+    },
+    /// The file's contents can't be used.
+    Invalid {
+        /// The file.
+        path: PathBuf,
+        /// What is wrong with it.
+        reason: InvalidConfig,
+    },
+}
+
+/// Why the contents of a configuration's file can't be used.
+#[derive(Debug)]
+pub enum InvalidConfig {
+    /// It is not the JSON that is expected.
+    Json(serde_json::Error),
+    /// The settings object can't be decoded.
+    Settings(Box<dyn Error + Send + Sync>),
+    /// The balancer can't work with the settings.
+    SettingsCheck(SettingsError),
+    /// Too few file descriptors.
+    TooFewSockets {
+        /// The least number.
+        least: usize,
+    },
+    /// Too little memory.
+    TooLittleMemory {
+        /// The least amount, in MB.
+        least_mb: usize,
+    },
+    /// The registry's part can't be meant.
+    Registry(&'static str),
+    /// There is no address that clients connect to.
+    NoListenAddress,
+    /// There is no address of discovery.
+    NoDiscoveryAddress,
+}
+
+impl ConfigError {
+    /// Whether another try may succeed a moment later.
+    pub fn is_transient(&self) -> bool {
+        matches!(self, Self::Read { source, .. } if IoFailure::of_file(source).is_transient())
+    }
+}
+
+impl fmt::Display for ConfigError {
+    fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
+        match self {
+            Self::NoFile => f.write_str("LB_CONFIG is not set"),
+            Self::Read { path, source } => write!(f, "cannot read LB_CONFIG {}: {source}", path.display()),
+            Self::Address { variable, value } => {
+                write!(f, "{variable} is not an address and port: {value}")
+            }
+            Self::Invalid { path, reason } => write!(f, "LB_CONFIG {}: {reason}", path.display()),
+        }
+    }
+}
+
+impl fmt::Display for InvalidConfig {
+    fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
+        match self {
+            Self::Json(e) => e.fmt(f),
+            Self::Settings(e) => write!(f, "settings: {e}"),
+            Self::SettingsCheck(e) => e.fmt(f),
+            Self::TooFewSockets { least } => write!(f, "limits: sockets must be {least} or more"),
+            Self::TooLittleMemory { least_mb } => write!(f, "limits: memory_mb must be {least_mb} or more"),
+            Self::Registry(reason) => f.write_str(reason),
+            Self::NoListenAddress => f.write_str("no address to listen on"),
+            Self::NoDiscoveryAddress => f.write_str("no address of discovery"),
+        }
+    }
+}
+
+impl Error for ConfigError {
+    fn source(&self) -> Option<&(dyn Error + 'static)> {
+        match self {
+            Self::Read { source, .. } => Some(source),
+            Self::Invalid { reason, .. } => Some(reason),
+            Self::NoFile | Self::Address { .. } => None,
+        }
+    }
+}
+
+impl Error for InvalidConfig {
+    fn source(&self) -> Option<&(dyn Error + 'static)> {
+        match self {
+            Self::Json(e) => Some(e),
+            Self::Settings(e) => Some(e.as_ref()),
+            Self::SettingsCheck(e) => Some(e),
+            _ => None,
+        }
+    }
+}
--- a/crates/sidecar/src/connection/tests.rs
+++ b/crates/sidecar/src/connection/tests.rs
@@ -1,5 +1,6 @@
 use super::*;
-use crate::send_gate::{GatedSend, RequestLifecycle, SendPermit};
+use crate::request_lifecycle::RequestLifecycle;
+use crate::send_gate::{GatedSend, SendPermit};
 use bytes::Bytes;
 use std::time::Duration;
 
--- a/crates/sidecar/src/exchange.rs
+++ b/crates/sidecar/src/exchange.rs
@@ -3,7 +3,7 @@
 use crate::body::{Inbound, Outbound, Rest};
 use crate::endpoint_list::ListMessage;
 use crate::memory_budget::MemoryReservation;
-use crate::send_gate::RequestLifecycle;
+use crate::request_lifecycle::RequestLifecycle;
 use crate::write_progress::WriteProgress;
 use bytes::Bytes;
 use hyper::header::{HeaderMap, HeaderName, HeaderValue};
--- a/crates/sidecar/src/inbound.rs
+++ b/crates/sidecar/src/inbound.rs
@@ -16,8 +16,8 @@
 use crate::metrics::{ConnectionEnd, RequestOutcome, RuleViolation};
 use crate::request::{RequestHead, RequestMetadata, TrafficClasses, end_to_end};
 use crate::request_ids::RequestIds;
+use crate::request_lifecycle::RequestLifecycle;
 use crate::resource_limits::MAX_HEAD_BYTES;
-use crate::send_gate::RequestLifecycle;
 use crate::service_state::ServiceState;
 use bytes::{Buf, BufMut, Bytes, BytesMut};
 use hyper::StatusCode;
@@ -381,10 +381,10 @@
             id: 0,
             class: facts.class,
             tenant: facts.tenant,
-            partition_key: facts.key,
+            partition_key: facts.partition_key,
             deadline: due,
-            expected_work: facts.work,
-            is_client_retry: facts.repeat,
+            expected_work: facts.expected_work,
+            is_client_retry: facts.is_client_retry,
             body_incomplete: flowing.is_some(),
         };
         let mut pending = shared.handle.submit(request, outgoing);
@@ -420,7 +420,7 @@
         self.unfinished = flowing.is_some();
         let mut reply = Reply::of(answer, id);
         // Who knows of no chunks is told the end by the end of the connection.
-        reply.chunked = reply.body.length.is_none() && !head.old;
+        reply.chunked = reply.body.length.is_none() && !head.is_http_1_0;
         let told = reply.chunked || reply.body.length.is_some();
         Ok((head.keep_alive && told, reply))
     }
@@ -476,7 +476,7 @@
             path if path == "/api" || path.starts_with("/api/") => {}
             _ => return Err(End::Told(StatusCode::NOT_FOUND)),
         }
-        let facts = RequestMetadata::read(&shared.traffic_classes, &head)
+        let facts = RequestMetadata::parse(&shared.traffic_classes, &head)
             .ok_or(End::Told(StatusCode::BAD_REQUEST))?;
         let taken = head.body.length().filter(|length| *length <= KEPT).unwrap_or(FLOWING);
         let client = ClientLiveness::of(&self.stream);
@@ -505,7 +505,7 @@
             let new = &self.unread[looked_at..];
             let ended = new.windows(3).any(|w| w == b"\n\r\n") || new.windows(2).any(|w| w == b"\n\n");
             if ended || self.unread.len() >= next.min(MAX_HEAD_BYTES) {
-                if let Some((head, length)) = RequestHead::read(&self.unread).map_err(End::Told)? {
+                if let Some((head, length)) = RequestHead::parse(&self.unread).map_err(End::Told)? {
                     self.unread.advance(length);
                     return Ok(head);
                 }
@@ -519,7 +519,7 @@
 
     /// Reads the body behind a head, or as much of it as is kept.
     async fn body(&mut self, head: &RequestHead, reader: &mut Reader, pace: &mut Pace) -> Result<Bytes, End> {
-        if head.awaits_continue && head.body.length().is_none_or(|length| self.unread.len() < length) {
+        if head.expects_continue && head.body.length().is_none_or(|length| self.unread.len() < length) {
             self.put_all(&b"HTTP/1.1 100 Continue\r\n\r\n"[..]).await?;
         }
         let mut kept = BytesMut::new();
--- a/crates/sidecar/src/main.rs
+++ b/crates/sidecar/src/main.rs
@@ -1,4 +1,5 @@
-//! A sidecar load balancer on real sockets. One thread; every task shares it.
+//! A sidecar load balancer: it accepts its application's requests, and sends each to an endpoint that the balancer
+//! chooses. The program has one thread, which all tasks share.
 
 mod body;
 mod client_liveness;
@@ -20,180 +21,49 @@
 mod management;
 mod memory_budget;
 mod metrics;
+mod reload;
 mod request;
 mod request_ids;
+mod request_lifecycle;
 mod resource_limits;
 mod retry;
 mod roster;
 mod send_gate;
 mod service_state;
+mod shutdown;
 mod start_times;
+mod startup;
 mod state_file;
 mod upstream;
 mod write_progress;
 
-use config::{Config, ConfigError, Reread};
-use engine::{Engine, EngineHandle, NewEngine};
+use config::Config;
 use log::log_line;
-use management::Operators;
-use retry::{Backoff, retry_at_startup};
-use roster::Standing;
-use service_state::ServiceState;
-use state_file::StateFile;
+use startup::{Sidecar, StartError};
 use std::process::ExitCode;
-use std::rc::Rc;
-use std::time::Duration;
-use tokio::net::TcpListener;
-use tokio::signal::unix::{SignalKind, signal};
-use tokio::sync::{Mutex, watch};
-use tokio::task::{LocalSet, spawn_local};
-use tokio::time::{Instant, sleep, sleep_until};
-
-/// How long new connections are accepted after SIGTERM: clients go on opening them for up to 400 ms.
-const ACCEPT_AFTER_TERM: Duration = Duration::from_millis(500);
-/// SIGKILL comes no sooner than the longest deadline, held to `LONGEST_GRACE`, and 700 ms more after SIGTERM:
-/// what is unanswered this long after the deadline is failed, so that the answer is out before that.
-const ANSWER_AFTER_TERM: Duration = Duration::from_millis(500);
-const LONGEST_GRACE: Duration = Duration::from_secs(3);
-/// From a reload that could not be read to the next try: at first, and at the longest.
-const RELOAD_PAUSE: Duration = Duration::from_millis(50);
-const LONGEST_RELOAD_PAUSE: Duration = Duration::from_secs(1);
-/// Time for the last answers to leave.
-const LAST_WRITES: Duration = Duration::from_millis(80);
+use tokio::runtime;
+use tokio::task::LocalSet;
 
 fn main() -> ExitCode {
-    match start() {
+    match run() {
         Ok(()) => ExitCode::SUCCESS,
-        Err(what) => {
-            log_line!("{what}");
+        Err(e) => {
+            log_line!("{e}");
             ExitCode::FAILURE
         }
     }
 }
 
-fn start() -> Result<(), String> {
-    let passed = inherited_socket::passed()?;
+fn run() -> Result<(), StartError> {
+    // Before anything else is opened.
+    let inherited = inherited_socket::inherited_listener()?;
     let config = Config::from_env()?;
-    let runtime = tokio::runtime::Builder::new_current_thread()
-        .enable_all()
-        .build()
-        .map_err(|e| format!("cannot start the runtime: {e}"))?;
-    LocalSet::new().block_on(&runtime, serve(config, passed))
-}
-
-/// Does as a new configuration says.
-fn follow(reread: &Reread, engine: &EngineHandle, roster: Option<&Standing>) {
-    let at = reread.discovery;
-    log_line!("configuration read again, discovery at {at}");
-    engine.move_discovery(at);
-    // One that was not there at the start, or is not named any more, is the next process's.
-    if let (Some(roster), Some(services)) = (roster, &reread.services) {
-        roster.ask_for(services.clone());
-    }
-}
-
-async fn serve(config: Config, passed: Option<std::net::TcpListener>) -> Result<(), String> {
-    // First of all, as unhandled it would end the process.
-    let mut hup = signal(SignalKind::hangup()).map_err(|e| format!("cannot await SIGHUP: {e}"))?;
-    let shared_socket = passed.is_some();
-    let listener = match passed {
-        Some(listener) => TcpListener::from_std(listener),
-        None => retry_at_startup(|| inbound::bind(config.listen)),
-    };
-    let listener = listener.map_err(|e| format!("cannot listen on {}: {e}", config.listen))?;
-    let operators = match config.management {
-        Some(at) => Some(management::bind(at)?),
-        None => None,
-    };
-    let mut term = signal(SignalKind::terminate()).map_err(|e| format!("cannot await SIGTERM: {e}"))?;
-    let mut int = signal(SignalKind::interrupt()).map_err(|e| format!("cannot await SIGINT: {e}"))?;
-    let peers = match config.peer_listen {
-        Some(at) => Some(
-            retry_at_startup(|| gossip::GossipSocket::bind(at, &config.peers, config.peers_all))
-                .map_err(|e| format!("cannot bind {at}: {e}"))?,
-        ),
-        None => None,
-    };
-    let longest = config.longest_deadline().min(LONGEST_GRACE);
-    // With a socket that is passed on, the process before this one or after it may run beside it.
-    let limits = config.limits(if shared_socket { 2 } else { 1 });
-    let traffic_classes = request::TrafficClasses::of(&config);
-    let kept = if shared_socket { StateFile::shared(config.listen) } else { StateFile::alone() };
-    let NewEngine { engine, handle, list_status: list } =
-        Engine::start(config, limits, peers, kept.state().cordoned.clone()).map_err(|e| e.to_string())?;
-    let (reloading, roster) = (handle.clone(), list.clone());
-    let at_first = if kept.state().drained { ServiceState::Draining } else { ServiceState::Serving };
-    let (service, in_service) = watch::channel(at_first);
-    let service = Rc::new(service);
-    let mut running = spawn_local(engine.run());
-    let shared = inbound::Shared {
-        traffic_classes,
-        handle,
-        memory: memory_budget::MemoryBudget::new(limits.bodies),
-        ids: request_ids::RequestIds::default(),
-        service: in_service,
-        stall: upstream::STALL,
-    };
-    let accepting = spawn_local(inbound::accept(listener, shared_socket, limits.clients, Rc::new(shared)));
-    let told =
-        Operators { kept: Mutex::new(kept), service: Rc::clone(&service), handle: reloading.clone(), list };
-    let told = Rc::new(told);
-    if shared_socket {
-        spawn_local(Rc::clone(&told).follow());
-    }
-    if let Some(listener) = operators {
-        spawn_local(management::serve(listener, told));
-    }
-
-    // A reload that was asked for and could not be read yet.
-    let mut reload: Option<(Instant, Backoff)> = None;
-    loop {
-        let due = reload.as_ref().map_or_else(Instant::now, |(at, _)| *at);
-        tokio::select! {
-            _ = term.recv() => break,
-            _ = int.recv() => break,
-            _ = hup.recv() => reload = Some((Instant::now(), Backoff::new(RELOAD_PAUSE, LONGEST_RELOAD_PAUSE))),
-            () = sleep_until(due), if reload.is_some() => match Config::read_again() {
-                Ok(reread) => {
-                    reload = None;
-                    follow(&reread, &reloading, roster.as_ref());
-                }
-                Err(ConfigError::Unusable(what)) => {
-                    reload = None;
-                    log_line!("the configuration stays as it was: {what}");
-                }
-                Err(ConfigError::Unreadable(what)) => {
-                    if let Some((at, backoff)) = &mut reload {
-                        let pause = backoff.next_pause();
-                        log_line!("{what}: it is read again in {} ms", pause.as_millis());
-                        *at = Instant::now() + pause;
-                    }
-                }
-            },
-            // Without its decisions a sidecar only fails requests: better to end, and be started anew.
-            _ = &mut running => return Err("the engine has failed".to_owned()),
-        }
-    }
-    let told = Instant::now();
-    log_line!("shutting down");
-    service.send_replace(ServiceState::Stopping);
-    // Who still connects to a socket that others hold as well is theirs to serve.
-    if !shared_socket {
-        sleep(ACCEPT_AFTER_TERM).await;
-    }
-    service.send_replace(ServiceState::NotAccepting);
-    // Ends once every connection has.
-    let all_closed = async {
-        if accepting.await.is_ok() {
-            service.closed().await;
-        }
-    };
-    tokio::pin!(all_closed);
-    tokio::select! {
-        () = &mut all_closed => return Ok(()),
-        () = sleep_until(told + longest + ANSWER_AFTER_TERM) => {}
-    }
-    service.send_replace(ServiceState::Aborting);
-    let _ = tokio::time::timeout(LAST_WRITES, all_closed).await;
-    Ok(())
+    let runtime = runtime::Builder::new_current_thread().enable_all().build();
+    let runtime = runtime.map_err(StartError::Runtime)?;
+    LocalSet::new().block_on(&runtime, async {
+        let mut sidecar = Sidecar::start(config, inherited)?;
+        sidecar.serve_until_stopped().await?;
+        sidecar.shut_down().await;
+        Ok(())
+    })
 }
--- a/crates/sidecar/src/management.rs
+++ b/crates/sidecar/src/management.rs
@@ -1,260 +1,153 @@
-//! Where operators call: one line to a connection, one line back, or counts in many lines. Nothing is decided here.
+//! The operators' interface: one line to a connection, one line back, or metrics in many lines.
+
+mod call;
+mod server;
+
+pub use server::{bind, serve};
 
 use crate::engine::EngineHandle;
-use crate::io_failure::{IoFailure, RESOURCE_PAUSE};
 use crate::metrics;
-use crate::retry::retry_at_startup;
 use crate::roster::Standing;
 use crate::service_state::{self, ServiceState};
-use crate::state_file::StateFile;
-use std::cell::{Cell, RefCell};
-use std::collections::BTreeMap;
-use std::io;
-use std::net::SocketAddr;
+use crate::state_file::{StateFile, StoreError};
+use call::Call;
+use std::error::Error;
+use std::fmt;
 use std::rc::Rc;
 use std::time::Duration;
-use tokio::io::{AsyncReadExt, AsyncWriteExt};
-use tokio::net::{TcpListener, TcpStream};
-use tokio::sync::{Mutex, Notify, watch};
-use tokio::task::spawn_local;
-use tokio::time::{sleep, timeout};
+use tokio::sync::{Mutex, watch};
+use tokio::time::sleep;
+
+/// How often the state file is looked at for calls that another process has received.
+const STATE_POLL_INTERVAL: Duration = Duration::from_millis(50);
+
+/// Why a call was refused.
+#[derive(Debug)]
+enum CallError {
+    /// This process is shutting down.
+    Stopping,
+    /// The list does not come from a registry.
+    NoRegistry,
+    /// No endpoint has that name.
+    UnknownEndpoint,
+    /// The change could not be stored.
+    Store(StoreError),
+}
 
-/// Callers at a time; each holds a descriptor of those in reserve. With all places taken the one that has kept its
-/// line back the longest yields: a call that is whole is answered in the same turn.
-const CALLERS: usize = 8;
-/// A line, without its end.
-const LONGEST_LINE: usize = 512;
-/// A line has to be whole within this time, and its answer taken within the other.
-const LINE_TIME: Duration = Duration::from_millis(2500);
-const ANSWER_TIME: Duration = Duration::from_millis(500);
-/// After the answer, for how long and how much is still read: closing on unread bytes would reset the connection,
-/// and the caller might lose the answer.
-const LINGER: Duration = Duration::from_millis(100);
-const LINGER_BYTES: u64 = 16 << 10;
-/// From one look at what another process was told to the next.
-const LOOK: Duration = Duration::from_millis(50);
-/// Why a process that is about to end says no.
-const STOPPING: &str = "this process has been told to stop";
+impl fmt::Display for CallError {
+    fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
+        match self {
+            Self::Stopping => f.write_str("this process has been told to stop"),
+            Self::NoRegistry => f.write_str("no roster is configured"),
+            Self::UnknownEndpoint => f.write_str("unknown id"),
+            Self::Store(e) => e.fmt(f),
+        }
+    }
+}
 
-/// What operators may ask for.
-#[derive(Debug, PartialEq, Eq)]
-enum Call {
-    /// Whether this process can serve.
-    Health,
-    /// Take that endpoint out.
-    Cordon(String),
-    /// It may serve again.
-    Uncordon(String),
-    /// Empty the sidecar.
-    Quiesce,
-    /// End of the drain.
-    Resume,
-    /// How the list from a roster stands.
-    List,
-    /// What this process has counted.
-    Metrics,
+impl Error for CallError {
+    fn source(&self) -> Option<&(dyn Error + 'static)> {
+        match self {
+            Self::Store(e) => e.source(),
+            Self::Stopping | Self::NoRegistry | Self::UnknownEndpoint => None,
+        }
+    }
 }
 
-impl Call {
-    /// Reads a line; the text of a failure follows `ERR`.
-    fn read(line: &[u8]) -> Result<Self, &'static str> {
-        let line = std::str::from_utf8(line).map_err(|_| "not UTF-8")?;
-        let mut words = line.split_ascii_whitespace();
-        let call = words.next().ok_or("no call")?;
-        let mut id = || words.next().map(str::to_owned).ok_or("no id");
-        let call = match call {
-            "cordon" => Self::Cordon(id()?),
-            "uncordon" => Self::Uncordon(id()?),
-            "health" => Self::Health,
-            "quiesce" => Self::Quiesce,
-            "resume" => Self::Resume,
-            "list" => Self::List,
-            "metrics" => Self::Metrics,
-            _ => return Err("unknown call"),
-        };
-        words.next().map_or(Ok(call), |_| Err("too many arguments"))
+impl From<StoreError> for CallError {
+    fn from(error: StoreError) -> Self {
+        Self::Store(error)
     }
 }
 
+/// The answer to a call that succeeded.
+enum Reply {
+    /// The call is in effect.
+    Done,
+    /// One line of text.
+    Line(String),
+    /// Metrics in Prometheus' text format.
+    Metrics(String),
+}
+
 /// What the calls act on.
-pub struct Operators {
-    /// What was told so far. Held while a call takes effect: calls do so one after the other.
-    pub kept: Mutex<StateFile>,
+pub struct Management {
+    /// The operators' state. Locked while a call takes effect, so that calls do so one after the other.
+    pub state: Mutex<StateFile>,
     /// Whether the sidecar is in service.
     pub service: Rc<watch::Sender<ServiceState>>,
     /// The engine.
-    pub handle: EngineHandle,
-    /// The list from a roster, where one is configured.
-    pub list: Option<Standing>,
+    pub engine: EngineHandle,
+    /// The status of the registry's list, where a registry is configured.
+    pub list_status: Option<Standing>,
 }
 
-impl Operators {
-    /// Carries out a call, and gives what is to be said of it. Its effect holds, here and in the process after this
-    /// one, once this returns well.
-    async fn carry_out(&self, call: Call) -> Result<String, String> {
-        let stopping = *self.service.borrow() >= ServiceState::Stopping;
-        // Whoever gets here has the engine and the clients' socket.
-        if call == Call::Health {
-            return if stopping { Err(STOPPING.to_owned()) } else { Ok(String::new()) };
-        }
-        if call == Call::List {
-            let list = self.list.as_ref().map(Standing::line);
-            return list.ok_or_else(|| "no roster is configured".to_owned());
-        }
-        if call == Call::Metrics {
-            return Ok(metrics::to_prometheus_text());
-        }
-        let kept = &mut *self.kept.lock().await;
-        if stopping && call == Call::Resume && !kept.outlives() {
-            return Err(STOPPING.to_owned());
-        }
+impl Management {
+    /// Carries out a call. Its effect holds, here and in the process after this one, once this returns without error.
+    async fn carry_out(&self, call: Call) -> Result<Reply, CallError> {
         match call {
-            Call::Health | Call::List | Call::Metrics => {}
-            Call::Quiesce => kept.change(|told| told.drained = true).await?,
-            Call::Resume => kept.change(|told| told.drained = false).await?,
-            Call::Cordon(id) => {
-                self.known(kept, &id).await?;
-                kept.change(|told| told.cordoned.extend([id])).await?;
-            }
-            Call::Uncordon(id) => {
-                self.known(kept, &id).await?;
-                kept.change(|told| told.cordoned.retain(|out| *out != id)).await?;
+            // A process that answers has its engine and the clients' socket.
+            Call::Health if self.is_stopping() => Err(CallError::Stopping),
+            Call::Health => Ok(Reply::Done),
+            Call::List => {
+                let status = self.list_status.as_ref().ok_or(CallError::NoRegistry)?;
+                Ok(Reply::Line(status.line()))
             }
+            Call::Metrics => Ok(Reply::Metrics(metrics::to_prometheus_text())),
+            Call::Quiesce => self.set_drained(true).await,
+            Call::Resume => self.set_drained(false).await,
+            Call::Cordon(name) => self.set_cordoned(name, true).await,
+            Call::Uncordon(name) => self.set_cordoned(name, false).await,
         }
-        self.take_effect(kept).await;
-        Ok(String::new())
-    }
-
-    /// One that is out may be gone from the list for a while.
-    async fn known(&self, kept: &StateFile, id: &str) -> Result<(), String> {
-        let known = kept.state().cordoned.contains(id) || self.handle.is_known(id).await;
-        if known { Ok(()) } else { Err("unknown id".to_owned()) }
     }
 
-    async fn take_effect(&self, kept: &StateFile) {
-        self.handle.set_cordoned(kept.state().cordoned.clone()).await;
-        service_state::set_drained(&self.service, kept.state().drained);
+    fn is_stopping(&self) -> bool {
+        *self.service.borrow() >= ServiceState::Stopping
     }
 
-    /// Follows what another process of this sidecar is told. Runs for good.
-    pub async fn follow(self: Rc<Self>) {
-        loop {
-            sleep(LOOK).await;
-            let kept = &mut *self.kept.lock().await;
-            // One that can't be read now may be at the next look.
-            if kept.refresh().unwrap_or(false) {
-                self.take_effect(kept).await;
-            }
+    async fn set_drained(&self, drained: bool) -> Result<Reply, CallError> {
+        let stopping = self.is_stopping();
+        let state = &mut *self.state.lock().await;
+        if stopping && !drained && !state.is_shared() {
+            return Err(CallError::Stopping);
         }
+        state.change(|state| state.drained = drained).await?;
+        self.take_effect(state).await;
+        Ok(Reply::Done)
     }
-}
-
-/// Callers whose line is not whole yet, the first to come first.
-type Unfinished = RefCell<BTreeMap<u64, Rc<Notify>>>;
-
-/// Binds the address that operators call.
-pub fn bind(at: SocketAddr) -> Result<TcpListener, String> {
-    let bound = retry_at_startup(|| std::net::TcpListener::bind(at)).and_then(|listener| {
-        listener.set_nonblocking(true)?;
-        TcpListener::from_std(listener)
-    });
-    bound.map_err(|e| format!("cannot listen for operators on {at}: {e}"))
-}
 
-/// Answers callers. Runs for good.
-pub async fn serve(listener: TcpListener, operators: Rc<Operators>) {
-    let unfinished = Rc::new(Unfinished::default());
-    let (open, left) = (Rc::new(Cell::new(0)), Rc::new(Notify::new()));
-    for number in 0.. {
-        let stream = loop {
-            match listener.accept().await {
-                Ok((stream, _)) => break stream,
-                Err(_) => sleep(RESOURCE_PAUSE).await,
-            }
-        };
-        while open.get() >= CALLERS {
-            if let Some((_, yields)) = unfinished.borrow_mut().pop_first() {
-                yields.notify_one();
-            }
-            left.notified().await;
+    async fn set_cordoned(&self, name: String, cordoned: bool) -> Result<Reply, CallError> {
+        let state = &mut *self.state.lock().await;
+        // A cordoned endpoint may be off the list for a while.
+        if !state.state().cordoned.contains(&name) && !self.engine.is_known(&name).await {
+            return Err(CallError::UnknownEndpoint);
         }
-        open.set(open.get() + 1);
-        let (operators, unfinished) = (Rc::clone(&operators), Rc::clone(&unfinished));
-        let (open, left) = (Rc::clone(&open), Rc::clone(&left));
-        let yields = Rc::new(Notify::new());
-        unfinished.borrow_mut().insert(number, Rc::clone(&yields));
-        spawn_local(async move {
-            caller(stream, &operators, || drop(unfinished.borrow_mut().remove(&number)), &yields).await;
-            open.set(open.get() - 1);
-            left.notify_one();
+        let change = state.change(|state| {
+            if cordoned {
+                state.cordoned.insert(name);
+            } else {
+                state.cordoned.remove(&name);
+            }
         });
+        change.await?;
+        self.take_effect(state).await;
+        Ok(Reply::Done)
     }
-}
 
-async fn caller(mut stream: TcpStream, operators: &Operators, finished: impl FnOnce(), yields: &Notify) {
-    let line = tokio::select! {
-        biased;
-        line = timeout(LINE_TIME, read_line(&mut stream)) => line.unwrap_or(Err("no whole line in time")),
-        () = yields.notified() => return,
-    };
-    finished();
-    let answer = match line.and_then(|line| Call::read(&line)) {
-        Ok(call) => operators.carry_out(call).await,
-        Err(what) => Err(what.to_owned()),
-    };
-    let answer = match answer {
-        // Many lines, in the form that Prometheus reads.
-        Ok(said) if said.starts_with('#') => said,
-        Ok(said) if said.is_empty() => "OK\n".to_owned(),
-        Ok(said) => format!("OK {said}\n"),
-        Err(what) => format!("ERR {what}\n"),
-    };
-    let last = async {
-        write_all(&mut stream, answer.as_bytes()).await?;
-        stream.shutdown().await
-    };
-    if matches!(timeout(ANSWER_TIME, last).await, Ok(Ok(()))) {
-        let rest = async { tokio::io::copy(&mut stream.take(LINGER_BYTES), &mut tokio::io::sink()).await };
-        let _ = timeout(LINGER, rest).await;
+    async fn take_effect(&self, state: &StateFile) {
+        self.engine.set_cordoned(state.state().cordoned.clone()).await;
+        service_state::set_drained(&self.service, state.state().drained);
     }
-}
-
-/// Writes all of it, over interruptions: the call has taken effect, and its caller is owed the answer.
-async fn write_all(stream: &mut TcpStream, mut bytes: &[u8]) -> io::Result<()> {
-    while !bytes.is_empty() {
-        match stream.write(bytes).await {
-            Ok(0) => return Err(io::ErrorKind::WriteZero.into()),
-            Ok(length) => bytes = &bytes[length..],
-            Err(e) if IoFailure::of(&e).is_transient() => sleep(RESOURCE_PAUSE).await,
-            Err(e) => return Err(e),
-        }
-    }
-    Ok(())
-}
 
-/// Reads up to the end of the line. What ends without one may be cut off, and half an id is another id.
-async fn read_line(stream: &mut TcpStream) -> Result<Vec<u8>, &'static str> {
-    let mut line = Vec::new();
-    loop {
-        if let Some(end) = line.iter().position(|b| *b == b'\n') {
-            line.truncate(end);
-            if line.last() == Some(&b'\r') {
-                line.pop();
-            }
-        } else if line.len() <= LONGEST_LINE + 1 {
-            let read = stream.take((LONGEST_LINE + 2 - line.len()) as u64).read_buf(&mut line).await;
-            match read {
-                Ok(length) if length > 0 => continue,
-                Err(e) if IoFailure::of(&e).is_transient() => {
-                    sleep(RESOURCE_PAUSE).await;
-                    continue;
-                }
-                _ => return Err("the line has no end"),
+    /// Follows the calls that another process of this sidecar receives. Never returns.
+    pub async fn follow_state_file(self: Rc<Self>) {
+        loop {
+            sleep(STATE_POLL_INTERVAL).await;
+            let state = &mut *self.state.lock().await;
+            // A file that can't be read now may be readable the next time.
+            if state.refresh().unwrap_or(false) {
+                self.take_effect(state).await;
             }
         }
-        return if line.len() > LONGEST_LINE { Err("the line is too long") } else { Ok(line) };
     }
 }
-
-#[cfg(test)]
-mod tests;
--- /dev/null
+++ b/crates/sidecar/src/management/call.rs
@@ -0,0 +1,88 @@
+//! Operators' calls, and how a line is read as one.
+
+use std::error::Error;
+use std::fmt;
+
+/// A call by operators.
+#[derive(Debug, PartialEq, Eq)]
+pub(super) enum Call {
+    /// Whether this process can serve.
+    Health,
+    /// Cordon the endpoint of that name.
+    Cordon(String),
+    /// Uncordon the endpoint of that name.
+    Uncordon(String),
+    /// Drain the sidecar.
+    Quiesce,
+    /// End the drain.
+    Resume,
+    /// The status of the registry's list.
+    List,
+    /// The metrics of this process.
+    Metrics,
+}
+
+/// Why a line is no call. Operators see the text behind `ERR`.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+pub(super) enum LineError {
+    /// It is not UTF-8.
+    Encoding,
+    /// It is empty.
+    Empty,
+    /// The call is not known.
+    UnknownCall,
+    /// The name of an endpoint is missing.
+    MissingId,
+    /// There is more than belongs to the call.
+    TooManyArguments,
+    /// It is too long.
+    TooLong,
+    /// The connection ended before the line did.
+    NoEnd,
+    /// It did not end in time.
+    Late,
+}
+
+impl fmt::Display for LineError {
+    fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
+        f.write_str(match self {
+            Self::Encoding => "not UTF-8",
+            Self::Empty => "no call",
+            Self::UnknownCall => "unknown call",
+            Self::MissingId => "no id",
+            Self::TooManyArguments => "too many arguments",
+            Self::TooLong => "the line is too long",
+            Self::NoEnd => "the line has no end",
+            Self::Late => "no whole line in time",
+        })
+    }
+}
+
+impl Error for LineError {}
+
+impl Call {
+    /// Reads a line.
+    pub(super) fn parse(line: &[u8]) -> Result<Self, LineError> {
+        let line = std::str::from_utf8(line).map_err(|_| LineError::Encoding)?;
+        let mut words = line.split_ascii_whitespace();
+        let name = words.next().ok_or(LineError::Empty)?;
+        let mut id = || words.next().map(str::to_owned).ok_or(LineError::MissingId);
+        let call = match name {
+            "cordon" => Self::Cordon(id()?),
+            "uncordon" => Self::Uncordon(id()?),
+            "health" => Self::Health,
+            "quiesce" => Self::Quiesce,
+            "resume" => Self::Resume,
+            "list" => Self::List,
+            "metrics" => Self::Metrics,
+            _ => return Err(LineError::UnknownCall),
+        };
+        if words.next().is_some() {
+            return Err(LineError::TooManyArguments);
+        }
+        Ok(call)
+    }
+}
+
+#[cfg(test)]
+mod tests;
--- /dev/null
+++ b/crates/sidecar/src/management/call/tests.rs
@@ -0,0 +1,24 @@
+use super::*;
+
+#[test]
+fn a_call_is_one_known_word_with_what_belongs_to_it() {
+    assert_eq!(Call::parse(b"health"), Ok(Call::Health));
+    assert_eq!(Call::parse(b" resume "), Ok(Call::Resume));
+    assert_eq!(Call::parse(b"cordon s-1"), Ok(Call::Cordon("s-1".to_owned())));
+    assert_eq!(Call::parse(b"uncordon s-1"), Ok(Call::Uncordon("s-1".to_owned())));
+    for bad in [
+        &b""[..],
+        b" ",
+        b"healthy",
+        b"HEALTH",
+        b"health now",
+        b"quiesce s-1",
+        b"\xff",
+        b"health\0",
+        b"cordon",
+        b"uncordon ",
+        b"cordon a b",
+    ] {
+        assert!(Call::parse(bad).is_err(), "{bad:?}");
+    }
+}
--- /dev/null
+++ b/crates/sidecar/src/management/server.rs
@@ -0,0 +1,146 @@
+//! Serves operators' connections.
+
+use super::call::{Call, LineError};
+use super::{Management, Reply};
+use crate::io_failure::{IoFailure, RESOURCE_PAUSE};
+use crate::retry::retry_at_startup;
+use std::cell::{Cell, RefCell};
+use std::collections::BTreeMap;
+use std::io;
+use std::net::SocketAddr;
+use std::rc::Rc;
+use std::time::Duration;
+use tokio::io::{AsyncReadExt, AsyncWriteExt};
+use tokio::net::{TcpListener, TcpStream};
+use tokio::sync::Notify;
+use tokio::task::spawn_local;
+use tokio::time::{sleep, timeout};
+
+/// Callers at a time; each takes one of the descriptors in reserve. For a further one, the caller that has been sending
+/// its line for the longest time is closed. A complete line is answered in the same turn.
+const MAX_CALLERS: usize = 8;
+/// Longest line, without its end.
+const MAX_LINE_BYTES: usize = 512;
+/// A line has to be complete within this time.
+const LINE_TIME: Duration = Duration::from_millis(2500);
+/// Its answer has to be taken within this time.
+const ANSWER_TIME: Duration = Duration::from_millis(500);
+/// How long a connection is still read after the answer: closing it with unread bytes would reset it, and the caller
+/// might lose the answer.
+const LINGER_TIME: Duration = Duration::from_millis(100);
+/// How many bytes are still read then.
+const LINGER_BYTES: u64 = 16 << 10;
+
+/// Callers whose line is not complete yet, by number, which is the order in which they came.
+type UnfinishedCallers = RefCell<BTreeMap<u64, Rc<Notify>>>;
+
+/// Binds the address that operators call.
+pub fn bind(address: SocketAddr) -> io::Result<TcpListener> {
+    let listener = retry_at_startup(|| std::net::TcpListener::bind(address))?;
+    listener.set_nonblocking(true)?;
+    TcpListener::from_std(listener)
+}
+
+/// Answers callers. Never returns.
+pub async fn serve(listener: TcpListener, management: Rc<Management>) {
+    let unfinished = Rc::new(UnfinishedCallers::default());
+    let (open, closed) = (Rc::new(Cell::new(0)), Rc::new(Notify::new()));
+    for number in 0.. {
+        let stream = accept(&listener).await;
+        while open.get() >= MAX_CALLERS {
+            if let Some((_, evict)) = unfinished.borrow_mut().pop_first() {
+                evict.notify_one();
+            }
+            closed.notified().await;
+        }
+        open.set(open.get() + 1);
+        let (management, unfinished) = (Rc::clone(&management), Rc::clone(&unfinished));
+        let (open, closed) = (Rc::clone(&open), Rc::clone(&closed));
+        let evict = Rc::new(Notify::new());
+        unfinished.borrow_mut().insert(number, Rc::clone(&evict));
+        spawn_local(async move {
+            let line_read = || drop(unfinished.borrow_mut().remove(&number));
+            serve_caller(stream, &management, line_read, &evict).await;
+            open.set(open.get() - 1);
+            closed.notify_one();
+        });
+    }
+}
+
+async fn accept(listener: &TcpListener) -> TcpStream {
+    loop {
+        match listener.accept().await {
+            Ok((stream, _)) => return stream,
+            Err(_) => sleep(RESOURCE_PAUSE).await,
+        }
+    }
+}
+
+async fn serve_caller(
+    mut stream: TcpStream,
+    management: &Management,
+    line_read: impl FnOnce(),
+    evict: &Notify,
+) {
+    let line = tokio::select! {
+        biased;
+        line = timeout(LINE_TIME, read_line(&mut stream)) => line.unwrap_or(Err(LineError::Late)),
+        () = evict.notified() => return,
+    };
+    line_read();
+    let answer = match line.and_then(|line| Call::parse(&line)) {
+        Ok(call) => match management.carry_out(call).await {
+            Ok(Reply::Done) => "OK\n".to_owned(),
+            Ok(Reply::Line(text)) => format!("OK {text}\n"),
+            Ok(Reply::Metrics(text)) => text,
+            Err(e) => format!("ERR {e}\n"),
+        },
+        Err(e) => format!("ERR {e}\n"),
+    };
+    let sent = async {
+        write_all(&mut stream, answer.as_bytes()).await?;
+        stream.shutdown().await
+    };
+    if matches!(timeout(ANSWER_TIME, sent).await, Ok(Ok(()))) {
+        let rest = async { tokio::io::copy(&mut stream.take(LINGER_BYTES), &mut tokio::io::sink()).await };
+        let _ = timeout(LINGER_TIME, rest).await;
+    }
+}
+
+/// Writes all bytes, through transient failures: the call has taken effect, and its caller needs the answer.
+async fn write_all(stream: &mut TcpStream, mut bytes: &[u8]) -> io::Result<()> {
+    while !bytes.is_empty() {
+        match stream.write(bytes).await {
+            Ok(0) => return Err(io::ErrorKind::WriteZero.into()),
+            Ok(length) => bytes = &bytes[length..],
+            Err(e) if IoFailure::of(&e).is_transient() => sleep(RESOURCE_PAUSE).await,
+            Err(e) => return Err(e),
+        }
+    }
+    Ok(())
+}
+
+/// Reads a line up to its end. A line without an end may be cut off, and half an id is another id.
+async fn read_line(stream: &mut TcpStream) -> Result<Vec<u8>, LineError> {
+    let mut line = Vec::new();
+    loop {
+        if let Some(end) = line.iter().position(|byte| *byte == b'\n') {
+            line.truncate(end);
+            if line.last() == Some(&b'\r') {
+                line.pop();
+            }
+            break;
+        }
+        // The end of a line is two bytes at the most.
+        let wanted = (MAX_LINE_BYTES + 2).saturating_sub(line.len());
+        if wanted == 0 {
+            break;
+        }
+        match stream.take(wanted as u64).read_buf(&mut line).await {
+            Ok(length) if length > 0 => {}
+            Err(e) if IoFailure::of(&e).is_transient() => sleep(RESOURCE_PAUSE).await,
+            _ => return Err(LineError::NoEnd),
+        }
+    }
+    if line.len() > MAX_LINE_BYTES { Err(LineError::TooLong) } else { Ok(line) }
+}
--- /dev/null
+++ b/crates/sidecar/src/reload.rs
@@ -0,0 +1,80 @@
+//! Reloads the configuration on SIGHUP.
+
+use crate::config::{Config, ReloadedConfig};
+use crate::engine::EngineHandle;
+use crate::log::log_line;
+use crate::retry::Backoff;
+use crate::roster::Standing;
+use std::future::pending;
+use std::time::Duration;
+use tokio::time::{Instant, sleep_until};
+
+/// Pause after the first try to read a file that can't be read now.
+const FIRST_RETRY_PAUSE: Duration = Duration::from_millis(50);
+/// Longest pause between two tries.
+const MAX_RETRY_PAUSE: Duration = Duration::from_secs(1);
+
+/// Reloads the configuration, with retries while its file can't be read.
+pub struct Reloader {
+    engine: EngineHandle,
+    list_status: Option<Standing>,
+    requested: Option<RequestedReload>,
+}
+
+/// A reload that has not happened yet.
+struct RequestedReload {
+    due: Instant,
+    backoff: Backoff,
+}
+
+impl Reloader {
+    /// Applies changes to the engine, and to the registry where one is configured.
+    pub fn new(engine: EngineHandle, list_status: Option<Standing>) -> Self {
+        Self { engine, list_status, requested: None }
+    }
+
+    /// Requests a reload.
+    pub fn request(&mut self) {
+        let backoff = Backoff::new(FIRST_RETRY_PAUSE, MAX_RETRY_PAUSE);
+        self.requested = Some(RequestedReload { due: Instant::now(), backoff });
+    }
+
+    /// Waits until a requested reload is due.
+    pub async fn due(&self) {
+        match &self.requested {
+            Some(requested) => sleep_until(requested.due).await,
+            None => pending().await,
+        }
+    }
+
+    /// Reloads the configuration, or puts that off if its file can't be read now.
+    pub fn reload(&mut self) {
+        match Config::reload() {
+            Ok(config) => {
+                self.requested = None;
+                self.apply(config);
+            }
+            Err(e) if e.is_transient() => {
+                if let Some(requested) = &mut self.requested {
+                    let pause = requested.backoff.next_pause();
+                    log_line!("{e}: it is read again in {} ms", pause.as_millis());
+                    requested.due = Instant::now() + pause;
+                }
+            }
+            Err(e) => {
+                self.requested = None;
+                log_line!("the configuration stays as it was: {e}");
+            }
+        }
+    }
+
+    fn apply(&self, config: ReloadedConfig) {
+        let address = config.discovery;
+        log_line!("configuration read again, discovery at {address}");
+        self.engine.move_discovery(address);
+        // A registry that is new, or no longer named, takes effect with the next process.
+        if let (Some(list_status), Some(services)) = (&self.list_status, config.services) {
+            list_status.ask_for(services);
+        }
+    }
+}
--- /dev/null
+++ b/crates/sidecar/src/request/metadata/tests.rs
@@ -0,0 +1,30 @@
+use super::*;
+
+#[test]
+fn time_left_is_a_number_and_a_unit() {
+    let read = [("480m", 480_000), ("480000u", 480_000), ("0.5m", 500), ("0m", 0), ("1e9m", -1)];
+    for (text, us) in read {
+        assert_eq!(parse_time(text).unwrap_or(-1), us, "{text}");
+    }
+    assert_eq!(parse_time(&("9".repeat(400) + "m")), Some(Micros::MAX));
+    for bad in ["", "m", "480", "480s", "-1m", "+1m", " 1m", "1 m", "infm", "NaNu", "1.2.3m", "."] {
+        assert_eq!(parse_time(bad), None, "{bad}");
+    }
+}
+
+#[test]
+fn a_client_that_says_an_hour_waits_as_long_as_its_class_allows() {
+    let classes = vec![TrafficClass {
+        name: "look".to_owned(),
+        idempotency: Idempotency::Idempotent,
+        deadline: 4_000_000,
+    }];
+    let traffic_classes = TrafficClasses { classes, tenants: Vec::new() };
+    let waits = |left: &str| {
+        let lines = format!("X-Correlation-Id: a\r\nX-Service-Class: look\r\nX-Time-Left: {left}\r\n");
+        let head = RequestHead::parse(format!("GET /api HTTP/1.1\r\n{lines}\r\n").as_bytes());
+        let (head, _) = head.expect("a head").expect("all of it");
+        RequestMetadata::parse(&traffic_classes, &head).map(|facts| facts.time_left)
+    };
+    assert_eq!((waits("3600000m"), waits("300m"), waits("soon")), (Some(4_000_000), Some(300_000), None));
+}
--- a/crates/sidecar/src/send_gate/tests.rs
+++ b/crates/sidecar/src/send_gate/tests.rs
@@ -24,15 +24,15 @@
     assert!(send(&lifecycle(), Some(now + hour), Some(now + hour)).may_write());
     let over = send(&lifecycle(), Some(now), None);
     assert!(!over.may_write());
-    assert_eq!(over.denied(), Some(SendDenial::DeadlineExceeded));
+    assert_eq!(over.denial(), Some(SendDenial::DeadlineExceeded));
     let window = send(&lifecycle(), Some(now + hour), Some(now));
     assert!(!window.may_write());
-    assert_eq!(window.denied(), Some(SendDenial::IdempotencyWindowExpired));
+    assert_eq!(window.denial(), Some(SendDenial::IdempotencyWindowExpired));
     let settled = lifecycle();
     let late = send(&settled, None, None);
     settled.complete();
     assert!(!late.may_write());
-    assert_eq!(late.denied(), Some(SendDenial::Completed));
+    assert_eq!(late.denial(), Some(SendDenial::Completed));
     let ended = send(&lifecycle(), None, None);
     ended.end();
     assert!(!ended.may_write(), "nothing of it is out, and it is over");
@@ -46,9 +46,9 @@
     };
     let revoked = GatedSend::new(permit);
     assert!(!revoked.may_write());
-    assert_eq!(revoked.denied(), Some(SendDenial::PermissionRevoked));
+    assert_eq!(revoked.denial(), Some(SendDenial::PermissionRevoked));
     endpoint.set(true);
-    assert!(revoked.may_write() && revoked.denied().is_none());
+    assert!(revoked.may_write() && revoked.denial().is_none());
     revoked.begin();
     endpoint.set(false);
     assert!(revoked.may_write());
@@ -113,7 +113,7 @@
     flows.set_earliest_deadline(Instant::now() - Duration::from_millis(1));
     let late = send(&flows, Some(Instant::now() + Duration::from_secs(9)), None);
     assert!(!late.may_write());
-    assert_eq!(late.denied(), Some(SendDenial::DeadlineExceeded));
+    assert_eq!(late.denial(), Some(SendDenial::DeadlineExceeded));
     flows.set_earliest_deadline(Instant::now() + Duration::from_secs(9));
     assert!(late.may_write(), "its last byte has come since");
 }
--- /dev/null
+++ b/crates/sidecar/src/shutdown.rs
@@ -0,0 +1,45 @@
+//! Graceful shutdown: open requests are answered, and connections close once they are.
+
+use crate::log::log_line;
+use crate::service_state::ServiceState;
+use crate::startup::Sidecar;
+use std::time::Duration;
+use tokio::time::{Instant, sleep, sleep_until, timeout};
+
+/// How long new connections are accepted after SIGTERM, as clients open them for up to 400 ms more.
+const ACCEPT_TIME: Duration = Duration::from_millis(500);
+/// The longest deadline that requests are given.
+const MAX_DEADLINE: Duration = Duration::from_secs(3);
+/// When the requests that are still open are failed, counted from the longest deadline. SIGKILL comes 700 ms after it at
+/// the earliest, and the answers have to be out before that.
+const ABORT_DELAY: Duration = Duration::from_millis(500);
+/// How long the last answers may take.
+const LAST_ANSWERS_TIME: Duration = Duration::from_millis(80);
+
+impl Sidecar {
+    /// Shuts the sidecar down.
+    pub async fn shut_down(self) {
+        let began = Instant::now();
+        log_line!("shutting down");
+        self.service.send_replace(ServiceState::Stopping);
+        // Clients of a shared socket are accepted by the other process.
+        if !self.shared_socket {
+            sleep(ACCEPT_TIME).await;
+        }
+        self.service.send_replace(ServiceState::NotAccepting);
+        // Each connection holds a receiver of the service state.
+        let all_closed = async {
+            if self.accepting.await.is_ok() {
+                self.service.closed().await;
+            }
+        };
+        tokio::pin!(all_closed);
+        let abort_at = began + self.longest_deadline.min(MAX_DEADLINE) + ABORT_DELAY;
+        tokio::select! {
+            () = &mut all_closed => return,
+            () = sleep_until(abort_at) => {}
+        }
+        self.service.send_replace(ServiceState::Aborting);
+        let _ = timeout(LAST_ANSWERS_TIME, all_closed).await;
+    }
+}
--- a/crates/sidecar/src/start_times.rs
+++ b/crates/sidecar/src/start_times.rs
@@ -1,73 +1,82 @@
-//! When servers started, as far as a list's own stamps and what this process has seen bear it out.
+//! Estimates when servers started, from the stamps of endpoint lists and from what this process has observed.
 //!
-//! A list stamps each server with the Unix time of its last start. This machine's wall clock is no measure for that:
-//! it may be off when the process starts, and be stepped later; a server that has just started would pass for warm and
-//! be pushed over, or stay cold for as long as the clock is behind. So stamps are compared with each other alone, and
-//! with times on this process's monotonic clock at which they were first seen:
+//! A list stamps each server with the Unix time of its last start. This machine's wall clock can't be compared with
+//! that: it may be wrong when the process starts, or be stepped later, and a server that has just started would pass for
+//! warm and be overloaded, or stay in slow start for as long as the clock is behind. So stamps are compared with each
+//! other alone, and with the times on this process's monotonic clock at which they were first observed:
 //!
-//! - The latest stamp seen is no later than the moment in which it was seen. From then on the list's clock runs with
-//!   this process's: it tells the least that the time can be, and so the least age of every other start.
-//! - A start is no later than the moment in which its stamp was first seen.
-//! - A stamp that replaces another, or a server that earlier lists did not name, started after the last list that said
-//!   otherwise, whatever the stamp says: the clock of that server may have been stepped as well.
+//! - The latest stamp is no later than the moment in which it was first observed. From then on the list's clock advances
+//!   with this process's: it gives the least that the time can be, and so the least age of every other start.
+//! - A start is no later than the moment in which its stamp was first observed.
+//! - A stamp that replaces another, or a server that earlier lists did not name, means a start after the last list that
+//!   said otherwise, whatever the stamp says: that server's clock may have been stepped as well.
+//! - Where this machine's clock, as of the start of the process, agrees with the first lists, it gives the ages of the
+//!   starts that they name, less ten seconds. It agrees if the latest stamp lies behind it, by five minutes at most. A
+//!   clock that was stepped by seconds can't be told from a correct one, hence the ten; one that was stepped by an hour
+//!   does not agree.
 //!
-//! - Where this machine's clock, as it was when the process started, agrees with the first lists, it tells the ages of the
-//!   starts that they name, less ten seconds: the latest stamp lies behind it, by five minutes at most. A clock that was
-//!   stepped by seconds can't be told from one that is right, hence the ten; one that was stepped by an hour does not agree.
-//!
-//! But for a clock that is ahead by more than those ten seconds and under five minutes, each bound errs on the cold side: a
-//! server is given less for a while, never more than it bears.
+//! Unless the clock is ahead by more than those ten seconds and less than five minutes, each bound errs on the cold
+//! side: a server gets less load for a while, never more than it bears.
 
 use lotusmoor_balancer::Micros;
 use std::collections::HashMap;
 
-/// How far the latest stamp of a first list may lie behind this machine's clock for that to be believed. A list in
-/// which nothing has started for longer says nothing of the clock.
-const PLAUSIBLE: Micros = 300_000_000;
-
-/// By how much a clock that agrees may be ahead all the same: what it tells of ages is less by that.
-const DOUBT: Micros = 10_000_000;
+/// How far the latest stamp of a first list may lie behind this machine's clock for that to be believed. A list in which
+/// nothing has started for longer says nothing about the clock.
+const MAX_PLAUSIBLE_AGE_US: Micros = 300_000_000;
+/// By how much a clock that agrees may be ahead all the same; ages are reduced by it.
+const CLOCK_DOUBT_US: Micros = 10_000_000;
+/// Microseconds in a millisecond, the unit of stamps.
+const MICROS_PER_MILLI: Micros = 1000;
 
-/// What is known of one server's start.
+/// The estimated start of a server.
 #[derive(Clone, Copy, Debug)]
 struct Start {
     stamp_ms: i64,
     at: Micros,
 }
 
-/// The starts of all servers that are listed, by number. Those of long ago are not kept.
+/// The latest stamp of all lists.
+#[derive(Clone, Copy, Debug)]
+struct LatestStamp {
+    stamp: Micros,
+    observed: Micros,
+}
+
+/// The starts of listed servers, by number. Those of long ago are not stored.
 #[derive(Debug, Default)]
 pub struct StartTimes {
-    /// The latest stamp, in microseconds, and when it was first seen.
-    latest: Option<(Micros, Micros)>,
+    latest: Option<LatestStamp>,
     /// When the last list came from discovery; none before the first.
-    told: Option<Micros>,
+    last_list: Option<Micros>,
     starts: HashMap<usize, Start>,
 }
 
 impl StartTimes {
-    /// A list comes: `stamps_ms` are those of its servers, 0 for long ago.
+    /// Observes the stamps of a list; 0 stands for a start of long ago.
     pub fn observe(&mut self, now: Micros, stamps_ms: impl Iterator<Item = i64>) {
         for stamp_ms in stamps_ms.filter(|stamp| *stamp > 0) {
-            let stamp = stamp_ms.saturating_mul(1000);
+            let stamp = stamp_ms.saturating_mul(MICROS_PER_MILLI);
             if self.list_time(now).is_none_or(|time| stamp > time) {
-                self.latest = Some((stamp, now));
+                self.latest = Some(LatestStamp { stamp, observed: now });
             }
         }
-        // Now is Unix time, as this machine had it when the process started.
+        // `now` is Unix time, as of this machine's clock at the start of the process.
         let behind = self.list_time(now).map(|time| now.saturating_sub(time));
-        if self.told.is_none() && behind.is_some_and(|behind| (DOUBT..=PLAUSIBLE).contains(&behind)) {
-            self.latest = Some((now - DOUBT, now));
+        let agrees = behind.is_some_and(|behind| (CLOCK_DOUBT_US..=MAX_PLAUSIBLE_AGE_US).contains(&behind));
+        if self.last_list.is_none() && agrees {
+            self.latest = Some(LatestStamp { stamp: now - CLOCK_DOUBT_US, observed: now });
         }
     }
 
     /// The least that the time can be on the clock that stamps are taken from.
     fn list_time(&self, now: Micros) -> Option<Micros> {
-        self.latest.map(|(stamp, seen)| stamp.saturating_add(now.saturating_sub(seen)))
+        let LatestStamp { stamp, observed } = self.latest?;
+        Some(stamp.saturating_add(now.saturating_sub(observed)))
     }
 
-    /// When the server of that number started, on this process's clock; `None` is long ago. The list that says so has
-    /// been observed.
+    /// When a server started, on this process's clock; `None` is long ago. The list with this stamp must have been
+    /// observed.
     pub fn started(&mut self, now: Micros, server: usize, stamp_ms: i64) -> Option<Micros> {
         if stamp_ms <= 0 {
             self.starts.remove(&server);
@@ -76,20 +85,21 @@
         if let Some(known) = self.starts.get(&server).filter(|known| known.stamp_ms == stamp_ms) {
             return Some(known.at);
         }
-        let age = self.list_time(now).unwrap_or(0).saturating_sub(stamp_ms.saturating_mul(1000)).max(0);
+        let stamp = stamp_ms.saturating_mul(MICROS_PER_MILLI);
+        let age = self.list_time(now).unwrap_or(0).saturating_sub(stamp).max(0);
         let by_stamps = now.saturating_sub(age);
-        // The first list tells of starts of any age.
-        let at = self.told.map_or(by_stamps, |told| by_stamps.max(told));
+        // Before the first list a start may be of any age.
+        let at = self.last_list.map_or(by_stamps, |last_list| by_stamps.max(last_list));
         self.starts.insert(server, Start { stamp_ms, at });
         Some(at)
     }
 
-    /// A list from discovery has been taken: what it did not say otherwise held until now.
+    /// Records that a list from discovery was applied: what it did not change held until now.
     pub fn list_applied(&mut self, now: Micros) {
-        self.told = Some(now);
+        self.last_list = Some(now);
     }
 
-    /// A server is gone, and its number may be another's next.
+    /// Forgets a removed server, whose number may be given to another.
     pub fn forget(&mut self, server: usize) {
         self.starts.remove(&server);
     }
--- a/crates/sidecar/src/state_file.rs
+++ b/crates/sidecar/src/state_file.rs
@@ -1,132 +1,179 @@
-//! What operators have told the sidecar, kept over an upgrade: the old process and the new one are one sidecar, and
-//! each heeds what the other was told.
+//! The operators' state, shared through a file by the old and the new process of an upgrade: they are one sidecar, and
+//! each follows the calls that the other has received.
 
 use crate::log::log_line;
 use crate::retry::retry_at_startup;
 use serde::{Deserialize, Serialize};
 use std::collections::BTreeSet;
+use std::error::Error;
+use std::fmt;
 use std::fs::{self, File, TryLockError};
 use std::io;
 use std::net::SocketAddr;
-use std::path::PathBuf;
+use std::path::{Path, PathBuf};
 use std::time::Duration;
 use tokio::time::{Instant, sleep};
 
-/// Of the file's form.
-const VERSION: u32 = 1;
-/// How long the other process may hold the lock, and how often it is tried. Calls are owed an answer in 1 s.
+/// The version of the file's format.
+const FORMAT_VERSION: u32 = 1;
+/// How long the other process may hold the lock. An operator's call has to be answered in 1 s.
 const LOCK_TIME: Duration = Duration::from_millis(300);
-const LOCK_PAUSE: Duration = Duration::from_millis(5);
+/// Pause between two tries to lock.
+const LOCK_RETRY_PAUSE: Duration = Duration::from_millis(5);
 
-/// What holds until operators say otherwise.
+/// What operators have set.
 #[derive(Clone, Debug, Deserialize, PartialEq, Serialize)]
-pub struct State {
+pub struct OperatorState {
     version: u32,
-    /// Names of the endpoints that are taken out.
+    /// Names of the cordoned endpoints.
     pub cordoned: BTreeSet<String>,
     /// The sidecar is drained.
     pub drained: bool,
 }
 
-impl Default for State {
+impl Default for OperatorState {
     fn default() -> Self {
-        Self { version: VERSION, cordoned: BTreeSet::new(), drained: false }
+        Self { version: FORMAT_VERSION, cordoned: BTreeSet::new(), drained: false }
     }
 }
 
-impl State {
-    fn read(bytes: &[u8]) -> Result<Self, String> {
-        let told: Self = serde_json::from_slice(bytes).map_err(|e| e.to_string())?;
-        if told.version == VERSION { Ok(told) } else { Err(format!("version {}", told.version)) }
+impl OperatorState {
+    fn decode(bytes: &[u8]) -> Result<Self, DecodeError> {
+        let state: Self = serde_json::from_slice(bytes).map_err(DecodeError::Malformed)?;
+        if state.version != FORMAT_VERSION {
+            return Err(DecodeError::Version(state.version));
+        }
+        Ok(state)
     }
 }
 
-/// What was told, and the file that it is kept in.
+/// Why a state file can't be decoded.
+#[derive(Debug)]
+enum DecodeError {
+    Malformed(serde_json::Error),
+    Version(u32),
+}
+
+impl fmt::Display for DecodeError {
+    fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
+        match self {
+            Self::Malformed(e) => e.fmt(f),
+            Self::Version(version) => write!(f, "version {version}"),
+        }
+    }
+}
+
+/// A change could not be stored, and was not made.
+#[derive(Debug)]
+pub struct StoreError {
+    path: PathBuf,
+    source: io::Error,
+}
+
+impl fmt::Display for StoreError {
+    fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
+        write!(f, "cannot keep it in {}: {}", self.path.display(), self.source)
+    }
+}
+
+impl Error for StoreError {
+    fn source(&self) -> Option<&(dyn Error + 'static)> {
+        Some(&self.source)
+    }
+}
+
+/// The operators' state, and the file that it is shared through.
 pub struct StateFile {
-    file: Option<PathBuf>,
-    /// The file as last seen.
-    seen: Vec<u8>,
-    state: State,
+    path: Option<PathBuf>,
+    /// The file as last read or written.
+    contents: Vec<u8>,
+    state: OperatorState,
 }
 
 impl StateFile {
-    /// Kept by this process alone.
-    pub fn alone() -> Self {
-        Self { file: None, seen: Vec::new(), state: State::default() }
+    /// A state that ends with this process.
+    pub fn in_memory() -> Self {
+        Self { path: None, contents: Vec::new(), state: OperatorState::default() }
     }
 
-    /// Kept in `$TMPDIR`, for the sidecar that listens there.
+    /// A state in `$TMPDIR`, shared by the processes that listen at that address.
     pub fn shared(listen: SocketAddr) -> Self {
-        let Some(folder) = std::env::var_os("TMPDIR") else {
+        let Some(directory) = std::env::var_os("TMPDIR") else {
             log_line!("without TMPDIR what operators say ends with this process");
-            return Self::alone();
+            return Self::in_memory();
         };
-        let file = PathBuf::from(folder).join(format!("tinflow-{listen}.json"));
-        let mut kept = Self { file: Some(file), ..Self::alone() };
-        // What operators have said holds from the first request on.
-        if let Err(e) = retry_at_startup(|| kept.refresh().map(drop)) {
+        let path = PathBuf::from(directory).join(format!("tinflow-{listen}.json"));
+        let mut file = Self { path: Some(path), ..Self::in_memory() };
+        // The state has to be in effect from the first request on.
+        if let Err(e) = retry_at_startup(|| file.refresh().map(drop)) {
             log_line!("{e}: what operators said is followed once it can be read");
         }
-        kept
+        file
     }
 
-    /// As it stands.
-    pub fn state(&self) -> &State {
+    /// The current state.
+    pub fn state(&self) -> &OperatorState {
         &self.state
     }
 
-    /// Whether another process of this sidecar heeds it.
-    pub fn outlives(&self) -> bool {
-        self.file.is_some()
+    /// Whether the state outlives this process.
+    pub fn is_shared(&self) -> bool {
+        self.path.is_some()
     }
 
-    /// Looks at the file again; whether another process has been told something new. What can't be used is one log
-    /// line, and changes nothing. A file that can't be read is an error: it may hold what this process does not know.
+    /// Reads the file again; returns whether another process has changed the state. Contents that can't be decoded are
+    /// logged and change nothing. A file that can't be read is an error, as its contents may be new.
     pub fn refresh(&mut self) -> io::Result<bool> {
-        let Some(file) = &self.file else { return Ok(false) };
-        let bytes = match fs::read(file) {
-            Ok(bytes) if bytes != self.seen => bytes,
+        let Some(path) = &self.path else { return Ok(false) };
+        let contents = match fs::read(path) {
+            Ok(contents) if contents != self.contents => contents,
             Ok(_) => return Ok(false),
             Err(e) if e.kind() == io::ErrorKind::NotFound => return Ok(false),
             Err(e) => return Err(e),
         };
-        let read = State::read(&bytes);
-        self.seen = bytes;
-        match read {
-            Ok(told) => Ok(std::mem::replace(&mut self.state, told) != self.state),
-            Err(what) => {
-                log_line!("{} can't be used: {what}", file.display());
+        let decoded = OperatorState::decode(&contents);
+        self.contents = contents;
+        match decoded {
+            Ok(state) => Ok(std::mem::replace(&mut self.state, state) != self.state),
+            Err(e) => {
+                log_line!("{} can't be used: {e}", path.display());
                 Ok(false)
             }
         }
     }
 
-    /// Changes what was told last, by whichever process, and keeps it.
-    pub async fn change(&mut self, change: impl FnOnce(&mut State)) -> Result<(), String> {
-        let Some(file) = self.file.clone() else {
+    /// Changes the latest state, of whichever process, and stores it.
+    pub async fn change(&mut self, change: impl FnOnce(&mut OperatorState)) -> Result<(), StoreError> {
+        let Some(path) = self.path.clone() else {
             change(&mut self.state);
             return Ok(());
         };
-        let failed = |e: io::Error| format!("cannot keep it in {}: {e}", file.display());
+        let changed = self.change_file(&path, change).await;
+        changed.map_err(|source| StoreError { path, source })
+    }
+
+    async fn change_file(&mut self, path: &Path, change: impl FnOnce(&mut OperatorState)) -> io::Result<()> {
         // Released when it is dropped, or its process ends.
-        let _lock = lock(file.with_extension("lock")).await.map_err(failed)?;
-        self.refresh().map_err(failed)?;
-        let mut told = self.state.clone();
-        change(&mut told);
-        let bytes = serde_json::to_vec(&told).map_err(|e| failed(e.into()))?;
-        let new = file.with_extension("new");
-        fs::write(&new, &bytes).and_then(|()| fs::rename(&new, &file)).map_err(failed)?;
-        (self.seen, self.state) = (bytes, told);
+        let _lock = lock(path.with_extension("lock")).await?;
+        self.refresh()?;
+        let mut state = self.state.clone();
+        change(&mut state);
+        let contents = serde_json::to_vec(&state)?;
+        let new = path.with_extension("new");
+        fs::write(&new, &contents)?;
+        fs::rename(&new, path)?;
+        (self.contents, self.state) = (contents, state);
         Ok(())
     }
 }
 
 async fn lock(path: PathBuf) -> io::Result<File> {
-    let (file, until) = (File::create(path)?, Instant::now() + LOCK_TIME);
+    let file = File::create(path)?;
+    let until = Instant::now() + LOCK_TIME;
     loop {
         match file.try_lock() {
             Ok(()) => return Ok(file),
-            Err(TryLockError::WouldBlock) if Instant::now() < until => sleep(LOCK_PAUSE).await,
+            Err(TryLockError::WouldBlock) if Instant::now() < until => sleep(LOCK_RETRY_PAUSE).await,
             Err(e) => return Err(e.into()),
         }
     }
--- a/crates/sidecar/src/write_progress.rs
+++ b/crates/sidecar/src/write_progress.rs
@@ -42,7 +42,7 @@
 
     /// Nothing was written, as it might not be any more.
     pub fn denied(&self) -> bool {
-        self.0.send.as_ref().is_some_and(|send| send.denied().is_some())
+        self.0.send.as_ref().is_some_and(|send| send.denial().is_some())
     }
 
     /// The endpoint is told that its answer is waited for so long from now on.
