--- a/crates/sidecar/src/body/tests.rs
+++ b/crates/sidecar/src/body/decoder/tests.rs
@@ -2,14 +2,14 @@
 
 /// What is read of a body that comes in pieces of that size, and what is left behind it.
 fn read(framing: Framing, bytes: &[u8], size: usize) -> Result<(Vec<u8>, bool, Vec<u8>), StatusCode> {
-    let (mut reader, mut unread, mut body) = (Reader::new(framing), BytesMut::new(), Vec::new());
+    let (mut decoder, mut unread, mut body) = (BodyDecoder::new(framing), BytesMut::new(), Vec::new());
     for piece in bytes.chunks(size) {
         unread.extend_from_slice(piece);
-        while let Some(piece) = reader.take(&mut unread)? {
+        while let Some(piece) = decoder.decode(&mut unread)? {
             body.extend_from_slice(&piece);
         }
     }
-    Ok((body, reader.ended(), unread.to_vec()))
+    Ok((body, decoder.ended(), unread.to_vec()))
 }
 
 #[test]
@@ -33,9 +33,9 @@
     for text in ["x\r\n", "-1\r\n", "5\r\nhelloX\r\n", "5\r\nhello\n\n", "\r\n", "0\r\nno colon\r\n\r\n"] {
         assert_eq!(read(Framing::Chunked, text.as_bytes(), 3), Err(bad), "{text}");
     }
-    let long = format!("5;{}", "x".repeat(2 * LONGEST_LINE));
+    let long = format!("5;{}", "x".repeat(2 * MAX_CHUNK_LINE_BYTES));
     assert_eq!(read(Framing::Chunked, long.as_bytes(), 100), Err(bad));
-    let trailers = format!("0\r\nA: {}", "x".repeat(2 * LONGEST_TRAILERS));
+    let trailers = format!("0\r\nA: {}", "x".repeat(2 * MAX_TRAILER_BYTES));
     assert_eq!(read(Framing::Chunked, trailers.as_bytes(), 100), Err(bad));
     for size in ["2000001", "ffffffffffffffff"] {
         let read = read(Framing::Chunked, format!("{size}\r\n").as_bytes(), 100);
--- /dev/null
+++ b/crates/sidecar/src/body/stream.rs
@@ -0,0 +1,147 @@
+//! Bodies on their way between a client and an endpoint, and the channels through which they are streamed.
+
+use crate::write_progress::WriteProgress;
+use bytes::Bytes;
+use hyper::body::{Body, Frame, SizeHint};
+use std::cell::{Cell, RefCell};
+use std::error::Error;
+use std::fmt;
+use std::pin::Pin;
+use std::rc::Rc;
+use std::task::{Context, Poll, ready};
+use tokio::sync::mpsc;
+
+/// The rest of a request's body, streamed from its client.
+#[derive(Clone)]
+pub struct BodyStream {
+    pieces: Rc<RefCell<mpsc::Receiver<Bytes>>>,
+    length: Option<usize>,
+    /// The client has sent all of it.
+    complete: Rc<Cell<bool>>,
+    /// Some of it was sent to an endpoint, and can't be sent to another.
+    consumed: Rc<Cell<bool>>,
+}
+
+/// The client's end of a [`BodyStream`].
+pub struct BodySender {
+    pieces: mpsc::Sender<Bytes>,
+    complete: Rc<Cell<bool>>,
+}
+
+impl BodySender {
+    /// Waits until the endpoint takes a further piece; returns whether it is still there.
+    pub async fn send(&self, piece: Bytes) -> bool {
+        self.pieces.send(piece).await.is_ok()
+    }
+
+    /// Ends the body.
+    pub fn finish(self) {
+        self.complete.set(true);
+    }
+}
+
+impl BodyStream {
+    /// A stream for the rest of a body, and its sender. `length` is that of the complete body, where it is known.
+    pub fn new(length: Option<usize>) -> (BodySender, Self) {
+        // With one piece in the channel, the client is read from no faster than the endpoint takes it.
+        let (sender, receiver) = mpsc::channel(1);
+        let complete = Rc::new(Cell::new(false));
+        let pieces = Rc::new(RefCell::new(receiver));
+        let body_sender = BodySender { pieces: sender, complete: Rc::clone(&complete) };
+        (body_sender, Self { pieces, length, complete, consumed: Rc::default() })
+    }
+
+    /// Whether some of it was sent, so that the request can't be retried.
+    pub fn is_consumed(&self) -> bool {
+        self.consumed.get()
+    }
+
+    /// The length of the complete body, where it is known.
+    pub fn length(&self) -> Option<usize> {
+        self.length
+    }
+}
+
+/// The body of one attempt.
+pub struct RequestBody {
+    buffered: Bytes,
+    rest: Option<BodyStream>,
+    progress: WriteProgress,
+}
+
+impl RequestBody {
+    /// The buffered start of a body, and the rest where it is streamed.
+    pub fn new(buffered: Bytes, rest: Option<BodyStream>, progress: WriteProgress) -> Self {
+        Self { buffered, rest, progress }
+    }
+}
+
+/// The client stopped in the middle of its body.
+#[derive(Debug)]
+pub struct BodyIncomplete;
+
+impl fmt::Display for BodyIncomplete {
+    fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
+        f.write_str("the body broke off")
+    }
+}
+
+impl Error for BodyIncomplete {}
+
+impl Body for RequestBody {
+    type Data = Bytes;
+    type Error = BodyIncomplete;
+
+    fn poll_frame(
+        mut self: Pin<&mut Self>,
+        cx: &mut Context<'_>,
+    ) -> Poll<Option<Result<Frame<Bytes>, BodyIncomplete>>> {
+        if !self.buffered.is_empty() {
+            return Poll::Ready(Some(Ok(Frame::data(std::mem::take(&mut self.buffered)))));
+        }
+        let Some(rest) = &self.rest else { return Poll::Ready(None) };
+        let next = ready!(rest.pieces.borrow_mut().poll_recv(cx));
+        Poll::Ready(match next {
+            Some(piece) => {
+                rest.consumed.set(true);
+                Some(Ok(Frame::data(piece)))
+            }
+            None if rest.complete.get() => {
+                // Of a body of unknown length, this is the last byte.
+                self.progress.body_ends();
+                None
+            }
+            None => Some(Err(BodyIncomplete)),
+        })
+    }
+
+    fn is_end_stream(&self) -> bool {
+        self.buffered.is_empty() && self.rest.is_none()
+    }
+
+    fn size_hint(&self) -> SizeHint {
+        match &self.rest {
+            None => SizeHint::with_exact(self.buffered.len() as u64),
+            Some(rest) => {
+                rest.length.map_or_else(SizeHint::new, |length| SizeHint::with_exact(length as u64))
+            }
+        }
+    }
+}
+
+/// The body of an answer on its way to a client: its buffered start, and the rest where it is streamed.
+pub struct AnswerBody {
+    /// The start, or all of it.
+    pub first: Bytes,
+    /// The pieces that follow. An empty one marks the end; without that the body is incomplete.
+    pub rest: Option<mpsc::Receiver<Bytes>>,
+    /// The length of the complete body, where it is known.
+    pub length: Option<usize>,
+}
+
+impl AnswerBody {
+    /// A body that is completely buffered.
+    pub fn buffered(body: Bytes) -> Self {
+        Self { length: Some(body.len()), first: body, rest: None }
+    }
+}
--- a/crates/sidecar/src/client_liveness.rs
+++ b/crates/sidecar/src/client_liveness.rs
@@ -1,4 +1,4 @@
-//! Whether a client is still there, as far as its connection tells.
+//! Whether a client is still connected, as far as its connection shows.
 
 use crate::io_failure::IoFailure;
 use socket2::SockRef;
@@ -11,11 +11,12 @@
 use tokio::net::TcpStream;
 use tokio::time::sleep;
 
-/// From one look to the next while nothing is read: no attempt may begin more than 0.1 s after its client has left.
-const LOOK: Duration = Duration::from_millis(50);
+/// How often a connection is examined while it is not read from: no attempt may begin more than 0.1 s after its client
+/// has closed.
+const POLL_INTERVAL: Duration = Duration::from_millis(50);
 
-/// Looks at a byte that lies unread on a connection, if there is one: 0 at its end. One place, as the call may be
-/// interrupted, and who asks wants to know of the connection.
+/// Peeks at the unread bytes of a connection, up to one; 0 is the end. Retries interrupted calls, so that the result
+/// tells something about the connection.
 pub fn peek(stream: &TcpStream) -> Result<usize, IoFailure> {
     loop {
         match SockRef::from(stream).peek(&mut [MaybeUninit::uninit()]) {
@@ -28,20 +29,20 @@
     }
 }
 
-/// A client's connection, looked at for its end by those that only want to know that.
+/// A client's connection, for those that only need to know whether it is closed.
 #[derive(Clone)]
 pub struct ClientLiveness(Rc<TcpStream>);
 
 impl ClientLiveness {
-    /// At the other end of that.
+    /// The liveness of the client at the other end of `stream`.
     pub fn of(stream: &Rc<TcpStream>) -> Self {
         Self(Rc::clone(stream))
     }
 
-    /// Whether the client has closed or reset its connection. Asks the socket itself, as the news may not have been
-    /// polled yet, and what was polled, as the end may lie behind bytes that nobody has read.
-    pub fn left(&self) -> bool {
-        let ended = match self.peek() {
+    /// Whether the client has closed or reset its connection. Asks the socket, as the runtime may not have polled the end
+    /// yet, and the runtime, as the end may lie behind unread bytes.
+    pub fn is_closed(&self) -> bool {
+        let ended = match peek(&self.0) {
             Ok(length) => length == 0,
             Err(failure) => !failure.is_transient(),
         };
@@ -49,20 +50,16 @@
         ended || matches!(polled, Poll::Ready(Ok(ready)) if ready.is_read_closed())
     }
 
-    /// Whether nothing at all has come that nobody has read: no bytes, no end, no reset. The socket itself tells, at
-    /// once, where `left` may have to wait for the next poll to learn of an end that lies behind bytes.
-    pub fn quiet(&self) -> bool {
-        self.peek() == Err(IoFailure::NotReady)
+    /// Whether the client is connected and nothing is unread: no bytes, no end, no reset. The socket shows that at once,
+    /// where `is_closed` may have to wait for the next poll to notice an end behind unread bytes.
+    pub fn is_quiet(&self) -> bool {
+        peek(&self.0) == Err(IoFailure::NotReady)
     }
 
-    fn peek(&self) -> Result<usize, IoFailure> {
-        peek(&self.0)
-    }
-
-    /// Waits until the client has left, while nobody reads what it sends.
-    pub async fn gone(&self) {
-        while !self.left() {
-            sleep(LOOK).await;
+    /// Waits until the client has closed its connection, while nobody reads from it.
+    pub async fn closed(&self) {
+        while !self.is_closed() {
+            sleep(POLL_INTERVAL).await;
         }
     }
 }
--- a/crates/sidecar/src/client_liveness/tests.rs
+++ b/crates/sidecar/src/client_liveness/tests.rs
@@ -18,15 +18,15 @@
     for unread in [&b""[..], b"half a body"] {
         for resets in [false, true] {
             let (mut client, stream) = pair().await;
-            let presence = ClientLiveness::of(&stream);
+            let liveness = ClientLiveness::of(&stream);
             client.write_all(unread).expect("it is taken");
-            assert!(!presence.left());
+            assert!(!liveness.is_closed());
             if resets {
                 SockRef::from(&client).set_linger(Some(Duration::ZERO)).expect("it can");
             }
             drop(client);
-            let gone = tokio::time::timeout(Duration::from_secs(30), presence.gone()).await;
-            assert!(gone.is_ok(), "{} bytes unread, resets: {resets}", unread.len());
+            let closed = tokio::time::timeout(Duration::from_secs(30), liveness.closed()).await;
+            assert!(closed.is_ok(), "{} bytes unread, resets: {resets}", unread.len());
         }
     }
 }
@@ -36,10 +36,10 @@
 async fn a_client_that_has_left_or_sent_more_is_not_quiet_though_nothing_was_polled() {
     for (unread, leaves) in [(&b""[..], true), (b"more", true), (b"more", false)] {
         let (mut client, stream) = pair().await;
-        let presence = ClientLiveness::of(&stream);
-        assert!(presence.quiet());
+        let liveness = ClientLiveness::of(&stream);
+        assert!(liveness.is_quiet());
         client.write_all(unread).expect("it is taken");
         let _stays = (!leaves).then_some(client);
-        assert!(!presence.quiet(), "{} bytes unread, leaves: {leaves}", unread.len());
+        assert!(!liveness.is_quiet(), "{} bytes unread, leaves: {leaves}", unread.len());
     }
 }
--- a/crates/sidecar/src/connection.rs
+++ b/crates/sidecar/src/connection.rs
@@ -1,7 +1,7 @@
-//! Connections that carry one request at a time and are driven by whoever uses them, so that giving up an attempt
-//! (dropping its future) closes the connection, and nothing is written behind an attempt's back.
+//! HTTP/1.1 connections that carry one request at a time. Whoever uses a connection drives it, so that cancelling an
+//! attempt (dropping its future) closes the connection, and nothing is written after that.
 
-use crate::body::Outbound;
+use crate::body::RequestBody;
 use crate::client_liveness::peek;
 use crate::io_failure::IoFailure;
 use crate::write_progress::WriteProgress;
@@ -12,6 +12,8 @@
 use lotusmoor_balancer::Outcome;
 use socket2::SockRef;
 use std::cell::{Cell, RefCell};
+use std::error::Error;
+use std::fmt;
 use std::future::{Future, poll_fn};
 use std::io;
 use std::net::SocketAddr;
@@ -22,9 +24,9 @@
 use tokio::net::{TcpSocket, TcpStream};
 
 /// Longest head of an answer.
-const LONGEST_HEAD: usize = 16 << 10;
+const MAX_HEAD_BYTES: usize = 16 << 10;
 
-/// A socket that tells how much is written and whether anything comes back, and that can be looked at while a connection holds it.
+/// A socket that records the progress of a request, and that can be examined while hyper owns it.
 struct GatedStream {
     stream: Rc<TcpStream>,
     progress: Rc<RefCell<WriteProgress>>,
@@ -33,11 +35,11 @@
 }
 
 impl GatedStream {
-    /// Whether the same call is to be made again now.
-    fn go_on_after(&self, error: io::Error, cx: &mut Context<'_>) -> Poll<io::Result<()>> {
+    /// Ready if the call is to be retried now.
+    fn poll_retry(&self, error: io::Error, cx: &mut Context<'_>) -> Poll<io::Result<()>> {
         match IoFailure::of(&error) {
             IoFailure::NotReady | IoFailure::Interrupted => Poll::Ready(Ok(())),
-            // On the next turn of the runtime; whoever waits has a bound on its time.
+            // Retried on the next turn of the runtime; the caller bounds the time.
             IoFailure::Shortage => {
                 cx.waker().wake_by_ref();
                 Poll::Pending
@@ -57,14 +59,14 @@
             match self.stream.try_read(buf.initialize_unfilled()) {
                 Ok(length) => {
                     self.broken.set(length == 0);
-                    // What was heard stays heard when the connection ends.
+                    // The end of the connection is not part of an answer.
                     if length > 0 {
-                        self.progress.borrow().hear();
+                        self.progress.borrow().record_received();
                     }
                     buf.advance(length);
                     return Poll::Ready(Ok(()));
                 }
-                Err(e) => ready!(self.go_on_after(e, cx))?,
+                Err(e) => ready!(self.poll_retry(e, cx))?,
             }
         }
     }
@@ -74,16 +76,16 @@
     fn poll_write(self: Pin<&mut Self>, cx: &mut Context<'_>, buf: &[u8]) -> Poll<io::Result<usize>> {
         loop {
             ready!(self.stream.poll_write_ready(cx))?;
-            // The only place at which a request leaves.
+            // This is the only place where requests are written.
             if !self.progress.borrow().may_write() {
-                return Poll::Ready(Err(io::Error::other("not wanted any more")));
+                return Poll::Ready(Err(io::Error::other("the send was denied")));
             }
             match self.stream.try_write(buf) {
                 Ok(length) => {
-                    self.progress.borrow().count(&buf[..length]);
+                    self.progress.borrow().record_written(&buf[..length]);
                     return Poll::Ready(Ok(length));
                 }
-                Err(e) => ready!(self.go_on_after(e, cx))?,
+                Err(e) => ready!(self.poll_retry(e, cx))?,
             }
         }
     }
@@ -97,15 +99,27 @@
     }
 }
 
-/// A socket to connect with; fails for want of descriptors.
+/// A socket to connect with. Fails if no descriptor is free.
 pub fn socket_for(address: SocketAddr) -> io::Result<TcpSocket> {
     if address.is_ipv4() { TcpSocket::new_v4() } else { TcpSocket::new_v6() }
 }
 
+/// The connection ended without an answer.
+#[derive(Debug)]
+pub struct ConnectionLost;
+
+impl fmt::Display for ConnectionLost {
+    fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
+        f.write_str("connection lost")
+    }
+}
+
+impl Error for ConnectionLost {}
+
 /// An HTTP/1.1 connection for one request at a time.
 pub struct Connection {
-    sender: http1::SendRequest<Outbound>,
-    driver: http1::Connection<TokioIo<GatedStream>, Outbound>,
+    sender: http1::SendRequest<RequestBody>,
+    driver: http1::Connection<TokioIo<GatedStream>, RequestBody>,
     ended: bool,
     stream: Rc<TcpStream>,
     progress: Rc<RefCell<WriteProgress>>,
@@ -114,37 +128,39 @@
 
 impl Connection {
     /// Connects; the caller bounds the time.
-    pub async fn open(at: SocketAddr) -> io::Result<Self> {
-        Self::over(socket_for(at)?, at).await
+    pub async fn open(address: SocketAddr) -> io::Result<Self> {
+        Self::over(socket_for(address)?, address).await
     }
 
-    /// The same over a socket.
-    pub async fn over(socket: TcpSocket, at: SocketAddr) -> io::Result<Self> {
-        let stream = Rc::new(socket.connect(at).await?);
+    /// Connects over that socket; the caller bounds the time.
+    pub async fn over(socket: TcpSocket, address: SocketAddr) -> io::Result<Self> {
+        let stream = Rc::new(socket.connect(address).await?);
         stream.set_nodelay(true)?;
         let progress = Rc::new(RefCell::new(WriteProgress::default()));
         let broken = Rc::new(Cell::new(false));
-        let (stream_of, progress_of, broken_of) =
-            (Rc::clone(&stream), Rc::clone(&progress), Rc::clone(&broken));
-        let gated = GatedStream { stream: stream_of, progress: progress_of, broken: broken_of };
-        let handshake = http1::Builder::new().max_buf_size(LONGEST_HEAD).handshake(TokioIo::new(gated));
+        let gated = GatedStream {
+            stream: Rc::clone(&stream),
+            progress: Rc::clone(&progress),
+            broken: Rc::clone(&broken),
+        };
+        let handshake = http1::Builder::new().max_buf_size(MAX_HEAD_BYTES).handshake(TokioIo::new(gated));
         let (sender, driver) = handshake.await.map_err(io::Error::other)?;
         Ok(Self { sender, driver, ended: false, stream, progress, broken })
     }
 
-    /// Whether a request may be written: the peer has neither closed it nor said anything unasked. Asks the
-    /// socket itself, as news of its closing may not have been polled yet.
+    /// Whether a request may be written: the peer has neither closed it nor sent anything unasked. Asks the socket itself,
+    /// as the runtime may not have polled its end yet.
     pub fn usable(&self) -> bool {
         !self.ended && peek(&self.stream) == Err(IoFailure::NotReady)
     }
 
     /// Whether the peer has closed or reset it.
-    pub fn broken(&self) -> bool {
+    pub fn is_broken(&self) -> bool {
         self.broken.get()
     }
 
-    /// What became of a request that is out and has no answer of use: the connection broke, or stands and has
-    /// brought what can't be read. An endpoint that spoils an answer has not lost its process.
+    /// The outcome of a request that was written and got no usable answer: the connection broke, or the answer is
+    /// invalid. An endpoint that sends an invalid answer has not lost its process.
     pub fn failure(&self) -> Outcome {
         if self.broken.get() { Outcome::Reset } else { Outcome::Error }
     }
@@ -152,9 +168,9 @@
     /// Sends a request and waits for the head of its answer.
     pub async fn request(
         &mut self,
-        request: Request<Outbound>,
+        request: Request<RequestBody>,
         progress: WriteProgress,
-    ) -> Result<Response<Incoming>, &'static str> {
+    ) -> Result<Response<Incoming>, ConnectionLost> {
         *self.progress.borrow_mut() = progress;
         let Self { sender, driver, ended, .. } = self;
         let answer = async {
@@ -163,11 +179,11 @@
         };
         match drive(driver, ended, answer).await {
             Some(Ok(response)) => Ok(response),
-            _ => Err("connection lost"),
+            _ => Err(ConnectionLost),
         }
     }
 
-    /// One turn of the driver, in which it sees whether the last answer asked for the connection to be closed.
+    /// Polls the driver once, so that it notices whether the last answer announced the end of the connection.
     pub async fn turn(&mut self) {
         poll_fn(|cx| {
             self.ended = self.ended || Pin::new(&mut self.driver).poll(cx).is_ready();
@@ -176,28 +192,28 @@
         .await;
     }
 
-    /// Waits for something that this connection brings; `None` once it has ended without bringing it.
-    pub async fn drive<T>(&mut self, what: impl Future<Output = T>) -> Option<T> {
-        drive(&mut self.driver, &mut self.ended, what).await
+    /// Waits for a future that this connection completes; `None` once the connection has ended without that.
+    pub async fn drive<T>(&mut self, future: impl Future<Output = T>) -> Option<T> {
+        drive(&mut self.driver, &mut self.ended, future).await
     }
 }
 
 async fn drive<T>(
-    driver: &mut http1::Connection<TokioIo<GatedStream>, Outbound>,
+    driver: &mut http1::Connection<TokioIo<GatedStream>, RequestBody>,
     ended: &mut bool,
-    what: impl Future<Output = T>,
+    future: impl Future<Output = T>,
 ) -> Option<T> {
-    let mut what = pin!(what);
+    let mut future = pin!(future);
     poll_fn(|cx| {
-        // What is asked for is looked at between two turns of the driver: it hands the request over first,
-        // and an answer that came with the end of the connection still counts.
-        if let Poll::Ready(value) = what.as_mut().poll(cx) {
+        // Polled before and after the driver: the future passes the request to the driver first, and an answer that
+        // came with the end of the connection still counts.
+        if let Poll::Ready(value) = future.as_mut().poll(cx) {
             return Poll::Ready(Some(value));
         }
         if !*ended {
             *ended = Pin::new(&mut *driver).poll(cx).is_ready();
         }
-        match what.as_mut().poll(cx) {
+        match future.as_mut().poll(cx) {
             Poll::Ready(value) => Poll::Ready(Some(value)),
             Poll::Pending if *ended => Poll::Ready(None),
             Poll::Pending => Poll::Pending,
--- a/crates/sidecar/src/connection/tests.rs
+++ b/crates/sidecar/src/connection/tests.rs
@@ -42,10 +42,14 @@
             std::io::Read::read(&mut peer, &mut [0; 1024]).expect("a request");
             std::io::Write::write_all(&mut peer, answer.as_bytes()).expect("it is taken");
         });
-        let request = Request::new(Outbound::new(Bytes::new(), None, progress.clone()));
+        let request = Request::new(RequestBody::new(Bytes::new(), None, progress.clone()));
         assert!(connection.request(request, progress.clone()).await.is_err());
         breaking.join().expect("no stub panics");
-        assert_eq!((connection.broken.get(), progress.heard()), (true, !answer.is_empty()), "{answer}");
+        assert_eq!(
+            (connection.broken.get(), progress.received_any()),
+            (true, !answer.is_empty()),
+            "{answer}"
+        );
     }
 }
 
@@ -60,11 +64,11 @@
         let asked = Cell::new(0);
         let progress = gated(move || asked.replace(asked.get() + 1) < asked_before);
         assert_eq!(progress.may_write(), asked_before > 0);
-        let request = Request::new(Outbound::new(Bytes::new(), None, progress.clone()));
+        let request = Request::new(RequestBody::new(Bytes::new(), None, progress.clone()));
         // Written, it would never be answered.
         let asking = connection.request(request, progress.clone());
         let answer = tokio::time::timeout(Duration::from_secs(10), asking).await.expect("it was written");
-        assert!(answer.is_err() && progress.denied() && !progress.begun() && !connection.broken());
+        assert!(answer.is_err() && progress.is_denied() && !progress.has_begun() && !connection.is_broken());
         drop(connection);
         let mut seen = Vec::new();
         std::io::Read::read_to_end(&mut peer, &mut seen).expect("it was closed");
@@ -76,13 +80,13 @@
 #[tokio::test]
 async fn a_request_that_has_begun_needs_its_permit_no_more() {
     let progress = gated(|| true);
-    assert!(progress.may_write() && !progress.begun());
-    progress.count(b"G");
+    assert!(progress.may_write() && !progress.has_begun());
+    progress.record_written(b"G");
     assert!(progress.may_write());
     let held = Rc::new(());
     let holds = Rc::clone(&held);
     let progress = gated(move || Rc::strong_count(&holds) > 0);
     assert_eq!(Rc::strong_count(&held), 2);
-    progress.count(b"G");
+    progress.record_written(b"G");
     assert_eq!(Rc::strong_count(&held), 1);
 }
--- a/crates/sidecar/src/connection_age.rs
+++ b/crates/sidecar/src/connection_age.rs
@@ -1,13 +1,13 @@
-//! How long ago a connection was made, by the system's own account.
+//! How long ago a connection was made, from the system's `TCP_INFO` (see tcp(7)).
 
 use std::mem::{MaybeUninit, size_of};
 use std::os::fd::AsRawFd;
 use std::time::Duration;
 use tokio::net::TcpStream;
 
-/// How long ago a connection was made on which nothing has been sent yet: the system's time of the last send begins with
-/// the connection. The time at which bytes came would say less. Those that its buffer has no room for come late, though
-/// their client wrote them, and counts, from the first. `None` where the system does not say.
+/// How long ago a connection was made on which nothing has been sent yet, as the system counts the time since the last
+/// send from the handshake. The time at which bytes were received would not do: bytes for which the buffer has no room
+/// come late, though their client wrote them earlier and waits since then. `None` where the system does not tell.
 pub fn age_of_unanswered(stream: &TcpStream) -> Option<Duration> {
     let mut info = MaybeUninit::<libc::tcp_info>::zeroed();
     let mut length = libc::socklen_t::try_from(size_of::<libc::tcp_info>()).ok()?;
--- a/crates/sidecar/src/discovery.rs
+++ b/crates/sidecar/src/discovery.rs
@@ -4,7 +4,7 @@
 mod poll;
 
 use crate::endpoint_list::ListMessage;
-use crate::exchange::{Input, Inputs};
+use crate::engine_input::{Input, Inputs};
 use poll::{PollError, Polls, poll};
 use std::cell::Cell;
 use std::net::SocketAddr;
--- a/crates/sidecar/src/engine.rs
+++ b/crates/sidecar/src/engine.rs
@@ -5,21 +5,22 @@
 mod clock;
 mod endpoint_table;
 mod handle;
+mod in_flight;
 
-pub use handle::EngineHandle;
+pub use handle::{EngineHandle, PendingResponse};
 
 use crate::config::Config;
 use crate::discovery::{self, DiscoveryCommand};
 use crate::endpoint_list::ListMessage;
-use crate::exchange::{Answer, Input, Inputs};
+use crate::engine_input::{Answer, Input, Inputs};
 use crate::gossip::GossipSocket;
 use crate::log::{ThrottledLog, log_line};
 use crate::resource_limits::ResourceLimits;
 use crate::roster::{self, Standing};
 use crate::upstream::Upstream;
-use attempts::{AttemptKey, InFlightAttempt, OpenRequest, SendDecision};
 use clock::Clock;
 use endpoint_table::EndpointTable;
+use in_flight::{AttemptKey, InFlightAttempt, OpenRequest, SendDecision};
 use lotusmoor_balancer::{
     Action, Balancer, DiscoveryMode, EndpointEntry, EndpointListUpdate, Event, Micros, RequestId,
     SettingsError,
--- a/crates/sidecar/src/engine/attempts.rs
+++ b/crates/sidecar/src/engine/attempts.rs
@@ -1,42 +1,16 @@
-//! Requests without a final answer, and their attempts in flight.
+//! The engine's requests and attempts: their start, their end, and the one final answer.
 
 use super::Engine;
 use super::clock::to_duration;
-use crate::exchange::{Answer, AttemptResult, Outgoing};
+use super::in_flight::{AttemptKey, InFlightAttempt, SendDecision};
+use crate::engine_input::{Answer, AttemptResult};
 use crate::metrics::{AttemptOutcome, RequestOutcome};
 use crate::upstream::Grant;
-use lotusmoor_balancer::{AttemptEnd, AttemptNumber, Event, LoadReport, Micros, Outcome, RequestId};
+use lotusmoor_balancer::{AttemptEnd, Event, LoadReport, Micros, Outcome, RequestId};
 use std::rc::Rc;
-use tokio::sync::oneshot;
-use tokio::task::{AbortHandle, spawn_local};
+use tokio::task::spawn_local;
 use tokio::time::Instant;
 
-/// Identifies an attempt.
-pub(super) type AttemptKey = (RequestId, AttemptNumber);
-
-/// A request without its final answer.
-pub(super) struct OpenRequest {
-    pub(super) reply: oneshot::Sender<Answer>,
-    pub(super) outgoing: Rc<Outgoing>,
-    pub(super) attempts: AttemptNumber,
-}
-
-/// An attempt whose end the balancer has not been notified of.
-pub(super) struct InFlightAttempt {
-    pub(super) endpoint: usize,
-    pub(super) started: Micros,
-    pub(super) task: AbortHandle,
-}
-
-/// A send as the balancer has decided it.
-pub(super) struct SendDecision {
-    pub(super) request: RequestId,
-    pub(super) endpoint: usize,
-    pub(super) timeout: Micros,
-    /// The endpoint remembers the request's idempotency key for this long from now.
-    pub(super) idempotency_window: Option<Micros>,
-}
-
 impl Engine {
     /// Starts an attempt.
     pub(super) fn send(&mut self, decision: SendDecision) {
--- a/crates/sidecar/src/engine/handle.rs
+++ b/crates/sidecar/src/engine/handle.rs
@@ -2,7 +2,8 @@
 
 use super::clock::Clock;
 use crate::discovery::DiscoveryCommand;
-use crate::exchange::{Answer, Input, Inputs, Outgoing};
+use crate::engine_input::{Answer, Input, Inputs};
+use crate::outgoing_request::OutgoingRequest;
 use lotusmoor_balancer::{Micros, NewRequest, RequestId};
 use std::cell::Cell;
 use std::collections::BTreeSet;
@@ -61,7 +62,7 @@
     }
 
     /// Submits a request, which gets a new id.
-    pub fn submit(&self, request: NewRequest, outgoing: Outgoing) -> PendingResponse {
+    pub fn submit(&self, request: NewRequest, outgoing: OutgoingRequest) -> PendingResponse {
         let id = self.last_request.get() + 1;
         self.last_request.set(id);
         let (sender, answer) = oneshot::channel();
@@ -74,7 +75,7 @@
 /// The answer to a submitted request. Dropped before the answer is there, it abandons the request.
 pub struct PendingResponse {
     id: RequestId,
-    outgoing: Rc<Outgoing>,
+    outgoing: Rc<OutgoingRequest>,
     answer: oneshot::Receiver<Answer>,
     answered: bool,
     inputs: Inputs,
--- a/crates/sidecar/src/http_get.rs
+++ b/crates/sidecar/src/http_get.rs
@@ -1,7 +1,7 @@
 //! One HTTP GET over a reusable connection, for endpoint lists. The caller bounds the total time.
 
-use crate::body::Outbound;
-use crate::connection::Connection;
+use crate::body::RequestBody;
+use crate::connection::{Connection, ConnectionLost};
 use crate::write_progress::WriteProgress;
 use bytes::Bytes;
 use http_body_util::{BodyExt, Limited};
@@ -31,11 +31,9 @@
     ConnectTimeout,
     /// No connection.
     Connect(io::Error),
-    /// The exchange failed before the response's head was complete.
-    Exchange(&'static str),
     /// The body did not end in time.
     BodyTimeout,
-    /// The connection was lost within the body.
+    /// The connection was lost before the end of the response.
     ConnectionLost,
     /// The body is unreadable or too long.
     Body(Box<dyn Error + Send + Sync>),
@@ -47,7 +45,6 @@
             Self::InvalidRequest(e) => e.fmt(f),
             Self::ConnectTimeout => f.write_str("no connection"),
             Self::Connect(e) => e.fmt(f),
-            Self::Exchange(e) => e.fmt(f),
             Self::BodyTimeout => f.write_str("no end of the answer"),
             Self::ConnectionLost => f.write_str("connection lost"),
             Self::Body(e) => e.fmt(f),
@@ -61,7 +58,7 @@
             Self::InvalidRequest(e) => e.source(),
             Self::Connect(e) => e.source(),
             Self::Body(e) => e.source(),
-            Self::ConnectTimeout | Self::Exchange(_) | Self::BodyTimeout | Self::ConnectionLost => None,
+            Self::ConnectTimeout | Self::BodyTimeout | Self::ConnectionLost => None,
         }
     }
 }
@@ -76,13 +73,14 @@
     let progress = WriteProgress::new(Some(0));
     let request = Request::get(path)
         .header(hyper::header::HOST, address.to_string())
-        .body(Outbound::new(Bytes::new(), None, progress.clone()))
+        .body(RequestBody::new(Bytes::new(), None, progress.clone()))
         .map_err(GetError::InvalidRequest)?;
     let mut connection = match reusable.take().filter(Connection::usable) {
         Some(connection) => connection,
         None => connect(address).await?,
     };
-    let response = connection.request(request, progress).await.map_err(GetError::Exchange)?;
+    let response =
+        connection.request(request, progress).await.map_err(|ConnectionLost| GetError::ConnectionLost)?;
     let (head, body) = response.into_parts();
     let body = timeout(BODY_TIME, connection.drive(Limited::new(body, MAX_BODY_BYTES).collect())).await;
     let body = body
--- /dev/null
+++ b/crates/sidecar/src/idle_bound.rs
@@ -0,0 +1,109 @@
+//! Learns how long an idle connection may be trusted, from the settings and from connections that broke when they were
+//! reused.
+//!
+//! Endpoints, and what lies on the way to them, may silently drop idle connections sooner than agreed; the next request
+//! then ends as a reset, after which it may have run. The same helps against any short memory of connections on the way
+//! (address translation, a proxy, changed settings of an endpoint). It does harm where one endpoint alone drops them
+//! early: all are then dialled more often, and each dial costs a handshake.
+
+use std::time::Duration;
+use tokio::time::Instant;
+
+/// The end of the first range of idle ages, in seconds.
+const FIRST_RANGE_SECONDS: f64 = 0.005;
+/// Each further range is longer by this factor.
+const RANGE_FACTOR: f64 = 1.25;
+/// The number of ranges.
+const RANGES: usize = 48;
+/// A range remembers about so many of its last uses.
+const MAX_USES: u32 = 32;
+/// Connections that have to be lost before an age counts as too old: networks break connections of any age.
+const MIN_LOST: u32 = 4;
+/// More than one in so many used connections have to be lost, as chance may break some in a row.
+const LOST_SHARE: u32 = 4;
+/// By how much higher than among new connections the share of lost ones has to be.
+const MIN_RATIO_TO_NEW: u32 = 2;
+/// With none lost for so long, the bound moves up by a range: whatever dropped connections may have stopped.
+const WIDEN_INTERVAL: Duration = Duration::from_secs(10);
+
+/// Uses of connections of similar idle age.
+#[derive(Clone, Copy, Default)]
+struct Uses {
+    used: u32,
+    lost: u32,
+}
+
+impl Uses {
+    fn add(&mut self, lost: bool) {
+        if self.used >= MAX_USES {
+            *self = Self { used: self.used / 2, lost: self.lost / 2 };
+        }
+        *self = Self { used: self.used + 1, lost: self.lost + u32::from(lost) };
+    }
+
+    fn many_lost(self) -> bool {
+        self.lost >= MIN_LOST && self.lost * LOST_SHARE > self.used
+    }
+}
+
+/// The idle age up to which connections are reused.
+pub struct IdleBound {
+    agreed: Duration,
+    uses: [Uses; RANGES],
+    new: Uses,
+    /// The first range that is too old, and since when that is so.
+    too_old: usize,
+    since: Instant,
+}
+
+impl IdleBound {
+    /// Trusts connections for the agreed time, until their use shows otherwise.
+    pub fn new(agreed: Duration, now: Instant) -> Self {
+        Self { agreed, uses: [Uses::default(); RANGES], new: Uses::default(), too_old: RANGES, since: now }
+    }
+
+    /// The current bound.
+    pub fn get(&mut self, now: Instant) -> Duration {
+        if self.too_old < RANGES && now.saturating_duration_since(self.since) >= WIDEN_INTERVAL {
+            (self.too_old, self.since) = (self.too_old + 1, now);
+        }
+        if self.too_old == RANGES {
+            return self.agreed;
+        }
+        let bound = FIRST_RANGE_SECONDS * RANGE_FACTOR.powi(self.too_old as i32 - 1);
+        Duration::from_secs_f64(bound).min(self.agreed)
+    }
+
+    /// Records whether a new connection was lost before any byte of an answer.
+    pub fn record_new(&mut self, lost: bool) {
+        self.new.add(lost);
+    }
+
+    /// Records the same of a connection that had been idle for that time.
+    pub fn record_reused(&mut self, now: Instant, idle: Duration, lost: bool) {
+        let range = range_of(idle);
+        self.uses[range].add(lost);
+        // Whatever drops connections of this age drops all older ones as well.
+        let older = self.uses[range..].iter().fold(Uses::default(), |sum, uses| Uses {
+            used: sum.used + uses.used,
+            lost: sum.lost + uses.lost,
+        });
+        // Where new ones are lost as well, age is not the cause.
+        let lost_of_older = older.lost * self.new.used.max(1);
+        let lost_of_new = self.new.lost * older.used;
+        let by_age = lost_of_older > MIN_RATIO_TO_NEW * lost_of_new;
+        if lost && self.uses[range].many_lost() && older.many_lost() && by_age {
+            (self.too_old, self.since) = (range.min(self.too_old), now);
+            self.uses[range..].fill(Uses::default());
+        }
+    }
+}
+
+fn range_of(idle: Duration) -> usize {
+    let ends_after =
+        |range: &usize| idle.as_secs_f64() < FIRST_RANGE_SECONDS * RANGE_FACTOR.powi(*range as i32);
+    (0..RANGES - 1).find(ends_after).unwrap_or(RANGES - 1)
+}
+
+#[cfg(test)]
+mod tests;
--- a/crates/sidecar/src/idle/tests.rs
+++ b/crates/sidecar/src/idle_bound/tests.rs
@@ -12,24 +12,24 @@
 fn an_age_at_which_connections_are_lost_bounds_their_use_and_the_bound_widens_again() {
     let (mut bound, now) = bound();
     for _ in 0..20 {
-        bound.new_used(false);
-        bound.used(now, 40 * MS, false);
-        bound.used(now, 150 * MS, true);
+        bound.record_new(false);
+        bound.record_reused(now, 40 * MS, false);
+        bound.record_reused(now, 150 * MS, true);
     }
     let learnt = bound.get(now);
     assert!(learnt > 40 * MS && learnt <= 150 * MS, "{learnt:?}");
-    let later = now + WIDEN;
+    let later = now + WIDEN_INTERVAL;
     let wider = bound.get(later);
     assert!(wider > learnt && wider < learnt * 2, "{wider:?}");
     // Found too old once more, it counts at once; never again, it no longer does.
-    for _ in 0..LOST {
-        bound.used(later, 150 * MS, true);
+    for _ in 0..MIN_LOST {
+        bound.record_reused(later, 150 * MS, true);
     }
     assert!(bound.get(later) <= 150 * MS);
     for step in 2..100 {
-        bound.get(now + WIDEN * step);
+        bound.get(now + WIDEN_INTERVAL * step);
     }
-    assert_eq!(bound.get(now + WIDEN * 100), AGREED);
+    assert_eq!(bound.get(now + WIDEN_INTERVAL * 100), AGREED);
 }
 
 // A network that breaks one connection in ten does so whatever their age.
@@ -37,14 +37,14 @@
 fn losses_that_do_not_come_with_age_change_nothing() {
     let (mut bound, now) = bound();
     for n in 0..1000 {
-        bound.used(now, 20 * MS, n % 10 == 0);
-        bound.used(now, 200 * MS, n % 10 == 0);
+        bound.record_reused(now, 20 * MS, n % 10 == 0);
+        bound.record_reused(now, 200 * MS, n % 10 == 0);
     }
     assert_eq!(bound.get(now), AGREED);
     for n in 0..1000 {
-        bound.new_used(n % 2 == 0);
-        bound.used(now, 20 * MS, n % 2 == 0);
-        bound.used(now, 200 * MS, n % 2 == 0);
+        bound.record_new(n % 2 == 0);
+        bound.record_reused(now, 20 * MS, n % 2 == 0);
+        bound.record_reused(now, 200 * MS, n % 2 == 0);
     }
     assert_eq!(bound.get(now), AGREED);
 }
--- /dev/null
+++ b/crates/sidecar/src/inbound/read_request.rs
@@ -0,0 +1,148 @@
+//! Reads a request: its head, and its body as far as it is buffered.
+
+use super::client::{Client, READ_BYTES, RequestError};
+use super::pace::Pace;
+use super::shared::Shared;
+use super::timing::REQUEST_TIME;
+use crate::body::{BodyDecoder, Framing, MAX_BUFFERED_BYTES, STREAMING_BYTES};
+use crate::memory_budget::MemoryReservation;
+use crate::request::{RequestHead, RequestMetadata};
+use crate::resource_limits::MAX_HEAD_BYTES;
+use bytes::{Buf, Bytes, BytesMut};
+use hyper::StatusCode;
+use lotusmoor_balancer::Micros;
+use std::time::Duration;
+use tokio::time::{Instant, timeout_at};
+
+/// Most bytes of a body that are read at once.
+const BODY_READ_BYTES: usize = 16 << 10;
+
+/// A request, as far as it is read at first.
+pub(super) enum ReadRequest {
+    /// It asks whether the sidecar is in service.
+    Up {
+        /// The connection may carry a further request.
+        keep_alive: bool,
+    },
+    /// It is for an endpoint.
+    Api(Box<ApiRequest>),
+}
+
+/// A request for an endpoint.
+pub(super) struct ApiRequest {
+    pub(super) head: RequestHead,
+    pub(super) metadata: RequestMetadata,
+    /// The body, or the buffered start of one that is streamed.
+    pub(super) body: Bytes,
+    pub(super) decoder: BodyDecoder,
+    pub(super) pace: Pace,
+    pub(super) reservation: MemoryReservation,
+}
+
+impl Client {
+    /// Reads a request, whose head has to be complete by `until`. An invalid one is rejected as early as possible.
+    pub(super) async fn read_request(
+        &mut self,
+        until: Instant,
+        shared: &Shared,
+    ) -> Result<ReadRequest, RequestError> {
+        let late = |_| RequestError::Rejected(StatusCode::REQUEST_TIMEOUT);
+        let head = timeout_at(until, self.read_head()).await.map_err(late)??;
+        match head.uri.path() {
+            "/up" if head.body == Framing::Sized(0) => {
+                return Ok(ReadRequest::Up { keep_alive: head.keep_alive });
+            }
+            path if path == "/api" || path.starts_with("/api/") => {}
+            _ => return Err(RequestError::Rejected(StatusCode::NOT_FOUND)),
+        }
+        let metadata = RequestMetadata::parse(&shared.traffic_classes, &head);
+        let metadata = metadata.ok_or(RequestError::Rejected(StatusCode::BAD_REQUEST))?;
+        let mut pace = Pace::since(until - REQUEST_TIME);
+        let began = Instant::now();
+        let reservation = self.reserve_body(&head, metadata.time_left, began, shared).await?;
+        pace.exclude(began.elapsed());
+        let mut decoder = BodyDecoder::new(head.body);
+        let body = self.read_body(&head, &mut decoder, &mut pace).await?;
+        Ok(ReadRequest::Api(Box::new(ApiRequest { head, metadata, body, decoder, pace, reservation })))
+    }
+
+    /// Reserves memory for a body. Its client may be waiting for the answer already, so that is bounded by its time.
+    async fn reserve_body(
+        &self,
+        head: &RequestHead,
+        time_left: Micros,
+        began: Instant,
+        shared: &Shared,
+    ) -> Result<MemoryReservation, RequestError> {
+        let buffered = head.body.length().filter(|length| *length <= MAX_BUFFERED_BYTES);
+        let time_left = Duration::from_micros(time_left.unsigned_abs());
+        let until = (self.arrived + time_left).min(began + REQUEST_TIME);
+        let client = self.liveness();
+        tokio::select! {
+            biased;
+            reservation = timeout_at(until, shared.memory.reserve(buffered.unwrap_or(STREAMING_BYTES))) => {
+                reservation.map_err(|_| RequestError::Rejected(StatusCode::SERVICE_UNAVAILABLE))
+            }
+            () = client.closed() => Err(RequestError::ClientClosed),
+        }
+    }
+
+    /// Reads a head. It is parsed again only once there is twice as much of it, or a blank line; otherwise one that comes
+    /// byte by byte would be parsed as many times.
+    async fn read_head(&mut self) -> Result<RequestHead, RequestError> {
+        let (mut searched, mut parse_at) = (0, 0);
+        loop {
+            let new = &self.unread[searched..];
+            let ended = new.windows(3).any(|w| w == b"\n\r\n") || new.windows(2).any(|w| w == b"\n\n");
+            if ended || self.unread.len() >= parse_at.min(MAX_HEAD_BYTES) {
+                let parsed = RequestHead::parse(&self.unread).map_err(RequestError::Rejected)?;
+                if let Some((head, length)) = parsed {
+                    self.unread.advance(length);
+                    return Ok(head);
+                }
+                parse_at = 2 * self.unread.len();
+            }
+            // The blank line may come in pieces.
+            searched = self.unread.len().saturating_sub(2);
+            self.fill(READ_BYTES).await?;
+        }
+    }
+
+    /// Reads the body behind a head, or as much of it as is buffered.
+    async fn read_body(
+        &mut self,
+        head: &RequestHead,
+        decoder: &mut BodyDecoder,
+        pace: &mut Pace,
+    ) -> Result<Bytes, RequestError> {
+        let incomplete = head.body.length().is_none_or(|length| self.unread.len() < length);
+        if head.expects_continue && incomplete {
+            self.write_all(&b"HTTP/1.1 100 Continue\r\n\r\n"[..]).await?;
+        }
+        let mut buffer = BytesMut::new();
+        while !decoder.ended() && buffer.len() < MAX_BUFFERED_BYTES {
+            match decoder.decode(&mut self.unread).map_err(RequestError::Rejected)? {
+                Some(piece) if buffer.is_empty() && decoder.ended() => return Ok(piece),
+                Some(piece) => buffer.extend_from_slice(&piece),
+                None if decoder.ended() => {}
+                None => self.fill_body(decoder, pace).await?,
+            }
+        }
+        Ok(buffer.freeze())
+    }
+
+    /// Reads more of a body, as long as the client is fast enough.
+    pub(super) async fn fill_body(
+        &mut self,
+        decoder: &BodyDecoder,
+        pace: &mut Pace,
+    ) -> Result<(), RequestError> {
+        let wanted = decoder.wanted(BODY_READ_BYTES);
+        match timeout_at(pace.next_byte_by(decoder.received()), self.fill(wanted)).await {
+            Ok(read) => read?,
+            Err(_) => return Err(RequestError::Rejected(StatusCode::REQUEST_TIMEOUT)),
+        }
+        pace.record_progress();
+        Ok(())
+    }
+}
--- a/crates/sidecar/src/inbound/reply.rs
+++ b/crates/sidecar/src/inbound/reply.rs
@@ -1,7 +1,7 @@
-//! Answers to clients, as they are written.
+//! The answer to a client, and how it is encoded.
 
-use crate::body::Inbound;
-use crate::exchange::{Answer, Served};
+use crate::body::AnswerBody;
+use crate::engine_input::{Answer, ServedAnswer};
 use crate::memory_budget::MemoryReservation;
 use crate::request::end_to_end;
 use crate::request_ids::OpenRequestId;
@@ -9,46 +9,60 @@
 use hyper::StatusCode;
 use hyper::header::{HeaderMap, RETRY_AFTER};
 
+/// Microseconds in a second.
+const MICROS_PER_SECOND: f64 = 1e6;
+
 /// An answer to a client.
 pub(super) struct Reply {
     pub(super) status: StatusCode,
     pub(super) headers: HeaderMap,
+    /// Seconds until a retry may succeed.
     pub(super) retry_after: Option<f64>,
-    pub(super) body: Inbound,
-    /// The body goes out in chunks.
+    pub(super) body: AnswerBody,
+    /// The body is sent in chunks.
     pub(super) chunked: bool,
-    /// Held until the answer is out.
-    pub(super) _held: (Option<MemoryReservation>, Option<OpenRequestId>),
+    /// Held until the answer is written.
+    pub(super) _reservation: Option<MemoryReservation>,
+    /// Held until the answer is written.
+    pub(super) _id: Option<OpenRequestId>,
 }
 
 impl Reply {
-    pub(super) fn plain(status: StatusCode) -> Self {
-        let body = Inbound::whole(Bytes::new());
-        let headers = HeaderMap::new();
-        Self { status, headers, retry_after: None, body, chunked: false, _held: (None, None) }
+    /// A status alone.
+    pub(super) fn without_body(status: StatusCode) -> Self {
+        Self {
+            status,
+            headers: HeaderMap::new(),
+            retry_after: None,
+            body: AnswerBody::buffered(Bytes::new()),
+            chunked: false,
+            _reservation: None,
+            _id: None,
+        }
     }
 
+    /// The answer to the request of that id.
     pub(super) fn of(answer: Answer, id: OpenRequestId) -> Self {
         let mut reply = match answer {
-            Answer::Served(Served { headers, body, share }) => Self {
+            Answer::Served(ServedAnswer { headers, body, reservation }) => Self {
                 headers: end_to_end(headers),
                 body,
-                _held: (Some(share), None),
-                ..Self::plain(StatusCode::OK)
+                _reservation: Some(reservation),
+                ..Self::without_body(StatusCode::OK)
             },
             Answer::Shed(retry_after) => Self {
-                retry_after: Some(retry_after).filter(|us| *us > 0).map(|us| us as f64 / 1e6),
-                ..Self::plain(StatusCode::SERVICE_UNAVAILABLE)
+                retry_after: Some(retry_after).filter(|us| *us > 0).map(|us| us as f64 / MICROS_PER_SECOND),
+                ..Self::without_body(StatusCode::SERVICE_UNAVAILABLE)
             },
-            Answer::ClientError(status) => Self::plain(status),
-            // Neither 429 nor 503, which would promise that trying again is harmless.
-            Answer::Failed => Self::plain(StatusCode::BAD_GATEWAY),
+            Answer::ClientError(status) => Self::without_body(status),
+            // Neither 429 nor 503, which would promise that a retry is harmless.
+            Answer::Failed => Self::without_body(StatusCode::BAD_GATEWAY),
         };
-        reply._held.1 = Some(id);
+        reply._id = Some(id);
         reply
     }
 
-    /// A piece of the body as it goes out.
+    /// Encodes a piece of the body.
     pub(super) fn piece(&self, piece: Bytes) -> impl Buf + use<> {
         let (size, end) = match self.chunked && !piece.is_empty() {
             true => (format!("{:x}\r\n", piece.len()), &b"\r\n"[..]),
@@ -57,6 +71,7 @@
         Bytes::from(size).chain(piece).chain(end)
     }
 
+    /// Encodes the head.
     pub(super) fn head(&self, keep_alive: bool) -> Bytes {
         let reason = self.status.canonical_reason().unwrap_or("");
         let mut head = format!("HTTP/1.1 {} {reason}\r\n", self.status.as_u16()).into_bytes();
--- a/crates/sidecar/src/inbound/tests.rs
+++ b/crates/sidecar/src/inbound/write_reply/tests.rs
@@ -1,6 +1,9 @@
 use super::*;
-use crate::body::Inbound;
-use tokio::net::TcpListener;
+use crate::body::AnswerBody;
+use bytes::Bytes;
+use hyper::StatusCode;
+use tokio::net::{TcpListener, TcpStream};
+use tokio::time::Instant;
 
 // Else its place, its id and the memory of its answer would be gone for as long as it likes.
 #[tokio::test]
@@ -11,14 +14,14 @@
     let (stream, _) = listener.accept().await.expect("a connection");
     let mut client = Client::new(stream, Instant::now());
     let (_service, mut in_service) = watch::channel(ServiceState::Serving);
-    let more_than_the_system_holds = Inbound::whole(Bytes::from(vec![0; 64 << 20]));
-    let reply = Reply { body: more_than_the_system_holds, ..Reply::plain(StatusCode::OK) };
-    assert!(!client.reply(reply, true, &mut in_service).await);
+    let more_than_the_system_holds = AnswerBody::buffered(Bytes::from(vec![0; 64 << 20]));
+    let reply = Reply { body: more_than_the_system_holds, ..Reply::without_body(StatusCode::OK) };
+    assert!(!client.write_reply(reply, true, &mut in_service).await);
     // The same where it flows.
     let (pieces, rest) = tokio::sync::mpsc::channel(1);
-    let body = Inbound { first: Bytes::new(), rest: Some(rest), length: Some(64 << 20) };
-    let reply = Reply { body, ..Reply::plain(StatusCode::OK) };
+    let body = AnswerBody { first: Bytes::new(), rest: Some(rest), length: Some(64 << 20) };
+    let reply = Reply { body, ..Reply::without_body(StatusCode::OK) };
     let feeding = async { while pieces.send(Bytes::from(vec![0; 1 << 20])).await.is_ok() {} };
-    let replying = client.reply(reply, true, &mut in_service);
+    let replying = client.write_reply(reply, true, &mut in_service);
     assert!(!tokio::join!(feeding, replying).1);
 }
--- a/crates/sidecar/src/management/server.rs
+++ b/crates/sidecar/src/management/server.rs
@@ -1,7 +1,7 @@
 //! Serves operators' connections.
 
 use super::call::{Call, LineError};
-use super::{Management, Reply};
+use super::operations::{Management, Reply};
 use crate::io_failure::{IoFailure, RESOURCE_PAUSE};
 use crate::retry::retry_at_startup;
 use std::cell::{Cell, RefCell};
--- a/crates/sidecar/src/request/head.rs
+++ b/crates/sidecar/src/request/head.rs
@@ -1,7 +1,7 @@
 //! Parses the head of a request. Whatever could be read in two ways is rejected, as another reader behind this one may
 //! read it in the other (request smuggling, RFC 9112 section 11.2).
 
-use crate::body::{Framing, LONGEST_BODY};
+use crate::body::{Framing, MAX_BODY_BYTES};
 use crate::resource_limits::MAX_HEAD_BYTES;
 use hyper::header::{self, HeaderMap, HeaderName, HeaderValue};
 use hyper::{Method, StatusCode, Uri};
@@ -106,7 +106,7 @@
     }
     // Digits that do not parse are a number too large.
     let length = length.to_str().ok().and_then(|digits| digits.parse().ok());
-    let accepted = length.filter(|length| *length <= LONGEST_BODY);
+    let accepted = length.filter(|length| *length <= MAX_BODY_BYTES);
     accepted.map(Framing::Sized).ok_or(StatusCode::PAYLOAD_TOO_LARGE)
 }
 
--- a/crates/sidecar/src/request/metadata.rs
+++ b/crates/sidecar/src/request/metadata.rs
@@ -1,10 +1,10 @@
 //! What the headers of a request say of it, in the terms of the balancer. This is where the protocol's header names are
 //! mapped to these.
 
-use super::RequestHead;
+use super::head::RequestHead;
 use crate::body::Framing;
 use crate::config::Config;
-use crate::exchange::TIME_LEFT;
+use crate::outgoing_request::TIME_LEFT;
 use hyper::Method;
 use hyper::header::{self, HeaderMap, HeaderName, HeaderValue};
 use lotusmoor_balancer::{Idempotency, Micros};
--- a/crates/sidecar/src/request_lifecycle.rs
+++ b/crates/sidecar/src/request_lifecycle.rs
@@ -78,10 +78,10 @@
 
     fn is_waiting(&self, client: &ClientLiveness) -> bool {
         if self.streams_body {
-            return !client.left();
+            return !client.is_closed();
         }
         // Bytes behind a complete request are answered with 400, if the client is still there at all.
-        client.quiet()
+        client.is_quiet()
     }
 
     /// The time until the earliest deadline.
--- a/crates/sidecar/src/roster.rs
+++ b/crates/sidecar/src/roster.rs
@@ -2,7 +2,7 @@
 
 use crate::connection::Connection;
 use crate::endpoint_list::{ListMessage, ListedEndpoint, ListedStatus};
-use crate::exchange::{Input, Inputs};
+use crate::engine_input::{Input, Inputs};
 use crate::http_get;
 use crate::log::log_line;
 use hyper::StatusCode;
--- a/crates/sidecar/src/startup.rs
+++ b/crates/sidecar/src/startup.rs
@@ -69,7 +69,7 @@
         let engine = spawn_local(engine.run());
         let shared = inbound::Shared {
             traffic_classes,
-            handle: handle.clone(),
+            engine: handle.clone(),
             memory: MemoryBudget::new(limits.bodies),
             ids: RequestIds::default(),
             service: service_changes,
--- /dev/null
+++ b/crates/sidecar/src/upstream/attempt.rs
@@ -0,0 +1,127 @@
+//! Attempts of requests and health checks, from the decision to send to their end.
+
+use super::Upstream;
+use super::endpoint::Endpoint;
+use super::exchanged::{AnswerStream, Exchanged, Target};
+use super::grant::Grant;
+use super::timing::STALL;
+use crate::body::{BodyStream, MAX_BODY_BYTES};
+use crate::engine_input::{AttemptResult, Input, Inputs};
+use crate::outgoing_request::OutgoingRequest;
+use crate::request_lifecycle::RequestLifecycle;
+use crate::send_gate::{GatedSend, SendGuard, SendPermit};
+use crate::write_progress::WriteProgress;
+use bytes::Bytes;
+use http_body_util::BodyExt;
+use hyper::header::{HOST, HeaderMap, HeaderValue};
+use hyper::{Method, Uri};
+use lotusmoor_balancer::{AttemptNumber, LoadReport, Micros, Outcome, RequestId};
+use std::rc::Rc;
+use std::time::Duration;
+use tokio::time::{Instant, sleep, timeout_at};
+
+/// How long a health check may take.
+const HEALTH_CHECK_TIME: Duration = Duration::from_secs(1);
+
+impl Upstream {
+    /// Makes an attempt, and reports how it ended.
+    pub async fn attempt(
+        self: Rc<Self>,
+        (request, attempt): (RequestId, AttemptNumber),
+        grant: Grant,
+        outgoing: Rc<OutgoingRequest>,
+        inputs: Inputs,
+    ) {
+        let Grant { to: endpoint, permission, until, write_by } = grant;
+        let length = outgoing.rest.as_ref().map_or(Some(outgoing.body.len()), BodyStream::length);
+        let streams_body = outgoing.rest.is_some();
+        let send = GatedSend::new(SendPermit {
+            lifecycle: Rc::clone(&outgoing.lifecycle),
+            endpoint: endpoint.permission_check(permission),
+            // The time of a streamed body is its client's.
+            until: (!streams_body).then_some(until),
+            write_by,
+        });
+        // Also where this attempt is cancelled, which drops it here.
+        let _guard = SendGuard(Rc::clone(&send));
+        let progress = WriteProgress::of_send(length, send);
+        let target = Target { endpoint: &endpoint, permission, until };
+        let exchange = self.exchange(target, &outgoing, &progress);
+        // The balancer ends a streamed request that is overdue after its last byte.
+        let exchanged = if streams_body { Ok(exchange.await) } else { timeout_at(until, exchange).await };
+        // What was not completely written never began to run, whoever gave up first.
+        let exchanged = exchanged.unwrap_or_else(|_| {
+            let written = progress.is_complete();
+            Exchanged::without_answer(if written { Outcome::TimedOut } else { Outcome::ConnectFailed })
+        });
+        let Exchanged { outcome, answer, load, stream } = exchanged;
+        inputs.send(Input::AttemptEnded(AttemptResult { request, attempt, outcome, answer, load }));
+        if let Some(stream) = stream {
+            self.stream_answer(&endpoint, *stream).await;
+        }
+    }
+
+    /// Passes on the rest of an answer as fast as its client takes it. Whatever interrupts it leaves the client without
+    /// the end.
+    async fn stream_answer(&self, endpoint: &Endpoint, stream: AnswerStream) {
+        let AnswerStream { mut pooled, permission, mut body, mut received, client } = stream;
+        loop {
+            let frame = tokio::select! {
+                biased;
+                frame = pooled.connection.drive(body.frame()) => frame,
+                () = client.closed() => return,
+                () = sleep(STALL) => return,
+            };
+            let piece = match frame {
+                Some(Some(Ok(frame))) => frame.into_data().unwrap_or_default(),
+                Some(None) => break,
+                _ => return,
+            };
+            received += piece.len();
+            // Trailers are not passed on.
+            if received > MAX_BODY_BYTES || !piece.is_empty() && client.send(piece).await.is_err() {
+                return;
+            }
+        }
+        if client.send(Bytes::new()).await.is_ok() {
+            self.park(endpoint, permission, pooled).await;
+        }
+    }
+
+    /// Checks an endpoint's health, and reports the outcome.
+    pub async fn health_check(self: Rc<Self>, id: usize, inputs: Inputs) {
+        let (start, endpoint) = (Instant::now(), self.endpoint(id));
+        let outgoing = health_check_request();
+        let (until, permission) = (start + HEALTH_CHECK_TIME, endpoint.permission());
+        let send = GatedSend::new(SendPermit {
+            lifecycle: Rc::clone(&outgoing.lifecycle),
+            endpoint: endpoint.permission_check(permission),
+            until: Some(until),
+            write_by: None,
+        });
+        let _guard = SendGuard(Rc::clone(&send));
+        let progress = WriteProgress::of_send(Some(0), send);
+        let target = Target { endpoint: &endpoint, permission, until };
+        let exchange = self.exchange(target, &outgoing, &progress);
+        let (outcome, load) = match timeout_at(until, exchange).await {
+            Ok(exchanged) => (exchanged.outcome, exchanged.load),
+            Err(_) => (Outcome::TimedOut, LoadReport::default()),
+        };
+        let duration = Micros::try_from(start.elapsed().as_micros()).unwrap_or(Micros::MAX);
+        inputs.send(Input::HealthCheckEnded(id, outcome, duration, load));
+    }
+}
+
+fn health_check_request() -> OutgoingRequest {
+    let mut headers = HeaderMap::new();
+    headers.insert(HOST, HeaderValue::from_static("endpoint"));
+    OutgoingRequest {
+        method: Method::GET,
+        uri: Uri::from_static("/alive"),
+        headers,
+        body: Bytes::new(),
+        rest: None,
+        lifecycle: RequestLifecycle::new(b"probe", None, false),
+        _reservation: None,
+    }
+}
--- /dev/null
+++ b/crates/sidecar/src/upstream/exchange.rs
@@ -0,0 +1,81 @@
+//! One exchange of a request and its answer with an endpoint.
+
+use super::Upstream;
+use super::endpoint::{Endpoint, SendPermission};
+use super::exchanged::{Exchanged, Target};
+use super::pooled_connection::PooledConnection;
+use crate::connection::Connection;
+use crate::outgoing_request::OutgoingRequest;
+use crate::write_progress::WriteProgress;
+use lotusmoor_balancer::Outcome;
+use std::time::Duration;
+use tokio::time::Instant;
+
+impl Upstream {
+    /// Sends a request and receives its answer, over an idle connection where there is one.
+    pub(super) async fn exchange(
+        &self,
+        target: Target<'_>,
+        outgoing: &OutgoingRequest,
+        progress: &WriteProgress,
+    ) -> Exchanged {
+        let endpoint = target.endpoint;
+        let Some(permission) = target.permission else {
+            return Exchanged::without_answer(Outcome::NotSent);
+        };
+        loop {
+            let (mut pooled, idle) = match self.connection(endpoint, permission).await {
+                Ok(connection) => connection,
+                Err(outcome) => return Exchanged::without_answer(outcome),
+            };
+            // A new connection may have come up late, and be of use to the next request. A reused one is written to at
+            // once.
+            if idle.is_none() && !progress.may_write() {
+                self.park(endpoint, permission, pooled).await;
+                return Exchanged::without_answer(Outcome::NotSent);
+            }
+            let Some(request) = outgoing.request(target.until, progress) else {
+                return Exchanged::without_answer(Outcome::NotSent);
+            };
+            let sent = Instant::now();
+            let response = pooled.connection.request(request, progress.clone()).await;
+            let lost = response.is_err() && pooled.connection.is_broken() && !progress.received_any();
+            self.record_use(idle, lost);
+            if let Ok(response) = response {
+                return self.receive(target.endpoint, permission, pooled, response, sent).await;
+            }
+            // Closed by the endpoint in the moment in which it was reused, before anything was written.
+            let unwritten = !progress.has_begun() && !outgoing.body_consumed();
+            if !progress.is_denied() && idle.is_some() && unwritten {
+                continue;
+            }
+            return Exchanged::without_answer(failure(&pooled.connection, progress, idle.is_some()));
+        }
+    }
+
+    /// A connection to an endpoint, and for how long it was idle if it is reused.
+    async fn connection(
+        &self,
+        endpoint: &Endpoint,
+        permission: SendPermission,
+    ) -> Result<(PooledConnection, Option<Duration>), Outcome> {
+        if let Some((pooled, idle)) = self.reuse(endpoint) {
+            return Ok((pooled, Some(idle)));
+        }
+        Ok((self.dial(permission.address).await?, None))
+    }
+}
+
+/// The outcome of a request that got no answer.
+fn failure(connection: &Connection, progress: &WriteProgress, reused: bool) -> Outcome {
+    if progress.is_denied() {
+        return Outcome::NotSent;
+    }
+    if !progress.is_complete() {
+        return Outcome::ConnectFailed;
+    }
+    match connection.failure() {
+        Outcome::Reset if reused && !progress.received_any() => Outcome::ReusedConnectionReset,
+        failure => failure,
+    }
+}
--- /dev/null
+++ b/crates/sidecar/src/upstream/response.rs
@@ -0,0 +1,158 @@
+//! Receives the answer of an endpoint: as a whole where it is short, and as a stream otherwise.
+
+use super::Upstream;
+use super::endpoint::{Endpoint, SendPermission};
+use super::exchanged::{AnswerStream, Exchanged};
+use super::load_report::parse_load_report;
+use super::pooled_connection::PooledConnection;
+use super::timing::REST;
+use crate::body::{AnswerBody, MAX_BODY_BYTES, MAX_BUFFERED_BYTES, STREAMING_BYTES};
+use crate::connection::Connection;
+use crate::engine_input::{Answer, ServedAnswer};
+use bytes::{Bytes, BytesMut};
+use http_body_util::BodyExt;
+use hyper::body::{Body, Incoming};
+use hyper::header::{CONNECTION, CONTENT_LENGTH, HeaderMap, HeaderName, TRANSFER_ENCODING};
+use hyper::{Response, StatusCode};
+use lotusmoor_balancer::{LoadReport, Outcome};
+use std::time::Duration;
+use tokio::sync::mpsc;
+use tokio::time::{Instant, timeout};
+
+const UNPROCESSED: HeaderName = HeaderName::from_static("x-unprocessed");
+const BACKEND_LOAD: HeaderName = HeaderName::from_static("x-backend-load");
+
+/// The start of an answer's body.
+enum Buffered {
+    /// It is complete.
+    Complete(Bytes),
+    /// It goes on, and is streamed.
+    Partial(Bytes),
+    /// The connection was lost, or the body is invalid.
+    Failed,
+}
+
+impl Upstream {
+    /// Receives the answer whose head has come, to a request that was sent at `sent`.
+    pub(super) async fn receive(
+        &self,
+        endpoint: &Endpoint,
+        permission: SendPermission,
+        mut pooled: PooledConnection,
+        response: Response<Incoming>,
+        sent: Instant,
+    ) -> Exchanged {
+        let (head, mut body) = response.into_parts();
+        let load = head.headers.get(BACKEND_LOAD).map(parse_load_report).unwrap_or_default();
+        let size = body.size_hint();
+        let framed = is_framed(&head.headers, size.exact());
+        // The request has run, but the answer is of no use, and nothing behind it can be told apart from it: the
+        // connection is closed. A body that is too long is not read to its end, which may never come.
+        if !framed || head.status.is_informational() || size.lower() > MAX_BODY_BYTES as u64 {
+            return without_answer(Outcome::Error, load);
+        }
+        let length = size.exact().map(|length| length as usize);
+        let buffered_length = length.filter(|length| *length <= MAX_BUFFERED_BYTES);
+        let reservation = self.memory.reserve(buffered_length.unwrap_or(STREAMING_BYTES)).await;
+        let hold = hold_time(length, sent);
+        let first = match buffer_start(&mut pooled.connection, &mut body, hold).await {
+            Buffered::Failed => return without_answer(pooled.connection.failure(), load),
+            Buffered::Partial(_) if head.status != StatusCode::OK => {
+                return without_answer(Outcome::Error, load);
+            }
+            Buffered::Partial(first) => {
+                let (client, rest) = mpsc::channel(1);
+                let received = first.len();
+                let answer_body = AnswerBody { first, rest: Some(rest), length };
+                let served = ServedAnswer { headers: head.headers, body: answer_body, reservation };
+                let stream = AnswerStream { pooled, permission, body, received, client };
+                return Exchanged {
+                    outcome: Outcome::Ok,
+                    answer: Some(Answer::Served(served)),
+                    load,
+                    stream: Some(Box::new(stream)),
+                };
+            }
+            Buffered::Complete(body) => body,
+        };
+        self.park(endpoint, permission, pooled).await;
+        if head.status == StatusCode::OK {
+            let body = AnswerBody::buffered(first);
+            let served = ServedAnswer { headers: head.headers, body, reservation };
+            let answer = Some(Answer::Served(served));
+            return Exchanged { outcome: Outcome::Ok, answer, load, stream: None };
+        }
+        unsuccessful(head.status, &head.headers, load)
+    }
+}
+
+fn without_answer(outcome: Outcome, load: LoadReport) -> Exchanged {
+    Exchanged { outcome, answer: None, load, stream: None }
+}
+
+/// What a complete answer other than 200 means.
+fn unsuccessful(status: StatusCode, headers: &HeaderMap, load: LoadReport) -> Exchanged {
+    // Any endpoint would blame the request in the same way, so that is passed on.
+    if status.is_client_error() && status != StatusCode::TOO_MANY_REQUESTS {
+        let answer = Some(Answer::ClientError(status));
+        return Exchanged { outcome: Outcome::BadRequest, answer, load, stream: None };
+    }
+    // Only believed of a complete answer: a request whose answer is corrupt has run.
+    let unprocessed = headers.get(UNPROCESSED).is_some_and(|value| value == "1");
+    let rejects = matches!(status, StatusCode::SERVICE_UNAVAILABLE | StatusCode::GATEWAY_TIMEOUT);
+    without_answer(if unprocessed && rejects { Outcome::Rejected } else { Outcome::Error }, load)
+}
+
+/// Whether the end of a body can be found; `length` is its length, where that is known.
+fn is_framed(headers: &HeaderMap, length: Option<u64>) -> bool {
+    let chunked = last_value_is(headers, TRANSFER_ENCODING, "chunked");
+    match (headers.contains_key(CONTENT_LENGTH), chunked) {
+        (true, None) | (false, Some(true)) => true,
+        // The body ends with its connection. If that was not announced, it may have been cut off.
+        (false, None) => last_value_is(headers, CONNECTION, "close") == Some(true) || length == Some(0),
+        _ => false,
+    }
+}
+
+/// Whether the last value of a header is that word; `None` without the header.
+fn last_value_is(headers: &HeaderMap, name: HeaderName, word: &str) -> Option<bool> {
+    let values = headers.get_all(name);
+    let mut matches = values.iter().filter_map(|value| Some(value.to_str().ok()?.eq_ignore_ascii_case(word)));
+    matches.next_back()
+}
+
+/// How long the start of a body is held back to become complete. A body that is known to be longer than the buffer is
+/// passed on from its first byte. One of unknown length may be the start of a long one that comes slowly: it is held
+/// back for half as long as it took to begin.
+fn hold_time(length: Option<usize>, sent: Instant) -> Duration {
+    match length {
+        None => sent.elapsed() / 2 + REST,
+        Some(length) if length > MAX_BUFFERED_BYTES => Duration::ZERO,
+        Some(_) => Duration::MAX,
+    }
+}
+
+/// Buffers the start of a body, until it is complete, too long, or held back for long enough.
+async fn buffer_start(connection: &mut Connection, body: &mut Incoming, hold: Duration) -> Buffered {
+    let began = Instant::now();
+    let mut buffer = BytesMut::new();
+    loop {
+        let left = hold.checked_sub(began.elapsed());
+        let hold_over = left.is_none_or(|left| left.is_zero());
+        if buffer.len() > MAX_BUFFERED_BYTES || !buffer.is_empty() && hold_over {
+            return Buffered::Partial(buffer.freeze());
+        }
+        let frame = connection.drive(body.frame());
+        // Without a byte there is nothing to pass on yet.
+        let frame = match left.filter(|_| !buffer.is_empty()) {
+            Some(left) => timeout(left, frame).await,
+            None => Ok(frame.await),
+        };
+        let Ok(frame) = frame else { continue };
+        match frame {
+            Some(Some(Ok(frame))) => buffer.extend_from_slice(&frame.into_data().unwrap_or_default()),
+            Some(None) => return Buffered::Complete(buffer.freeze()),
+            _ => return Buffered::Failed,
+        }
+    }
+}
--- a/crates/sidecar/src/upstream/tests.rs
+++ b/crates/sidecar/src/upstream/tests.rs
@@ -1,40 +1,43 @@
 use super::*;
+use crate::body::MAX_BUFFERED_BYTES;
 use crate::client_liveness::ClientLiveness;
+use crate::engine_input::{Input, Inputs};
+use crate::outgoing_request::OutgoingRequest;
+use crate::request_lifecycle::RequestLifecycle;
+use bytes::Bytes;
+use hyper::header::HeaderMap;
+use hyper::{Method, Uri};
+use lotusmoor_balancer::Outcome;
+use std::net::SocketAddr;
 
 #[tokio::test]
 async fn without_room_for_a_connection_an_idle_one_makes_way_or_none_is_dialled() {
     let listener = std::net::TcpListener::bind("127.0.0.1:0").expect("a free port");
     let address = listener.local_addr().expect("an address");
-    let limits = ResourceLimits { clients: 1, upstream: 1, bodies: KEPT };
+    let limits = ResourceLimits { clients: 1, upstream: 1, bodies: MAX_BUFFERED_BYTES };
     let upstream = Upstream::new(limits, 5_000_000, 10_000_000);
-    let (connection, permit) = upstream.dial(address).await.expect("there is room");
+    let connection = upstream.dial(address).await.expect("there is room");
     assert_eq!(upstream.dial(address).await.err(), Some(Outcome::NotSent));
     let endpoint = upstream.endpoint(0);
     endpoint.set(Some(address), true, 0);
     let permission = endpoint.permission().expect("it is ready");
-    upstream.park(&endpoint, permission, connection, permit).await;
+    upstream.park(&endpoint, permission, connection).await;
     assert!(upstream.dial(address).await.is_ok());
     assert!(upstream.reuse(&endpoint).is_none());
     listener.set_nonblocking(true).expect("it can");
     assert_eq!((0..3).filter(|_| listener.accept().is_ok()).count(), 2);
 }
 
-#[test]
-fn a_load_report_is_read_as_far_as_it_can_be() {
-    let load = read_load(&HeaderValue::from_static("inflight=7,queue=,util=0.61,eps=NaN,odd=1,="));
-    assert_eq!(load, LoadReport { active: Some(7.0), cpu: Some(0.61), ..LoadReport::default() });
-}
-
 /// A request to be sent, of a client that is this connection's.
-fn outgoing(client: Option<ClientLiveness>) -> Rc<Outgoing> {
-    Rc::new(Outgoing {
+fn outgoing(client: Option<ClientLiveness>) -> Rc<OutgoingRequest> {
+    Rc::new(OutgoingRequest {
         method: Method::POST,
         uri: Uri::from_static("/api"),
         headers: HeaderMap::new(),
         body: Bytes::new(),
         rest: None,
         lifecycle: RequestLifecycle::new(b"1", client, false),
-        _share: None,
+        _reservation: None,
     })
 }
 
@@ -53,7 +56,7 @@
 // that may not go any more; the connection is kept where it may serve another request.
 #[tokio::test]
 async fn a_connection_that_comes_up_late_carries_only_what_may_still_go() {
-    type Change = fn(&Endpoint, &Rc<Outgoing>, &mut Option<std::net::TcpStream>);
+    type Change = fn(&Endpoint, &Rc<OutgoingRequest>, &mut Option<std::net::TcpStream>);
     let changes: [(&str, bool, Change); 8] = [
         ("nothing has changed", true, |_, _, _| {}),
         ("its request is answered", true, |_, out, _| out.lifecycle.complete()),
@@ -77,8 +80,11 @@
     let local = tokio::task::LocalSet::new();
     for (number, (what, kept, change)) in changes.into_iter().enumerate() {
         let (listener, address, filler) = held_up();
-        let upstream =
-            Rc::new(Upstream::new(ResourceLimits { clients: 1, upstream: 1, bodies: KEPT }, 30_000_000, 0));
+        let upstream = Rc::new(Upstream::new(
+            ResourceLimits { clients: 1, upstream: 1, bodies: MAX_BUFFERED_BYTES },
+            30_000_000,
+            0,
+        ));
         let endpoint = upstream.endpoint(0);
         endpoint.set(Some(address), true, 0);
         let client =
--- a/crates/sidecar/src/write_progress/tests.rs
+++ b/crates/sidecar/src/write_progress/tests.rs
@@ -6,15 +6,15 @@
     let request = b"POST /api HTTP/1.1\r\nA: b\r\n\r\n{\r\n\r\n}";
     for cut in 1..request.len() {
         let progress = WriteProgress::new(Some(6));
-        assert!(!progress.begun());
-        progress.count(&request[..cut]);
-        assert!(progress.begun() && !progress.complete(), "after {cut}");
-        progress.count(&request[cut..]);
-        assert!(progress.complete());
+        assert!(!progress.has_begun());
+        progress.record_written(&request[..cut]);
+        assert!(progress.has_begun() && !progress.is_complete(), "after {cut}");
+        progress.record_written(&request[cut..]);
+        assert!(progress.is_complete());
     }
     let progress = WriteProgress::new(Some(0));
-    progress.count(b"GET / HTTP/1.1\r\n\r");
-    assert!(!progress.complete());
-    progress.count(b"\n");
-    assert!(progress.complete());
+    progress.record_written(b"GET / HTTP/1.1\r\n\r");
+    assert!(!progress.is_complete());
+    progress.record_written(b"\n");
+    assert!(progress.is_complete());
 }
