--- a/crates/sidecar/src/body/decoder/tests.rs
+++ b/crates/sidecar/src/body/decoder/tests.rs
@@ -13,7 +13,7 @@
 }
 
 #[test]
-fn a_body_is_read_in_whatever_pieces_it_comes() {
+fn decodes_body_split_at_any_byte() {
     let chunked = b"5\r\nhello\r\n6;name=\"value\"\r\n world\r\n0\r\nX-Sum: 1\r\n\r\nGET";
     for size in 1..=chunked.len() {
         let read = read(Framing::Chunked, chunked, size);
@@ -28,7 +28,7 @@
 }
 
 #[test]
-fn chunks_that_could_be_read_in_two_ways_or_never_end_are_turned_away() {
+fn rejects_ambiguous_and_endless_chunks() {
     let bad = StatusCode::BAD_REQUEST;
     for text in ["x\r\n", "-1\r\n", "5\r\nhelloX\r\n", "5\r\nhello\n\n", "\r\n", "0\r\nno colon\r\n\r\n"] {
         assert_eq!(read(Framing::Chunked, text.as_bytes(), 3), Err(bad), "{text}");
--- a/crates/sidecar/src/client_liveness/tests.rs
+++ b/crates/sidecar/src/client_liveness/tests.rs
@@ -14,7 +14,7 @@
 
 // What it sent before its end may lie unread for as long as its request waits, by a full channel say.
 #[tokio::test]
-async fn a_client_that_has_closed_or_reset_its_connection_has_left_whatever_lies_unread_before_that() {
+async fn detects_closed_client_behind_unread_bytes() {
     for unread in [&b""[..], b"half a body"] {
         for resets in [false, true] {
             let (mut client, stream) = pair().await;
@@ -33,7 +33,7 @@
 
 // Of all that comes while the process stands still, nothing has been polled when a request's time to go out has come.
 #[tokio::test]
-async fn a_client_that_has_left_or_sent_more_is_not_quiet_though_nothing_was_polled() {
+async fn detects_close_or_further_bytes_before_they_are_polled() {
     for (unread, leaves) in [(&b""[..], true), (b"more", true), (b"more", false)] {
         let (mut client, stream) = pair().await;
         let liveness = ClientLiveness::of(&stream);
--- a/crates/sidecar/src/connection/tests.rs
+++ b/crates/sidecar/src/connection/tests.rs
@@ -14,7 +14,7 @@
 // What the runtime has not polled yet it does not know: a request would go out on a connection that its
 // peer has closed, and end as a reset.
 #[tokio::test]
-async fn a_connection_closed_a_moment_ago_is_not_used_again() {
+async fn does_not_reuse_connection_closed_before_poll() {
     let listener = std::net::TcpListener::bind("127.0.0.1:0").expect("a free port");
     let address = listener.local_addr().expect("an address");
     let connection = Connection::open(address).await.expect("it connects");
@@ -31,7 +31,7 @@
 
 // Else a connection that breaks inside an answer would pass for one that was dropped while idle.
 #[tokio::test]
-async fn an_answer_that_breaks_off_was_heard() {
+async fn truncated_answer_counts_as_received() {
     let listener = std::net::TcpListener::bind("127.0.0.1:0").expect("a free port");
     let address = listener.local_addr().expect("an address");
     for answer in ["", "HTTP/1.1 200 OK\r\nContent-"] {
@@ -55,7 +55,7 @@
 
 // Some turns of the runtime, or a late connection, lie between the decision and the first byte.
 #[tokio::test]
-async fn a_request_that_has_lost_its_permit_by_its_first_byte_is_not_written() {
+async fn does_not_write_request_whose_permit_was_revoked_before_first_byte() {
     let listener = std::net::TcpListener::bind("127.0.0.1:0").expect("a free port");
     let address = listener.local_addr().expect("an address");
     for asked_before in [0, 1] {
@@ -78,7 +78,7 @@
 
 // Else a body would keep its memory for as long as the connection idles.
 #[tokio::test]
-async fn a_request_that_has_begun_needs_its_permit_no_more() {
+async fn releases_permit_after_first_byte() {
     let progress = gated(|| true);
     assert!(progress.may_write() && !progress.has_begun());
     progress.record_written(b"G");
--- a/crates/sidecar/src/connection_age/tests.rs
+++ b/crates/sidecar/src/connection_age/tests.rs
@@ -7,7 +7,7 @@
 const TICK: Duration = Duration::from_millis(20);
 
 #[tokio::test]
-async fn a_connection_is_as_old_as_its_making_whatever_came_on_it_since() {
+async fn connection_age_counts_from_handshake_despite_received_bytes() {
     let listener = TcpListener::bind("127.0.0.1:0").await.expect("a free port");
     let address = listener.local_addr().expect("an address");
     let made = Instant::now();
--- a/crates/sidecar/src/idle_bound/tests.rs
+++ b/crates/sidecar/src/idle_bound/tests.rs
@@ -9,7 +9,7 @@
 }
 
 #[test]
-fn an_age_at_which_connections_are_lost_bounds_their_use_and_the_bound_widens_again() {
+fn idle_bound_falls_to_the_age_of_losses_and_widens_again() {
     let (mut bound, now) = bound();
     for _ in 0..20 {
         bound.record_new(false);
@@ -34,7 +34,7 @@
 
 // A network that breaks one connection in ten does so whatever their age.
 #[test]
-fn losses_that_do_not_come_with_age_change_nothing() {
+fn losses_unrelated_to_age_leave_idle_bound_unchanged() {
     let (mut bound, now) = bound();
     for n in 0..1000 {
         bound.record_reused(now, 20 * MS, n % 10 == 0);
--- a/crates/sidecar/src/inbound/write_reply/tests.rs
+++ b/crates/sidecar/src/inbound/write_reply/tests.rs
@@ -7,7 +7,7 @@
 
 // Else its place, its id and the memory of its answer would be gone for as long as it likes.
 #[tokio::test]
-async fn a_client_that_never_reads_its_answer_is_given_up() {
+async fn gives_up_client_that_never_reads_its_answer() {
     let listener = TcpListener::bind("127.0.0.1:0").await.expect("a free port");
     let address = listener.local_addr().expect("an address");
     let _peer = TcpStream::connect(address).await.expect("it connects");
--- a/crates/sidecar/src/io_failure/tests.rs
+++ b/crates/sidecar/src/io_failure/tests.rs
@@ -5,7 +5,7 @@
 }
 
 #[test]
-fn what_passes_is_told_from_what_is_final() {
+fn distinguishes_transient_from_final_failures() {
     const EAGAIN: i32 = 11;
     const EINTR: i32 = 4;
     const ENOMEM: i32 = 12;
@@ -23,7 +23,7 @@
 }
 
 #[test]
-fn a_disk_may_fail_for_a_while_and_a_file_that_is_not_there_is_not_there() {
+fn disk_failures_are_transient_and_missing_files_are_final() {
     const ENOENT: i32 = 2;
     const EACCES: i32 = 13;
     for passing in [EIO, ENOSPC, EDQUOT, EMFILE] {
@@ -35,7 +35,7 @@
 }
 
 #[test]
-fn no_error_of_accept_ends_accepting_and_a_want_of_addresses_is_no_fault_of_the_peer() {
+fn accept_failures_are_transient_and_address_shortage_is_local() {
     const ECONNABORTED: i32 = 103;
     const EPERM: i32 = 1;
     const ECONNREFUSED: i32 = 111;
--- a/crates/sidecar/src/metrics/tests.rs
+++ b/crates/sidecar/src/metrics/tests.rs
@@ -1,7 +1,7 @@
 use super::*;
 
 #[test]
-fn what_is_counted_stands_in_the_text_by_its_reason() {
+fn reports_counters_by_label() {
     SendDenial::Completed.count();
     SendDenial::Completed.count();
     RuleViolation::Unanswered.count();
--- a/crates/sidecar/src/request/head/tests.rs
+++ b/crates/sidecar/src/request/head/tests.rs
@@ -2,7 +2,7 @@
 
 // Whoever reads such a head in another way finds a further request in the body.
 #[test]
-fn a_body_has_one_plain_length_or_none() {
+fn rejects_ambiguous_body_framing() {
     let read = |lines: &str| {
         let head = format!("POST /api HTTP/1.1\r\nHost: x\r\n{lines}\r\n");
         RequestHead::parse(head.as_bytes()).map(|head| head.map(|(head, _)| head.body))
@@ -37,7 +37,7 @@
 }
 
 #[test]
-fn a_head_without_an_end_has_its_bound() {
+fn rejects_head_without_end_at_size_limit() {
     let head = format!("GET / HTTP/1.1\r\nA: {}", "a".repeat(MAX_HEAD_BYTES));
     assert!(RequestHead::parse(&head.as_bytes()[..MAX_HEAD_BYTES - 1]).is_ok_and(|head| head.is_none()));
     assert!(RequestHead::parse(&head.as_bytes()[..MAX_HEAD_BYTES]).is_err());
--- a/crates/sidecar/src/request/metadata/tests.rs
+++ b/crates/sidecar/src/request/metadata/tests.rs
@@ -1,7 +1,7 @@
 use super::*;
 
 #[test]
-fn time_left_is_a_number_and_a_unit() {
+fn parses_time_with_unit() {
     let read = [("480m", 480_000), ("480000u", 480_000), ("0.5m", 500), ("0m", 0), ("1e9m", -1)];
     for (text, us) in read {
         assert_eq!(parse_time(text).unwrap_or(-1), us, "{text}");
@@ -13,7 +13,7 @@
 }
 
 #[test]
-fn a_client_that_says_an_hour_waits_as_long_as_its_class_allows() {
+fn limits_time_left_to_deadline_of_class() {
     let classes = vec![TrafficClass {
         name: "look".to_owned(),
         idempotency: Idempotency::Idempotent,
--- a/crates/sidecar/src/request_ids/tests.rs
+++ b/crates/sidecar/src/request_ids/tests.rs
@@ -1,7 +1,7 @@
 use super::*;
 
 #[test]
-fn an_id_is_free_again_only_some_time_after_its_request() {
+fn request_id_is_reusable_only_after_retention() {
     let (ids, now) = (RequestIds::default(), Instant::now());
     let open = ids.open(b"a", now).expect("it is new");
     assert!(ids.open(b"a", now + 2 * RETENTION).is_none() && ids.open(b"b", now).is_some());
--- a/crates/sidecar/src/send_gate/tests.rs
+++ b/crates/sidecar/src/send_gate/tests.rs
@@ -19,7 +19,7 @@
 }
 
 #[tokio::test]
-async fn a_send_is_denied_with_its_reason_and_only_until_it_has_begun() {
+async fn denies_send_with_reason_until_it_has_begun() {
     let (now, hour) = (Instant::now(), Duration::from_secs(3600));
     assert!(send(&lifecycle(), Some(now + hour), Some(now + hour)).may_write());
     let over = send(&lifecycle(), Some(now), None);
@@ -55,7 +55,7 @@
 }
 
 #[tokio::test]
-async fn each_rule_that_is_broken_as_a_send_begins_is_counted() {
+async fn counts_each_rule_violation_when_a_send_begins() {
     let before = || {
         [
             RuleViolation::AfterCompletion,
@@ -108,7 +108,7 @@
 
 // The rest of its body may lie in the system's queue; as far as is known its client has stopped waiting.
 #[tokio::test]
-async fn a_flowing_request_whose_client_may_wait_no_more_is_not_sent() {
+async fn does_not_send_streamed_request_after_earliest_deadline() {
     let flows = RequestLifecycle::new(b"1", None, true);
     flows.set_earliest_deadline(Instant::now() - Duration::from_millis(1));
     let late = send(&flows, Some(Instant::now() + Duration::from_secs(9)), None);
--- a/crates/sidecar/src/start_times/tests.rs
+++ b/crates/sidecar/src/start_times/tests.rs
@@ -19,7 +19,7 @@
 }
 
 #[test]
-fn whatever_the_wall_clock_says_the_newest_of_a_first_list_may_have_just_started() {
+fn newest_server_of_first_list_counts_as_just_started_under_wrong_clock() {
     for now in [5 * SECOND, NOON_MS * 1000 - 3600 * SECOND, NOON_MS * 1000 + 3600 * SECOND] {
         let (_, starts) = first_list(now, &[(0, NOON_MS), (1, 0), (2, NOON_MS - 60_000)]);
         assert_eq!(starts, [Some(now), None, Some(now - 60 * SECOND)]);
@@ -27,7 +27,7 @@
 }
 
 #[test]
-fn a_wall_clock_that_agrees_with_the_first_list_tells_ages_less_a_doubt() {
+fn plausible_clock_gives_ages_less_its_doubt() {
     let now = NOON_MS * 1000 + 40 * SECOND;
     let (_, starts) = first_list(now, &[(0, NOON_MS), (1, NOON_MS - 60_000)]);
     assert_eq!(starts, [Some(now - 30 * SECOND), Some(now - 90 * SECOND)]);
@@ -43,7 +43,7 @@
 
 // By seconds it can't be told from one that is right.
 #[test]
-fn a_wall_clock_that_was_stepped_forward_by_seconds_warms_nobody() {
+fn clock_stepped_forward_by_seconds_makes_no_server_warm() {
     for ahead in [1, 5, 9] {
         let now = NOON_MS * 1000 + ahead * SECOND;
         let (_, starts) = first_list(now, &[(0, NOON_MS)]);
@@ -52,7 +52,7 @@
 }
 
 #[test]
-fn a_start_is_told_once_and_stays() {
+fn estimated_start_does_not_change() {
     let (mut times, starts) = first_list(SECOND, &[(0, NOON_MS)]);
     assert_eq!(list(&mut times, 9 * SECOND, &[(0, NOON_MS)]), starts);
     // A later stamp elsewhere does not make it a new process.
@@ -60,7 +60,7 @@
 }
 
 #[test]
-fn a_stamp_that_replaces_another_is_a_start_since_the_last_list_though_it_is_earlier() {
+fn changed_stamp_is_a_start_since_the_last_list() {
     let (mut times, _) = first_list(SECOND, &[(0, NOON_MS), (1, NOON_MS)]);
     // The clock of its machine was stepped back by an hour.
     let starts = list(&mut times, 3 * SECOND, &[(0, NOON_MS - 3_600_000)]);
@@ -71,7 +71,7 @@
 }
 
 #[test]
-fn the_clock_of_the_list_runs_on_with_this_process() {
+fn list_clock_advances_with_process_clock() {
     let (mut times, _) = first_list(SECOND, &[(0, NOON_MS)]);
     // 30 s later a server is named that had started 10 s after the first; no list came in between.
     times.observe(31 * SECOND, [NOON_MS + 10_000].into_iter());
@@ -79,7 +79,7 @@
 }
 
 #[test]
-fn one_that_is_gone_and_named_again_is_looked_at_anew() {
+fn forgotten_server_is_estimated_anew() {
     let (mut times, _) = first_list(SECOND, &[(0, NOON_MS)]);
     times.forget(0);
     assert_eq!(list(&mut times, 4 * SECOND, &[(0, NOON_MS)]), [Some(SECOND)]);
--- a/crates/sidecar/src/upstream/tests.rs
+++ b/crates/sidecar/src/upstream/tests.rs
@@ -11,7 +11,7 @@
 use std::net::SocketAddr;
 
 #[tokio::test]
-async fn without_room_for_a_connection_an_idle_one_makes_way_or_none_is_dialled() {
+async fn closes_idle_connection_for_a_new_one_or_does_not_dial() {
     let listener = std::net::TcpListener::bind("127.0.0.1:0").expect("a free port");
     let address = listener.local_addr().expect("an address");
     let limits = ResourceLimits { clients: 1, upstream: 1, bodies: MAX_BUFFERED_BYTES };
@@ -55,7 +55,7 @@
 // A connection may come up seconds after it was asked for. Whatever has changed meanwhile, nothing is written then
 // that may not go any more; the connection is kept where it may serve another request.
 #[tokio::test]
-async fn a_connection_that_comes_up_late_carries_only_what_may_still_go() {
+async fn late_connection_carries_only_sends_that_are_still_permitted() {
     type Change = fn(&Endpoint, &Rc<OutgoingRequest>, &mut Option<std::net::TcpStream>);
     let changes: [(&str, bool, Change); 8] = [
         ("nothing has changed", true, |_, _, _| {}),
--- a/crates/sidecar/src/write_progress/tests.rs
+++ b/crates/sidecar/src/write_progress/tests.rs
@@ -2,7 +2,7 @@
 
 // An endpoint begins a request when its last byte has come: one byte short it has surely not run.
 #[test]
-fn progress_tells_the_last_byte_from_the_one_before() {
+fn request_is_complete_only_with_its_last_byte() {
     let request = b"POST /api HTTP/1.1\r\nA: b\r\n\r\n{\r\n\r\n}";
     for cut in 1..request.len() {
         let progress = WriteProgress::new(Some(6));
--- a/crates/sidecar/tests/crossings/mod.rs
+++ b/crates/sidecar/tests/crossings/mod.rs
@@ -117,7 +117,7 @@
 
 // Stopped by the system, the process meets both at once, in the order in which they came.
 #[test]
-fn a_request_that_crosses_the_end_of_its_resting_connection_is_served() {
+fn serves_request_that_crosses_close_of_idle_connection() {
     for request_first in [true, false] {
         let discovery = Discovery::start();
         let endpoint = Endpoint::start(served);
@@ -148,7 +148,7 @@
 // What was read would be owed an answer. A close over what is unread resets the connection at once, and so says that it
 // was not read; what is read and dropped is taken by the system for 200 ms.
 #[test]
-fn a_request_that_comes_after_the_end_of_its_resting_connection_is_left_unread() {
+fn leaves_request_after_close_of_idle_connection_unread() {
     for ends in ["quiesce", "-TERM"] {
         let discovery = Discovery::start();
         let endpoint = Endpoint::start(served);
@@ -172,7 +172,7 @@
 
 // A reset could take the answer with it, which its client may not have read yet.
 #[test]
-fn what_comes_behind_an_answer_that_ends_its_connection_does_not_reset_it() {
+fn bytes_after_final_answer_do_not_reset_connection() {
     let discovery = Discovery::start();
     let endpoint = Endpoint::start(served);
     let sidecar = Sidecar::start(&discovery, &[("s-1", &endpoint)]);
@@ -191,7 +191,7 @@
 
 // It has just come to ask something, and has nowhere else to go: new connections are still taken after it.
 #[test]
-fn a_client_that_has_just_connected_as_the_stop_is_told_is_answered() {
+fn answers_client_that_connects_at_shutdown() {
     let discovery = Discovery::start();
     let endpoint = Endpoint::start(served);
     // It is waited for no longer than 500 ms.
@@ -210,7 +210,7 @@
 
 // Each is either answered or not sent on, whichever comes first; there is no third way.
 #[test]
-fn a_request_beside_a_drain_is_answered_or_never_sent_on() {
+fn request_during_drain_is_answered_or_never_forwarded() {
     let discovery = Discovery::start();
     let endpoint = Endpoint::start(served);
     let sidecar = Sidecar::start(&discovery, &[("s-1", &endpoint)]);
@@ -232,7 +232,7 @@
 }
 
 #[test]
-fn a_client_that_leaves_while_its_request_waits_for_a_place_is_not_sent_on() {
+fn does_not_forward_queued_request_of_closed_client() {
     let discovery = Discovery::start();
     let (gate, endpoint) = held_back();
     let sidecar = Sidecar::start(&discovery, &[("s-1", &endpoint)]);
@@ -254,7 +254,7 @@
 }
 
 #[test]
-fn a_client_that_leaves_while_its_connection_is_being_made_is_not_sent_on() {
+fn does_not_forward_request_of_client_closed_during_dial() {
     for way in WAYS {
         let discovery = Discovery::start();
         let sidecar = Sidecar::start(&discovery, &[]);
@@ -276,7 +276,7 @@
 
 // With a body that is longer than is kept nothing is read while it has nowhere to go, and the end lies behind it.
 #[test]
-fn a_client_that_leaves_in_the_midst_of_a_long_body_is_not_sent_on() {
+fn does_not_forward_request_of_client_closed_within_body() {
     for resets in [false, true] {
         let discovery = Discovery::start();
         let (gate, endpoint) = held_back();
@@ -303,7 +303,7 @@
 
 // The endpoint turns each attempt away, so that the request waits to be tried again.
 #[test]
-fn a_client_that_leaves_between_two_attempts_is_not_sent_on_again() {
+fn does_not_retry_request_of_closed_client() {
     for way in WAYS {
         // It is tried again after 125 ms at the earliest.
         let (_discovery, endpoint, sidecar) = within(Duration::from_millis(100), || {
@@ -325,7 +325,7 @@
 }
 
 #[test]
-fn signals_that_cross_end_it_once_and_cost_no_answer() {
+fn crossing_signals_shut_down_once_and_cost_no_answer() {
     for signals in [["-TERM", "-TERM"], ["-TERM", "-HUP"], ["-HUP", "-TERM"], ["-TERM", "-INT"]] {
         let discovery = Discovery::start();
         let (gate, endpoint) = held_back();
@@ -345,7 +345,7 @@
 
 // What is known from the start serves, whether discovery refuses, says nothing, or does not come up at all.
 #[test]
-fn a_sidecar_is_ready_though_discovery_is_away() {
+fn starts_without_discovery() {
     let (silent, _filler) = full_queue();
     let mute = Discovery::start();
     mute.mute.store(true, std::sync::atomic::Ordering::SeqCst);
@@ -365,7 +365,7 @@
 
 // Whichever came last stands in the file; what the others still say is of no account, and versions start anew.
 #[test]
-fn of_two_new_configurations_in_a_row_the_last_is_followed() {
+fn follows_last_of_two_reloads() {
     let [first, second, third] = [(); 3].map(|()| Discovery::start());
     let [old, middle, new] =
         ["old", "middle", "new"].map(|body| Endpoint::start(move |_| Reply::Answer(200, "", body.into())));
@@ -395,7 +395,7 @@
 const FOLLOWED: Duration = Duration::from_secs(6);
 
 #[test]
-fn a_reload_is_followed_though_discovery_is_slow_to_answer() {
+fn reload_takes_effect_despite_slow_discovery() {
     let follows = |takes: Duration| {
         let (first, slow) = (Discovery::start(), Discovery::start());
         let [old, new] = [(); 2].map(|()| Endpoint::start(served));
@@ -420,7 +420,7 @@
 }
 
 #[test]
-fn an_indented_list_is_a_list() {
+fn accepts_indented_list() {
     let discovery = Discovery::start();
     let [old, new] = [(); 2].map(|()| Endpoint::start(served));
     let sidecar = Sidecar::start(&discovery, &[("s-old", &old)]);
@@ -436,7 +436,7 @@
 
 // A reset is no end: only a whole stop of the stream is, where an answer says that it ends so.
 #[test]
-fn an_answer_that_ends_with_its_connection_is_whole_only_if_that_ends_well() {
+fn answer_ended_by_close_is_complete_only_without_reset() {
     let head = b"HTTP/1.1 200 OK\r\nConnection: close\r\n\r\nhello";
     for ends in ["well", "reset", "never", "in its head"] {
         let discovery = Discovery::start();
@@ -471,7 +471,7 @@
 // Its openings were lost while it was away, and the system's own next try may be 4 s off: what leaves would be sent to
 // until then, and is told as soon as discovery is back.
 #[test]
-fn discovery_whose_connection_does_not_come_up_is_dialled_anew_soon() {
+fn redials_discovery_soon_when_connection_does_not_come_up() {
     let (listener, _filler) = full_queue();
     let mut discovery = Discovery::start();
     discovery.address = listener.local_addr().expect("an address");
@@ -490,7 +490,7 @@
 
 // Whether what leaves is told before the watch is open again or after that.
 #[test]
-fn what_is_told_around_the_reset_of_a_watch_is_followed() {
+fn follows_changes_around_reset_of_watch() {
     for (mode, before) in [("pushed", true), ("pushed", false), ("on_request", true), ("on_request", false)] {
         let discovery = Discovery::start();
         let [old, new] = [(); 2].map(|()| Endpoint::start(served));
@@ -515,7 +515,7 @@
 
 // Before its handler stands the system ends it; from then on it stops as it always does.
 #[test]
-fn a_stop_told_at_any_moment_of_the_start_ends_it() {
+fn signal_at_any_moment_of_start_ends_process() {
     let discovery = Discovery::start();
     for wait in 0..12 {
         let address = unused_address();
--- a/crates/sidecar/tests/faults/clocks.rs
+++ b/crates/sidecar/tests/faults/clocks.rs
@@ -36,7 +36,7 @@
 }
 
 #[test]
-fn a_server_that_has_just_started_is_cold_whatever_the_wall_clock_says_and_warm_in_time() {
+fn restarted_server_gets_slow_start_under_any_wall_clock() {
     let shares: Vec<(f64, f64)> = std::thread::scope(|scope| {
         let plays: Vec<_> = [0, HOUR_US, -HOUR_US, 5_000_000]
             .into_iter()
--- a/crates/sidecar/tests/faults/deadlines.rs
+++ b/crates/sidecar/tests/faults/deadlines.rs
@@ -61,7 +61,7 @@
 }
 
 #[test]
-fn a_wait_for_a_permit_counts_against_the_request() {
+fn waiting_for_permit_counts_against_deadline() {
     let told = Told::default();
     let (discovery, endpoint) = (Discovery::start(), slow(&told, Duration::from_millis(800)));
     let sidecar = Sidecar::start_with(&discovery, &[("s-1", &endpoint)], 1024, 64);
@@ -70,7 +70,7 @@
 }
 
 #[test]
-fn a_wait_for_memory_counts_against_the_request() {
+fn waiting_for_memory_counts_against_deadline() {
     let told = Told::default();
     let discovery = Discovery::start();
     let names: Vec<String> = (0..12).map(|n| format!("s-{n}")).collect();
@@ -110,18 +110,18 @@
 }
 
 #[test]
-fn a_wait_for_a_process_that_accepts_counts_against_the_request() {
+fn waiting_for_accepting_process_counts_against_deadline() {
     waits_for_a_process(&request("look", "", ""));
 }
 
 // What the system's buffer has no room for reaches this machine later than its client has written it.
 #[test]
-fn a_wait_for_a_process_counts_against_a_body_that_fills_the_buffers_as_well() {
+fn waiting_for_process_counts_against_deadline_of_full_buffers() {
     waits_for_a_process(&request("book", "", &"b".repeat(200_000)));
 }
 
 #[test]
-fn a_body_that_flows_on_tells_no_more_than_its_client_waits_from_its_last_byte() {
+fn streamed_body_advertises_no_more_than_client_waits_after_last_byte() {
     let told = Told::default();
     let (discovery, endpoint) = (Discovery::start(), slow(&told, Duration::ZERO));
     let sidecar = Sidecar::start(&discovery, &[("s-1", &endpoint)]);
@@ -151,12 +151,12 @@
 }
 
 #[test]
-fn a_wait_to_be_accepted_counts_against_the_request() {
+fn waiting_to_be_accepted_counts_against_deadline() {
     waits_to_be_accepted(&request("look", "", ""));
 }
 
 // All of it may lie in the system's queue already as its head is read.
 #[test]
-fn a_long_body_that_waited_to_be_accepted_tells_no_more_than_its_client_has_left() {
+fn long_body_queued_before_accept_advertises_no_more_than_time_left() {
     waits_to_be_accepted(&request("book", "", &"b".repeat(200_000)));
 }
--- a/crates/sidecar/tests/faults/files.rs
+++ b/crates/sidecar/tests/faults/files.rs
@@ -16,7 +16,7 @@
 }
 
 #[test]
-fn an_operators_call_keeps_what_the_other_process_was_told_though_the_file_cannot_be_read() {
+fn operators_call_keeps_state_of_other_process_when_file_is_unreadable() {
     for fault in UNREADABLE {
         let (discovery, one, two) = (Discovery::start(), Endpoint::start(served), Endpoint::start(served));
         let (listener, faults) = (held_socket(), fault_table());
@@ -36,7 +36,7 @@
 }
 
 #[test]
-fn a_process_that_cannot_read_what_operators_said_at_its_start_follows_it_all_the_same() {
+fn follows_operator_state_that_was_unreadable_at_start() {
     let (discovery, out, other) = (Discovery::start(), Endpoint::start(served), Endpoint::start(served));
     let (listener, faults) = (held_socket(), fault_table());
     let folder = folder(&listener);
@@ -58,7 +58,7 @@
 }
 
 #[test]
-fn a_reload_whose_file_cannot_be_read_for_a_while_is_followed_in_the_end() {
+fn retries_reload_while_file_is_unreadable() {
     for fault in UNREADABLE {
         let (discovery, moved) = (Discovery::start(), Discovery::start());
         let endpoint = Endpoint::start(served);
--- a/crates/sidecar/tests/faults/log.rs
+++ b/crates/sidecar/tests/faults/log.rs
@@ -5,7 +5,7 @@
 use std::process::{Command, Stdio};
 
 #[test]
-fn a_log_on_a_full_disk_costs_no_answer() {
+fn log_on_full_disk_costs_no_answer() {
     let (discovery, endpoint) = (Discovery::start(), Endpoint::start(served));
     let mut sidecar = Sidecar::start_by(&discovery, &[("s-1", &endpoint)], |program| {
         let full = std::fs::File::options().write(true).open("/dev/full").expect("a device");
--- a/crates/sidecar/tests/faults/mod.rs
+++ b/crates/sidecar/tests/faults/mod.rs
@@ -27,7 +27,7 @@
 }
 
 #[test]
-fn errors_of_accept_as_accepting_ends_lose_no_connection_of_the_queue() {
+fn accept_errors_at_shutdown_lose_no_queued_connection() {
     for errno in [errno::ECONNABORTED, errno::ENOBUFS, errno::EMFILE, errno::EINTR] {
         let (discovery, endpoint) = (Discovery::start(), Endpoint::start(served));
         let faults = fault_table();
@@ -49,7 +49,7 @@
 }
 
 #[test]
-fn interrupted_calls_on_sockets_cost_no_answer() {
+fn interrupted_socket_calls_cost_no_answer() {
     let (discovery, endpoint) = (Discovery::start(), Endpoint::start(served));
     for calls in [vec![Call::Receive, Call::Send, Call::Peek], vec![Call::Peek]] {
         let faults = fault_table();
--- a/crates/sidecar/tests/operation/mod.rs
+++ b/crates/sidecar/tests/operation/mod.rs
@@ -24,7 +24,7 @@
 }
 
 #[test]
-fn an_operators_call_is_one_line_and_so_is_its_answer() {
+fn operators_call_and_answer_are_one_line_each() {
     let discovery = Discovery::start();
     let sidecar = Sidecar::start(&discovery, &[]);
     assert_eq!(sidecar.call("health"), "OK");
@@ -56,7 +56,7 @@
 
 // More than there are places for, and each for as long as the sidecar lets them.
 #[test]
-fn callers_that_hold_half_a_line_keep_no_operator_out() {
+fn callers_with_unfinished_lines_block_no_operator() {
     let discovery = Discovery::start();
     let sidecar = Sidecar::start_with(&discovery, &[], 64, 64);
     let mut held: Vec<_> =
@@ -74,7 +74,7 @@
 }
 
 #[test]
-fn a_management_address_that_cannot_be_used_fails_the_start_with_one_line() {
+fn unusable_management_address_fails_start_with_one_line() {
     let taken = held_socket();
     let address = unused_address();
     let path = config_file(&config(address, address, "null"));
@@ -89,7 +89,7 @@
 }
 
 #[test]
-fn drained_it_says_no_and_empties_without_a_loss_and_serves_again_at_the_end() {
+fn drained_sidecar_empties_without_loss_and_resumes() {
     let discovery = Discovery::start();
     let endpoint = Endpoint::start(|_| Reply::Later(Duration::from_millis(700), b"late".to_vec()));
     let mut sidecar = Sidecar::start(&discovery, &[("s-1", &endpoint)]);
@@ -134,7 +134,7 @@
 // Each client asks again and again on a connection that it keeps for as long as it may; one that is closed between
 // two requests, as the protocol has it, is made anew.
 #[test]
-fn a_new_version_takes_over_the_passed_socket_and_no_request_is_lost() {
+fn upgrade_over_inherited_socket_loses_no_request() {
     let discovery = Discovery::start();
     let endpoint = Endpoint::start(|_| Reply::Later(Duration::from_millis(20), b"served".to_vec()));
     let (listener, over) = (held_socket(), AtomicBool::new(false));
@@ -180,7 +180,7 @@
 
 // Whoever ends first, the socket is the platform's: what waits in its queue is answered by the other, or by the next.
 #[test]
-fn a_stop_in_the_midst_of_a_hand_over_leaves_every_client_to_the_other_process() {
+fn shutdown_during_upgrade_leaves_clients_to_other_process() {
     let discovery = Discovery::start();
     let endpoint = Endpoint::start(|_| Reply::Answer(200, "", b"served".to_vec()));
     let listener = held_socket();
@@ -216,7 +216,7 @@
 }
 
 #[test]
-fn a_passed_descriptor_that_is_no_listening_socket_fails_the_start_with_one_line() {
+fn invalid_inherited_descriptor_fails_start_with_one_line() {
     let address = unused_address();
     let path = config_file(&config(address, address, "null"));
     for (shell, named) in [
@@ -237,7 +237,7 @@
 }
 
 #[test]
-fn a_cordoned_endpoint_gets_nothing_until_it_is_given_back() {
+fn cordoned_endpoint_gets_nothing_until_uncordoned() {
     let discovery = Discovery::start();
     let [one, two] = [(); 2].map(|()| Endpoint::start(|_| Reply::Answer(200, "", Vec::new())));
     let sidecar = Sidecar::start(&discovery, &[("s-1", &one), ("s-2", &two)]);
@@ -272,7 +272,7 @@
 
 // Whichever process is told, before the upgrade, during it or after.
 #[test]
-fn what_operators_told_either_process_holds_for_both_and_for_the_next() {
+fn operators_calls_hold_for_both_processes_and_the_next() {
     let discovery = Discovery::start();
     let [one, two] = [(); 2].map(|()| Endpoint::start(|_| Reply::Answer(200, "", Vec::new())));
     let listener = held_socket();
@@ -309,7 +309,7 @@
 }
 
 #[test]
-fn a_state_that_cannot_be_read_is_one_log_line_and_holds_nothing() {
+fn invalid_state_file_is_logged_once_and_ignored() {
     let discovery = Discovery::start();
     let endpoint = Endpoint::start(|_| Reply::Answer(200, "", Vec::new()));
     for text in ["", "{}", "\0", r#"{"version":99,"cordoned":["s-1"],"drained":true}"#] {
@@ -329,7 +329,7 @@
 }
 
 #[test]
-fn what_the_process_has_counted_is_told_by_its_reasons() {
+fn metrics_call_reports_counters_by_label() {
     let (discovery, endpoint) =
         (Discovery::start(), Endpoint::start(|_| Reply::Answer(200, "", b"ok".to_vec())));
     let sidecar = Sidecar::start(&discovery, &[("s-1", &endpoint)]);
--- a/crates/sidecar/tests/services/mod.rs
+++ b/crates/sidecar/tests/services/mod.rs
@@ -153,7 +153,7 @@
 }
 
 #[test]
-fn the_services_of_the_configuration_are_asked_for_and_their_servers_alone_get_requests() {
+fn polls_configured_services_and_uses_their_servers_alone() {
     let (discovery, [ledger, pay, stock, none, late]) = (Discovery::start(), [(); 5].map(|()| served()));
     let mut servers = vec![
         ("s-1", &ledger, Some("ledger")),
@@ -177,7 +177,7 @@
 }
 
 #[test]
-fn where_no_services_are_named_everything_is_asked_for_as_before() {
+fn polls_all_servers_without_configured_services() {
     let (discovery, [one, two]) = (Discovery::start(), [(); 2].map(|()| served()));
     let replica = Replica::start(&[("s-1", &one, Some("ledger")), ("s-2", &two, None)], true);
     let empty = roster(replica.at.address, &[]);
@@ -193,7 +193,7 @@
 }
 
 #[test]
-fn services_that_change_at_a_reload_are_asked_for_and_those_dropped_get_nothing_after_it() {
+fn reload_changes_polled_services() {
     let (discovery, [ledger, pay, stock]) = (Discovery::start(), [(); 3].map(|()| served()));
     let servers =
         [("s-1", &ledger, Some("ledger")), ("s-2", &pay, Some("pay")), ("s-3", &stock, Some("stock"))];
@@ -230,7 +230,7 @@
 }
 
 #[test]
-fn a_reload_that_says_nothing_new_of_services_changes_nothing() {
+fn reload_with_same_services_changes_nothing() {
     let (discovery, [ledger, pay]) = (Discovery::start(), [(); 2].map(|()| served()));
     let servers = [("s-1", &ledger, Some("ledger")), ("s-2", &pay, Some("pay"))];
     let replica = Replica::start(&servers, true);
@@ -255,7 +255,7 @@
 }
 
 #[test]
-fn a_replica_that_does_not_know_services_is_not_believed() {
+fn ignores_replica_that_does_not_know_services() {
     let (discovery, [ledger, pay]) = (Discovery::start(), [(); 2].map(|()| served()));
     let servers = [("s-1", &ledger, Some("ledger")), ("s-2", &pay, Some("pay"))];
     let replica = Replica::start(&servers, false);
@@ -272,7 +272,7 @@
 }
 
 #[test]
-fn names_that_no_service_can_have_are_refused_and_the_most_and_longest_are_asked_for() {
+fn rejects_invalid_service_names_and_accepts_longest() {
     // One that refused no name would end at this address, which is taken, rather than run for good.
     let listener = TcpListener::bind("127.0.0.1:0").expect("a free port");
     let taken = listener.local_addr().expect("an address");
--- a/crates/sidecar/tests/sidecar.rs
+++ b/crates/sidecar/tests/sidecar.rs
@@ -21,7 +21,7 @@
 }
 
 #[test]
-fn a_request_goes_on_unchanged_and_the_answer_comes_back_unchanged() {
+fn forwards_request_and_answer_unchanged() {
     let (discovery, body) = (Discovery::start(), vec![0xA5; 40_000]);
     let answered = body.clone();
     let endpoint = Endpoint::start(move |_| Reply::Answer(200, "Content-Type: x/y\r\n", answered.clone()));
@@ -41,7 +41,7 @@
 }
 
 #[test]
-fn what_cannot_be_a_request_is_turned_away_and_reaches_nobody() {
+fn rejects_invalid_requests_without_forwarding_them() {
     let discovery = Discovery::start();
     let endpoint = Endpoint::start(|_| ok("served"));
     let sidecar = Sidecar::start(&discovery, &[("s-1", &endpoint)]);
@@ -80,7 +80,7 @@
 
 // Endpoints know a request by its id: with two of one id, one client could get the other's answer.
 #[test]
-fn an_id_that_is_open_or_was_a_moment_ago_is_turned_away() {
+fn rejects_id_of_open_or_recent_request() {
     let discovery = Discovery::start();
     let endpoint = Endpoint::start(|_| Reply::Later(Duration::from_millis(500), b"late".to_vec()));
     let sidecar = Sidecar::start(&discovery, &[("s-1", &endpoint)]);
@@ -95,7 +95,7 @@
 
 // Its clients would else go round all endpoints, and each would pass for a broken one.
 #[test]
-fn what_an_endpoint_says_is_the_requests_own_fault_goes_nowhere_else() {
+fn does_not_retry_after_client_error() {
     let discovery = Discovery::start();
     let answer =
         |message: &Message| Reply::Answer(message.header("x-bad").map_or(200, |_| 400), "", Vec::new());
@@ -110,7 +110,7 @@
 
 // Half a request takes a place as well, and is no reason to keep a whole one out.
 #[test]
-fn requests_that_come_too_slowly_make_way_for_whole_ones() {
+fn evicts_slow_requests_for_complete_ones() {
     let discovery = Discovery::start();
     let endpoint = Endpoint::start(|_| ok("served"));
     let sidecar = Sidecar::start_with(&discovery, &[("s-1", &endpoint)], 1024, 64);
@@ -128,7 +128,7 @@
 // Clients that use each connection once and keep it may be held to fewer than the sidecar has room for: with all
 // of those kept, they could ask nothing more, and no new connection would come to say so.
 #[test]
-fn of_many_idle_connections_the_oldest_are_closed_though_no_new_one_comes() {
+fn closes_oldest_of_many_idle_connections() {
     let discovery = Discovery::start();
     let endpoint = Endpoint::start(|_| ok("served"));
     // Room for 20.
@@ -154,7 +154,7 @@
 // Whoever sends nothing, half a request or one byte after the other must not hold a place for long. These
 // clients would all go on for longer than the tests wait.
 #[test]
-fn a_request_that_does_not_come_to_its_end_ends_its_connection() {
+fn closes_connection_of_incomplete_request() {
     let discovery = Discovery::start();
     let endpoint = Endpoint::start(|_| ok("served"));
     let sidecar = Sidecar::start(&discovery, &[("s-1", &endpoint)]);
@@ -176,7 +176,7 @@
 // A broken connection says nothing of whether the request has run, so an unsafe one must neither go out again
 // nor be refused, which would invite the client to repeat it.
 #[test]
-fn an_unsafe_request_that_may_have_run_is_sent_once_and_fails() {
+fn does_not_retry_non_idempotent_request_that_may_have_run() {
     for reply in
         [|| Reply::Close, || Reply::Answer(500, "", Vec::new()), || Reply::Answer(503, "", Vec::new())]
     {
@@ -190,7 +190,7 @@
 }
 
 #[test]
-fn an_unsafe_request_that_surely_never_ran_is_tried_elsewhere() {
+fn retries_non_idempotent_request_that_has_not_run() {
     let turning = Endpoint::start(|_| Reply::Answer(503, "X-Unprocessed: 1\r\n", Vec::new()));
     let good = Endpoint::start(|_| ok("served"));
     let refusing = unused_address();
@@ -209,7 +209,7 @@
 }
 
 #[test]
-fn without_an_endpoint_the_modules_refusal_comes_at_once() {
+fn sheds_at_once_without_endpoints() {
     let discovery = Discovery::start();
     let sidecar = Sidecar::start(&discovery, &[]);
     let asked = Instant::now();
@@ -224,7 +224,7 @@
 
 // A machine that has vanished says nothing, ever: only the sidecar's own timers end what is out there.
 #[test]
-fn a_silent_endpoint_costs_no_client_its_answer() {
+fn silent_endpoint_costs_no_answer() {
     for class in ["look", "book", "pay"] {
         let discovery = Discovery::start();
         let endpoint = Endpoint::start(|_| Reply::Silence);
@@ -241,7 +241,7 @@
 }
 
 #[test]
-fn a_client_that_leaves_takes_its_attempt_along() {
+fn cancels_attempt_when_client_closes() {
     let discovery = Discovery::start();
     let endpoint = Endpoint::start(|_| Reply::Silence);
     let sidecar = Sidecar::start(&discovery, &[("s-1", &endpoint)]);
@@ -255,7 +255,7 @@
 }
 
 #[test]
-fn connections_are_used_again_until_the_endpoint_closes_them_or_they_grow_old() {
+fn reuses_connections_until_closed_or_too_old() {
     let discovery = Discovery::start();
     let endpoint = Endpoint::start(|message| match message.header("x-last") {
         Some(_) => Reply::AnswerAndClose(200, "", b"last".to_vec()),
@@ -280,7 +280,7 @@
 }
 
 #[test]
-fn nothing_goes_to_an_endpoint_that_leaves_or_is_missing_from_the_whole_list() {
+fn sends_nothing_to_draining_or_unlisted_endpoint() {
     for gone in [list(2, false, &[]), list(2, true, &[])] {
         let discovery = Discovery::start();
         let (old, new) = (Endpoint::start(|_| ok("old")), Endpoint::start(|_| ok("new")));
@@ -300,7 +300,7 @@
 // A send counts from its first byte: one whose connection comes up only after the endpoint was told to leave
 // must not be written any more.
 #[test]
-fn a_dial_under_way_to_an_endpoint_that_leaves_writes_nothing() {
+fn pending_dial_to_draining_endpoint_writes_nothing() {
     let discovery = Discovery::start();
     let (listener, filler) = full_queue();
     let address = listener.local_addr().expect("an address");
@@ -323,7 +323,7 @@
 
 // The number of an endpoint that is gone goes to the next new one: neither may get what is the other's.
 #[test]
-fn endpoints_that_replace_one_another_are_served_each_under_its_own_address() {
+fn replacing_endpoints_are_reached_at_their_own_addresses() {
     let discovery = Discovery::start();
     let bodies = ["a", "b", "c", "d"];
     let endpoints = bodies.map(|body| Endpoint::start(move |_| ok(body)));
@@ -347,7 +347,7 @@
 }
 
 #[test]
-fn an_address_may_change_under_a_name() {
+fn follows_changed_address_of_an_endpoint() {
     let discovery = Discovery::start();
     let (before, after) = (Endpoint::start(|_| ok("before")), Endpoint::start(|_| ok("after")));
     let sidecar = Sidecar::start(&discovery, &[("s-1", &before)]);
@@ -358,7 +358,7 @@
 }
 
 #[test]
-fn discovery_that_fails_or_answers_nonsense_leaves_the_list_as_it_was() {
+fn failed_or_invalid_discovery_answers_keep_the_list() {
     let discovery = Discovery::start();
     let endpoint = Endpoint::start(|_| ok("served"));
     let sidecar = Sidecar::start(&discovery, &[("s-1", &endpoint)]);
@@ -379,7 +379,7 @@
 
 // Its neighbours in the list are as good as ever, and what leaves must not be sent to because of it.
 #[test]
-fn a_list_with_an_entry_that_cannot_be_read_counts_for_the_others() {
+fn applies_list_without_its_unreadable_entry() {
     let bad = [
         r#"{"name":7}"#,
         r#"{"name":"s-bad","address":"nowhere","status":"active"}"#,
@@ -400,7 +400,7 @@
 
 // Pushed or not, on sockets a change comes only to whoever watches: the list would stay as it was at the start.
 #[test]
-fn changes_arrive_where_discovery_is_said_to_push_them() {
+fn watches_from_the_start_in_pushed_mode() {
     let discovery = Discovery::start();
     let [old, new] = [(); 2].map(|()| Endpoint::start(|_| ok("served")));
     let pushed = |config: String| config.replace("\"on_request\"", "\"pushed\"");
@@ -426,7 +426,7 @@
 // To the sidecar it looks like a watch without news. What leaves would be sent to all the while, and what is new
 // get nothing.
 #[test]
-fn a_watch_that_is_never_answered_is_given_up_and_begun_anew() {
+fn restarts_watch_that_is_never_answered() {
     let discovery = Discovery::start();
     discovery.mute.store(true, Ordering::SeqCst);
     let [old, new] = [(); 2].map(|()| Endpoint::start(|_| ok("served")));
@@ -445,7 +445,7 @@
 // Unhandled, SIGHUP ends a process. Discovery's new address stands in the file alone, and nothing that the old
 // one still says may undo what the new one has said.
 #[test]
-fn told_to_read_its_configuration_again_it_follows_discovery_to_its_new_address() {
+fn reload_moves_discovery_to_its_new_address() {
     let (before, after) = (Discovery::start(), Discovery::start());
     let (old, new) = (Endpoint::start(|_| ok("old")), Endpoint::start(|_| ok("new")));
     let sidecar = Sidecar::start(&before, &[("s-old", &old)]);
@@ -466,7 +466,7 @@
 }
 
 #[test]
-fn a_new_configuration_that_cannot_be_used_changes_nothing() {
+fn invalid_reload_changes_nothing() {
     let (discovery, other) = (Discovery::start(), Discovery::start());
     let endpoint = Endpoint::start(|_| ok("served"));
     let sidecar = Sidecar::start(&discovery, &[("s-1", &endpoint)]);
@@ -482,7 +482,7 @@
 }
 
 #[test]
-fn an_answer_that_is_too_long_or_breaks_off_is_a_failure() {
+fn too_long_or_truncated_answer_is_a_failure() {
     let discovery = Discovery::start();
     let endpoint = Endpoint::start(|message| match message.header("x-long") {
         Some(_) => Reply::Raw(b"HTTP/1.1 200 OK\r\nContent-Length: 33554433\r\n\r\nx".to_vec(), None),
@@ -496,7 +496,7 @@
 
 // A spoilt answer comes from an endpoint that has run the request, whatever its head says.
 #[test]
-fn a_refusal_that_is_not_whole_may_have_run() {
+fn does_not_retry_after_truncated_rejection() {
     let discovery = Discovery::start();
     let half =
         || Reply::AnswerAndClose(503, "X-Unprocessed: 1\r\nContent-Length: 9\r\nX-Not-", b"half".to_vec());
@@ -508,7 +508,7 @@
 
 // The connections of all but the last stay open and bring no more: only a look at the head can tell.
 #[test]
-fn an_answer_whose_end_cannot_be_known_is_a_failure_at_once() {
+fn answer_without_framing_fails_at_once() {
     let heads = [
         "200 OK\r\nContent-Length: 3000000000\r\n\r\n",
         "200 OK\r\nContent-Length: 5\r\nTransfer-Encoding: chunked\r\n\r\n",
@@ -535,7 +535,7 @@
 // A spoilt answer now and then is no reason to give an endpoint up, nor to take its process for a new one that
 // may be sent next to nothing.
 #[test]
-fn two_spoilt_answers_in_a_row_leave_an_endpoint_in_service() {
+fn two_invalid_answers_do_not_eject_endpoint() {
     let discovery = Discovery::start();
     let endpoint = Endpoint::start(|message| match message.header("x-spoilt") {
         Some(_) => Reply::Raw(b"HTTP/1.1 2x0 OK\r\nContent-Length: 0\r\n\r\n".to_vec(), None),
@@ -554,7 +554,7 @@
 // A network that breaks idle connections without a word breaks them all, and each tells of it only when it is
 // used: as faults of the endpoint these would open its circuit, and it would be refused what it could serve.
 #[test]
-fn kept_connections_that_break_under_the_next_request_leave_their_endpoint_in_service() {
+fn broken_reused_connections_do_not_eject_endpoint() {
     let discovery = Discovery::start();
     let endpoint = Endpoint::start(|message| match message.header("x-stale") {
         Some(_) => Reply::Close,
@@ -583,7 +583,7 @@
 // Endpoints, or something on the way to them, may drop idle connections sooner than agreed and say nothing. Every
 // request after a pause would then end as a reset, and what is unsafe fail.
 #[test]
-fn the_age_at_which_idle_connections_are_dropped_unsaid_is_learnt() {
+fn learns_idle_age_at_which_connections_are_dropped() {
     let discovery = Discovery::start();
     let endpoint = Endpoint::start(|message| match message.idle {
         Some(idle) if idle > Duration::from_millis(100) => Reply::Close,
@@ -605,7 +605,7 @@
 
 // A process that has gone fails its new connections, and these do open its circuit.
 #[test]
-fn an_endpoint_whose_process_has_gone_is_given_up() {
+fn stops_sending_to_endpoint_whose_process_has_ended() {
     let discovery = Discovery::start();
     let [gone, stays] = [(); 2].map(|()| Endpoint::start(|_| ok("served")));
     let refusing = unused_address();
@@ -622,7 +622,7 @@
 // What follows an answer is no answer to the next request, whether it is there at once or comes while that is
 // on its way; what comes ahead of an answer is none at all.
 #[test]
-fn an_answer_with_more_than_belongs_to_it_is_served_and_the_rest_is_nobodys() {
+fn serves_answer_and_drops_bytes_behind_it() {
     let discovery = Discovery::start();
     let endpoint = Endpoint::start(|message| {
         let body = message.header("x-number").expect("a number");
@@ -650,7 +650,7 @@
 }
 
 #[test]
-fn told_to_stop_it_finishes_what_it_holds_and_takes_what_still_comes() {
+fn graceful_shutdown_answers_open_and_new_requests() {
     let discovery = Discovery::start();
     let endpoint = Endpoint::start(|_| Reply::Later(Duration::from_millis(700), b"late".to_vec()));
     let mut sidecar = Sidecar::start(&discovery, &[("s-1", &endpoint)]);
@@ -670,7 +670,7 @@
 }
 
 #[test]
-fn told_to_stop_it_ends_in_time_though_an_endpoint_says_nothing() {
+fn shutdown_ends_in_time_despite_silent_endpoint() {
     let discovery = Discovery::start();
     let endpoint = Endpoint::start(|_| Reply::Silence);
     let mut sidecar = Sidecar::start(&discovery, &[("s-1", &endpoint)]);
@@ -683,7 +683,7 @@
 }
 
 #[test]
-fn connections_that_say_nothing_keep_out_no_request() {
+fn silent_connections_do_not_block_requests() {
     let discovery = Discovery::start();
     let endpoint = Endpoint::start(|_| ok("served"));
     let sidecar = Sidecar::start_with(&discovery, &[("s-1", &endpoint)], 1024, 64);
@@ -693,7 +693,7 @@
 }
 
 #[test]
-fn it_survives_a_want_of_descriptors() {
+fn survives_shortage_of_descriptors() {
     let discovery = Discovery::start();
     let endpoint = Endpoint::start(|_| ok("served"));
     let sidecar = Sidecar::start_with(&discovery, &[("s-1", &endpoint)], 24, 1024);
@@ -706,7 +706,7 @@
 }
 
 #[test]
-fn a_configuration_that_cannot_be_used_ends_it_with_one_plain_line() {
+fn invalid_configuration_ends_start_with_one_line() {
     let address = "127.0.0.1:9".parse().expect("an address");
     let good = config(address, address, "null");
     let texts = ["", "{}", &good.replace("\"side_effect\"", "\"odd\""), &good.replace("1024", "3")];
--- a/crates/sidecar/tests/streaming/mod.rs
+++ b/crates/sidecar/tests/streaming/mod.rs
@@ -35,7 +35,7 @@
 }
 
 #[test]
-fn bodies_and_answers_of_any_size_and_framing_pass_unchanged() {
+fn forwards_bodies_of_any_size_and_framing() {
     let discovery = Discovery::start();
     // What was asked comes back, framed as it came.
     let endpoint = Endpoint::start(|message| match message.header("transfer-encoding") {
@@ -73,7 +73,7 @@
 
 // Clients may write in pieces of any size, and the end of the head in several.
 #[test]
-fn a_head_whose_end_comes_in_pieces_is_seen_to_have_ended() {
+fn recognises_end_of_head_received_in_pieces() {
     let discovery = Discovery::start();
     let endpoint = Endpoint::start(|_| Reply::Answer(200, "", b"ok".to_vec()));
     let sidecar = Sidecar::start(&discovery, &[("s-1", &endpoint)]);
@@ -92,7 +92,7 @@
 
 // Each would take more than the sidecar may have, all of them 20 times as much.
 #[test]
-fn slow_readers_and_slow_endpoints_take_no_memory() {
+fn slow_readers_and_endpoints_use_bounded_memory() {
     let discovery = Discovery::start();
     let body = bytes(LARGE);
     let answer = body.clone();
@@ -145,7 +145,7 @@
 }
 
 #[test]
-fn an_answer_that_breaks_off_on_its_way_does_not_look_whole() {
+fn truncated_streamed_answer_is_recognisable_to_client() {
     let half = bytes(300_000);
     for (lines, close, old) in [
         ("Content-Length: 600000\r\n", false, false),
@@ -188,7 +188,7 @@
 
 // Beyond what is kept it is gone, and what is gone can't go out again. It has surely not run.
 #[test]
-fn a_large_body_goes_out_again_only_while_all_of_it_is_there() {
+fn retries_large_body_only_while_completely_buffered() {
     let discovery = Discovery::start();
     let (refusing, good) = (unused_address(), Endpoint::start(|_| Reply::Answer(200, "", Vec::new())));
     let sidecar = Sidecar::start(&discovery, &[("s-1", &good)]);
@@ -220,7 +220,7 @@
 
 // For longer than the time of a whole head, and its own time counts from its end.
 #[test]
-fn a_client_may_take_its_time_for_a_body_but_not_fall_silent() {
+fn accepts_slow_body_but_rejects_stalled_one() {
     let discovery = Discovery::start();
     let endpoint = Endpoint::start(|message| Reply::Answer(200, "", message.body.len().to_string().into()));
     let sidecar = Sidecar::start(&discovery, &[("s-1", &endpoint)]);
@@ -249,7 +249,7 @@
 
 // One that may go on for long. The rest comes when the client has the first of it.
 #[test]
-fn an_answer_of_unknown_length_that_comes_slowly_is_passed_on_before_its_end() {
+fn streams_slow_answer_of_unknown_length() {
     let discovery = Discovery::start();
     let endpoint = Endpoint::start(|_| {
         let first = b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n5\r\nfirst\r\n".to_vec();
--- a/crates/sidecar/tests/terms/mod.rs
+++ b/crates/sidecar/tests/terms/mod.rs
@@ -151,7 +151,7 @@
 
 // The hint is one for other callers: what is told meanwhile counts.
 #[test]
-fn a_change_is_followed_after_refusals_that_hint_at_a_long_wait() {
+fn follows_change_after_rejections_with_long_retry_after() {
     for status in ["503 Service Unavailable", "429 Too Many Requests"] {
         let refusal = format!("HTTP/1.1 {status}\r\nRetry-After: 600\r\nContent-Length: 0\r\n\r\n");
         follows_after_fault(3, TOLD, says(&refusal, Then::NextCall));
@@ -159,25 +159,25 @@
 }
 
 #[test]
-fn a_change_is_followed_after_answers_that_are_cut_off() {
+fn follows_change_after_truncated_answers() {
     let half = "HTTP/1.1 200 OK\r\nContent-Length: 900\r\n\r\n{\"index\":2,\"snapshot\":true,\"endpoints\":[";
     follows_after_fault(3, TOLD, says(half, Then::Close));
 }
 
 #[test]
-fn a_change_is_followed_after_answers_that_never_end() {
+fn follows_change_after_endless_answers() {
     let endless = "HTTP/1.1 200 OK\r\nContent-Length: 900000\r\n\r\n{\"index\":2,";
     follows_after_fault(1, TOLD, says(endless, Then::Drip));
 }
 
 // It looks like one without news, and is given up as long after it was opened as what it misses counts as told.
 #[test]
-fn a_change_is_followed_after_watches_that_fall_silent() {
+fn follows_change_after_silent_watches() {
     follows_after_fault(2, TOLD + GRACE, says("", Then::NextCall));
 }
 
 #[test]
-fn a_change_is_followed_after_watches_that_end_at_once() {
+fn follows_change_after_watches_that_end_at_once() {
     follows_after_fault(3, TOLD, says("", Then::Close));
     let nothing = r#"{"index":1,"snapshot":false,"endpoints":[]}"#;
     let nothing = format!("HTTP/1.1 200 OK\r\nContent-Length: {}\r\n\r\n{nothing}", nothing.len());
@@ -185,7 +185,7 @@
 }
 
 #[test]
-fn a_change_is_followed_after_dials_that_hang() {
+fn follows_change_after_hanging_dials() {
     in_all_ways("dials that hang", |_, _, change| {
         let (listener, filler) = full_queue();
         let address = listener.local_addr().expect("an address");
@@ -330,7 +330,7 @@
 // Requests that the endpoint turns away wait to be tried again, each for a time of its own. Those of clients that stay
 // tell that they are.
 #[test]
-fn who_left_a_busy_sidecar_is_not_sent_on_again() {
+fn does_not_forward_requests_of_closed_clients_when_busy() {
     in_each_way(|way, at_once| {
         let discovery = Discovery::start();
         let endpoint = Endpoint::start(|message| match message.header("x-turn") {
@@ -393,7 +393,7 @@
 }
 
 #[test]
-fn a_change_is_followed_and_clients_are_served_though_idle_ones_take_all_descriptors() {
+fn serves_and_follows_changes_while_idle_clients_take_all_descriptors() {
     let plays = [Away::Gone, Away::Silent, Away::Refusing]
         .into_iter()
         .flat_map(|away| ASKED.map(|asked| (away, asked)));
@@ -462,7 +462,7 @@
 
 // Trouble with other clients frees no request of its final answer: up to half a second after its time.
 #[test]
-fn a_request_that_waits_for_memory_has_its_answer_in_time() {
+fn request_waiting_for_memory_is_answered_in_time() {
     let (discovery, endpoint) = (Discovery::start(), Endpoint::start(|_| Reply::Answer(200, "", Vec::new())));
     let little = |config: String| config.replace("\"memory_mb\":192", "\"memory_mb\":16");
     let sidecar = Sidecar::start_as(&discovery, &[("s-1", &endpoint)], 1024, little);
@@ -481,7 +481,7 @@
 
 // Owed an error or a close within 3 s of connecting, also where its head came late.
 #[test]
-fn who_stops_in_the_middle_of_a_body_is_turned_away_within_3_s_of_connecting() {
+fn rejects_stalled_body_within_3_s_of_connecting() {
     let (discovery, endpoint) = (Discovery::start(), Endpoint::start(|_| Reply::Answer(200, "", Vec::new())));
     let sidecar = Sidecar::start(&discovery, &[("s-1", &endpoint)]);
     let (connected, mut stranger) = (Instant::now(), sidecar.connect());
