--- a/crates/sidecar/src/endpoint_list.rs
+++ b/crates/sidecar/src/endpoint_list.rs
@@ -85,3 +85,6 @@
 fn default_weight() -> f64 {
     1.0
 }
+
+#[cfg(test)]
+mod tests;
--- a/crates/sidecar/src/state_file.rs
+++ b/crates/sidecar/src/state_file.rs
@@ -178,3 +178,6 @@
         }
     }
 }
+
+#[cfg(test)]
+mod tests;
--- a/crates/sidecar/src/upstream/tests.rs
+++ b/crates/sidecar/src/upstream/tests.rs
@@ -8,7 +8,10 @@
 use hyper::header::HeaderMap;
 use hyper::{Method, Uri};
 use lotusmoor_balancer::Outcome;
+use std::collections::HashMap;
 use std::net::SocketAddr;
+use tokio::io::AsyncReadExt;
+use tokio::sync::mpsc;
 
 #[tokio::test]
 async fn closes_idle_connection_for_a_new_one_or_does_not_dial() {
@@ -52,39 +55,52 @@
     (listener, address, filler)
 }
 
-// A connection may come up seconds after it was asked for. Whatever has changed meanwhile, nothing is written then
-// that may not go any more; the connection is kept where it may serve another request.
-#[tokio::test]
-async fn late_connection_carries_only_sends_that_are_still_permitted() {
-    type Change = fn(&Endpoint, &Rc<OutgoingRequest>, &mut Option<std::net::TcpStream>);
-    let changes: [(&str, bool, Change); 8] = [
-        ("nothing has changed", true, |_, _, _| {}),
-        ("its request is answered", true, |_, out, _| out.lifecycle.complete()),
-        ("its client has left", true, |_, _, client| drop(client.take())),
-        ("the window for its repeat is over", true, |_, _, _| {}),
-        ("its endpoint is leaving", false, |e, _, _| e.set(e.address.get(), false, 0)),
-        ("its endpoint was taken out, and given back since", false, |e, _, _| {
-            e.cordon(true);
-            e.cordon(false);
-        }),
-        ("its endpoint has moved", false, |e, _, _| {
-            let here = e.address.get();
-            e.set(here.map(|a| SocketAddr::new(a.ip(), 9)), true, 0);
-            e.set(here, true, 0);
-        }),
-        ("its endpoint is another process, which is cold", false, |e, _, _| e.set(e.address.get(), true, 7)),
-    ];
-    let (inputs, mut ended) = Inputs::new();
-    let mut cases = Vec::new();
-    let clients = tokio::net::TcpListener::bind("127.0.0.1:0").await.expect("a free port");
-    let local = tokio::task::LocalSet::new();
-    for (number, (what, kept, change)) in changes.into_iter().enumerate() {
+type Change = fn(&Endpoint, &Rc<OutgoingRequest>, &mut Option<std::net::TcpStream>);
+
+/// What changes while a connection is being made, and whether the connection is still of use then.
+const CHANGES: [(&str, bool, Change); 8] = [
+    ("nothing has changed", true, |_, _, _| {}),
+    ("its request is answered", true, |_, out, _| out.lifecycle.complete()),
+    ("its client has left", true, |_, _, client| drop(client.take())),
+    ("the window for its repeat is over", true, |_, _, _| {}),
+    ("its endpoint is leaving", false, |e, _, _| e.set(e.address.get(), false, 0)),
+    ("its endpoint was taken out, and given back since", false, |e, _, _| {
+        e.cordon(true);
+        e.cordon(false);
+    }),
+    ("its endpoint has moved", false, |e, _, _| {
+        let here = e.address.get();
+        e.set(here.map(|a| SocketAddr::new(a.ip(), 9)), true, 0);
+        e.set(here, true, 0);
+    }),
+    ("its endpoint is another process, which is cold", false, |e, _, _| e.set(e.address.get(), true, 7)),
+];
+
+/// An attempt whose connection has not come up yet.
+struct LateAttempt {
+    what: &'static str,
+    reusable: bool,
+    number: usize,
+    listener: std::net::TcpListener,
+    endpoint: Rc<Endpoint>,
+    upstream: Rc<Upstream>,
+    attempting: tokio::task::JoinHandle<()>,
+    /// Held open.
+    _client: (Option<std::net::TcpStream>, Rc<tokio::net::TcpStream>, Rc<OutgoingRequest>),
+}
+
+impl LateAttempt {
+    /// Begins an attempt, makes the change while its connection is being made, and lets that come up.
+    async fn begin(
+        number: usize,
+        (what, reusable, change): (&'static str, bool, Change),
+        clients: &tokio::net::TcpListener,
+        local: &tokio::task::LocalSet,
+        inputs: &Inputs,
+    ) -> Self {
         let (listener, address, filler) = held_up();
-        let upstream = Rc::new(Upstream::new(
-            ResourceLimits { clients: 1, upstream: 1, bodies: MAX_BUFFERED_BYTES },
-            30_000_000,
-            0,
-        ));
+        let limits = ResourceLimits { clients: 1, upstream: 1, bodies: MAX_BUFFERED_BYTES };
+        let upstream = Rc::new(Upstream::new(limits, 30_000_000, 0));
         let endpoint = upstream.endpoint(0);
         endpoint.set(Some(address), true, 0);
         let client =
@@ -104,41 +120,59 @@
         assert!(!attempting.is_finished(), "{what}");
         change(&endpoint, &out, &mut client);
         drop(filler);
-        cases.push((what, kept, listener, endpoint, out, client, accepted, attempting, upstream));
+        let _client = (client, accepted, out);
+        Self { what, reusable, number, listener, endpoint, upstream, attempting, _client }
+    }
+
+    /// Checks what was written to the connection, and what became of it.
+    async fn check(self, ends: &mut HashMap<u64, Outcome>, ended: &mut mpsc::UnboundedReceiver<Input>) {
+        let (what, number) = (self.what, self.number as u64);
+        // The filler's, and the one that was late.
+        self.listener.set_nonblocking(true).expect("it can");
+        let listener = tokio::net::TcpListener::from_std(self.listener).expect("a listener");
+        drop(listener.accept().await.expect("a connection"));
+        let (mut late, _) = listener.accept().await.expect("a connection");
+        if number == 0 {
+            let mut seen = [0; 4];
+            late.read_exact(&mut seen).await.expect("a request");
+            assert_eq!(&seen, b"POST", "{what}");
+            self.attempting.abort();
+            return;
+        }
+        self.attempting.await.expect("no panic");
+        // They end in any order.
+        while !ends.contains_key(&number) {
+            let Some(Input::AttemptEnded(end)) = ended.recv().await else {
+                panic!("{what}: it has not ended")
+            };
+            ends.insert(end.request, end.outcome);
+        }
+        assert_eq!(ends[&number], Outcome::NotSent, "{what}");
+        let idle = self.endpoint.idle.borrow().len();
+        assert_eq!(idle, usize::from(self.reusable), "{what}");
+        self.endpoint.close_idle();
+        drop(self.upstream);
+        let mut seen = Vec::new();
+        late.read_to_end(&mut seen).await.expect("it was closed");
+        assert!(seen.is_empty(), "{what}: {seen:?}");
+    }
+}
+
+// A connection may come up seconds after it was asked for. Whatever has changed meanwhile, nothing is written then
+// that may not be sent any more; the connection is kept where it may serve another request.
+#[tokio::test]
+async fn late_connection_carries_only_sends_that_are_still_permitted() {
+    let (inputs, mut ended) = Inputs::new();
+    let clients = tokio::net::TcpListener::bind("127.0.0.1:0").await.expect("a free port");
+    let local = tokio::task::LocalSet::new();
+    let mut attempts = Vec::new();
+    for (number, change) in CHANGES.into_iter().enumerate() {
+        attempts.push(LateAttempt::begin(number, change, &clients, &local, &inputs).await);
     }
-    let mut ends = std::collections::HashMap::new();
+    let mut ends = HashMap::new();
     let all = async {
-        for (number, (what, kept, listener, endpoint, _, _, _, attempting, upstream)) in
-            cases.into_iter().enumerate()
-        {
-            // The filler's, and the one that was late.
-            listener.set_nonblocking(true).expect("it can");
-            let listener = tokio::net::TcpListener::from_std(listener).expect("a listener");
-            drop(listener.accept().await.expect("a connection"));
-            let (mut late, _) = listener.accept().await.expect("a connection");
-            if number == 0 {
-                let mut seen = [0; 4];
-                tokio::io::AsyncReadExt::read_exact(&mut late, &mut seen).await.expect("a request");
-                assert_eq!(&seen, b"POST", "{what}");
-                attempting.abort();
-                continue;
-            }
-            attempting.await.expect("no panic");
-            // They end in any order.
-            while !ends.contains_key(&(number as u64)) {
-                let Some(Input::AttemptEnded(end)) = ended.recv().await else {
-                    panic!("{what}: it has not ended")
-                };
-                ends.insert(end.request, end.outcome);
-            }
-            assert_eq!(ends[&(number as u64)], Outcome::NotSent, "{what}");
-            let idle = endpoint.idle.borrow().len();
-            assert_eq!(idle, usize::from(kept), "{what}");
-            endpoint.close_idle();
-            drop(upstream);
-            let mut seen = Vec::new();
-            tokio::io::AsyncReadExt::read_to_end(&mut late, &mut seen).await.expect("it was closed");
-            assert!(seen.is_empty(), "{what}: {seen:?}");
+        for attempt in attempts {
+            attempt.check(&mut ends, &mut ended).await;
         }
     };
     local.run_until(all).await;
