--- a/crates/sidecar/src/client_liveness/tests.rs
+++ b/crates/sidecar/src/client_liveness/tests.rs
@@ -39,7 +39,7 @@
         let liveness = ClientLiveness::of(&stream);
         assert!(liveness.is_quiet());
         client.write_all(unread).expect("it is taken");
-        let _stays = (!leaves).then_some(client);
+        let _open_client = (!leaves).then_some(client);
         assert!(!liveness.is_quiet(), "{} bytes unread, leaves: {leaves}", unread.len());
     }
 }
--- a/crates/sidecar/src/connection/tests.rs
+++ b/crates/sidecar/src/connection/tests.rs
@@ -58,16 +58,16 @@
 async fn does_not_write_request_whose_permit_was_revoked_before_first_byte() {
     let listener = std::net::TcpListener::bind("127.0.0.1:0").expect("a free port");
     let address = listener.local_addr().expect("an address");
-    for asked_before in [0, 1] {
+    for checks_before in [0, 1] {
         let mut connection = Connection::open(address).await.expect("it connects");
         let (mut peer, _) = listener.accept().expect("a connection");
-        let asked = Cell::new(0);
-        let progress = gated(move || asked.replace(asked.get() + 1) < asked_before);
-        assert_eq!(progress.may_write(), asked_before > 0);
+        let checks = Cell::new(0);
+        let progress = gated(move || checks.replace(checks.get() + 1) < checks_before);
+        assert_eq!(progress.may_write(), checks_before > 0);
         let request = Request::new(RequestBody::new(Bytes::new(), None, progress.clone()));
         // Written, it would never be answered.
-        let asking = connection.request(request, progress.clone());
-        let answer = tokio::time::timeout(Duration::from_secs(10), asking).await.expect("it was written");
+        let exchange = connection.request(request, progress.clone());
+        let answer = tokio::time::timeout(Duration::from_secs(10), exchange).await.expect("it was written");
         assert!(answer.is_err() && progress.is_denied() && !progress.has_begun() && !connection.is_broken());
         drop(connection);
         let mut seen = Vec::new();
@@ -83,10 +83,10 @@
     assert!(progress.may_write() && !progress.has_begun());
     progress.record_written(b"G");
     assert!(progress.may_write());
-    let held = Rc::new(());
-    let holds = Rc::clone(&held);
+    let permit_state = Rc::new(());
+    let holds = Rc::clone(&permit_state);
     let progress = gated(move || Rc::strong_count(&holds) > 0);
-    assert_eq!(Rc::strong_count(&held), 2);
+    assert_eq!(Rc::strong_count(&permit_state), 2);
     progress.record_written(b"G");
-    assert_eq!(Rc::strong_count(&held), 1);
+    assert_eq!(Rc::strong_count(&permit_state), 1);
 }
--- a/crates/sidecar/src/endpoint_list.rs
+++ b/crates/sidecar/src/endpoint_list.rs
@@ -16,7 +16,7 @@
     /// The readable entries.
     pub endpoints: Vec<ListedEndpoint>,
     /// What is wrong with the first unreadable entry.
-    pub unreadable: Option<String>,
+    pub unreadable: Option<serde_json::Error>,
 }
 
 /// The same before its entries are decoded.
@@ -36,7 +36,7 @@
         for entry in encoded.endpoints {
             match serde_json::from_str(entry.get()) {
                 Ok(endpoint) => list.endpoints.push(endpoint),
-                Err(e) => drop(list.unreadable.get_or_insert_with(|| e.to_string())),
+                Err(e) => drop(list.unreadable.get_or_insert(e)),
             }
         }
         list
--- a/crates/sidecar/src/endpoint_list/tests.rs
+++ b/crates/sidecar/src/endpoint_list/tests.rs
@@ -7,7 +7,8 @@
         {"name":"s-2","status":"active"},
         {"name":"s-3","status":"left"}]}"#;
     let list: ListMessage = serde_json::from_str(text).expect("a list");
-    assert_eq!((list.index, list.snapshot, list.unreadable), (7, true, None));
+    assert_eq!((list.index, list.snapshot), (7, true));
+    assert!(list.unreadable.is_none());
     let [first, second, third] = &list.endpoints[..] else { panic!("three entries") };
     assert_eq!((first.name.as_str(), first.status), ("s-1", ListedStatus::Draining));
     assert_eq!((first.zone.as_deref(), first.machine_type.as_deref()), (Some("a"), Some("m")));
--- a/crates/sidecar/src/engine.rs
+++ b/crates/sidecar/src/engine.rs
@@ -12,8 +12,8 @@
 use crate::config::Config;
 use crate::discovery::{self, DiscoveryCommand};
 use crate::endpoint_list::ListMessage;
-use crate::engine_input::{Answer, Input, Inputs};
-use crate::gossip::GossipSocket;
+use crate::engine_input::{Answer, HealthCheckResult, Input, Inputs, QueuedDatagram};
+use crate::gossip::{Datagram, GossipSocket};
 use crate::log::{ThrottledLog, log_line};
 use crate::resource_limits::ResourceLimits;
 use crate::roster::{self, Standing};
@@ -159,14 +159,12 @@
 
     fn handle_input(&mut self, input: Input) {
         match input {
-            Input::Request(request, outgoing, reply) => {
-                self.requests.insert(request.id, OpenRequest { reply, outgoing, attempts: 0 });
-                self.deliver(Event::RequestReceived(request));
-            }
+            Input::Request(submission) => self.open(submission),
             Input::Abandoned(id) => self.abandon(id),
-            Input::BodyReceived(id, deadline) => self.body_received(id, deadline),
+            Input::BodyReceived { request, deadline } => self.body_received(request, deadline),
             Input::AttemptEnded(result) => self.attempt_ended(result),
-            Input::HealthCheckEnded(endpoint, outcome, duration, load_report) => {
+            Input::HealthCheckEnded(result) => {
+                let HealthCheckResult { endpoint, outcome, duration, load: load_report } = result;
                 self.deliver(Event::HealthCheckEnded { endpoint, outcome, duration, load_report });
             }
             Input::ListReceived(list) => self.list_received(list),
@@ -174,13 +172,16 @@
                 self.bad_input_log.line(format_args!("discovery: {error}"));
                 self.deliver(Event::EndpointList(EndpointListUpdate::Failed));
             }
-            Input::SetCordoned(names, done) => {
+            Input::SetCordoned { names, done } => {
                 self.set_cordoned(names);
                 // The caller may have given up waiting.
                 let _ = done.send(());
             }
-            Input::IsKnown(name, answer) => drop(answer.send(self.endpoints.is_known(&name))),
-            Input::Datagram(from, bytes, _permit) => self.deliver(Event::PeerMessage { from, bytes }),
+            Input::IsKnown { name, answer } => drop(answer.send(self.endpoints.is_known(&name))),
+            Input::Datagram(QueuedDatagram { datagram, _permit }) => {
+                let Datagram { from, bytes } = datagram;
+                self.deliver(Event::PeerMessage { from, bytes });
+            }
         }
     }
 
@@ -276,9 +277,9 @@
 async fn receive_gossip(gossip: GossipSocket, inputs: Inputs) {
     let queue = Arc::new(Semaphore::new(MAX_QUEUED_DATAGRAMS));
     loop {
-        let (from, bytes) = gossip.receive().await;
+        let datagram = gossip.receive().await;
         if let Ok(permit) = Arc::clone(&queue).try_acquire_owned() {
-            inputs.send(Input::Datagram(from, bytes, permit));
+            inputs.send(Input::Datagram(QueuedDatagram { datagram, _permit: permit }));
         }
     }
 }
--- a/crates/sidecar/src/engine/attempts.rs
+++ b/crates/sidecar/src/engine/attempts.rs
@@ -2,8 +2,8 @@
 
 use super::Engine;
 use super::clock::to_duration;
-use super::in_flight::{AttemptKey, InFlightAttempt, SendDecision};
-use crate::engine_input::{Answer, AttemptResult};
+use super::in_flight::{AttemptKey, InFlightAttempt, OpenRequest, SendDecision};
+use crate::engine_input::{Answer, AttemptResult, Submission};
 use crate::metrics::{AttemptOutcome, RequestOutcome};
 use crate::upstream::Grant;
 use lotusmoor_balancer::{AttemptEnd, Event, LoadReport, Micros, Outcome, RequestId};
@@ -12,6 +12,13 @@
 use tokio::time::Instant;
 
 impl Engine {
+    /// Opens a request.
+    pub(super) fn open(&mut self, submission: Submission) {
+        let Submission { request, outgoing, reply } = submission;
+        self.requests.insert(request.id, OpenRequest { reply, outgoing, attempts: 0 });
+        self.deliver(Event::RequestReceived(request));
+    }
+
     /// Starts an attempt.
     pub(super) fn send(&mut self, decision: SendDecision) {
         let SendDecision { request, endpoint, timeout, idempotency_window } = decision;
--- a/crates/sidecar/src/engine/handle.rs
+++ b/crates/sidecar/src/engine/handle.rs
@@ -2,7 +2,7 @@
 
 use super::clock::Clock;
 use crate::discovery::DiscoveryCommand;
-use crate::engine_input::{Answer, Input, Inputs};
+use crate::engine_input::{Answer, Input, Inputs, Submission};
 use crate::outgoing_request::OutgoingRequest;
 use lotusmoor_balancer::{Micros, NewRequest, RequestId};
 use std::cell::Cell;
@@ -50,14 +50,14 @@
     /// Cordons these endpoints, and no others. Returns once that is in effect.
     pub async fn set_cordoned(&self, names: BTreeSet<String>) {
         let (done, in_effect) = oneshot::channel();
-        self.inputs.send(Input::SetCordoned(names, done));
+        self.inputs.send(Input::SetCordoned { names, done });
         let _ = in_effect.await;
     }
 
     /// Whether an endpoint of that name is listed.
     pub async fn is_known(&self, name: &str) -> bool {
         let (answer, known) = oneshot::channel();
-        self.inputs.send(Input::IsKnown(name.to_owned(), answer));
+        self.inputs.send(Input::IsKnown { name: name.to_owned(), answer });
         known.await.unwrap_or(false)
     }
 
@@ -65,9 +65,11 @@
     pub fn submit(&self, request: NewRequest, outgoing: OutgoingRequest) -> PendingResponse {
         let id = self.last_request.get() + 1;
         self.last_request.set(id);
-        let (sender, answer) = oneshot::channel();
+        let (reply, answer) = oneshot::channel();
         let outgoing = Rc::new(outgoing);
-        self.inputs.send(Input::Request(NewRequest { id, ..request }, Rc::clone(&outgoing), sender));
+        let request = NewRequest { id, ..request };
+        let submission = Submission { request, outgoing: Rc::clone(&outgoing), reply };
+        self.inputs.send(Input::Request(submission));
         PendingResponse { id, outgoing, answer, answered: false, inputs: self.inputs.clone() }
     }
 }
@@ -84,7 +86,7 @@
 impl PendingResponse {
     /// Reports that the last byte of the request was received, and its deadline.
     pub fn body_received(&self, deadline: Micros) {
-        self.inputs.send(Input::BodyReceived(self.id, deadline));
+        self.inputs.send(Input::BodyReceived { request: self.id, deadline });
     }
 
     /// Waits for the answer.
--- a/crates/sidecar/src/engine_input.rs
+++ b/crates/sidecar/src/engine_input.rs
@@ -2,6 +2,7 @@
 
 use crate::body::AnswerBody;
 use crate::endpoint_list::ListMessage;
+use crate::gossip::Datagram;
 use crate::memory_budget::MemoryReservation;
 use crate::outgoing_request::OutgoingRequest;
 use hyper::StatusCode;
@@ -48,28 +49,73 @@
     pub load: LoadReport,
 }
 
+/// A client's request, as it is submitted.
+pub struct Submission {
+    /// The request.
+    pub request: NewRequest,
+    /// What is sent to endpoints.
+    pub outgoing: Rc<OutgoingRequest>,
+    /// Where its answer goes.
+    pub reply: oneshot::Sender<Answer>,
+}
+
+/// How a health check ended.
+pub struct HealthCheckResult {
+    /// The number of the endpoint.
+    pub endpoint: usize,
+    /// The outcome.
+    pub outcome: Outcome,
+    /// How long it took.
+    pub duration: Micros,
+    /// The load report that came along.
+    pub load: LoadReport,
+}
+
+/// A datagram from a peer that waits to be handled.
+pub struct QueuedDatagram {
+    /// The datagram.
+    pub datagram: Datagram,
+    /// Its place in the queue.
+    pub _permit: OwnedSemaphorePermit,
+}
+
 /// What the sockets report to the engine.
 pub enum Input {
-    /// A client's request, what is sent to endpoints, and where its answer goes.
-    Request(NewRequest, Rc<OutgoingRequest>, oneshot::Sender<Answer>),
+    /// A client submits a request.
+    Request(Submission),
     /// The client of a request has closed its connection, or the deadline has passed without an answer.
     Abandoned(RequestId),
-    /// The last byte of a request with a streamed body was received; its deadline.
-    BodyReceived(RequestId, Micros),
+    /// The last byte of a request with a streamed body was received.
+    BodyReceived {
+        /// The request.
+        request: RequestId,
+        /// Its deadline, which counts from then.
+        deadline: Micros,
+    },
     /// An attempt ended.
     AttemptEnded(AttemptResult),
-    /// A health check of an endpoint ended, after that time.
-    HealthCheckEnded(usize, Outcome, Micros, LoadReport),
+    /// A health check ended.
+    HealthCheckEnded(HealthCheckResult),
     /// Discovery answered.
     ListReceived(ListMessage),
     /// A poll of discovery failed.
     ListFailed(Box<dyn Error>),
-    /// Operators cordon these endpoints, and no others; notified once that is in effect.
-    SetCordoned(BTreeSet<String>, oneshot::Sender<()>),
-    /// Whether an endpoint of that name is listed.
-    IsKnown(String, oneshot::Sender<bool>),
+    /// Operators cordon these endpoints, and no others.
+    SetCordoned {
+        /// Their names.
+        names: BTreeSet<String>,
+        /// Notified once that is in effect.
+        done: oneshot::Sender<()>,
+    },
+    /// Operators ask whether an endpoint is listed.
+    IsKnown {
+        /// Its name.
+        name: String,
+        /// Where the answer goes.
+        answer: oneshot::Sender<bool>,
+    },
     /// A datagram from a peer.
-    Datagram(u32, Vec<u8>, OwnedSemaphorePermit),
+    Datagram(QueuedDatagram),
 }
 
 /// Sends inputs to the engine. The channel is unbounded: the connections, attempts, polls and datagrams that send are
--- a/crates/sidecar/src/gossip.rs
+++ b/crates/sidecar/src/gossip.rs
@@ -12,6 +12,14 @@
 /// Longest datagram, in bytes.
 const MAX_DATAGRAM_BYTES: usize = 256;
 
+/// A datagram from a peer.
+pub struct Datagram {
+    /// The peer's number.
+    pub from: u32,
+    /// Its contents.
+    pub bytes: Vec<u8>,
+}
+
 /// The socket to the other sidecars of the tier.
 #[derive(Clone)]
 pub struct GossipSocket {
@@ -39,8 +47,8 @@
         }
     }
 
-    /// Receives the next datagram from a known peer, with the peer's number. Others are dropped.
-    pub async fn receive(&self) -> (u32, Vec<u8>) {
+    /// Receives the next datagram from a known peer. Others are dropped.
+    pub async fn receive(&self) -> Datagram {
         // One byte more shows that a datagram is too long.
         let mut bytes = [0; MAX_DATAGRAM_BYTES + 1];
         loop {
@@ -51,7 +59,7 @@
             };
             let number = self.peers.iter().position(|address| *address == from);
             if let Some(number) = number.filter(|_| length <= MAX_DATAGRAM_BYTES) {
-                return (number as u32, bytes[..length].to_vec());
+                return Datagram { from: number as u32, bytes: bytes[..length].to_vec() };
             }
         }
     }
--- a/crates/sidecar/src/send_gate/tests.rs
+++ b/crates/sidecar/src/send_gate/tests.rs
@@ -81,18 +81,18 @@
     assert_eq!(before(), [1, 1, 1, 0]);
     one.end();
     two.end();
-    let again = send(&twice, None, None);
-    again.begin();
+    let third = send(&twice, None, None);
+    third.begin();
     assert_eq!(before(), [1, 1, 1, 0], "the one before is over");
     let due = lifecycle();
     due.set_earliest_deadline(Instant::now() + Duration::from_secs(1));
-    let told = send(&due, None, None);
-    told.advertise_wait(Duration::from_millis(1100));
-    told.begin();
+    let timed = send(&due, None, None);
+    timed.advertise_wait(Duration::from_millis(1100));
+    timed.begin();
     assert_eq!(before(), [1, 1, 1, 0], "within the slack");
-    let told = send(&due, None, None);
-    told.advertise_wait(Duration::from_millis(1300));
-    told.begin();
+    let timed = send(&due, None, None);
+    timed.advertise_wait(Duration::from_millis(1300));
+    timed.begin();
     assert_eq!(before()[3], 1);
     // Its body flows on, and an attempt may last until long after it has come; its client waits no longer for that.
     let flows = RequestLifecycle::new(b"1", None, true);
@@ -100,9 +100,9 @@
     flows.set_earliest_deadline(now + wait);
     let left = flows.advertised_wait(now + body);
     assert!(left <= wait && left > wait / 2, "{left:?}");
-    let told = send(&flows, None, None);
-    told.advertise_wait(Duration::from_secs(2));
-    told.begin();
+    let timed = send(&flows, None, None);
+    timed.advertise_wait(Duration::from_secs(2));
+    timed.begin();
     assert_eq!(before()[3], 2);
 }
 
--- a/crates/sidecar/src/upstream/attempt.rs
+++ b/crates/sidecar/src/upstream/attempt.rs
@@ -6,7 +6,7 @@
 use super::grant::Grant;
 use super::timing::STALL;
 use crate::body::{BodyStream, MAX_BODY_BYTES};
-use crate::engine_input::{AttemptResult, Input, Inputs};
+use crate::engine_input::{AttemptResult, HealthCheckResult, Input, Inputs};
 use crate::outgoing_request::OutgoingRequest;
 use crate::request_lifecycle::RequestLifecycle;
 use crate::send_gate::{GatedSend, SendGuard, SendPermit};
@@ -108,7 +108,8 @@
             Err(_) => (Outcome::TimedOut, LoadReport::default()),
         };
         let duration = Micros::try_from(start.elapsed().as_micros()).unwrap_or(Micros::MAX);
-        inputs.send(Input::HealthCheckEnded(id, outcome, duration, load));
+        let result = HealthCheckResult { endpoint: id, outcome, duration, load };
+        inputs.send(Input::HealthCheckEnded(result));
     }
 }
 
--- a/crates/sidecar/src/upstream/pool.rs
+++ b/crates/sidecar/src/upstream/pool.rs
@@ -3,7 +3,7 @@
 use super::Upstream;
 use super::endpoint::{Endpoint, SendPermission};
 use super::pooled_connection::{IdleConnection, PooledConnection};
-use super::timing::REST;
+use super::timing::SETTLE_TIME;
 use crate::connection::{Connection, socket_for};
 use crate::io_failure::IoFailure;
 use lotusmoor_balancer::Outcome;
@@ -13,14 +13,14 @@
 use tokio::time::{Instant, sleep_until, timeout};
 
 impl Upstream {
-    /// The most recently used idle connection that has rested and is still usable, and how long it was idle. The others
+    /// The most recently used idle connection that has settled and is still usable, and how long it was idle. The others
     /// may then grow old and be closed.
     pub(super) fn reuse(&self, endpoint: &Endpoint) -> Option<(PooledConnection, Duration)> {
         let bound = self.idle_bound.borrow_mut().get(Instant::now());
         let mut idle = endpoint.idle.borrow_mut();
         loop {
-            let rested = idle.iter().rposition(|idle| idle.since.elapsed() >= REST)?;
-            let IdleConnection { pooled, since } = idle.remove(rested);
+            let settled = idle.iter().rposition(|idle| idle.since.elapsed() >= SETTLE_TIME)?;
+            let IdleConnection { pooled, since } = idle.remove(settled);
             if since.elapsed() < bound && pooled.connection.usable() {
                 return Some((pooled, since.elapsed()));
             }
--- a/crates/sidecar/src/upstream/response.rs
+++ b/crates/sidecar/src/upstream/response.rs
@@ -5,7 +5,7 @@
 use super::exchanged::{AnswerStream, Exchanged};
 use super::load_report::parse_load_report;
 use super::pooled_connection::PooledConnection;
-use super::timing::REST;
+use super::timing::SETTLE_TIME;
 use crate::body::{AnswerBody, MAX_BODY_BYTES, MAX_BUFFERED_BYTES, STREAMING_BYTES};
 use crate::connection::Connection;
 use crate::engine_input::{Answer, ServedAnswer};
@@ -126,7 +126,7 @@
 /// back for half as long as it took to begin.
 fn hold_time(length: Option<usize>, sent: Instant) -> Duration {
     match length {
-        None => sent.elapsed() / 2 + REST,
+        None => sent.elapsed() / 2 + SETTLE_TIME,
         Some(length) if length > MAX_BUFFERED_BYTES => Duration::ZERO,
         Some(_) => Duration::MAX,
     }
--- a/crates/sidecar/src/upstream/tests.rs
+++ b/crates/sidecar/src/upstream/tests.rs
@@ -45,7 +45,7 @@
 }
 
 /// A listener whose queue is full: whoever dials it waits until something is taken out.
-fn held_up() -> (std::net::TcpListener, SocketAddr, std::net::TcpStream) {
+fn unaccepting_listener() -> (std::net::TcpListener, SocketAddr, std::net::TcpStream) {
     let socket = socket2::Socket::new(socket2::Domain::IPV4, socket2::Type::STREAM, None).expect("a socket");
     let any: SocketAddr = "127.0.0.1:0".parse().expect("an address");
     socket.bind(&any.into()).and_then(|()| socket.listen(0)).expect("a free port");
@@ -98,7 +98,7 @@
         local: &tokio::task::LocalSet,
         inputs: &Inputs,
     ) -> Self {
-        let (listener, address, filler) = held_up();
+        let (listener, address, filler) = unaccepting_listener();
         let limits = ResourceLimits { clients: 1, upstream: 1, bodies: MAX_BUFFERED_BYTES };
         let upstream = Rc::new(Upstream::new(limits, 30_000_000, 0));
         let endpoint = upstream.endpoint(0);
--- a/crates/sidecar/src/upstream/timing.rs
+++ b/crates/sidecar/src/upstream/timing.rs
@@ -2,9 +2,9 @@
 
 use std::time::Duration;
 
-/// How long a connection rests after an answer before it carries the next request. Bytes right behind an answer, a second
+/// How long a connection settles after an answer before it carries the next request. Bytes right behind an answer, a second
 /// copy of it say, have arrived by then, and would otherwise pass for the answer to that request.
-pub(super) const REST: Duration = Duration::from_millis(5);
+pub(super) const SETTLE_TIME: Duration = Duration::from_millis(5);
 /// How long an endpoint may send nothing of a streamed answer, or take nothing of a streamed body. Slow progress is
 /// allowed; the protocol counts no client as waiting for longer than this.
 pub const STALL: Duration = Duration::from_secs(3);
--- a/crates/sidecar/tests/answers/mod.rs
+++ b/crates/sidecar/tests/answers/mod.rs
@@ -15,7 +15,11 @@
     });
     let sidecar = Sidecar::start(&discovery, &[("s-1", &endpoint)]);
     for headers in ["X-Long: 1\r\n", ""] {
-        assert_eq!(sidecar.ask(&request("book", headers, "")).expect("an answer").status(), 502, "{headers}");
+        assert_eq!(
+            sidecar.exchange(&request("book", headers, "")).expect("an answer").status(),
+            502,
+            "{headers}"
+        );
     }
 }
 
@@ -27,7 +31,7 @@
         || Reply::AnswerAndClose(503, "X-Unprocessed: 1\r\nContent-Length: 9\r\nX-Not-", b"half".to_vec());
     let [one, two] = [(); 2].map(|()| Endpoint::start(move |_| half()));
     let sidecar = Sidecar::start(&discovery, &[("s-1", &one), ("s-2", &two)]);
-    assert_eq!(sidecar.ask(&request("book", "", "{}")).expect("an answer").status(), 502);
+    assert_eq!(sidecar.exchange(&request("book", "", "{}")).expect("an answer").status(), 502);
     assert_eq!(one.requests() + two.requests(), 1);
 }
 
@@ -49,11 +53,11 @@
         let answer = format!("HTTP/1.1 {head}");
         let endpoint = Endpoint::start(move |_| Reply::Raw([answer.as_bytes(), b"hello"].concat(), None));
         let sidecar = Sidecar::start(&discovery, &[("s-1", &endpoint)]);
-        let asked = Instant::now();
-        assert_eq!(sidecar.ask(&request("book", "", "{}")).expect("an answer").status(), 502, "{head}");
+        let submitted = Instant::now();
+        assert_eq!(sidecar.exchange(&request("book", "", "{}")).expect("an answer").status(), 502, "{head}");
         // Its client would wait 19 s.
-        assert!(asked.elapsed() < Duration::from_millis(9500), "{head}");
-        await_that("the connection is of no further use", || endpoint.closed() == 1);
+        assert!(submitted.elapsed() < Duration::from_millis(9500), "{head}");
+        wait_until("the connection is of no further use", || endpoint.closed() == 1);
     }
 }
 
@@ -67,13 +71,13 @@
         None => ok("served"),
     });
     let sidecar = Sidecar::start(&discovery, &[("s-1", &endpoint)]);
-    let ask = |headers| sidecar.ask(&request("book", headers, "")).expect("an answer").status();
+    let exchange = |headers| sidecar.exchange(&request("book", headers, "")).expect("an answer").status();
     // A first answer to go by: the first outcome of all weighs more.
-    for status in [ask(""), ask("")] {
+    for status in [exchange(""), exchange("")] {
         assert_eq!(status, 200);
     }
-    assert_eq!([ask("X-Spoilt: 1\r\n"), ask("X-Spoilt: 1\r\n")], [502, 502]);
-    assert_eq!([(); 5].map(|()| ask("")), [200; 5]);
+    assert_eq!([exchange("X-Spoilt: 1\r\n"), exchange("X-Spoilt: 1\r\n")], [502, 502]);
+    assert_eq!([(); 5].map(|()| exchange("")), [200; 5]);
 }
 
 // A network that breaks idle connections without a word breaks them all, and each tells of it only when it is
@@ -118,7 +122,7 @@
     let mut served = 0;
     // Not learnt, every second one would fail.
     for _ in 0..60 {
-        let answer = sidecar.ask(&request("book", "", "")).expect("an answer");
+        let answer = sidecar.exchange(&request("book", "", "")).expect("an answer");
         served = if answer.status() == 200 { served + 1 } else { 0 };
         if served == 6 {
             return;
@@ -132,16 +136,16 @@
 #[test]
 fn stops_sending_to_endpoint_whose_process_has_ended() {
     let discovery = Discovery::start();
-    let [gone, stays] = [(); 2].map(|()| Endpoint::start(|_| ok("served")));
+    let [failed, healthy] = [(); 2].map(|()| Endpoint::start(|_| ok("served")));
     let refusing = unused_address();
-    let sidecar = Sidecar::start(&discovery, &[("s-1", &gone), ("s-2", &stays)]);
+    let sidecar = Sidecar::start(&discovery, &[("s-1", &failed), ("s-2", &healthy)]);
     discovery.publish(2, list(2, false, &[("s-1", refusing, "active")]));
     discovery.await_watch(2);
     // All of them served; and once the circuit is open, each at its first attempt.
     for _ in 0..20 {
-        assert_eq!(sidecar.ask(&request("look", "", "")).expect("an answer").status(), 200);
+        assert_eq!(sidecar.exchange(&request("look", "", "")).expect("an answer").status(), 200);
     }
-    assert_eq!(stays.requests(), 20);
+    assert_eq!(healthy.requests(), 20);
 }
 
 // What follows an answer is no answer to the next request, whether it is there at once or comes while that is
@@ -167,8 +171,8 @@
     let mut client = sidecar.connect();
     for number in 0..40 {
         let rest = ["early", "noise", "copy", "later"][number % 4];
-        let asked = request("book", &format!("X-Number: {number:04}\r\nX-Rest: {rest}\r\n"), "");
-        client.write_all(asked.as_bytes()).expect("the sidecar takes it");
+        let submitted = request("book", &format!("X-Number: {number:04}\r\nX-Rest: {rest}\r\n"), "");
+        client.write_all(submitted.as_bytes()).expect("the sidecar takes it");
         let answer = read_message(&mut client).expect("an answer");
         assert_eq!((answer.status(), answer.body), (200, format!("{number:04}").into_bytes()), "{rest}");
     }
--- a/crates/sidecar/tests/crossings/discovery.rs
+++ b/crates/sidecar/tests/crossings/discovery.rs
@@ -13,8 +13,8 @@
     let (silent, _filler) = full_queue();
     let mute = Discovery::start();
     mute.mute.store(true, std::sync::atomic::Ordering::SeqCst);
-    let away = [unused_address(), silent.local_addr().expect("an address"), mute.address];
-    for (at, mode) in away.into_iter().flat_map(|at| [(at, "pushed"), (at, "on_request")]) {
+    let addresses = [unused_address(), silent.local_addr().expect("an address"), mute.address];
+    for (at, mode) in addresses.into_iter().flat_map(|at| [(at, "pushed"), (at, "on_request")]) {
         let endpoint = Endpoint::start(served);
         let mut discovery = Discovery::start();
         discovery.address = at;
@@ -23,7 +23,7 @@
             config.replace("\"on_request\"", &format!("\"{mode}\""))
         });
         assert!(began.elapsed() < Duration::from_secs(10), "{:?}", began.elapsed());
-        assert_eq!(sidecar.ask(&request("book", "", "")).expect("an answer").status(), 200);
+        assert_eq!(sidecar.exchange(&request("book", "", "")).expect("an answer").status(), 200);
     }
 }
 
@@ -39,7 +39,7 @@
     // Its answer does not come, whatever is published there.
     second.mute.store(true, std::sync::atomic::Ordering::SeqCst);
     sidecar.reload(&config(sidecar.address, second.address, "null"));
-    await_that("the second is asked", || second.calls().len() == 1);
+    wait_until("the second is asked", || second.calls().len() == 1);
     sidecar.reload(&config(sidecar.address, third.address, "null"));
     third.publish(2, list(2, true, &[("s-new", new.address, "active")]));
     third.await_watch(2);
@@ -49,7 +49,7 @@
     third.publish(3, list(3, false, &[]));
     third.await_watch(3);
     for _ in 0..4 {
-        assert_eq!(sidecar.ask(&request("book", "", "")).expect("an answer").body, b"new");
+        assert_eq!(sidecar.exchange(&request("book", "", "")).expect("an answer").body, b"new");
     }
     assert_eq!((old.requests(), middle.requests(), second.calls().len()), (0, 0, 1));
 }
@@ -71,7 +71,7 @@
         sidecar.reload(&config(sidecar.address, slow.address, "null"));
         thread::sleep(FOLLOWED);
         for _ in 0..4 {
-            assert_eq!(sidecar.ask(&request("look", "", "")).expect("an answer").status(), 200);
+            assert_eq!(sidecar.exchange(&request("look", "", "")).expect("an answer").status(), 200);
         }
         (old.requests(), new.requests())
     };
@@ -94,7 +94,7 @@
     let indented = indented.expect("a list").replace('\n', "\r\n\t");
     discovery.publish(2, indented);
     discovery.await_watch(2);
-    assert_eq!(sidecar.ask(&request("book", "", "")).expect("an answer").status(), 200);
+    assert_eq!(sidecar.exchange(&request("book", "", "")).expect("an answer").status(), 200);
     assert_eq!((old.requests(), new.requests()), (0, 1));
 }
 
@@ -110,25 +110,25 @@
         discovery.publish(2, list(2, false, &[("s-1", address, "active")]));
         discovery.await_watch(2);
         let mut client = sidecar.connect();
-        let asked = request("book", "", "").replace("19000m", "900m");
-        client.write_all(asked.as_bytes()).expect("the sidecar takes it");
+        let submitted = request("book", "", "").replace("19000m", "900m");
+        client.write_all(submitted.as_bytes()).expect("the sidecar takes it");
         let (mut stream, _) = listener.accept().expect("a connection");
         read_message(&mut stream).expect("a request");
         stream.write_all(if ends == "in its head" { &head[..9] } else { head }).expect("it is taken");
         // What was written is there before the reset, which would else overtake it.
         let port = stream.local_addr().expect("an address").port();
-        await_that("it has been read", || unread_from(port) == 0);
+        wait_until("it has been read", || unread_from(port) == 0);
         if ends == "reset" {
             socket2::SockRef::from(&stream).set_linger(Some(Duration::ZERO)).expect("it can");
         }
-        let kept = Some(stream).filter(|_| ends == "never");
-        let came = next(&mut client);
+        let open_stream = Some(stream).filter(|_| ends == "never");
+        let result = next(&mut client);
         match ends {
-            "well" => assert_eq!(came, Next::Status(200)),
+            "well" => assert_eq!(result, Next::Status(200)),
             // Passed on while it came, it breaks off for the client as well.
-            _ => assert!(matches!(came, Next::Status(502) | Next::Reset), "{ends}: {came:?}"),
+            _ => assert!(matches!(result, Next::Status(502) | Next::Reset), "{ends}: {result:?}"),
         }
-        drop(kept);
+        drop(open_stream);
     }
 }
 
@@ -144,7 +144,7 @@
     let _sidecar = Sidecar::start_as(&discovery, &[("s-1", &endpoint)], 1024, pushed);
     // Each dial has a port of its own. By the time that a call may take, the second would come after 6 s.
     let (began, seen) = (Instant::now(), Mutex::new(std::collections::BTreeSet::new()));
-    await_that("it is dialled three times", || {
+    wait_until("it is dialled three times", || {
         let mut seen = seen.lock().expect("no panic");
         seen.extend(diallers(discovery.address));
         seen.len() >= 3
@@ -166,12 +166,12 @@
         let changes = [("s-old", old.address, "leaving"), ("s-new", new.address, "active")];
         discovery.reset();
         if !before {
-            await_that("the watch is open again", || discovery.calls().len() > calls);
+            wait_until("the watch is open again", || discovery.calls().len() > calls);
         }
         discovery.publish(2, list(2, false, &changes));
         discovery.await_watch(2);
         for _ in 0..4 {
-            assert_eq!(sidecar.ask(&request("book", "", "")).expect("an answer").status(), 200);
+            assert_eq!(sidecar.exchange(&request("book", "", "")).expect("an answer").status(), 200);
         }
         assert_eq!((old.requests(), new.requests()), (0, 4), "{mode}");
     }
--- a/crates/sidecar/tests/crossings/mod.rs
+++ b/crates/sidecar/tests/crossings/mod.rs
@@ -15,7 +15,7 @@
 
 /// A connection that has carried a request.
 fn resting(sidecar: &Sidecar) -> TcpStream {
-    let mut client = ask(sidecar, "look");
+    let mut client = send_request(sidecar, "look");
     assert_eq!(read_message(&mut client).expect("an answer").status(), 200);
     client
 }
@@ -57,9 +57,9 @@
 /// longer tells nothing, and is played again.
 fn within<T>(bound: Duration, mut play: impl FnMut() -> (Instant, T)) -> T {
     for _ in 0..20 {
-        let (began, came) = play();
+        let (began, result) = play();
         if began.elapsed() < bound {
-            return came;
+            return result;
         }
     }
     panic!("the machine is too slow to tell");
@@ -82,18 +82,18 @@
 }
 
 /// An endpoint that answers once the gate is open.
-fn held_back() -> (Gate, Endpoint) {
+fn gated_endpoint() -> (Gate, Endpoint) {
     let gate = Gate::default();
-    let held = gate.clone();
+    let endpoint_gate = gate.clone();
     let endpoint = Endpoint::start(move |message| {
-        held.pass();
+        endpoint_gate.pass();
         served(message)
     });
     (gate, endpoint)
 }
 
 /// A client that has asked.
-fn ask(sidecar: &Sidecar, class: &str) -> TcpStream {
+fn send_request(sidecar: &Sidecar, class: &str) -> TcpStream {
     let mut client = sidecar.connect();
     client.write_all(request(class, "", "").as_bytes()).expect("the sidecar takes it");
     client
@@ -101,15 +101,15 @@
 
 /// Clients that take both of the places that an endpoint has at first.
 fn take_places(sidecar: &Sidecar, endpoint: &Endpoint) -> Vec<TcpStream> {
-    let first = (0..2).map(|_| ask(sidecar, "look")).collect();
-    await_that("both places are taken", || endpoint.requests_begun() == 2);
+    let first = (0..2).map(|_| send_request(sidecar, "look")).collect();
+    wait_until("both places are taken", || endpoint.requests_begun() == 2);
     first
 }
 
 /// The ways in which a client leaves: it closes, it resets, and both after bytes that nobody has asked for.
 pub const WAYS: [(bool, &[u8]); 4] = [(false, b""), (true, b""), (false, b"more"), (true, b"more")];
 
-pub fn leave(mut client: TcpStream, (resets, last): (bool, &[u8])) {
+pub fn close_client(mut client: TcpStream, (resets, last): (bool, &[u8])) {
     // The sidecar may have turned it away by now.
     let _ = client.write_all(last);
     if resets {
@@ -125,14 +125,14 @@
         let endpoint = Endpoint::start(served);
         let mut sidecar = Sidecar::start(&discovery, &[("s-1", &endpoint)]);
         let mut client = resting(&sidecar);
-        let asked = request("book", "", "");
+        let submitted = request("book", "", "");
         sidecar.signal("-STOP");
         if !request_first {
             sidecar.signal("-TERM");
         }
-        client.write_all(asked.as_bytes()).expect("the system takes it");
+        client.write_all(submitted.as_bytes()).expect("the system takes it");
         // In the system's queue, accepted by nobody yet.
-        let mut queued = ask(&sidecar, "book");
+        let mut queued = send_request(&sidecar, "book");
         if request_first {
             sidecar.signal("-TERM");
         }
@@ -140,7 +140,7 @@
         assert_eq!(next(&mut queued), Next::Status(200));
         let answer = read_message(&mut client).expect("an answer");
         assert_eq!((answer.status(), answer.header("connection")), (200, Some("close")));
-        assert!(reached(&endpoint, &asked) && await_close(&mut client));
+        assert!(reached(&endpoint, &submitted) && await_close(&mut client));
         assert_eq!(sidecar.process.wait().expect("it ends").code(), Some(0));
     }
 }
@@ -154,9 +154,9 @@
     for ends in ["quiesce", "-TERM"] {
         let discovery = Discovery::start();
         let endpoint = Endpoint::start(served);
-        let asked = within(Duration::from_millis(150), || {
+        let submitted = within(Duration::from_millis(150), || {
             let sidecar = Sidecar::start(&discovery, &[("s-1", &endpoint)]);
-            let (mut client, asked) = (resting(&sidecar), request("book", "", ""));
+            let (mut client, submitted) = (resting(&sidecar), request("book", "", ""));
             if ends == "quiesce" {
                 assert_eq!(sidecar.call(ends), "OK")
             } else {
@@ -164,11 +164,11 @@
             }
             assert_eq!(next(&mut client), Next::End);
             let began = Instant::now();
-            client.write_all(asked.as_bytes()).expect("the system takes it");
-            await_that("the connection is reset", || (&client).write_all(b"x").is_err());
-            (began, asked)
+            client.write_all(submitted.as_bytes()).expect("the system takes it");
+            wait_until("the connection is reset", || (&client).write_all(b"x").is_err());
+            (began, submitted)
         });
-        assert!(!reached(&endpoint, &asked), "{ends}");
+        assert!(!reached(&endpoint, &submitted), "{ends}");
     }
 }
 
@@ -179,16 +179,16 @@
     let endpoint = Endpoint::start(served);
     let sidecar = Sidecar::start(&discovery, &[("s-1", &endpoint)]);
     // The sidecar reads on for 200 ms.
-    let came = within(Duration::from_millis(150), || {
+    let result = within(Duration::from_millis(150), || {
         let mut client = sidecar.connect();
-        let asked = request("book", "Connection: close\r\n", "");
+        let submitted = request("book", "Connection: close\r\n", "");
         let began = Instant::now();
-        client.write_all(asked.as_bytes()).expect("the system takes it");
+        client.write_all(submitted.as_bytes()).expect("the system takes it");
         let answer = next(&mut client);
         let written = client.write_all(b"x").is_ok();
         (began, (answer, next(&mut client), written, next(&mut client)))
     });
-    assert_eq!(came, (Next::Status(200), Next::End, true, Next::End));
+    assert_eq!(result, (Next::Status(200), Next::End, true, Next::End));
 }
 
 // It has just come to ask something, and has nowhere else to go: new connections are still taken after it.
@@ -218,15 +218,19 @@
     let sidecar = Sidecar::start(&discovery, &[("s-1", &endpoint)]);
     let mut seen = [0, 0];
     for round in 0..60 {
-        let (mut client, asked) = (resting(&sidecar), request("book", "", ""));
+        let (mut client, submitted) = (resting(&sidecar), request("book", "", ""));
         thread::scope(|scope| {
             scope.spawn(|| assert_eq!(sidecar.call("quiesce"), "OK"));
             // From before the call to well behind it.
             thread::sleep(Duration::from_micros(50 * round));
-            let came = client.write_all(asked.as_bytes()).map_or(Next::End, |()| next(&mut client));
-            assert_ne!(came, Next::Reset, "round {round}");
-            assert_eq!(reached(&endpoint, &asked), came == Next::Status(200), "round {round}: {came:?}");
-            seen[usize::from(came == Next::End)] += 1;
+            let result = client.write_all(submitted.as_bytes()).map_or(Next::End, |()| next(&mut client));
+            assert_ne!(result, Next::Reset, "round {round}");
+            assert_eq!(
+                reached(&endpoint, &submitted),
+                result == Next::Status(200),
+                "round {round}: {result:?}"
+            );
+            seen[usize::from(result == Next::End)] += 1;
         });
         assert_eq!(sidecar.call("resume"), "OK");
     }
@@ -236,22 +240,22 @@
 #[test]
 fn does_not_forward_queued_request_of_closed_client() {
     let discovery = Discovery::start();
-    let (gate, endpoint) = held_back();
+    let (gate, endpoint) = gated_endpoint();
     let sidecar = Sidecar::start(&discovery, &[("s-1", &endpoint)]);
     let mut first = take_places(&sidecar, &endpoint);
     for way in WAYS {
         (0..5)
-            .map(|_| ask(&sidecar, "book"))
+            .map(|_| send_request(&sidecar, "book"))
             .collect::<Vec<_>>()
             .into_iter()
-            .for_each(|client| leave(client, way));
+            .for_each(|client| close_client(client, way));
     }
     gate.open();
     for client in &mut first {
         assert_eq!(next(client), Next::Status(200));
     }
     // Behind all that left.
-    assert_eq!(sidecar.ask(&request("book", "", "")).expect("an answer").status(), 200);
+    assert_eq!(sidecar.exchange(&request("book", "", "")).expect("an answer").status(), 200);
     assert_eq!(endpoint.requests(), 3);
 }
 
@@ -264,14 +268,14 @@
         let address = listener.local_addr().expect("an address");
         discovery.publish(2, list(2, false, &[("s-1", address, "active")]));
         discovery.await_watch(2);
-        let (mut client, asked) = (sidecar.connect(), request("book", "", ""));
-        client.write_all(asked.as_bytes()).expect("the sidecar takes it");
-        await_that("the endpoint is dialled", || being_dialled(address));
-        leave(client, way);
+        let (mut client, submitted) = (sidecar.connect(), request("book", "", ""));
+        client.write_all(submitted.as_bytes()).expect("the sidecar takes it");
+        wait_until("the endpoint is dialled", || being_dialled(address));
+        close_client(client, way);
         drop(filler);
         let endpoint = Endpoint::on(listener, served);
-        assert_eq!(sidecar.ask(&request("book", "", "")).expect("an answer").status(), 200);
-        assert!(!reached(&endpoint, &asked), "{way:?}");
+        assert_eq!(sidecar.exchange(&request("book", "", "")).expect("an answer").status(), 200);
+        assert!(!reached(&endpoint, &submitted), "{way:?}");
         assert_eq!(endpoint.requests(), 1);
     }
 }
@@ -281,23 +285,23 @@
 fn does_not_forward_request_of_client_closed_within_body() {
     for resets in [false, true] {
         let discovery = Discovery::start();
-        let (gate, endpoint) = held_back();
+        let (gate, endpoint) = gated_endpoint();
         let sidecar = Sidecar::start(&discovery, &[("s-1", &endpoint)]);
         let mut first = take_places(&sidecar, &endpoint);
-        let (mut client, asked) = (sidecar.connect(), request("book", "", ""));
-        let head = asked.replace("Content-Length: 0", "Content-Length: 1000000");
+        let (mut client, submitted) = (sidecar.connect(), request("book", "", ""));
+        let head = submitted.replace("Content-Length: 0", "Content-Length: 1000000");
         client.write_all(head.as_bytes()).expect("the sidecar takes it");
         client.write_all(&[b'x'; 120_000]).expect("the system takes it");
         // All of it has left here, or its end would wait for it.
         let port = client.local_addr().expect("an address").port();
-        await_that("it has come", || unsent(port) == 0);
-        await_that("what is kept of it has been read", || unread(sidecar.address, port) < 50_000);
-        leave(client, (resets, b""));
+        wait_until("it has come", || unsent(port) == 0);
+        wait_until("what is kept of it has been read", || unread(sidecar.address, port) < 50_000);
+        close_client(client, (resets, b""));
         gate.open();
         for client in &mut first {
             assert_eq!(next(client), Next::Status(200));
         }
-        assert_eq!(sidecar.ask(&request("book", "", "")).expect("an answer").status(), 200);
+        assert_eq!(sidecar.exchange(&request("book", "", "")).expect("an answer").status(), 200);
         // Of itself, its head would have gone out first.
         assert_eq!(endpoint.heads(), 3, "resets: {resets}");
     }
@@ -314,15 +318,15 @@
             let sidecar = Sidecar::start(&discovery, &[("s-1", &endpoint)]);
             let (mut client, began) = (sidecar.connect(), Instant::now());
             client.write_all(request("book", "", "").as_bytes()).expect("the sidecar takes it");
-            await_that("it was turned away", || endpoint.requests() == 1);
-            leave(client, way);
+            wait_until("it was turned away", || endpoint.requests() == 1);
+            close_client(client, way);
             (began, (discovery, endpoint, sidecar))
         });
         // One that stays is tried until it may not be any more, and takes longer over it.
-        let asked = request("book", "", "");
-        let status = sidecar.ask(&asked).expect("an answer").status();
-        assert_eq!((status, reached(&endpoint, &asked)), (503, true));
-        assert_eq!(endpoint.requests(), 1 + times(&endpoint, &asked), "{way:?}");
+        let submitted = request("book", "", "");
+        let status = sidecar.exchange(&submitted).expect("an answer").status();
+        assert_eq!((status, reached(&endpoint, &submitted)), (503, true));
+        assert_eq!(endpoint.requests(), 1 + times(&endpoint, &submitted), "{way:?}");
     }
 }
 
@@ -330,14 +334,14 @@
 fn crossing_signals_shut_down_once_and_cost_no_answer() {
     for signals in [["-TERM", "-TERM"], ["-TERM", "-HUP"], ["-HUP", "-TERM"], ["-TERM", "-INT"]] {
         let discovery = Discovery::start();
-        let (gate, endpoint) = held_back();
+        let (gate, endpoint) = gated_endpoint();
         let mut sidecar = Sidecar::start(&discovery, &[("s-1", &endpoint)]);
-        let mut client = ask(&sidecar, "book");
-        await_that("the request is out", || endpoint.requests_begun() == 1);
+        let mut client = send_request(&sidecar, "book");
+        wait_until("the request is out", || endpoint.requests_begun() == 1);
         sidecar.signal("-STOP");
         signals.iter().for_each(|signal| sidecar.signal(signal));
         sidecar.signal("-CONT");
-        await_that("it stops", || sidecar.call("health").starts_with("ERR "));
+        wait_until("it stops", || sidecar.call("health").starts_with("ERR "));
         signals.iter().for_each(|signal| sidecar.signal(signal));
         gate.open();
         assert_eq!(next(&mut client), Next::Status(200), "{signals:?}");
--- a/crates/sidecar/tests/faults/clocks.rs
+++ b/crates/sidecar/tests/faults/clocks.rs
@@ -19,9 +19,9 @@
 /// A list with a server that started at that time among ones that did so long ago.
 fn stamped(version: u64, servers: &[(&str, &Endpoint)], name: &str, since_ms: i64) -> String {
     let entries: Vec<_> = servers.iter().map(|(n, e)| (*n, e.address, "active")).collect();
-    let whole = list(version, true, &entries);
-    let at = whole.find(&format!("\"{name}\"")).expect("it is named");
-    let (before, behind) = whole.split_at(at);
+    let text = list(version, true, &entries);
+    let at = text.find(&format!("\"{name}\"")).expect("it is named");
+    let (before, behind) = text.split_at(at);
     before.to_owned() + &behind.replacen("\"since_ms\":0", &format!("\"since_ms\":{since_ms}"), 1)
 }
 
@@ -29,7 +29,7 @@
 fn share(sidecar: &Sidecar, of: &Endpoint) -> f64 {
     let before = of.requests();
     for _ in 0..100 {
-        assert_eq!(sidecar.ask(&request("look", "", "")).map(|m| m.status()), Some(200));
+        assert_eq!(sidecar.exchange(&request("look", "", "")).map(|m| m.status()), Some(200));
         std::thread::sleep(BETWEEN);
     }
     (of.requests() - before) as f64 / 100.0
--- a/crates/sidecar/tests/faults/deadlines.rs
+++ b/crates/sidecar/tests/faults/deadlines.rs
@@ -1,6 +1,6 @@
 //! The time that an attempt tells its endpoint is at most what is left to the client, whatever its request waited for.
 
-use crate::operation::{folder, held_socket};
+use crate::operation::{folder, shared_listener};
 use crate::stubs::*;
 use lotusmoor_faults::{Call, Rule, errno};
 use std::collections::HashMap;
@@ -14,18 +14,18 @@
 const WAIT: Duration = Duration::from_millis(3000);
 
 /// What was told of each request, and when.
-type Told = Arc<Mutex<HashMap<String, (Instant, Duration)>>>;
+type AdvertisedTimes = Arc<Mutex<HashMap<String, (Instant, Duration)>>>;
 
 /// An endpoint that takes a while over each request.
-fn slow(told: &Told, takes: Duration) -> Endpoint {
-    let told = Arc::clone(told);
+fn slow(advertised: &AdvertisedTimes, duration: Duration) -> Endpoint {
+    let advertised = Arc::clone(advertised);
     Endpoint::start(move |message| {
         let now = Instant::now();
         let id = message.header("x-correlation-id").expect("an id").to_owned();
         let left = message.header("x-time-left").and_then(|v| v.strip_suffix('u')?.parse().ok());
         let left = Duration::from_micros(left.expect("a time"));
-        told.lock().expect("no stub panics").insert(id, (now, left));
-        Reply::Later(takes, b"served".to_vec())
+        advertised.lock().expect("no stub panics").insert(id, (now, left));
+        Reply::Later(duration, b"served".to_vec())
     })
 }
 
@@ -35,7 +35,7 @@
 }
 
 /// Sends so many requests at once, each on a connection of its own; none may be told more than it has left.
-fn none_is_told_more_than_is_left(sidecar: &Sidecar, told: &Told, requests: Vec<String>) {
+fn assert_advertised_times(sidecar: &Sidecar, advertised: &AdvertisedTimes, requests: Vec<String>) {
     let mut clients = Vec::new();
     for request in requests {
         let mut client = sidecar.connect();
@@ -45,10 +45,10 @@
     for (_, _, client) in &mut clients {
         read_message(client).expect("an answer");
     }
-    let told = told.lock().expect("no stub panics");
+    let advertised = advertised.lock().expect("no stub panics");
     let mut waited = 0;
     for (id, sent, _) in clients {
-        let Some((seen, left)) = told.get(&id) else { continue };
+        let Some((seen, left)) = advertised.get(&id) else { continue };
         let has = WAIT.saturating_sub(seen.duration_since(sent));
         assert!(*left <= has + SLACK, "told {left:?} where {has:?} are left");
         waited += usize::from(has < WAIT.mul_f64(0.8));
@@ -56,25 +56,26 @@
     assert!(waited > 0, "none waited");
 }
 
-fn waits(request: &str) -> String {
+fn with_wait(request: &str) -> String {
     request.replace("19000m", &format!("{}m", WAIT.as_millis()))
 }
 
 #[test]
 fn waiting_for_permit_counts_against_deadline() {
-    let told = Told::default();
-    let (discovery, endpoint) = (Discovery::start(), slow(&told, Duration::from_millis(800)));
+    let advertised = AdvertisedTimes::default();
+    let (discovery, endpoint) = (Discovery::start(), slow(&advertised, Duration::from_millis(800)));
     let sidecar = Sidecar::start_with(&discovery, &[("s-1", &endpoint)], 1024, 64);
-    let requests = (0..50).map(|_| waits(&request("look", "", ""))).collect();
-    none_is_told_more_than_is_left(&sidecar, &told, requests);
+    let requests = (0..50).map(|_| with_wait(&request("look", "", ""))).collect();
+    assert_advertised_times(&sidecar, &advertised, requests);
 }
 
 #[test]
 fn waiting_for_memory_counts_against_deadline() {
-    let told = Told::default();
+    let advertised = AdvertisedTimes::default();
     let discovery = Discovery::start();
     let names: Vec<String> = (0..12).map(|n| format!("s-{n}")).collect();
-    let endpoints: Vec<Endpoint> = names.iter().map(|_| slow(&told, Duration::from_millis(800))).collect();
+    let endpoints: Vec<Endpoint> =
+        names.iter().map(|_| slow(&advertised, Duration::from_millis(800))).collect();
     let all: Vec<_> = names.iter().map(String::as_str).zip(&endpoints).collect();
     let little = |config: String| config.replace("\"memory_mb\":192", "\"memory_mb\":16");
     let sidecar = Sidecar::start_as(&discovery, &all, 1024, little);
@@ -82,21 +83,21 @@
     let chunked = |request: String| {
         request.replace("Content-Length: 0\r\n\r\n", "Transfer-Encoding: chunked\r\n\r\n1\r\nb\r\n0\r\n\r\n")
     };
-    let requests = (0..80).map(|_| chunked(waits(&request("pay", "", "")))).collect();
-    none_is_told_more_than_is_left(&sidecar, &told, requests);
+    let requests = (0..80).map(|_| chunked(with_wait(&request("pay", "", "")))).collect();
+    assert_advertised_times(&sidecar, &advertised, requests);
 }
 
 /// A request is written to a socket that the platform holds, whose process has ended or can't accept; the next one comes
 /// when half of its time is over.
-fn waits_for_a_process(request: &str) {
-    let told = Told::default();
-    let (discovery, endpoint) = (Discovery::start(), slow(&told, Duration::ZERO));
-    let listener = held_socket();
+fn assert_wait_for_process_counts(request: &str) {
+    let advertised = AdvertisedTimes::default();
+    let (discovery, endpoint) = (Discovery::start(), slow(&advertised, Duration::ZERO));
+    let listener = shared_listener();
     let folder = folder(&listener);
     let mut client =
         std::net::TcpStream::connect(listener.local_addr().expect("an address")).expect("a queue");
-    let asked = waits(request);
-    for piece in asked.as_bytes().chunks(asked.len().div_ceil(3)) {
+    let submitted = with_wait(request);
+    for piece in submitted.as_bytes().chunks(submitted.len().div_ceil(3)) {
         client.write_all(piece).expect("the system takes it");
         std::thread::sleep(Duration::from_millis(3));
     }
@@ -104,47 +105,47 @@
     std::thread::sleep(WAIT / 2);
     let _sidecar = Sidecar::start_passed(&discovery, &[("s-1", &endpoint)], &listener, &folder);
     assert_eq!(read_message(&mut client).map(|m| m.status()), Some(200));
-    let (seen, left) = told.lock().expect("no stub panics")[&id_of(&asked)];
+    let (seen, left) = advertised.lock().expect("no stub panics")[&id_of(&submitted)];
     let has = WAIT.saturating_sub(seen.duration_since(sent));
     assert!(left <= has + SLACK, "told {left:?} where {has:?} are left");
 }
 
 #[test]
 fn waiting_for_accepting_process_counts_against_deadline() {
-    waits_for_a_process(&request("look", "", ""));
+    assert_wait_for_process_counts(&request("look", "", ""));
 }
 
 // What the system's buffer has no room for reaches this machine later than its client has written it.
 #[test]
 fn waiting_for_process_counts_against_deadline_of_full_buffers() {
-    waits_for_a_process(&request("book", "", &"b".repeat(200_000)));
+    assert_wait_for_process_counts(&request("book", "", &"b".repeat(200_000)));
 }
 
 #[test]
 fn streamed_body_advertises_no_more_than_client_waits_after_last_byte() {
-    let told = Told::default();
-    let (discovery, endpoint) = (Discovery::start(), slow(&told, Duration::ZERO));
+    let advertised = AdvertisedTimes::default();
+    let (discovery, endpoint) = (Discovery::start(), slow(&advertised, Duration::ZERO));
     let sidecar = Sidecar::start(&discovery, &[("s-1", &endpoint)]);
     // Too long to be kept: it goes on while it comes.
-    let asked = waits(&request("book", "", &"b".repeat(400_000)));
-    assert_eq!(sidecar.ask(&asked).map(|m| m.status()), Some(200));
-    let (_, left) = told.lock().expect("no stub panics")[&id_of(&asked)];
+    let submitted = with_wait(&request("book", "", &"b".repeat(400_000)));
+    assert_eq!(sidecar.exchange(&submitted).map(|m| m.status()), Some(200));
+    let (_, left) = advertised.lock().expect("no stub panics")[&id_of(&submitted)];
     assert!(left <= WAIT + SLACK, "told {left:?} by a client that waits {WAIT:?}");
 }
 
 /// No connection is accepted for a second; a request that waits for that is told no more than it has left.
-fn waits_to_be_accepted(request: &str) {
-    let told = Told::default();
-    let (discovery, endpoint) = (Discovery::start(), slow(&told, Duration::ZERO));
+fn assert_wait_for_accept_counts(request: &str) {
+    let advertised = AdvertisedTimes::default();
+    let (discovery, endpoint) = (Discovery::start(), slow(&advertised, Duration::ZERO));
     let faults = fault_table();
     let sidecar = Sidecar::start_with_faults(&discovery, &[("s-1", &endpoint)], &faults, |c| c);
     faults.arm(Rule::lasting(1_000_000, Call::Accept, errno::ENFILE)).expect("a rule");
     let mut client = sidecar.connect();
-    let asked = waits(request);
-    client.write_all(asked.as_bytes()).expect("the system takes all of it");
+    let submitted = with_wait(request);
+    client.write_all(submitted.as_bytes()).expect("the system takes all of it");
     let sent = Instant::now();
     assert_eq!(read_message(&mut client).map(|m| m.status()), Some(200));
-    let (seen, left) = told.lock().expect("no stub panics")[&id_of(&asked)];
+    let (seen, left) = advertised.lock().expect("no stub panics")[&id_of(&submitted)];
     let has = WAIT.saturating_sub(seen.duration_since(sent));
     assert!(has < WAIT.mul_f64(0.8), "it did not wait");
     assert!(left <= has + SLACK, "told {left:?} where {has:?} are left");
@@ -152,11 +153,11 @@
 
 #[test]
 fn waiting_to_be_accepted_counts_against_deadline() {
-    waits_to_be_accepted(&request("look", "", ""));
+    assert_wait_for_accept_counts(&request("look", "", ""));
 }
 
 // All of it may lie in the system's queue already as its head is read.
 #[test]
 fn long_body_queued_before_accept_advertises_no_more_than_time_left() {
-    waits_to_be_accepted(&request("book", "", &"b".repeat(200_000)));
+    assert_wait_for_accept_counts(&request("book", "", &"b".repeat(200_000)));
 }
--- a/crates/sidecar/tests/faults/files.rs
+++ b/crates/sidecar/tests/faults/files.rs
@@ -1,7 +1,7 @@
 //! Files that can't be read or written for a while: what was acknowledged, or asked for, holds all the same.
 
 use super::served;
-use crate::operation::{folder, held_socket};
+use crate::operation::{folder, shared_listener};
 use crate::stubs::*;
 use lotusmoor_faults::{Call, FaultTable, Rule, errno};
 
@@ -19,7 +19,7 @@
 fn operators_call_keeps_state_of_other_process_when_file_is_unreadable() {
     for fault in UNREADABLE {
         let (discovery, one, two) = (Discovery::start(), Endpoint::start(served), Endpoint::start(served));
-        let (listener, faults) = (held_socket(), fault_table());
+        let (listener, faults) = (shared_listener(), fault_table());
         let folder = folder(&listener);
         let endpoints = [("s-1", &one), ("s-2", &two)];
         let old = Sidecar::start_passed(&discovery, &endpoints, &listener, &folder);
@@ -29,18 +29,18 @@
         // It may be refused meanwhile; it is not to undo what the other process has acknowledged.
         let answer = new.call("cordon s-2");
         let file = folder.join(format!("tinflow-{}.json", listener.local_addr().expect("an address")));
-        let kept = std::fs::read_to_string(file).expect("a state");
-        assert!(kept.contains("s-1"), "{fault:?}: {kept}, after {answer}");
-        assert!(answer.starts_with("ERR ") || kept.contains("s-2"), "{fault:?}: {kept}, after {answer}");
+        let state = std::fs::read_to_string(file).expect("a state");
+        assert!(state.contains("s-1"), "{fault:?}: {state}, after {answer}");
+        assert!(answer.starts_with("ERR ") || state.contains("s-2"), "{fault:?}: {state}, after {answer}");
     }
 }
 
 #[test]
 fn follows_operator_state_that_was_unreadable_at_start() {
-    let (discovery, out, other) = (Discovery::start(), Endpoint::start(served), Endpoint::start(served));
-    let (listener, faults) = (held_socket(), fault_table());
+    let (discovery, cordoned, other) = (Discovery::start(), Endpoint::start(served), Endpoint::start(served));
+    let (listener, faults) = (shared_listener(), fault_table());
     let folder = folder(&listener);
-    let endpoints = [("s-1", &out), ("s-2", &other)];
+    let endpoints = [("s-1", &cordoned), ("s-2", &other)];
     let start = || Sidecar::start_passed_with(&discovery, &endpoints, &listener, &folder, Some(&faults));
     let first = start();
     // Its configuration, as nothing has been said yet.
@@ -52,9 +52,9 @@
     let next = start();
     assert!(faults.hits(rule).expect("hits") > 0);
     for _ in 0..20 {
-        assert_eq!(next.ask(&request("look", "", "")).map(|m| m.status()), Some(200));
+        assert_eq!(next.exchange(&request("look", "", "")).map(|m| m.status()), Some(200));
     }
-    assert_eq!(out.requests(), 0, "sent to a server that operators have taken out");
+    assert_eq!(cordoned.requests(), 0, "sent to a server that operators have taken out");
 }
 
 #[test]
@@ -66,6 +66,6 @@
         let sidecar = Sidecar::start_with_faults(&discovery, &[("s-1", &endpoint)], &faults, |c| c);
         fails_for_a_while(&faults, fault);
         sidecar.reload(&config(sidecar.address, moved.address, &list(1, true, &[])));
-        await_that("discovery is asked at its new address", || !moved.calls().is_empty());
+        wait_until("discovery is asked at its new address", || !moved.calls().is_empty());
     }
 }
--- a/crates/sidecar/tests/faults/log.rs
+++ b/crates/sidecar/tests/faults/log.rs
@@ -18,7 +18,7 @@
     sidecar.reload("{");
     sidecar.reload(&config(sidecar.address, discovery.address, &list(1, true, &[])));
     for turn in 0..20 {
-        let answer = sidecar.ask(&request("look", "", "")).map(|m| m.status());
+        let answer = sidecar.exchange(&request("look", "", "")).map(|m| m.status());
         assert_eq!(answer, Some(200), "request {turn}");
         std::thread::sleep(std::time::Duration::from_millis(20));
     }
--- a/crates/sidecar/tests/faults/mod.rs
+++ b/crates/sidecar/tests/faults/mod.rs
@@ -16,7 +16,7 @@
 }
 
 /// Connections with a whole request in each.
-fn asking(sidecar: &Sidecar, count: usize) -> Vec<std::net::TcpStream> {
+fn connect_with_requests(sidecar: &Sidecar, count: usize) -> Vec<std::net::TcpStream> {
     let mut clients = Vec::new();
     for _ in 0..count {
         let mut client = sidecar.connect();
@@ -36,7 +36,7 @@
         thread::sleep(Duration::from_millis(250));
         // Held over the end of accepting, it finds connections and errors together.
         sidecar.signal("-STOP");
-        let clients = asking(&sidecar, 5);
+        let clients = connect_with_requests(&sidecar, 5);
         thread::sleep(Duration::from_millis(350));
         let few = Rule { span: Span::Calls(3), ..Rule::once(Call::Accept, errno) };
         faults.arm(few).expect("a rule");
@@ -59,7 +59,7 @@
         }
         for turn in 0..240 {
             let class = ["look", "pay", "book"][turn % 3];
-            let answer = sidecar.ask(&request(class, "", "")).map(|m| m.status());
+            let answer = sidecar.exchange(&request(class, "", "")).map(|m| m.status());
             assert_eq!(answer, Some(200), "request {turn} of class {class}, {calls:?}");
         }
     }
--- a/crates/sidecar/tests/lifecycle/mod.rs
+++ b/crates/sidecar/tests/lifecycle/mod.rs
@@ -11,18 +11,18 @@
     let discovery = Discovery::start();
     let endpoint = Endpoint::start(|_| Reply::Later(Duration::from_millis(700), b"late".to_vec()));
     let mut sidecar = Sidecar::start(&discovery, &[("s-1", &endpoint)]);
-    let (mut held, mut idle) = (sidecar.connect(), sidecar.connect());
+    let (mut busy_client, mut idle) = (sidecar.connect(), sidecar.connect());
     idle.write_all(b"GET /up HTTP/1.1\r\nHost: x\r\n\r\n").expect("the sidecar takes it");
     assert_eq!(read_message(&mut idle).expect("an answer").status(), 200);
-    held.write_all(request("book", "", "").as_bytes()).expect("the sidecar takes it");
-    await_that("the request is out", || endpoint.requests() == 1);
+    busy_client.write_all(request("book", "", "").as_bytes()).expect("the sidecar takes it");
+    wait_until("the request is out", || endpoint.requests() == 1);
     sidecar.signal("-TERM");
     assert!(await_close(&mut idle), "an idle connection stayed open");
     // As it closes idle connections it has been told; new ones are still accepted.
-    assert_eq!(sidecar.ask(&request("look", "", "")).expect("an answer").body, b"late");
-    let answer = read_message(&mut held).expect("an answer");
+    assert_eq!(sidecar.exchange(&request("look", "", "")).expect("an answer").body, b"late");
+    let answer = read_message(&mut busy_client).expect("an answer");
     assert_eq!((answer.status(), answer.header("connection")), (200, Some("close")));
-    assert!(await_close(&mut held));
+    assert!(await_close(&mut busy_client));
     assert_eq!(sidecar.process.wait().expect("it ends").code(), Some(0));
 }
 
@@ -31,11 +31,11 @@
     let discovery = Discovery::start();
     let endpoint = Endpoint::start(|_| Reply::Silence);
     let mut sidecar = Sidecar::start(&discovery, &[("s-1", &endpoint)]);
-    let mut held = sidecar.connect();
-    held.write_all(request("book", "", "").as_bytes()).expect("the sidecar takes it");
-    await_that("the request is out", || endpoint.requests() == 1);
+    let mut busy_client = sidecar.connect();
+    busy_client.write_all(request("book", "", "").as_bytes()).expect("the sidecar takes it");
+    wait_until("the request is out", || endpoint.requests() == 1);
     sidecar.signal("-TERM");
-    assert_eq!(read_message(&mut held).expect("an answer").status(), 502);
+    assert_eq!(read_message(&mut busy_client).expect("an answer").status(), 502);
     assert_eq!(sidecar.process.wait().expect("it ends").code(), Some(0));
 }
 
@@ -45,7 +45,7 @@
     let endpoint = Endpoint::start(|_| ok("served"));
     let sidecar = Sidecar::start_with(&discovery, &[("s-1", &endpoint)], 1024, 64);
     let crowd: Vec<_> = (0..100).map(|_| sidecar.connect()).collect();
-    assert_eq!(sidecar.ask(&request("look", "", "")).expect("an answer").status(), 200);
+    assert_eq!(sidecar.exchange(&request("look", "", "")).expect("an answer").status(), 200);
     drop(crowd);
 }
 
@@ -57,8 +57,8 @@
     let crowd: Vec<_> = (0..60).map(|_| sidecar.connect()).collect();
     thread::sleep(Duration::from_millis(200));
     drop(crowd);
-    await_that("it serves again", || {
-        sidecar.ask(&request("look", "", "")).is_some_and(|a| a.status() == 200)
+    wait_until("it serves again", || {
+        sidecar.exchange(&request("look", "", "")).is_some_and(|a| a.status() == 200)
     });
 }
 
@@ -75,8 +75,8 @@
             None => command.env_remove("LB_CONFIG"),
         };
         let output = command.stdin(Stdio::null()).output().expect("it starts");
-        let said = String::from_utf8(output.stderr).expect("text");
-        assert_eq!(output.status.code(), Some(1), "{said}");
-        assert!(said.starts_with("lotusmoor-sidecar: ") && said.lines().count() == 1, "{said}");
+        let stderr = String::from_utf8(output.stderr).expect("text");
+        assert_eq!(output.status.code(), Some(1), "{stderr}");
+        assert!(stderr.starts_with("lotusmoor-sidecar: ") && stderr.lines().count() == 1, "{stderr}");
     }
 }
--- a/crates/sidecar/tests/lists/mod.rs
+++ b/crates/sidecar/tests/lists/mod.rs
@@ -11,13 +11,13 @@
         let discovery = Discovery::start();
         let (old, new) = (Endpoint::start(|_| ok("old")), Endpoint::start(|_| ok("new")));
         let sidecar = Sidecar::start(&discovery, &[("s-old", &old)]);
-        assert_eq!(sidecar.ask(&request("book", "", "")).expect("an answer").body, b"old");
+        assert_eq!(sidecar.exchange(&request("book", "", "")).expect("an answer").body, b"old");
         let snapshot = gone.contains("true");
         let leaving = [("s-old", old.address, "leaving"), ("s-new", new.address, "active")];
         discovery.publish(2, list(2, snapshot, &leaving[usize::from(snapshot)..]));
         discovery.await_watch(2);
         for _ in 0..5 {
-            assert_eq!(sidecar.ask(&request("book", "", "")).expect("an answer").body, b"new");
+            assert_eq!(sidecar.exchange(&request("book", "", "")).expect("an answer").body, b"new");
         }
         assert_eq!((old.requests(), old.closed()), (1, 1));
     }
@@ -35,7 +35,7 @@
     discovery.await_watch(2);
     let mut client = sidecar.connect();
     client.write_all(request("book", "", "{}").as_bytes()).expect("the sidecar takes it");
-    await_that("the endpoint is dialled", || being_dialled(address));
+    wait_until("the endpoint is dialled", || being_dialled(address));
     discovery.publish(3, list(3, false, &[("s-1", address, "leaving")]));
     discovery.await_watch(3);
     drop(filler);
@@ -43,7 +43,7 @@
     let status = read_message(&mut client).expect("an answer").status();
     assert_eq!(status, 503, "known not to have run");
     // The sidecar may know of it before the stub does.
-    await_that("the dial came up", || endpoint.made.load(Ordering::SeqCst) >= 2);
+    wait_until("the dial came up", || endpoint.made.load(Ordering::SeqCst) >= 2);
     assert_eq!(endpoint.requests(), 0);
 }
 
@@ -62,12 +62,12 @@
         );
         discovery.await_watch(version);
         for _ in 0..3 {
-            assert_eq!(sidecar.ask(&request("book", "", "")).expect("an answer").body, body.as_bytes());
+            assert_eq!(sidecar.exchange(&request("book", "", "")).expect("an answer").body, body.as_bytes());
         }
         let left = [(&*format!("s-{body}"), endpoints[i].address, "left")];
         discovery.publish(version + 1, list(version + 1, false, &left));
         discovery.await_watch(version + 1);
-        assert_eq!(sidecar.ask(&request("book", "", "")).expect("an answer").status(), 503);
+        assert_eq!(sidecar.exchange(&request("book", "", "")).expect("an answer").status(), 503);
     }
     assert_eq!(endpoints.map(|e| e.requests()), [3; 4]);
 }
@@ -77,10 +77,10 @@
     let discovery = Discovery::start();
     let (before, after) = (Endpoint::start(|_| ok("before")), Endpoint::start(|_| ok("after")));
     let sidecar = Sidecar::start(&discovery, &[("s-1", &before)]);
-    assert_eq!(sidecar.ask(&request("book", "", "")).expect("an answer").body, b"before");
+    assert_eq!(sidecar.exchange(&request("book", "", "")).expect("an answer").body, b"before");
     discovery.publish(2, list(2, false, &[("s-1", after.address, "active")]));
     discovery.await_watch(2);
-    assert_eq!(sidecar.ask(&request("book", "", "")).expect("an answer").body, b"after");
+    assert_eq!(sidecar.exchange(&request("book", "", "")).expect("an answer").body, b"after");
 }
 
 #[test]
@@ -88,14 +88,14 @@
     let discovery = Discovery::start();
     let endpoint = Endpoint::start(|_| ok("served"));
     let sidecar = Sidecar::start(&discovery, &[("s-1", &endpoint)]);
-    let served = || sidecar.ask(&request("book", "", "")).is_some_and(|a| a.status() == 200);
+    let served = || sidecar.exchange(&request("book", "", "")).is_some_and(|a| a.status() == 200);
     discovery.failing.store(true, Ordering::SeqCst);
-    await_that("the watch is taken up again", || discovery.calls().len() >= 3);
+    wait_until("the watch is taken up again", || discovery.calls().len() >= 3);
     assert!(served());
     discovery.failing.store(false, Ordering::SeqCst);
     let calls = discovery.calls().len();
     discovery.publish(2, r#"{"index":2,"endpoints":7}"#.to_owned());
-    await_that("nonsense is asked for again", || discovery.calls().len() >= calls + 3);
+    wait_until("nonsense is asked for again", || discovery.calls().len() >= calls + 3);
     assert!(served());
     // And what comes after it counts.
     discovery.publish(3, list(3, true, &[]));
@@ -119,7 +119,7 @@
         let good = [("s-old", old.address, "leaving"), ("s-new", new.address, "active")];
         discovery.publish(2, list(2, snapshot, &good).replace('[', &format!("[{bad},")));
         discovery.await_watch(2);
-        assert_eq!(sidecar.ask(&request("book", "", "")).expect("an answer").status(), 200, "{bad}");
+        assert_eq!(sidecar.exchange(&request("book", "", "")).expect("an answer").status(), 200, "{bad}");
         assert_eq!((old.requests(), new.requests()), (0, 1), "{bad}");
     }
 }
@@ -131,21 +131,21 @@
     let [old, new] = [(); 2].map(|()| Endpoint::start(|_| ok("served")));
     let pushed = |config: String| config.replace("\"on_request\"", "\"pushed\"");
     let sidecar = Sidecar::start_as(&discovery, &[("s-old", &old)], 1024, pushed);
-    let ask = || sidecar.ask(&request("book", "", "")).expect("an answer").status();
+    let exchange = || sidecar.exchange(&request("book", "", "")).expect("an answer").status();
     discovery.await_watch(1);
     let changes = [("s-old", old.address, "left"), ("s-new", new.address, "active")];
     discovery.publish(2, list(2, false, &changes));
     discovery.await_watch(2);
-    assert_eq!([ask(), ask()], [200; 2]);
+    assert_eq!([exchange(), exchange()], [200; 2]);
     assert_eq!((old.requests(), new.requests()), (0, 2));
     // Nor does a failure end the watch.
     discovery.failing.store(true, Ordering::SeqCst);
     let calls = discovery.calls().len();
-    await_that("it asks again", || discovery.calls().len() >= calls + 2);
+    wait_until("it asks again", || discovery.calls().len() >= calls + 2);
     discovery.failing.store(false, Ordering::SeqCst);
     discovery.publish(3, list(3, true, &[("s-old", old.address, "active")]));
     discovery.await_watch(3);
-    assert_eq!(ask(), 200);
+    assert_eq!(exchange(), 200);
     assert_eq!((old.requests(), new.requests()), (1, 2));
 }
 
@@ -157,14 +157,14 @@
     discovery.mute.store(true, Ordering::SeqCst);
     let [old, new] = [(); 2].map(|()| Endpoint::start(|_| ok("served")));
     let sidecar = Sidecar::start(&discovery, &[("s-1", &old)]);
-    await_that("the watch is on", || discovery.calls().len() == 1);
+    wait_until("the watch is on", || discovery.calls().len() == 1);
     discovery.mute.store(false, Ordering::SeqCst);
     let start = Instant::now();
     discovery.publish(2, list(2, true, &[("s-2", new.address, "active")]));
     discovery.await_watch(2);
     // No measure of speed: its own timers end the watch after 6 s.
     assert!(start.elapsed() < LONG / 2, "{:?}", start.elapsed());
-    assert_eq!(sidecar.ask(&request("book", "", "")).expect("an answer").status(), 200);
+    assert_eq!(sidecar.exchange(&request("book", "", "")).expect("an answer").status(), 200);
     assert_eq!((old.requests(), new.requests()), (0, 1));
 }
 
@@ -182,13 +182,13 @@
     assert_eq!(after.calls()[0], "GET /discovery/hosts HTTP/1.1", "the whole list comes first");
     before.publish(9, list(9, true, &[("s-old", old.address, "active")]));
     for _ in 0..3 {
-        assert_eq!(sidecar.ask(&request("book", "", "")).expect("an answer").body, b"new");
+        assert_eq!(sidecar.exchange(&request("book", "", "")).expect("an answer").body, b"new");
     }
-    let asked = before.calls().len();
+    let submitted = before.calls().len();
     after.publish(2, list(2, true, &[("s-old", old.address, "active")]));
     after.await_watch(2);
-    assert_eq!(sidecar.ask(&request("book", "", "")).expect("an answer").body, b"old");
-    assert_eq!(before.calls().len(), asked, "the old address is still asked");
+    assert_eq!(sidecar.exchange(&request("book", "", "")).expect("an answer").body, b"old");
+    assert_eq!(before.calls().len(), submitted, "the old address is still asked");
 }
 
 #[test]
@@ -199,10 +199,10 @@
     let good = config(sidecar.address, other.address, "null");
     for bad in ["", "{}", &good.replace("\"side_effect\"", "\"odd\""), &good.replace("discovery", "other")] {
         sidecar.reload(bad);
-        assert_eq!(sidecar.ask(&request("book", "", "")).expect("an answer").status(), 200);
+        assert_eq!(sidecar.exchange(&request("book", "", "")).expect("an answer").status(), 200);
     }
     discovery.publish(2, list(2, true, &[]));
     discovery.await_watch(2);
-    assert_eq!(sidecar.ask(&request("book", "", "")).expect("an answer").status(), 503);
+    assert_eq!(sidecar.exchange(&request("book", "", "")).expect("an answer").status(), 503);
     assert!(other.calls().is_empty());
 }
--- a/crates/sidecar/tests/operation/mod.rs
+++ b/crates/sidecar/tests/operation/mod.rs
@@ -10,7 +10,7 @@
 use std::time::{Duration, Instant};
 
 /// A listening socket as the platform holds it for clients.
-pub fn held_socket() -> TcpListener {
+pub fn shared_listener() -> TcpListener {
     TcpListener::bind("127.0.0.1:0").expect("a free port")
 }
 
@@ -51,7 +51,7 @@
     // What is cut off may be another call than was meant.
     assert!(answer_to(b"quiesce", true).starts_with("ERR "));
     assert!(answer_to(b"quiesce", false).starts_with("ERR "));
-    assert_eq!(sidecar.ask("GET /up HTTP/1.1\r\nHost: x\r\n\r\n").expect("an answer").status(), 200);
+    assert_eq!(sidecar.exchange("GET /up HTTP/1.1\r\nHost: x\r\n\r\n").expect("an answer").status(), 200);
 }
 
 // More than there are places for, and each for as long as the sidecar lets them.
@@ -59,9 +59,9 @@
 fn callers_with_unfinished_lines_block_no_operator() {
     let discovery = Discovery::start();
     let sidecar = Sidecar::start_with(&discovery, &[], 64, 64);
-    let mut held: Vec<_> =
+    let mut busy_client: Vec<_> =
         (0..40).map(|_| TcpStream::connect(sidecar.management).expect("it listens")).collect();
-    for stream in &mut held {
+    for stream in &mut busy_client {
         // One that had to make way by now is closed.
         let _ = stream.write_all(b"quies");
     }
@@ -69,22 +69,22 @@
     assert_eq!(sidecar.call("health"), "OK");
     // Those that hold places would have them for 2.5 s each.
     assert!(called.elapsed() < Duration::from_secs(2), "{:?}", called.elapsed());
-    drop(held);
-    assert_eq!(sidecar.ask("GET /up HTTP/1.1\r\nHost: x\r\n\r\n").expect("an answer").status(), 200);
+    drop(busy_client);
+    assert_eq!(sidecar.exchange("GET /up HTTP/1.1\r\nHost: x\r\n\r\n").expect("an answer").status(), 200);
 }
 
 #[test]
 fn unusable_management_address_fails_start_with_one_line() {
-    let taken = held_socket();
+    let taken = shared_listener();
     let address = unused_address();
     let path = config_file(&config(address, address, "null"));
     for bad in [taken.local_addr().expect("an address").to_string(), "nowhere".to_owned()] {
         let mut command = Command::new(env!("CARGO_BIN_EXE_lotusmoor-sidecar"));
         command.env("LB_CONFIG", &path).env("LB_MANAGEMENT", &bad).stdin(Stdio::null());
         let output = command.output().expect("it starts");
-        let said = String::from_utf8(output.stderr).expect("text");
-        assert_eq!(output.status.code(), Some(1), "{said}");
-        assert!(said.starts_with("lotusmoor-sidecar: ") && said.lines().count() == 1, "{said}");
+        let stderr = String::from_utf8(output.stderr).expect("text");
+        assert_eq!(output.status.code(), Some(1), "{stderr}");
+        assert!(stderr.starts_with("lotusmoor-sidecar: ") && stderr.lines().count() == 1, "{stderr}");
     }
 }
 
@@ -93,22 +93,23 @@
     let discovery = Discovery::start();
     let endpoint = Endpoint::start(|_| Reply::Later(Duration::from_millis(700), b"late".to_vec()));
     let mut sidecar = Sidecar::start(&discovery, &[("s-1", &endpoint)]);
-    let up =
-        |sidecar: &Sidecar| sidecar.ask("GET /up HTTP/1.1\r\nHost: x\r\n\r\n").expect("an answer").status();
+    let up = |sidecar: &Sidecar| {
+        sidecar.exchange("GET /up HTTP/1.1\r\nHost: x\r\n\r\n").expect("an answer").status()
+    };
     for _ in 0..2 {
-        let (mut held, mut idle) = (sidecar.connect(), sidecar.connect());
+        let (mut busy_client, mut idle) = (sidecar.connect(), sidecar.connect());
         idle.write_all(b"GET /up HTTP/1.1\r\nHost: x\r\n\r\n").expect("the sidecar takes it");
         assert_eq!(read_message(&mut idle).expect("an answer").status(), 200);
         let before = endpoint.requests();
-        held.write_all(request("book", "", "").as_bytes()).expect("the sidecar takes it");
-        await_that("the request is out", || endpoint.requests() > before);
+        busy_client.write_all(request("book", "", "").as_bytes()).expect("the sidecar takes it");
+        wait_until("the request is out", || endpoint.requests() > before);
         assert_eq!([sidecar.call("quiesce"), sidecar.call("quiesce")], ["OK", "OK"]);
         assert_eq!(up(&sidecar), 503);
         assert_eq!(sidecar.call("health"), "OK");
         assert!(await_close(&mut idle), "an idle connection stays open");
-        let answer = read_message(&mut held).expect("an answer");
+        let answer = read_message(&mut busy_client).expect("an answer");
         assert_eq!((answer.status(), answer.header("connection")), (200, Some("close")));
-        assert!(await_close(&mut held));
+        assert!(await_close(&mut busy_client));
         // Who still comes is served, and not kept.
         let mut late = sidecar.connect();
         late.write_all(request("look", "", "").as_bytes()).expect("the sidecar takes it");
@@ -116,18 +117,18 @@
         assert_eq!((answer.status(), answer.header("connection")), (200, Some("close")));
         assert_eq!([sidecar.call("resume"), sidecar.call("resume")], ["OK", "OK"]);
         assert_eq!(up(&sidecar), 200);
-        let answer = sidecar.ask(&request("look", "", "")).expect("an answer");
+        let answer = sidecar.exchange(&request("look", "", "")).expect("an answer");
         assert_eq!((answer.status(), answer.header("connection")), (200, None));
     }
     // Told to stop it can't serve any more, and no end of a drain changes that.
     assert_eq!(sidecar.call("quiesce"), "OK");
-    let (mut held, before) = (sidecar.connect(), endpoint.requests());
-    held.write_all(request("book", "", "").as_bytes()).expect("the sidecar takes it");
-    await_that("the request is out", || endpoint.requests() > before);
+    let (mut busy_client, before) = (sidecar.connect(), endpoint.requests());
+    busy_client.write_all(request("book", "", "").as_bytes()).expect("the sidecar takes it");
+    wait_until("the request is out", || endpoint.requests() > before);
     sidecar.signal("-TERM");
-    await_that("it stops", || sidecar.call("health").starts_with("ERR "));
+    wait_until("it stops", || sidecar.call("health").starts_with("ERR "));
     assert!(sidecar.call("resume").starts_with("ERR "));
-    assert_eq!(read_message(&mut held).expect("an answer").status(), 200);
+    assert_eq!(read_message(&mut busy_client).expect("an answer").status(), 200);
     assert_eq!(sidecar.process.wait().expect("it ends").code(), Some(0));
 }
 
@@ -137,7 +138,7 @@
 fn upgrade_over_inherited_socket_loses_no_request() {
     let discovery = Discovery::start();
     let endpoint = Endpoint::start(|_| Reply::Later(Duration::from_millis(20), b"served".to_vec()));
-    let (listener, over) = (held_socket(), AtomicBool::new(false));
+    let (listener, over) = (shared_listener(), AtomicBool::new(false));
     let address = listener.local_addr().expect("an address");
     let folder = folder(&listener);
     let start = || Sidecar::start_passed(&discovery, &[("s-1", &endpoint)], &listener, &folder);
@@ -145,12 +146,12 @@
         let mut stream = TcpStream::connect(address).expect("it is never closed");
         let mut served = 0;
         while !over.load(Ordering::SeqCst) {
-            let asked = request("look", "", "");
-            let sent = stream.write_all(asked.as_bytes());
+            let submitted = request("look", "", "");
+            let sent = stream.write_all(submitted.as_bytes());
             let mut answer = sent.ok().and_then(|()| read_message(&mut stream));
             if answer.is_none() {
                 stream = TcpStream::connect(address).expect("it is never closed");
-                stream.write_all(asked.as_bytes()).expect("the sidecar takes it");
+                stream.write_all(submitted.as_bytes()).expect("the sidecar takes it");
                 answer = read_message(&mut stream);
             }
             let answer = answer.expect("an answer");
@@ -183,11 +184,11 @@
 fn shutdown_during_upgrade_leaves_clients_to_other_process() {
     let discovery = Discovery::start();
     let endpoint = Endpoint::start(|_| Reply::Answer(200, "", b"served".to_vec()));
-    let listener = held_socket();
+    let listener = shared_listener();
     let address = listener.local_addr().expect("an address");
     let folder = folder(&listener);
     let start = || Sidecar::start_passed(&discovery, &[("s-1", &endpoint)], &listener, &folder);
-    let ask = || {
+    let exchange = || {
         let mut client = TcpStream::connect(address).expect("it is never closed");
         client.write_all(request("look", "", "").as_bytes()).expect("the system takes it");
         client
@@ -200,16 +201,16 @@
     let old = start();
     // The new one is told to stop as soon as it has said yes, with requests under way at both.
     let new = start();
-    let asked: Vec<_> = (0..20).map(|_| ask()).collect();
+    let submitted: Vec<_> = (0..20).map(|_| exchange()).collect();
     stop(new);
-    assert!(asked.into_iter().all(served));
-    assert!((0..20).map(|_| ask()).all(served), "the old one goes on alone");
+    assert!(submitted.into_iter().all(served));
+    assert!((0..20).map(|_| exchange()).all(served), "the old one goes on alone");
     // Both are told at once, and nobody is there for a while.
     let new = start();
     old.signal("-TERM");
     stop(new);
     stop(old);
-    let waiting: Vec<_> = (0..20).map(|_| ask()).collect();
+    let waiting: Vec<_> = (0..20).map(|_| exchange()).collect();
     let next = start();
     assert!(waiting.into_iter().all(served));
     stop(next);
@@ -230,9 +231,9 @@
         command.args(["-c", shell, env!("CARGO_BIN_EXE_lotusmoor-sidecar")]).stdin(Stdio::null());
         let output =
             command.env("LB_CONFIG", &path).env("LB_PASSED_SOCKET", named).output().expect("it starts");
-        let said = String::from_utf8(output.stderr).expect("text");
-        assert_eq!(output.status.code(), Some(1), "{said}");
-        assert!(said.starts_with("lotusmoor-sidecar: ") && said.lines().count() == 1, "{said}");
+        let stderr = String::from_utf8(output.stderr).expect("text");
+        assert_eq!(output.status.code(), Some(1), "{stderr}");
+        assert!(stderr.starts_with("lotusmoor-sidecar: ") && stderr.lines().count() == 1, "{stderr}");
     }
 }
 
@@ -241,33 +242,33 @@
     let discovery = Discovery::start();
     let [one, two] = [(); 2].map(|()| Endpoint::start(|_| Reply::Answer(200, "", Vec::new())));
     let sidecar = Sidecar::start(&discovery, &[("s-1", &one), ("s-2", &two)]);
-    let ask = || sidecar.ask(&request("look", "", "")).expect("an answer").status();
-    assert!((0..20).all(|_| ask() == 200) && one.requests() > 0);
+    let exchange = || sidecar.exchange(&request("look", "", "")).expect("an answer").status();
+    assert!((0..20).all(|_| exchange() == 200) && one.requests() > 0);
     for unknown in ["cordon s-3", "uncordon s-3", "cordon", "uncordon", "cordon s-1 s-2", "cordon S-1"] {
         assert!(sidecar.call(unknown).starts_with("ERR "), "{unknown}");
     }
     assert_eq!(sidecar.call("uncordon s-1"), "OK", "it is not out, as was asked for");
     assert_eq!([sidecar.call("cordon s-1"), sidecar.call("cordon s-1")], ["OK", "OK"]);
     // The stub sees it a moment later.
-    await_that("what was kept to it is closed", || one.closed() > 0 || one.made.load(Ordering::SeqCst) == 0);
+    wait_until("what was kept to it is closed", || one.closed() > 0 || one.made.load(Ordering::SeqCst) == 0);
     let before = one.requests();
     // Listed anew, gone, and back under a number that may be another: the name is what counts.
     let entries = [("s-1", one.address, "active"), ("s-2", two.address, "active")];
     for (version, listed) in [(2, &entries[..]), (3, &entries[1..]), (4, &entries[..])] {
         discovery.publish(version, list(version, true, listed));
         discovery.await_watch(version);
-        assert!((0..20).all(|_| ask() == 200));
+        assert!((0..20).all(|_| exchange() == 200));
         let known = sidecar.call("cordon s-1");
         assert_eq!(known, "OK", "it is out, listed or not");
     }
     sidecar.reload(&config(sidecar.address, discovery.address, "null"));
     discovery.await_watch(4);
-    assert!((0..20).all(|_| ask() == 200));
+    assert!((0..20).all(|_| exchange() == 200));
     assert_eq!(one.requests(), before);
     assert_eq!(sidecar.call("cordon s-2"), "OK");
-    assert_eq!(ask(), 503);
+    assert_eq!(exchange(), 503);
     assert_eq!([sidecar.call("uncordon s-2"), sidecar.call("uncordon s-1")], ["OK", "OK"]);
-    await_that("it is used again", || ask() == 200 && one.requests() > before);
+    wait_until("it is used again", || exchange() == 200 && one.requests() > before);
 }
 
 // Whichever process is told, before the upgrade, during it or after.
@@ -275,7 +276,7 @@
 fn operators_calls_hold_for_both_processes_and_the_next() {
     let discovery = Discovery::start();
     let [one, two] = [(); 2].map(|()| Endpoint::start(|_| Reply::Answer(200, "", Vec::new())));
-    let listener = held_socket();
+    let listener = shared_listener();
     let folder = folder(&listener);
     let endpoints = [("s-1", &one), ("s-2", &two)];
     let start = || Sidecar::start_passed(&discovery, &endpoints, &listener, &folder);
@@ -283,9 +284,11 @@
         sidecar.signal("-TERM");
         assert_eq!(sidecar.process.wait().expect("it ends").code(), Some(0));
     };
-    let ask = |sidecar: &Sidecar| sidecar.ask(&request("look", "", "")).expect("an answer").status();
-    let up =
-        |sidecar: &Sidecar| sidecar.ask("GET /up HTTP/1.1\r\nHost: x\r\n\r\n").expect("an answer").status();
+    let exchange =
+        |sidecar: &Sidecar| sidecar.exchange(&request("look", "", "")).expect("an answer").status();
+    let up = |sidecar: &Sidecar| {
+        sidecar.exchange("GET /up HTTP/1.1\r\nHost: x\r\n\r\n").expect("an answer").status()
+    };
     // An answer may still be the other process's for a moment after the call.
     let settled = || thread::sleep(Duration::from_millis(500));
     let old = start();
@@ -296,16 +299,16 @@
     assert!((0..10).all(|_| up(&new) == 503));
     assert_eq!([new.call("health"), new.call("resume")], ["OK", "OK"]);
     settled();
-    assert!((0..20).all(|_| up(&old) == 200 && ask(&old) == 200));
+    assert!((0..20).all(|_| up(&old) == 200 && exchange(&old) == 200));
     assert_eq!(one.requests(), 0);
     stop(old);
-    assert!((0..10).all(|_| ask(&new) == 200));
+    assert!((0..10).all(|_| exchange(&new) == 200));
     assert_eq!((one.requests(), new.call("quiesce")), (0, "OK".to_owned()));
     let newer = start();
     stop(new);
     assert_eq!((up(&newer), newer.call("health")), (503, "OK".to_owned()));
     assert_eq!([newer.call("uncordon s-1"), newer.call("resume")], ["OK", "OK"]);
-    await_that("it is used again", || ask(&newer) == 200 && one.requests() > 0);
+    wait_until("it is used again", || exchange(&newer) == 200 && one.requests() > 0);
 }
 
 #[test]
@@ -313,18 +316,18 @@
     let discovery = Discovery::start();
     let endpoint = Endpoint::start(|_| Reply::Answer(200, "", Vec::new()));
     for text in ["", "{}", "\0", r#"{"version":99,"cordoned":["s-1"],"drained":true}"#] {
-        let listener = held_socket();
+        let listener = shared_listener();
         let folder = folder(&listener);
         let start = || Sidecar::start_passed(&discovery, &[("s-1", &endpoint)], &listener, &folder);
         let file = format!("tinflow-{}.json", listener.local_addr().expect("an address"));
         std::fs::write(folder.join(file), text).expect("it can be written");
         let sidecar = start();
-        assert_eq!(sidecar.ask(&request("look", "", "")).expect("an answer").status(), 200, "{text}");
+        assert_eq!(sidecar.exchange(&request("look", "", "")).expect("an answer").status(), 200, "{text}");
         // The next call replaces it.
         assert_eq!(sidecar.call("cordon s-1"), "OK");
         let next = start();
         drop(sidecar);
-        assert_eq!(next.ask(&request("look", "", "")).expect("an answer").status(), 503, "{text}");
+        assert_eq!(next.exchange(&request("look", "", "")).expect("an answer").status(), 503, "{text}");
     }
 }
 
@@ -334,10 +337,13 @@
         (Discovery::start(), Endpoint::start(|_| Reply::Answer(200, "", b"ok".to_vec())));
     let sidecar = Sidecar::start(&discovery, &[("s-1", &endpoint)]);
     for _ in 0..3 {
-        assert_eq!(sidecar.ask(&request("look", "Connection: close\r\n", "")).map(|m| m.status()), Some(200));
+        assert_eq!(
+            sidecar.exchange(&request("look", "Connection: close\r\n", "")).map(|m| m.status()),
+            Some(200)
+        );
     }
-    assert_eq!(sidecar.ask("NONSENSE\r\n\r\n").map(|m| m.status()), Some(400));
-    let told = sidecar.call("metrics");
+    assert_eq!(sidecar.exchange("NONSENSE\r\n\r\n").map(|m| m.status()), Some(400));
+    let reported = sidecar.call("metrics");
     for line in [
         "# TYPE lotusmoor_sidecar_requests_answered counter",
         "lotusmoor_sidecar_requests_answered_total{outcome=\"served\"} 3",
@@ -346,7 +352,7 @@
         "lotusmoor_sidecar_rule_violations_total{rule=\"unanswered\"} 0",
         "lotusmoor_sidecar_rule_violations_total{rule=\"duplicate\"} 0",
     ] {
-        assert!(told.lines().any(|l| l == line), "{line} is not in\n{told}");
+        assert!(reported.lines().any(|l| l == line), "{line} is not in\n{reported}");
     }
     assert!(sidecar.call("metrics now").starts_with("ERR "));
 }
--- a/crates/sidecar/tests/requests/mod.rs
+++ b/crates/sidecar/tests/requests/mod.rs
@@ -13,14 +13,14 @@
     let answered = body.clone();
     let endpoint = Endpoint::start(move |_| Reply::Answer(200, "Content-Type: x/y\r\n", answered.clone()));
     let sidecar = Sidecar::start(&discovery, &[("s-1", &endpoint)]);
-    let asked = request("pay", "", &"b".repeat(60_000));
-    let answer = sidecar.ask(&asked).expect("an answer");
+    let submitted = request("pay", "", &"b".repeat(60_000));
+    let answer = sidecar.exchange(&submitted).expect("an answer");
     assert_eq!((answer.status(), answer.header("content-type")), (200, Some("x/y")));
     assert!(answer.body == body);
     let seen = endpoint.seen.lock().expect("no stub panics");
     assert_eq!(seen[0].start, "POST /api?site=4 HTTP/1.1");
     let id = seen[0].header("x-correlation-id").expect("an id");
-    assert!(asked.contains(&format!("X-Correlation-Id: {id}\r\n")));
+    assert!(submitted.contains(&format!("X-Correlation-Id: {id}\r\n")));
     assert_eq!(seen[0].header("idempotency-key"), Some("5c0f6e1a"));
     assert!(seen[0].body == "b".repeat(60_000).as_bytes());
     let left = seen[0].header("x-time-left").and_then(|v| v.strip_suffix('u')?.parse::<u64>().ok());
@@ -62,7 +62,7 @@
         assert!(status == 404 || await_close(&mut client), "nothing after it is to be read: {bad}");
     }
     assert_eq!(endpoint.requests(), 0);
-    assert_eq!(sidecar.ask(&good).expect("an answer").status(), 200);
+    assert_eq!(sidecar.exchange(&good).expect("an answer").status(), 200);
 }
 
 // Endpoints know a request by its id: with two of one id, one client could get the other's answer.
@@ -71,12 +71,12 @@
     let discovery = Discovery::start();
     let endpoint = Endpoint::start(|_| Reply::Later(Duration::from_millis(500), b"late".to_vec()));
     let sidecar = Sidecar::start(&discovery, &[("s-1", &endpoint)]);
-    let (asked, mut client) = (request("book", "", ""), sidecar.connect());
-    client.write_all(asked.as_bytes()).expect("the sidecar takes it");
-    await_that("the request is out", || endpoint.requests() == 1);
-    assert_eq!(sidecar.ask(&asked).expect("an answer").status(), 409);
+    let (submitted, mut client) = (request("book", "", ""), sidecar.connect());
+    client.write_all(submitted.as_bytes()).expect("the sidecar takes it");
+    wait_until("the request is out", || endpoint.requests() == 1);
+    assert_eq!(sidecar.exchange(&submitted).expect("an answer").status(), 409);
     assert_eq!(read_message(&mut client).expect("an answer").status(), 200);
-    assert_eq!(sidecar.ask(&asked).expect("an answer").status(), 409);
+    assert_eq!(sidecar.exchange(&submitted).expect("an answer").status(), 409);
     assert_eq!(endpoint.requests(), 1);
 }
 
@@ -89,10 +89,10 @@
     let [one, two] = [(); 2].map(|()| Endpoint::start(answer));
     let sidecar = Sidecar::start(&discovery, &[("s-1", &one), ("s-2", &two)]);
     for sent in 1..=20 {
-        assert_eq!(sidecar.ask(&request("look", "X-Bad: 1\r\n", "")).expect("an answer").status(), 400);
+        assert_eq!(sidecar.exchange(&request("look", "X-Bad: 1\r\n", "")).expect("an answer").status(), 400);
         assert_eq!(one.requests() + two.requests(), sent);
     }
-    assert_eq!(sidecar.ask(&request("look", "", "")).expect("an answer").status(), 200);
+    assert_eq!(sidecar.exchange(&request("look", "", "")).expect("an answer").status(), 200);
 }
 
 // Half a request takes a place as well, and is no reason to keep a whole one out.
@@ -108,8 +108,8 @@
     let mut client = sidecar.connect();
     client.write_all(request("look", "", "").as_bytes()).expect("the sidecar takes it");
     assert_eq!(read_message(&mut client).expect("an answer").status(), 200);
-    let told = read_message(&mut crowd[0]).map(|m| m.status());
-    assert_eq!(told, Some(408), "the first to come is the first to go");
+    let reported = read_message(&mut crowd[0]).map(|m| m.status());
+    assert_eq!(reported, Some(408), "the first to come is the first to go");
 }
 
 // Clients that use each connection once and keep it may be held to fewer than the sidecar has room for: with all
@@ -120,22 +120,22 @@
     let endpoint = Endpoint::start(|_| ok("served"));
     // Room for 20.
     let sidecar = Sidecar::start_with(&discovery, &[("s-1", &endpoint)], 1024, 64);
-    let ask = |client: &mut TcpStream| {
+    let exchange = |client: &mut TcpStream| {
         client.write_all(request("look", "", "").as_bytes()).expect("the sidecar takes it");
         read_message(client).map(|m| m.status())
     };
     let mut clients: Vec<_> = (0..15).map(|_| sidecar.connect()).collect();
     for client in &mut clients {
         // One that connected long before its turn to ask may have been closed.
-        if ask(client).is_none() {
+        if exchange(client).is_none() {
             *client = sidecar.connect();
-            assert_eq!(ask(client), Some(200));
+            assert_eq!(exchange(client), Some(200));
         }
     }
     assert!(await_close(&mut clients[0]), "nobody makes way");
     // Half the room is nobody's but theirs.
     thread::sleep(Duration::from_millis(500));
-    assert_eq!(ask(clients.last_mut().expect("one is left")), Some(200));
+    assert_eq!(exchange(clients.last_mut().expect("one is left")), Some(200));
 }
 
 // Whoever sends nothing, half a request or one byte after the other must not hold a place for long. These
@@ -170,7 +170,7 @@
         let discovery = Discovery::start();
         let [one, two] = [(); 2].map(|()| Endpoint::start(move |_| reply()));
         let sidecar = Sidecar::start(&discovery, &[("s-1", &one), ("s-2", &two)]);
-        let status = sidecar.ask(&request("book", "", "{}")).expect("an answer").status();
+        let status = sidecar.exchange(&request("book", "", "{}")).expect("an answer").status();
         assert!(status >= 500 && status != 503, "{status}");
         assert_eq!(one.requests() + two.requests(), 1);
     }
@@ -178,35 +178,35 @@
 
 #[test]
 fn retries_non_idempotent_request_that_has_not_run() {
-    let turning = Endpoint::start(|_| Reply::Answer(503, "X-Unprocessed: 1\r\n", Vec::new()));
+    let rejecting = Endpoint::start(|_| Reply::Answer(503, "X-Unprocessed: 1\r\n", Vec::new()));
     let good = Endpoint::start(|_| ok("served"));
     let refusing = unused_address();
-    for bad in [turning.address, refusing] {
+    for bad in [rejecting.address, refusing] {
         let discovery = Discovery::start();
         let sidecar = Sidecar::start(&discovery, &[("s-1", &good)]);
         discovery.publish(2, list(2, false, &[("s-2", bad, "active")]));
         discovery.await_watch(2);
         // Two turns go round both endpoints.
         for _ in 0..2 {
-            assert_eq!(sidecar.ask(&request("book", "", "{}")).expect("an answer").status(), 200);
+            assert_eq!(sidecar.exchange(&request("book", "", "{}")).expect("an answer").status(), 200);
         }
     }
     assert_eq!(good.requests(), 4);
-    assert!(turning.requests() > 0);
+    assert!(rejecting.requests() > 0);
 }
 
 #[test]
 fn sheds_at_once_without_endpoints() {
     let discovery = Discovery::start();
     let sidecar = Sidecar::start(&discovery, &[]);
-    let asked = Instant::now();
-    let answer = sidecar.ask(&request("book", "", "{}")).expect("an answer");
+    let submitted = Instant::now();
+    let answer = sidecar.exchange(&request("book", "", "{}")).expect("an answer");
     assert_eq!(answer.status(), 503);
     // It says when to come back, and no later than clients put up with.
     let seconds: Option<f64> = answer.header("retry-after").and_then(|v| v.parse().ok());
     assert!(seconds.is_some_and(|s| s > 0.0 && s <= 2.0), "{seconds:?}");
     // Its client would wait 19 s: half of that is far from at once, and far from held until then.
-    assert!(asked.elapsed() < Duration::from_millis(9500));
+    assert!(submitted.elapsed() < Duration::from_millis(9500));
 }
 
 // A machine that has vanished says nothing, ever: only the sidecar's own timers end what is out there.
@@ -217,10 +217,10 @@
         let endpoint = Endpoint::start(|_| Reply::Silence);
         let sidecar = Sidecar::start(&discovery, &[("s-1", &endpoint)]);
         let short = request(class, "", "").replace("19000m", "400m");
-        let status = sidecar.ask(&short).expect("an answer").status();
+        let status = sidecar.exchange(&short).expect("an answer").status();
         assert!(status != 200 && (class != "book" || status != 503), "{class}: {status}");
         // Giving up an attempt closes its connection, or the answer to it would meet the next request.
-        await_that("all connections are closed", || {
+        wait_until("all connections are closed", || {
             let made = endpoint.made.load(Ordering::SeqCst);
             made >= 1 && endpoint.closed() == made
         });
@@ -236,9 +236,9 @@
     // It would wait for longer than this test does: only its leaving can end the attempt.
     let patient = request("book", "", "{}").replace("19000m", "600000m");
     client.write_all(patient.as_bytes()).expect("the sidecar takes it");
-    await_that("the request is out", || endpoint.requests() == 1);
+    wait_until("the request is out", || endpoint.requests() == 1);
     client.shutdown(Shutdown::Both).expect("it closes");
-    await_that("the attempt is given up", || endpoint.closed() == 1);
+    wait_until("the attempt is given up", || endpoint.closed() == 1);
 }
 
 #[test]
@@ -253,15 +253,15 @@
     // The last answer on the first connection does not say that it is the last. The next request must not be
     // written to a connection that is closed, where it would end as a reset and, being unsafe, fail.
     for headers in ["", "", "X-Last: 1\r\n"] {
-        assert_eq!(sidecar.ask(&request("book", headers, "")).expect("an answer").status(), 200);
+        assert_eq!(sidecar.exchange(&request("book", headers, "")).expect("an answer").status(), 200);
         assert_eq!(made(), 1);
         // A connection rests for a moment between two requests.
         thread::sleep(Duration::from_millis(100));
     }
-    assert_eq!(sidecar.ask(&request("book", "", "")).expect("an answer").status(), 200);
+    assert_eq!(sidecar.exchange(&request("book", "", "")).expect("an answer").status(), 200);
     assert_eq!((made(), endpoint.closed()), (2, 0));
     // The sidecar closes it by itself before the endpoint's idle time is over, which is never here.
-    await_that("the idle connection is retired", || endpoint.closed() == 1);
-    assert_eq!(sidecar.ask(&request("book", "", "")).expect("an answer").status(), 200);
+    wait_until("the idle connection is retired", || endpoint.closed() == 1);
+    assert_eq!(sidecar.exchange(&request("book", "", "")).expect("an answer").status(), 200);
     assert_eq!(made(), 3);
 }
--- a/crates/sidecar/tests/services/mod.rs
+++ b/crates/sidecar/tests/services/mod.rs
@@ -32,10 +32,10 @@
     fn start(servers: &[(&str, &Endpoint, Option<&str>)], knows_services: bool) -> Self {
         let listed = Listed { index: 1, servers: written(servers), knows_services, calls: Vec::new() };
         let state = Arc::new((Mutex::new(listed), Condvar::new()));
-        let asked = Arc::clone(&state);
+        let submitted = Arc::clone(&state);
         let at = Endpoint::start(move |message| {
             let path = message.start.split(' ').nth(1).expect("a path").to_owned();
-            Reply::Answer(200, "", Self::answer(&asked, path).into_bytes())
+            Reply::Answer(200, "", Self::answer(&submitted, path).into_bytes())
         });
         Self { at, state }
     }
@@ -47,18 +47,21 @@
             query.split('&').find_map(|pair| pair.strip_prefix(key)?.strip_prefix('=')).map(str::to_owned)
         };
         let number = |key: &str| part(key).map(|n| n.parse::<u64>().expect("a number"));
-        let (wait, after, asked) = (number("wait_ms").expect("a wait"), number("after"), part("services"));
+        let (wait, after, submitted) =
+            (number("wait_ms").expect("a wait"), number("after"), part("services"));
         let mut listed = listed.lock().expect("no stub panics");
         listed.calls.push(path.clone());
         let wait = Duration::from_millis(wait);
         listed = news.wait_timeout_while(listed, wait, |l| after == Some(l.index)).expect("no stub panics").0;
-        let asked = asked.filter(|_| listed.knows_services);
-        let asked: Option<Vec<&str>> = asked.as_ref().map(|names| names.split(',').collect());
+        let submitted = submitted.filter(|_| listed.knows_services);
+        let submitted: Option<Vec<&str>> = submitted.as_ref().map(|names| names.split(',').collect());
         let wanted = |service: &Option<String>| {
-            asked.as_ref().is_none_or(|asked| service.as_deref().is_some_and(|name| asked.contains(&name)))
+            submitted
+                .as_ref()
+                .is_none_or(|submitted| service.as_deref().is_some_and(|name| submitted.contains(&name)))
         };
-        let whole = after != Some(listed.index);
-        let entries = listed.servers.iter().filter(|(_, _, service)| whole && wanted(service));
+        let full = after != Some(listed.index);
+        let entries = listed.servers.iter().filter(|(_, _, service)| full && wanted(service));
         let entries: Vec<_> = entries
             .map(|(name, address, service)| {
                 let service = service.as_ref().map_or(String::new(), |s| format!(r#""service":"{s}","#));
@@ -68,10 +71,10 @@
             })
             .collect();
         let echo =
-            asked.map_or(String::new(), |names| format!(r#""services":["{}"],"#, names.join(r#"",""#)));
+            submitted.map_or(String::new(), |names| format!(r#""services":["{}"],"#, names.join(r#"",""#)));
         let (index, entries) = (listed.index, entries.join(","));
         format!(
-            r#"{{"epoch":1,"index":{index},"snapshot":{whole},"digest":{index},{echo}"endpoints":[{entries}]}}"#
+            r#"{{"epoch":1,"index":{index},"snapshot":{full},"digest":{index},{echo}"endpoints":[{entries}]}}"#
         )
     }
 
@@ -89,14 +92,14 @@
     }
 
     /// Calls for the whole list.
-    fn whole(&self) -> usize {
+    fn full_list_polls(&self) -> usize {
         self.calls().iter().filter(|path| !path.contains("after=")).count()
     }
 
     /// Waits until a watch for what comes after that version is open, with that end of its path.
     fn await_watch(&self, index: u64, end: &str) {
         let wanted = format!("&after={index}{end}");
-        await_that("the watch goes on", || self.calls().last().is_some_and(|path| path.ends_with(&wanted)));
+        wait_until("the watch goes on", || self.calls().last().is_some_and(|path| path.ends_with(&wanted)));
     }
 }
 
@@ -133,21 +136,21 @@
 }
 
 /// A request's status.
-fn ask(sidecar: &Sidecar) -> u16 {
-    sidecar.ask(&request("look", "", "")).expect("an answer").status()
+fn exchange(sidecar: &Sidecar) -> u16 {
+    sidecar.exchange(&request("look", "", "")).expect("an answer").status()
 }
 
 /// Waits until so many servers are listed, with that end of the line.
 fn await_servers(sidecar: &Sidecar, number: usize, end: &str) {
     let wanted = format!(" servers={number} held=0{end}");
-    await_that("the servers are listed", || sidecar.call("list").ends_with(&wanted));
+    wait_until("the servers are listed", || sidecar.call("list").ends_with(&wanted));
 }
 
 /// Asks until each of these servers has got a request; every one is answered well.
 fn await_use(sidecar: &Sidecar, servers: &[&Endpoint]) {
     let before: Vec<_> = servers.iter().map(|server| server.requests()).collect();
-    await_that("each is used", || {
-        assert_eq!(ask(sidecar), 200);
+    wait_until("each is used", || {
+        assert_eq!(exchange(sidecar), 200);
         servers.iter().zip(&before).all(|(server, before)| server.requests() > *before)
     });
 }
@@ -182,12 +185,12 @@
     let replica = Replica::start(&[("s-1", &one, Some("ledger")), ("s-2", &two, None)], true);
     let empty = roster(replica.at.address, &[]);
     for part in [&empty, &empty.replace(r#","services":[]"#, "")] {
-        let asked = replica.calls().len();
+        let submitted = replica.calls().len();
         let sidecar = sidecar(&discovery, part);
         await_servers(&sidecar, 2, "");
         await_use(&sidecar, &[&one, &two]);
         replica.await_watch(1, "");
-        let calls = &replica.calls()[asked..];
+        let calls = &replica.calls()[submitted..];
         assert_eq!(calls[..2], ["/v1/watch?wait_ms=0", "/v1/watch?wait_ms=4000&epoch=1&after=1"]);
     }
 }
@@ -205,16 +208,16 @@
     let reloaded = Instant::now();
     // What stays is in use throughout.
     while reloaded.elapsed() < SETTLED {
-        assert_eq!(ask(&sidecar), 200);
+        assert_eq!(exchange(&sidecar), 200);
         thread::sleep(Duration::from_millis(5));
     }
     let before = ledger.requests();
     await_use_of_list(&sidecar, &replica, 1, "&services=pay,stock", &[&pay, &stock]);
     let index = replica.publish(&servers);
     await_use_of_list(&sidecar, &replica, index, "&services=pay,stock", &[&pay, &stock]);
-    assert!((0..50).all(|_| ask(&sidecar) == 200));
+    assert!((0..50).all(|_| exchange(&sidecar) == 200));
     assert_eq!(ledger.requests(), before);
-    assert_eq!(replica.whole(), 2, "{:?}", replica.calls());
+    assert_eq!(replica.full_list_polls(), 2, "{:?}", replica.calls());
     reload(&sidecar, &discovery, &roster(at, &[]));
     await_use_of_list(&sidecar, &replica, index, "", &[&ledger, &pay, &stock]);
 }
@@ -224,8 +227,8 @@
 fn await_use_of_list(sidecar: &Sidecar, replica: &Replica, index: u64, end: &str, servers: &[&Endpoint]) {
     replica.await_watch(index, end);
     let number = end.split_once('=').map_or(0, |(_, names)| names.split(',').count());
-    let told = if number == 0 { String::new() } else { format!(" services={number}") };
-    await_servers(sidecar, servers.len(), &told);
+    let reported = if number == 0 { String::new() } else { format!(" services={number}") };
+    await_servers(sidecar, servers.len(), &reported);
     await_use(sidecar, servers);
 }
 
@@ -245,7 +248,7 @@
             let index = replica.publish(&servers);
             replica.await_watch(index, "&services=ledger,pay");
         }
-        assert_eq!(replica.whole(), 1, "{part}: {:?}", replica.calls());
+        assert_eq!(replica.full_list_polls(), 1, "{part}: {:?}", replica.calls());
         await_servers(&sidecar, 2, " services=2");
     }
     await_use(&sidecar, &[&ledger, &pay]);
@@ -260,10 +263,10 @@
     let servers = [("s-1", &ledger, Some("ledger")), ("s-2", &pay, Some("pay"))];
     let replica = Replica::start(&servers, false);
     let sidecar = sidecar(&discovery, &roster(replica.at.address, &["ledger"]));
-    await_that("it asks again and again", || replica.calls().len() > 3);
+    wait_until("it asks again and again", || replica.calls().len() > 3);
     let line = sidecar.call("list");
     assert!(line.starts_with("OK version=none ") && line.ends_with(" servers=0 held=0 services=1"), "{line}");
-    assert_eq!(ask(&sidecar), 503);
+    assert_eq!(exchange(&sidecar), 503);
     assert_eq!((ledger.requests(), pay.requests()), (0, 0));
     replica.state.0.lock().expect("no stub panics").knows_services = true;
     await_servers(&sidecar, 1, " services=1");
@@ -285,10 +288,10 @@
         let path = config_file(&text);
         let mut command = Command::new(env!("CARGO_BIN_EXE_lotusmoor-sidecar"));
         let output = command.env("LB_CONFIG", &path).stdin(Stdio::null()).output().expect("it starts");
-        let said = String::from_utf8(output.stderr).expect("text");
-        assert_eq!(output.status.code(), Some(1), "{said}");
+        let stderr = String::from_utf8(output.stderr).expect("text");
+        assert_eq!(output.status.code(), Some(1), "{stderr}");
         let key = format!("lotusmoor-sidecar: LB_CONFIG {}: roster: services", path.display());
-        assert!(said.starts_with(&key) && said.lines().count() == 1, "{said}");
+        assert!(stderr.starts_with(&key) && stderr.lines().count() == 1, "{stderr}");
         let _ = std::fs::remove_file(path);
     }
     let (discovery, server) = (Discovery::start(), served());
@@ -298,5 +301,5 @@
     let sidecar = sidecar(&discovery, &roster(replica.at.address, &most));
     await_servers(&sidecar, 256, " services=256");
     assert_eq!(replica.calls()[0], format!("/v1/watch?wait_ms=0&services={}", most.join(",")));
-    assert_eq!(ask(&sidecar), 200);
+    assert_eq!(exchange(&sidecar), 200);
 }
--- a/crates/sidecar/tests/streaming/mod.rs
+++ b/crates/sidecar/tests/streaming/mod.rs
@@ -52,12 +52,12 @@
         let body = bytes(length);
         let sized = [head(&format!("Content-Length: {length}\r\n")), body.clone()].concat();
         let chunked = [head("Transfer-Encoding: chunked\r\n"), in_chunks(&body, 9_999)].concat();
-        let asked = head(&format!("Expect: 100-continue\r\nContent-Length: {length}\r\n"));
-        let expecting = [asked, body.clone()].concat();
-        for (form, asked) in [("sized", sized), ("chunked", chunked), ("expecting", expecting)] {
+        let submitted = head(&format!("Expect: 100-continue\r\nContent-Length: {length}\r\n"));
+        let expecting = [submitted, body.clone()].concat();
+        for (form, submitted) in [("sized", sized), ("chunked", chunked), ("expecting", expecting)] {
             let mut writer = client.try_clone().expect("a descriptor");
             let mut answer = thread::scope(|scope| {
-                scope.spawn(move || writer.write_all(&asked).expect("the sidecar takes it"));
+                scope.spawn(move || writer.write_all(&submitted).expect("the sidecar takes it"));
                 read_message(&mut client).expect("an answer")
             });
             if answer.status() == 100 {
@@ -110,17 +110,17 @@
             client
         })
         .collect();
-    await_that("all of them are asked", || endpoint.requests() == 16);
+    wait_until("all of them are asked", || endpoint.requests() == 16);
     thread::sleep(Duration::from_millis(500));
     thread::scope(|scope| {
         for client in &mut readers {
             scope.spawn(|| assert!(read_message(client).expect("an answer").body == body));
         }
         for _ in 0..8 {
-            let asked = [head(&format!("Content-Length: {LARGE}\r\n")), body.clone()].concat();
+            let submitted = [head(&format!("Content-Length: {LARGE}\r\n")), body.clone()].concat();
             let mut client = sidecar.connect();
             scope.spawn(move || {
-                client.write_all(&asked).expect("the sidecar takes it");
+                client.write_all(&submitted).expect("the sidecar takes it");
                 assert_eq!(read_message(&mut client).expect("an answer").status(), 200);
             });
         }
@@ -167,20 +167,20 @@
             // What stands still is given up after the longest of these.
             config.replace("\"DeadlineUs\":20000000", "\"DeadlineUs\":1000000").replace("8000000", "800000")
         });
-        let asked = request("look", "", "");
-        let asked = if old { asked.replace("HTTP/1.1", "HTTP/1.0") } else { asked };
+        let submitted = request("look", "", "");
+        let submitted = if old { submitted.replace("HTTP/1.1", "HTTP/1.0") } else { submitted };
         let mut client = sidecar.connect();
-        client.write_all(asked.as_bytes()).expect("the sidecar takes it");
+        client.write_all(submitted.as_bytes()).expect("the sidecar takes it");
         let (all, reset) = read_to_end(&mut client);
         let end = all.windows(4).position(|w| w == b"\r\n\r\n").expect("a head") + 4;
         let head = String::from_utf8_lossy(&all[..end]).to_ascii_lowercase();
         assert!(head.starts_with("http/1.1 200"), "{head}");
-        let whole = match (head.contains("content-length: 600000"), head.contains("chunked")) {
+        let complete = match (head.contains("content-length: 600000"), head.contains("chunked")) {
             (true, false) => all.len() - end == 600_000,
             (false, true) => all.ends_with(b"0\r\n\r\n"),
             _ => !reset,
         };
-        assert!(!whole && (close || head.contains("content-length")), "{head}");
+        assert!(!complete && (close || head.contains("content-length")), "{head}");
         assert!(!(old && head.contains("chunked")), "{head}");
         assert_eq!(endpoint.requests(), 1, "once a byte is out there is no other try");
     }
@@ -194,14 +194,14 @@
     let sidecar = Sidecar::start(&discovery, &[("s-1", &good)]);
     discovery.publish(2, list(2, false, &[("s-2", refusing, "active")]));
     discovery.await_watch(2);
-    let ask = || {
-        let asked = [head(&format!("Content-Length: {LARGE}\r\n")), bytes(LARGE)].concat();
+    let exchange = || {
+        let submitted = [head(&format!("Content-Length: {LARGE}\r\n")), bytes(LARGE)].concat();
         let mut client = sidecar.connect();
-        client.write_all(&asked).expect("the sidecar takes it");
+        client.write_all(&submitted).expect("the sidecar takes it");
         read_message(&mut client).expect("an answer").status()
     };
     // Two turns go round both.
-    assert_eq!([ask(), ask()], [200, 200]);
+    assert_eq!([exchange(), exchange()], [200, 200]);
     let closing = std::net::TcpListener::bind("127.0.0.1:0").expect("a free port");
     let entry = [("s-3", closing.local_addr().expect("an address"), "active")];
     discovery.publish(3, list(3, true, &entry));
@@ -214,7 +214,7 @@
         thread::sleep(Duration::from_millis(500));
         closing.accept().is_ok()
     });
-    assert_eq!(ask(), 503, "it has not run");
+    assert_eq!(exchange(), 503, "it has not run");
     assert!(!breaking.join().expect("no stub panics"), "it was sent again");
 }
 
@@ -226,8 +226,8 @@
     let sidecar = Sidecar::start(&discovery, &[("s-1", &endpoint)]);
     let body = bytes(230_000);
     let mut client = sidecar.connect();
-    let asked = String::from_utf8(head(&format!("Content-Length: {}\r\n", body.len()))).expect("text");
-    client.write_all(asked.replace("19000m", "1000m").as_bytes()).expect("the sidecar takes it");
+    let submitted = String::from_utf8(head(&format!("Content-Length: {}\r\n", body.len()))).expect("text");
+    client.write_all(submitted.replace("19000m", "1000m").as_bytes()).expect("the sidecar takes it");
     for piece in body.chunks(8_000) {
         thread::sleep(Duration::from_millis(125));
         client.write_all(piece).expect("the sidecar takes it");
@@ -238,8 +238,9 @@
     let before = endpoint.requests();
     for sent in [100, 30_000, 200_000] {
         let mut client = sidecar.connect();
-        let asked = [head(&format!("Content-Length: {}\r\n", body.len())), body[..sent].to_vec()].concat();
-        client.write_all(&asked).expect("the sidecar takes it");
+        let submitted =
+            [head(&format!("Content-Length: {}\r\n", body.len())), body[..sent].to_vec()].concat();
+        client.write_all(&submitted).expect("the sidecar takes it");
         let fell_silent = Instant::now();
         assert_eq!(read_message(&mut client).expect("an answer").status(), 408);
         assert!(await_close(&mut client) && fell_silent.elapsed() < LONG / 3);
@@ -258,13 +259,13 @@
     let sidecar = Sidecar::start(&discovery, &[("s-1", &endpoint)]);
     let mut client = sidecar.connect();
     client.write_all(request("look", "", "").as_bytes()).expect("the sidecar takes it");
-    let (asked, mut begun) = (Instant::now(), Vec::new());
+    let (submitted, mut begun) = (Instant::now(), Vec::new());
     while !begun.ends_with(b"first\r\n") {
         let mut byte = [0];
         client.read_exact(&mut byte).expect("it begins");
         begun.push(byte[0]);
     }
-    assert!(asked.elapsed() < Duration::from_millis(1500), "{:?}", asked.elapsed());
+    assert!(submitted.elapsed() < Duration::from_millis(1500), "{:?}", submitted.elapsed());
     let mut rest = vec![0; b"4\r\nrest\r\n0\r\n\r\n".len()];
     client.read_exact(&mut rest).expect("it goes on");
     assert_eq!(rest, b"4\r\nrest\r\n0\r\n\r\n");
--- a/crates/sidecar/tests/stubs/discovery.rs
+++ b/crates/sidecar/tests/stubs/discovery.rs
@@ -62,13 +62,13 @@
 impl Discovery {
     pub fn start() -> Self {
         let listener = TcpListener::bind("127.0.0.1:0").expect("a free port");
-        let discovery = Self::away(listener.local_addr().expect("an address"));
+        let discovery = Self::not_serving(listener.local_addr().expect("an address"));
         discovery.serve(listener);
         discovery
     }
 
     /// One that is to be at that address, and serves nobody yet.
-    pub fn away(address: SocketAddr) -> Self {
+    pub fn not_serving(address: SocketAddr) -> Self {
         let (state, failing, mute, fault, slow, resets) = Default::default();
         Self { address, state, failing, mute, fault, slow, resets }
     }
@@ -85,8 +85,8 @@
                 let (resets, before) = (resets.clone(), resets.load(Ordering::SeqCst));
                 thread::spawn(move || {
                     while let Some(call) = read_message(&mut stream) {
-                        let waits = *slow.lock().expect("no stub panics");
-                        thread::sleep(waits);
+                        let delay = *slow.lock().expect("no stub panics");
+                        thread::sleep(delay);
                         let faulty = fault.lock().expect("no stub panics").clone();
                         if mute.load(Ordering::SeqCst) || faulty.is_some() {
                             state.0.lock().expect("no stub panics").calls.push(call.start.clone());
@@ -160,7 +160,7 @@
     /// Waits until a watch for news after `version` is open: what came before has then been taken in.
     pub fn await_watch(&self, version: u64) {
         let call = format!("after={version}&");
-        await_that("the watch goes on", || self.calls().iter().any(|c| c.contains(&call)));
+        wait_until("the watch goes on", || self.calls().iter().any(|c| c.contains(&call)));
     }
 }
 
--- a/crates/sidecar/tests/stubs/endpoint.rs
+++ b/crates/sidecar/tests/stubs/endpoint.rs
@@ -126,9 +126,9 @@
 /// Writes an answer with a body of known length.
 pub fn answer(stream: &mut TcpStream, status: u16, headers: &str, body: &[u8]) {
     let head = format!("HTTP/1.1 {status} stub\r\n{headers}Content-Length: {}\r\n\r\n", body.len());
-    let whole: Vec<u8> = head.bytes().chain(body.iter().copied()).collect();
+    let bytes: Vec<u8> = head.bytes().chain(body.iter().copied()).collect();
     // The sidecar may have given up on it.
-    let _ = stream.write_all(&whole);
+    let _ = stream.write_all(&bytes);
 }
 
 /// A 200 answer with that body.
--- a/crates/sidecar/tests/stubs/mod.rs
+++ b/crates/sidecar/tests/stubs/mod.rs
@@ -19,12 +19,12 @@
 pub const LONG: Duration = Duration::from_secs(30);
 
 /// Waits until something holds.
-pub fn await_that(what: &str, holds: impl Fn() -> bool) {
-    assert!(comes(holds), "it never came that {what}");
+pub fn wait_until(what: &str, holds: impl Fn() -> bool) {
+    assert!(becomes_true(holds), "it never came that {what}");
 }
 
 /// The same, for a long time at most; whether it came.
-pub fn comes(holds: impl Fn() -> bool) -> bool {
+pub fn becomes_true(holds: impl Fn() -> bool) -> bool {
     let until = Instant::now() + LONG;
     while !holds() {
         if Instant::now() >= until {
--- a/crates/sidecar/tests/stubs/sidecar.rs
+++ b/crates/sidecar/tests/stubs/sidecar.rs
@@ -73,9 +73,9 @@
         discovery: &Discovery,
         endpoints: &[(&str, &Endpoint)],
         granted: u32,
-        told: u32,
+        reported: u32,
     ) -> Self {
-        let sockets = format!("\"sockets\":{told}");
+        let sockets = format!("\"sockets\":{reported}");
         Self::start_as(discovery, endpoints, granted, |config| config.replace("\"sockets\":1024", &sockets))
     }
 
@@ -137,7 +137,7 @@
             stream.write_all(b"GET /up HTTP/1.1\r\nHost: x\r\n\r\n").ok()?;
             read_message(&mut stream)
         };
-        await_that("the sidecar is up", || up().is_some_and(|m| m.status() == 200));
+        wait_until("the sidecar is up", || up().is_some_and(|m| m.status() == 200));
     }
 
     /// Starts one on a listening socket that is passed on to it, with that folder for what outlives it.
@@ -175,7 +175,7 @@
                 command
             },
         );
-        await_that("the sidecar can serve", || sidecar.call("health") == "OK");
+        wait_until("the sidecar can serve", || sidecar.call("health") == "OK");
         sidecar
     }
 
@@ -207,7 +207,7 @@
     }
 
     /// One request on a connection of its own.
-    pub fn ask(&self, request: &str) -> Option<Message> {
+    pub fn exchange(&self, request: &str) -> Option<Message> {
         let mut stream = self.connect();
         stream.write_all(request.as_bytes()).expect("the sidecar takes it");
         read_message(&mut stream)
--- a/crates/sidecar/tests/terms/clients.rs
+++ b/crates/sidecar/tests/terms/clients.rs
@@ -1,7 +1,7 @@
 //! Clients of a busy sidecar get their answers in time, or are not forwarded.
 
 use super::*;
-use crate::crossings::{Next, WAYS, leave, next, served, times};
+use crate::crossings::{Next, WAYS, close_client, next, served, times};
 use crate::stubs::*;
 use std::io::{ErrorKind, Read, Write};
 use std::net::TcpStream;
@@ -31,7 +31,7 @@
                     |client: &TcpStream| client.set_read_timeout(Some(LONG)).expect("a time-out can be set");
                 clients.iter().for_each(bound);
                 let (stop, answered, small) = (stop.clone(), answered.clone(), small.clone());
-                thread::spawn(move || ask_all(clients, &stop, &answered, small))
+                thread::spawn(move || exchange_all(clients, &stop, &answered, small))
             })
             .collect();
         let busy = Self { stop, answered, threads };
@@ -42,7 +42,7 @@
     /// Waits until some more were answered.
     fn go_on(&self) {
         let before = self.answered.load(Ordering::SeqCst);
-        await_that("small ones are answered", || self.answered.load(Ordering::SeqCst) > before + 200);
+        wait_until("small ones are answered", || self.answered.load(Ordering::SeqCst) > before + 200);
     }
 }
 
@@ -53,7 +53,7 @@
     }
 }
 
-fn ask_all(
+fn exchange_all(
     mut clients: Vec<TcpStream>,
     stop: &AtomicBool,
     answered: &AtomicUsize,
@@ -80,11 +80,11 @@
 }
 
 /// Whether a client has no answer yet.
-fn waits(client: &TcpStream) -> bool {
+fn is_waiting(client: &TcpStream) -> bool {
     client.set_nonblocking(true).expect("it can");
-    let waits = client.peek(&mut [0]).is_err_and(|e| e.kind() == ErrorKind::WouldBlock);
+    let is_waiting = client.peek(&mut [0]).is_err_and(|e| e.kind() == ErrorKind::WouldBlock);
     client.set_nonblocking(false).expect("it can");
-    waits
+    is_waiting
 }
 
 /// Each way of leaving, met by a sidecar that goes on, and by one that is stopped by the system and meets all at once:
@@ -94,17 +94,17 @@
     for way in WAYS {
         for at_once in [false, true] {
             println!("{way:?}, at once: {at_once}");
-            let told = (0..20).any(|_| {
+            let reported = (0..20).any(|_| {
                 let _alone = ALONE.lock().unwrap_or_else(PoisonError::into_inner);
                 play(way, at_once).is_some()
             });
-            assert!(told, "the machine is too slow to tell");
+            assert!(reported, "the machine is too slow to tell");
         }
     }
 }
 
 /// These leave, and have been gone for as long as an attempt may still begin; then comes what they waited for.
-fn all_leave(
+fn all_close(
     sidecar: &Sidecar,
     clients: Vec<TcpStream>,
     (way, at_once): ((bool, &'static [u8]), bool),
@@ -113,8 +113,8 @@
     if at_once {
         sidecar.signal("-STOP");
     }
-    clients.into_iter().for_each(|client| leave(client, way));
-    thread::sleep(LEFT);
+    clients.into_iter().for_each(|client| close_client(client, way));
+    thread::sleep(CLOSE_REACTION_TIME);
     then();
     if at_once {
         sidecar.signal("-CONT");
@@ -122,13 +122,13 @@
 }
 
 /// So many clients that ask this, and what they asked.
-fn crowd(sidecar: &Sidecar, of: usize, asked: impl Fn() -> String) -> Vec<(TcpStream, String)> {
-    let ask = |_| {
-        let (mut client, asked) = (sidecar.connect(), asked());
-        client.write_all(asked.as_bytes()).expect("the sidecar takes it");
-        (client, asked)
+fn crowd(sidecar: &Sidecar, of: usize, submitted: impl Fn() -> String) -> Vec<(TcpStream, String)> {
+    let exchange = |_| {
+        let (mut client, submitted) = (sidecar.connect(), submitted());
+        client.write_all(submitted.as_bytes()).expect("the sidecar takes it");
+        (client, submitted)
     };
-    (0..of).map(ask).collect()
+    (0..of).map(exchange).collect()
 }
 
 // Requests that the endpoint turns away wait to be tried again, each for a time of its own. Those of clients that stay
@@ -143,33 +143,37 @@
         });
         let sidecar = Sidecar::start(&discovery, &[("s-1", &endpoint)]);
         let busy = Busy::start(&sidecar, || request("look", "", ""));
-        let turned = || request("look", "X-Turn: 1\r\n", "");
-        let (clients, go): (Vec<_>, Vec<_>) = crowd(&sidecar, 8, turned).into_iter().unzip();
-        let (mut stays, stay): (Vec<_>, Vec<_>) = crowd(&sidecar, 8, turned).into_iter().unzip();
-        let sent = |asked: &[String]| asked.iter().map(|asked| times(&endpoint, asked)).sum::<usize>();
-        await_that("some are sent on, or all answered", || {
-            sent(&go) >= 3 && sent(&stay) >= 3 || !clients.iter().any(waits)
+        let rejected_request = || request("look", "X-Turn: 1\r\n", "");
+        let (clients, closing_requests): (Vec<_>, Vec<_>) =
+            crowd(&sidecar, 8, rejected_request).into_iter().unzip();
+        let (mut remaining, remaining_requests): (Vec<_>, Vec<_>) =
+            crowd(&sidecar, 8, rejected_request).into_iter().unzip();
+        let sent = |submitted: &[String]| {
+            submitted.iter().map(|submitted| times(&endpoint, submitted)).sum::<usize>()
+        };
+        wait_until("some are sent on, or all answered", || {
+            sent(&closing_requests) >= 3 && sent(&remaining_requests) >= 3 || !clients.iter().any(is_waiting)
         });
-        clients.iter().any(waits).then_some(())?;
+        clients.iter().any(is_waiting).then_some(())?;
         let mut before = (0, 0);
-        all_leave(&sidecar, clients, (way, at_once), || {
+        all_close(&sidecar, clients, (way, at_once), || {
             // What was on its way has come by then.
-            thread::sleep(if at_once { 4 * LEFT } else { SLACK });
-            before = (sent(&go), sent(&stay));
+            thread::sleep(if at_once { 4 * CLOSE_REACTION_TIME } else { SLACK });
+            before = (sent(&closing_requests), sent(&remaining_requests));
         });
-        stays.iter_mut().for_each(|client| assert_eq!(next(client), Next::Status(503)));
+        remaining.iter_mut().for_each(|client| assert_eq!(next(client), Next::Status(503)));
         busy.go_on();
-        assert_eq!(sent(&go), before.0, "sent on again");
-        (sent(&stay) > before.1).then_some(())
+        assert_eq!(sent(&closing_requests), before.0, "sent on again");
+        (sent(&remaining_requests) > before.1).then_some(())
     });
 }
 
 /// How discovery is away: nobody listens, it says nothing, it refuses.
 #[derive(Clone, Copy, Debug)]
-enum Away {
-    Gone,
+enum DiscoveryFailure {
+    Unreachable,
     Silent,
-    Refusing,
+    Rejecting,
 }
 
 /// Clients that connect, say nothing, and connect anew as soon as they are closed, until told to stop; how often they did.
@@ -181,7 +185,7 @@
             idle.push(sidecar.connect());
             made += 1;
         }
-        idle.retain(waits);
+        idle.retain(is_waiting);
         thread::sleep(Duration::from_millis(2));
     }
     made
@@ -190,7 +194,7 @@
 /// Asks on new connections all the time, until told to stop; how many were served. Those that are shut unread ask anew.
 fn keep_coming(sidecar: &Sidecar, stop: &AtomicBool, served: &AtomicUsize) {
     while !stop.load(Ordering::SeqCst) {
-        if sidecar.ask(&request("look", "", "")).is_some_and(|answer| answer.status() == 200) {
+        if sidecar.exchange(&request("look", "", "")).is_some_and(|answer| answer.status() == 200) {
             served.fetch_add(1, Ordering::SeqCst);
         }
     }
@@ -198,27 +202,33 @@
 
 #[test]
 fn serves_and_follows_changes_while_idle_clients_take_all_descriptors() {
-    let plays = [Away::Gone, Away::Silent, Away::Refusing]
+    let plays = [DiscoveryFailure::Unreachable, DiscoveryFailure::Silent, DiscoveryFailure::Rejecting]
         .into_iter()
-        .flat_map(|away| ASKED.map(|asked| (away, asked)));
-    let came: Vec<_> = thread::scope(|scope| {
-        let plays: Vec<_> =
-            plays.map(|(away, asked)| scope.spawn(move || (away, asked, crowded(away, asked)))).collect();
+        .flat_map(|failure| POLL_MODES.map(|submitted| (failure, submitted)));
+    let result: Vec<_> = thread::scope(|scope| {
+        let plays: Vec<_> = plays
+            .map(|(failure, submitted)| {
+                scope.spawn(move || (failure, submitted, crowded(failure, submitted)))
+            })
+            .collect();
         plays.into_iter().map(|play| play.join().expect("no panic")).collect()
     });
-    came.iter().for_each(|came| println!("{came:?}"));
-    assert!(came.iter().all(|(_, _, came)| came.is_ok()), "{came:?}");
+    result.iter().for_each(|result| println!("{result:?}"));
+    assert!(result.iter().all(|(_, _, result)| result.is_ok()), "{result:?}");
 }
 
-fn crowded(away: Away, (mode, within): (&str, u32)) -> Result<(Duration, usize, [usize; 2]), String> {
-    let discovery = match away {
-        Away::Gone => Discovery::away(unused_address()),
+fn crowded(
+    failure: DiscoveryFailure,
+    (mode, within): (&str, u32),
+) -> Result<(Duration, usize, [usize; 2]), String> {
+    let discovery = match failure {
+        DiscoveryFailure::Unreachable => Discovery::not_serving(unused_address()),
         _ => Discovery::start(),
     };
     // Says nothing, or refuses, while this stands.
-    *discovery.fault.lock().expect("no stub panics") = Some(match away {
-        Away::Silent => says("", Then::NextCall),
-        _ => says("HTTP/1.1 503 away\r\nContent-Length: 0\r\n\r\n", Then::NextCall),
+    *discovery.fault.lock().expect("no stub panics") = Some(match failure {
+        DiscoveryFailure::Silent => raw_fault("", Then::NextCall),
+        _ => raw_fault("HTTP/1.1 503 away\r\nContent-Length: 0\r\n\r\n", Then::NextCall),
     });
     let old = noting();
     let sidecar = Sidecar::start_as(&discovery, &[("s-old", &old.0)], 96, |config| {
@@ -228,26 +238,30 @@
     });
     let (stop, served) = (AtomicBool::new(false), AtomicUsize::new(0));
     // A silent watch is given up no sooner than it may have news.
-    let told = if matches!(away, Away::Silent) { TOLD + GRACE } else { TOLD };
+    let reported = if matches!(failure, DiscoveryFailure::Silent) {
+        NOTIFICATION_TIME + GRACE
+    } else {
+        NOTIFICATION_TIME
+    };
     thread::scope(|scope| {
         let stops = Stop(&stop);
         let idle = scope.spawn(|| keep_connecting(&sidecar, &stop));
         scope.spawn(|| keep_coming(&sidecar, &stop, &served));
         let began = Instant::now();
-        await_that("some are served meanwhile", || {
+        wait_until("some are served meanwhile", || {
             began.elapsed() > Duration::from_secs(5) && served.load(Ordering::SeqCst) > 5
         });
         let meanwhile = served.load(Ordering::SeqCst);
-        let came = follows_after(&sidecar, &old, &discovery, told, || {
+        let result = follows_after(&sidecar, &old, &discovery, reported, || {
             *discovery.fault.lock().expect("no stub panics") = None;
-            if matches!(away, Away::Gone) {
+            if matches!(failure, DiscoveryFailure::Unreachable) {
                 discovery.serve(std::net::TcpListener::bind(discovery.address).expect("it is back"));
             }
         });
         let after = served.load(Ordering::SeqCst) - meanwhile;
         drop(stops);
         let made = idle.join().expect("no panic");
-        match came {
+        match result {
             Ok(last) if made > 200 && after > 5 => Ok((last, made, [meanwhile, after])),
             other => Err(format!("{other:?}, {made} idle ones, {meanwhile} served meanwhile, {after} after")),
         }
@@ -276,9 +290,9 @@
     }
     thread::sleep(Duration::from_millis(300));
     let wait = Duration::from_millis(800);
-    let asked = Instant::now();
-    let answer = sidecar.ask(&request("pay", "", "body").replace("19000m", "800m")).expect("an answer");
-    let took = asked.elapsed();
+    let submitted = Instant::now();
+    let answer = sidecar.exchange(&request("pay", "", "body").replace("19000m", "800m")).expect("an answer");
+    let took = submitted.elapsed();
     assert!(took < wait + Duration::from_millis(400), "{} after {took:?}", answer.status());
     assert!([200, 503].contains(&answer.status()), "{}", answer.status());
 }
@@ -288,10 +302,10 @@
 fn rejects_stalled_body_within_3_s_of_connecting() {
     let (discovery, endpoint) = (Discovery::start(), Endpoint::start(|_| Reply::Answer(200, "", Vec::new())));
     let sidecar = Sidecar::start(&discovery, &[("s-1", &endpoint)]);
-    let (connected, mut stranger) = (Instant::now(), sidecar.connect());
+    let (connected, mut stalled_client) = (Instant::now(), sidecar.connect());
     thread::sleep(Duration::from_millis(1_000));
-    stranger.write_all((announces() + "some of it").as_bytes()).expect("the system takes it");
-    let answer = read_message(&mut stranger).map(|m| m.status());
+    stalled_client.write_all((announces() + "some of it").as_bytes()).expect("the system takes it");
+    let answer = read_message(&mut stalled_client).map(|m| m.status());
     let took = connected.elapsed();
     assert!(took < Duration::from_secs(3) && answer == Some(408), "{answer:?} after {took:?}");
 }
