--- a/crates/sidecar/src/body/tests.rs
+++ b/crates/sidecar/src/body/decoder/tests.rs
@@ -2,18 +2,18 @@
 
 /// What is read of a body that comes in pieces of that size, and what is left behind it.
 fn read(framing: Framing, bytes: &[u8], size: usize) -> Result<(Vec<u8>, bool, Vec<u8>), StatusCode> {
-    let (mut reader, mut unread, mut body) = (Reader::new(framing), BytesMut::new(), Vec::new());
+    let (mut decoder, mut unread, mut body) = (BodyDecoder::new(framing), BytesMut::new(), Vec::new());
     for piece in bytes.chunks(size) {
         unread.extend_from_slice(piece);
-        while let Some(piece) = reader.take(&mut unread)? {
+        while let Some(piece) = decoder.decode(&mut unread)? {
             body.extend_from_slice(&piece);
         }
     }
-    Ok((body, reader.ended(), unread.to_vec()))
+    Ok((body, decoder.ended(), unread.to_vec()))
 }
 
 #[test]
-fn a_body_is_read_in_whatever_pieces_it_comes() {
+fn decodes_body_split_at_any_byte() {
     let chunked = b"5\r\nhello\r\n6;name=\"value\"\r\n world\r\n0\r\nX-Sum: 1\r\n\r\nGET";
     for size in 1..=chunked.len() {
         let read = read(Framing::Chunked, chunked, size);
@@ -28,14 +28,14 @@
 }
 
 #[test]
-fn chunks_that_could_be_read_in_two_ways_or_never_end_are_turned_away() {
+fn rejects_ambiguous_and_endless_chunks() {
     let bad = StatusCode::BAD_REQUEST;
     for text in ["x\r\n", "-1\r\n", "5\r\nhelloX\r\n", "5\r\nhello\n\n", "\r\n", "0\r\nno colon\r\n\r\n"] {
         assert_eq!(read(Framing::Chunked, text.as_bytes(), 3), Err(bad), "{text}");
     }
-    let long = format!("5;{}", "x".repeat(2 * LONGEST_LINE));
+    let long = format!("5;{}", "x".repeat(2 * MAX_CHUNK_LINE_BYTES));
     assert_eq!(read(Framing::Chunked, long.as_bytes(), 100), Err(bad));
-    let trailers = format!("0\r\nA: {}", "x".repeat(2 * LONGEST_TRAILERS));
+    let trailers = format!("0\r\nA: {}", "x".repeat(2 * MAX_TRAILER_BYTES));
     assert_eq!(read(Framing::Chunked, trailers.as_bytes(), 100), Err(bad));
     for size in ["2000001", "ffffffffffffffff"] {
         let read = read(Framing::Chunked, format!("{size}\r\n").as_bytes(), 100);
--- a/crates/sidecar/src/presence/tests.rs
+++ b/crates/sidecar/src/client_liveness/tests.rs
@@ -14,32 +14,32 @@
 
 // What it sent before its end may lie unread for as long as its request waits, by a full channel say.
 #[tokio::test]
-async fn a_client_that_has_closed_or_reset_its_connection_has_left_whatever_lies_unread_before_that() {
+async fn detects_closed_client_behind_unread_bytes() {
     for unread in [&b""[..], b"half a body"] {
         for resets in [false, true] {
             let (mut client, stream) = pair().await;
-            let presence = Presence::of(&stream);
+            let liveness = ClientLiveness::of(&stream);
             client.write_all(unread).expect("it is taken");
-            assert!(!presence.left());
+            assert!(!liveness.is_closed());
             if resets {
                 SockRef::from(&client).set_linger(Some(Duration::ZERO)).expect("it can");
             }
             drop(client);
-            let gone = tokio::time::timeout(Duration::from_secs(30), presence.gone()).await;
-            assert!(gone.is_ok(), "{} bytes unread, resets: {resets}", unread.len());
+            let closed = tokio::time::timeout(Duration::from_secs(30), liveness.closed()).await;
+            assert!(closed.is_ok(), "{} bytes unread, resets: {resets}", unread.len());
         }
     }
 }
 
 // Of all that comes while the process stands still, nothing has been polled when a request's time to go out has come.
 #[tokio::test]
-async fn a_client_that_has_left_or_sent_more_is_not_quiet_though_nothing_was_polled() {
+async fn detects_close_or_further_bytes_before_they_are_polled() {
     for (unread, leaves) in [(&b""[..], true), (b"more", true), (b"more", false)] {
         let (mut client, stream) = pair().await;
-        let presence = Presence::of(&stream);
-        assert!(presence.quiet());
+        let liveness = ClientLiveness::of(&stream);
+        assert!(liveness.is_quiet());
         client.write_all(unread).expect("it is taken");
-        let _stays = (!leaves).then_some(client);
-        assert!(!presence.quiet(), "{} bytes unread, leaves: {leaves}", unread.len());
+        let _open_client = (!leaves).then_some(client);
+        assert!(!liveness.is_quiet(), "{} bytes unread, leaves: {leaves}", unread.len());
     }
 }
--- a/crates/sidecar/src/config/tests.rs
+++ b/crates/sidecar/src/config/tests.rs
@@ -1,5 +1,5 @@
 use super::*;
-use crate::hosts::HostStatus;
+use crate::endpoint_list::ListedStatus;
 use std::path::Path;
 
 /// A configuration with every key that is read.
@@ -11,11 +11,11 @@
 }
 
 fn read(text: &str) -> Config {
-    Config::read(text, None, None).unwrap_or_else(|what| panic!("{what}: {text}"))
+    Config::parse(text, None, None).unwrap_or_else(|what| panic!("{what}: {text}"))
 }
 
 fn failure(text: &str) -> String {
-    Config::read(text, None, None).err().expect("it can't be used")
+    Config::parse(text, None, None).err().expect("it can't be used").to_string()
 }
 
 #[test]
@@ -36,16 +36,16 @@
 #[test]
 fn every_key_of_the_known_list_is_read() {
     let known = read(ALL_KEYS).known.expect("a list");
-    assert_eq!((known.index, known.snapshot, known.unreadable), (41, true, None));
+    assert_eq!((known.index, known.snapshot, known.unreadable.is_none()), (41, true, true));
     let [full, least, gone] = &known.endpoints[..] else { panic!("three entries") };
     assert_eq!((full.name.as_str(), full.address), ("ledger-1", Some(address("10.4.0.1:8443"))));
-    assert_eq!((full.zone.as_deref(), full.kind.as_deref()), (Some("a"), Some("m5.large")));
-    assert_eq!((full.group, full.status), (7, HostStatus::Active));
-    assert_eq!((full.weight, full.since_ms), (2.5, 1_790_000_000_123));
-    assert_eq!((least.name.as_str(), least.status), ("ledger-2", HostStatus::Leaving));
-    assert_eq!((least.address, least.zone.as_deref(), least.kind.as_deref()), (None, None, None));
-    assert_eq!((least.group, least.weight, least.since_ms), (0, 1.0, 0));
-    assert_eq!(gone.status, HostStatus::Left);
+    assert_eq!((full.zone.as_deref(), full.machine_type.as_deref()), (Some("a"), Some("m5.large")));
+    assert_eq!((full.cell, full.status), (7, ListedStatus::Active));
+    assert_eq!((full.weight, full.started_ms), (2.5, 1_790_000_000_123));
+    assert_eq!((least.name.as_str(), least.status), ("ledger-2", ListedStatus::Draining));
+    assert_eq!((least.address, least.zone.as_deref(), least.machine_type.as_deref()), (None, None, None));
+    assert_eq!((least.cell, least.weight, least.started_ms), (0, 1.0, 0));
+    assert_eq!(gone.status, ListedStatus::Removed);
 }
 
 #[test]
@@ -72,13 +72,13 @@
 fn what_is_absent_has_its_default_and_what_is_given_beside_the_file_holds() {
     let settings = &ALL_KEYS[ALL_KEYS.find(r#""settings""#).expect("settings")..];
     let config =
-        Config::read(&format!("{{{settings}"), Some(address("127.0.0.9:1")), Some(address("127.0.0.9:2")))
+        Config::parse(&format!("{{{settings}"), Some(address("127.0.0.9:1")), Some(address("127.0.0.9:2")))
             .unwrap_or_else(|what| panic!("{what}"));
     assert_eq!((config.listen, config.discovery), (address("127.0.0.9:1"), address("127.0.0.9:2")));
     assert_eq!((config.sockets, config.memory_mb, config.seed), (1024, 192, 0));
     assert_eq!((config.management, config.peer_listen, config.peers_all), (None, None, None));
     assert!(config.peers.is_empty() && config.known.is_none() && config.roster.is_none());
-    let config = Config::read(ALL_KEYS, Some(address("127.0.0.9:1")), Some(address("127.0.0.9:2")));
+    let config = Config::parse(ALL_KEYS, Some(address("127.0.0.9:1")), Some(address("127.0.0.9:2")));
     let config = config.unwrap_or_else(|what| panic!("{what}"));
     assert_eq!((config.listen, config.discovery), (address("127.0.0.9:1"), address("127.0.0.9:2")));
 }
--- a/crates/sidecar/src/connection/tests.rs
+++ b/crates/sidecar/src/connection/tests.rs
@@ -1,19 +1,20 @@
 use super::*;
-use crate::send_gate::{GatedSend, RequestLife, SendPermit};
+use crate::request_lifecycle::RequestLifecycle;
+use crate::send_gate::{GatedSend, SendPermit};
 use bytes::Bytes;
 use std::time::Duration;
 
 /// Progress of a request without a body that may begin while that holds.
 fn gated(holds: impl Fn() -> bool + 'static) -> WriteProgress {
-    let life = RequestLife::new(b"1", None, false);
-    let permit = SendPermit { life, endpoint: Box::new(holds), until: None, write_by: None };
+    let lifecycle = RequestLifecycle::new(b"1", None, false);
+    let permit = SendPermit { lifecycle, endpoint: Box::new(holds), until: None, write_by: None };
     WriteProgress::of_send(Some(0), GatedSend::new(permit))
 }
 
 // What the runtime has not polled yet it does not know: a request would go out on a connection that its
 // peer has closed, and end as a reset.
 #[tokio::test]
-async fn a_connection_closed_a_moment_ago_is_not_used_again() {
+async fn does_not_reuse_connection_closed_before_poll() {
     let listener = std::net::TcpListener::bind("127.0.0.1:0").expect("a free port");
     let address = listener.local_addr().expect("an address");
     let connection = Connection::open(address).await.expect("it connects");
@@ -30,7 +31,7 @@
 
 // Else a connection that breaks inside an answer would pass for one that was dropped while idle.
 #[tokio::test]
-async fn an_answer_that_breaks_off_was_heard() {
+async fn truncated_answer_counts_as_received() {
     let listener = std::net::TcpListener::bind("127.0.0.1:0").expect("a free port");
     let address = listener.local_addr().expect("an address");
     for answer in ["", "HTTP/1.1 200 OK\r\nContent-"] {
@@ -41,29 +42,33 @@
             std::io::Read::read(&mut peer, &mut [0; 1024]).expect("a request");
             std::io::Write::write_all(&mut peer, answer.as_bytes()).expect("it is taken");
         });
-        let request = Request::new(Outbound::new(Bytes::new(), None, progress.clone()));
+        let request = Request::new(RequestBody::new(Bytes::new(), None, progress.clone()));
         assert!(connection.request(request, progress.clone()).await.is_err());
         breaking.join().expect("no stub panics");
-        assert_eq!((connection.broken.get(), progress.heard()), (true, !answer.is_empty()), "{answer}");
+        assert_eq!(
+            (connection.broken.get(), progress.received_any()),
+            (true, !answer.is_empty()),
+            "{answer}"
+        );
     }
 }
 
 // Some turns of the runtime, or a late connection, lie between the decision and the first byte.
 #[tokio::test]
-async fn a_request_that_has_lost_its_permit_by_its_first_byte_is_not_written() {
+async fn does_not_write_request_whose_permit_was_revoked_before_first_byte() {
     let listener = std::net::TcpListener::bind("127.0.0.1:0").expect("a free port");
     let address = listener.local_addr().expect("an address");
-    for asked_before in [0, 1] {
+    for checks_before in [0, 1] {
         let mut connection = Connection::open(address).await.expect("it connects");
         let (mut peer, _) = listener.accept().expect("a connection");
-        let asked = Cell::new(0);
-        let progress = gated(move || asked.replace(asked.get() + 1) < asked_before);
-        assert_eq!(progress.may_write(), asked_before > 0);
-        let request = Request::new(Outbound::new(Bytes::new(), None, progress.clone()));
+        let checks = Cell::new(0);
+        let progress = gated(move || checks.replace(checks.get() + 1) < checks_before);
+        assert_eq!(progress.may_write(), checks_before > 0);
+        let request = Request::new(RequestBody::new(Bytes::new(), None, progress.clone()));
         // Written, it would never be answered.
-        let asking = connection.request(request, progress.clone());
-        let answer = tokio::time::timeout(Duration::from_secs(10), asking).await.expect("it was written");
-        assert!(answer.is_err() && progress.denied() && !progress.begun() && !connection.broken());
+        let exchange = connection.request(request, progress.clone());
+        let answer = tokio::time::timeout(Duration::from_secs(10), exchange).await.expect("it was written");
+        assert!(answer.is_err() && progress.is_denied() && !progress.has_begun() && !connection.is_broken());
         drop(connection);
         let mut seen = Vec::new();
         std::io::Read::read_to_end(&mut peer, &mut seen).expect("it was closed");
@@ -73,15 +78,15 @@
 
 // Else a body would keep its memory for as long as the connection idles.
 #[tokio::test]
-async fn a_request_that_has_begun_needs_its_permit_no_more() {
+async fn releases_permit_after_first_byte() {
     let progress = gated(|| true);
-    assert!(progress.may_write() && !progress.begun());
-    progress.count(b"G");
+    assert!(progress.may_write() && !progress.has_begun());
+    progress.record_written(b"G");
     assert!(progress.may_write());
-    let held = Rc::new(());
-    let holds = Rc::clone(&held);
+    let permit_state = Rc::new(());
+    let holds = Rc::clone(&permit_state);
     let progress = gated(move || Rc::strong_count(&holds) > 0);
-    assert_eq!(Rc::strong_count(&held), 2);
-    progress.count(b"G");
-    assert_eq!(Rc::strong_count(&held), 1);
+    assert_eq!(Rc::strong_count(&permit_state), 2);
+    progress.record_written(b"G");
+    assert_eq!(Rc::strong_count(&permit_state), 1);
 }
--- /dev/null
+++ b/crates/sidecar/src/memory_budget.rs
@@ -0,0 +1,33 @@
+//! The memory that bodies may take. Thousands of connections, each with a large body, would exceed what the process is
+//! allowed.
+
+use std::sync::Arc;
+use tokio::sync::{OwnedSemaphorePermit, Semaphore};
+
+/// The unit in which memory is counted.
+const UNIT_BYTES: usize = 1 << 10;
+
+/// A bounded amount of memory.
+pub struct MemoryBudget {
+    units: Arc<Semaphore>,
+    total_units: usize,
+}
+
+/// A part of the budget, given back when dropped.
+pub struct MemoryReservation {
+    _units: Option<OwnedSemaphorePermit>,
+}
+
+impl MemoryBudget {
+    /// Creates a budget of that many bytes.
+    pub fn new(bytes: usize) -> Self {
+        let total_units = (bytes / UNIT_BYTES).clamp(1, Semaphore::MAX_PERMITS >> 1);
+        Self { units: Arc::new(Semaphore::new(total_units)), total_units }
+    }
+
+    /// Waits for that many bytes, first come, first served. The caller bounds the time.
+    pub async fn reserve(&self, bytes: usize) -> MemoryReservation {
+        let units = bytes.div_ceil(UNIT_BYTES).min(self.total_units);
+        MemoryReservation { _units: Arc::clone(&self.units).acquire_many_owned(units as u32).await.ok() }
+    }
+}
--- /dev/null
+++ b/crates/sidecar/src/metrics.rs
@@ -0,0 +1,185 @@
+//! Counters of this process, by reason: ends of clients' connections, answers, ends of attempts, denied sends and
+//! breaches of the protocol's rules. Operators get them in Prometheus' text format.
+//!
+//! The sidecar has one thread, so a counter is a plain cell of that thread.
+
+use lotusmoor_balancer::Outcome;
+use std::cell::Cell;
+use std::fmt::Write;
+
+/// Declares a family of counters: an enum of label values, with one counter for each.
+macro_rules! counter_family {
+    ($(#[$doc:meta])* $name:ident, $metric:literal, $label:literal, $help:literal,
+     { $($(#[$variant_doc:meta])* $variant:ident = $value:literal,)+ }) => {
+        $(#[$doc])*
+        #[derive(Clone, Copy, Debug, PartialEq, Eq)]
+        pub enum $name {
+            $($(#[$variant_doc])* $variant,)+
+        }
+
+        impl $name {
+            const ALL: &[Self] = &[$(Self::$variant,)+];
+
+            fn with_counters<T>(read: impl FnOnce(&[Cell<u64>]) -> T) -> T {
+                thread_local! {
+                    static COUNTERS: Vec<Cell<u64>> = vec![Cell::new(0); $name::ALL.len()];
+                }
+                COUNTERS.with(|counters| read(counters))
+            }
+
+            /// The label value, as it appears in metrics and logs.
+            pub fn name(self) -> &'static str {
+                match self {
+                    $(Self::$variant => $value,)+
+                }
+            }
+
+            /// Increments the counter.
+            pub fn count(self) {
+                Self::with_counters(|counters| {
+                    let counter = &counters[self as usize];
+                    counter.set(counter.get() + 1);
+                });
+            }
+
+            /// The counter's value.
+            pub fn total(self) -> u64 {
+                Self::with_counters(|counters| counters[self as usize].get())
+            }
+
+            fn write_all(text: &mut String) {
+                // Writing to a string does not fail.
+                let _ = writeln!(text, "# HELP {} {}", $metric, $help);
+                let _ = writeln!(text, "# TYPE {} counter", $metric);
+                for value in Self::ALL {
+                    let (name, total) = (value.name(), value.total());
+                    let _ = writeln!(text, "{}_total{{{}=\"{name}\"}} {total}", $metric, $label);
+                }
+            }
+        }
+    };
+}
+
+counter_family! {
+    /// Why a client's connection ended.
+    ConnectionEnd, "lotusmoor_sidecar_connections_closed", "reason", "Ends of clients' connections.",
+    {
+        /// It was idle for too long, was never used, or its place was needed for another client.
+        Idle = "idle",
+        /// The sidecar is out of service.
+        OutOfService = "out_of_service",
+        /// Its answer announced it.
+        AfterAnswer = "after_answer",
+        /// The client closed or reset it.
+        ClientClosed = "client_closed",
+        /// The client did not read its answer, or the answer broke off.
+        AnswerIncomplete = "answer_incomplete",
+    }
+}
+
+counter_family! {
+    /// How a request was answered.
+    RequestOutcome, "lotusmoor_sidecar_requests_answered", "outcome", "Final answers to requests.",
+    {
+        /// With an endpoint's answer.
+        Served = "served",
+        /// Shed by the balancer: surely not run.
+        Shed = "shed",
+        /// With a status by which an endpoint blames the request.
+        ClientError = "client_error",
+        /// Failed by the balancer.
+        Failed = "failed",
+        /// Failed as its deadline passed and the balancer had not answered.
+        DeadlineExceeded = "deadline_exceeded",
+        /// Failed as the process is about to end.
+        ShutDown = "shut_down",
+        /// Rejected before it reached the balancer.
+        Rejected = "rejected",
+    }
+}
+
+counter_family! {
+    /// Why a send was denied at the moment of writing.
+    SendDenial, "lotusmoor_sidecar_sends_denied", "reason", "Attempts that were denied their first byte.",
+    {
+        /// The endpoint is draining, removed, moved, cordoned or a new process.
+        PermissionRevoked = "permission_revoked",
+        /// The request has its answer, or was abandoned.
+        Completed = "request_completed",
+        /// The client closed its connection, or sent bytes that do not belong to the request.
+        ClientClosed = "client_closed",
+        /// The time for an answer is over.
+        DeadlineExceeded = "deadline_exceeded",
+        /// The endpoint may have forgotten the request's idempotency key.
+        IdempotencyWindowExpired = "idempotency_window_expired",
+    }
+}
+
+counter_family! {
+    /// How an attempt ended, as reported to the balancer.
+    AttemptOutcome, "lotusmoor_sidecar_attempts_ended", "outcome", "Ends of attempts.",
+    {
+        /// With an answer.
+        Ok = "ok",
+        /// With an error, or an unreadable answer.
+        Error = "error",
+        /// Rejected by the endpoint: surely not run.
+        Rejected = "rejected",
+        /// No connection, or it broke before the last byte was written.
+        ConnectFailed = "connect_failed",
+        /// The connection broke after that.
+        Reset = "reset",
+        /// No answer in time.
+        TimedOut = "timed_out",
+        /// Cancelled by the balancer.
+        Cancelled = "cancelled",
+        /// Never sent.
+        NotSent = "not_sent",
+    }
+}
+
+impl From<Outcome> for AttemptOutcome {
+    fn from(outcome: Outcome) -> Self {
+        match outcome {
+            Outcome::Ok | Outcome::BadRequest => Self::Ok,
+            Outcome::Error => Self::Error,
+            Outcome::Rejected => Self::Rejected,
+            Outcome::ConnectFailed => Self::ConnectFailed,
+            Outcome::Reset | Outcome::ReusedConnectionReset => Self::Reset,
+            Outcome::TimedOut => Self::TimedOut,
+            Outcome::Cancelled => Self::Cancelled,
+            Outcome::NotSent => Self::NotSent,
+        }
+    }
+}
+
+counter_family! {
+    /// A breach of the protocol's rules, detected at run time: each one is a fault of this program.
+    RuleViolation, "lotusmoor_sidecar_rule_violations", "rule", "Breaches of the protocol's rules, which are faults of the sidecar.",
+    {
+        /// A request that was read ended without an answer, though its client was still connected.
+        Unanswered = "unanswered",
+        /// An attempt began while another of the same request was in flight.
+        Duplicate = "duplicate",
+        /// An attempt began after its request had its answer, or its client had closed.
+        AfterCompletion = "after_completion",
+        /// An attempt began at an endpoint that did not permit it.
+        NotPermitted = "not_permitted",
+        /// An attempt advertised more time than its client had left.
+        Deadline = "deadline",
+    }
+}
+
+/// All counters in Prometheus' text format.
+pub fn to_prometheus_text() -> String {
+    let mut text = String::new();
+    ConnectionEnd::write_all(&mut text);
+    RequestOutcome::write_all(&mut text);
+    SendDenial::write_all(&mut text);
+    AttemptOutcome::write_all(&mut text);
+    RuleViolation::write_all(&mut text);
+    text
+}
+
+#[cfg(test)]
+mod tests;
--- a/crates/sidecar/src/roster.rs
+++ b/crates/sidecar/src/roster.rs
@@ -1,9 +1,9 @@
 //! The list from a roster, where one is configured: carries out what the rider wants. Nothing is decided here.
 
 use crate::connection::Connection;
-use crate::exchange::{Input, Inputs};
-use crate::fetch;
-use crate::hosts::{Host, HostList, HostStatus};
+use crate::endpoint_list::{ListMessage, ListedEndpoint, ListedStatus};
+use crate::engine_input::{Input, Inputs};
+use crate::http_get;
 use crate::log::log_line;
 use hyper::StatusCode;
 use hyper::header::RETRY_AFTER;
@@ -231,7 +231,12 @@
             Action::Apply(applied) => {
                 let endpoints = applied.entries.into_iter().map(host).collect();
                 let (index, snapshot) = (applied.version.index, applied.full);
-                self.inputs.send(Input::Hosts(HostList { index, snapshot, endpoints, unreadable: None }));
+                self.inputs.send(Input::ListReceived(ListMessage {
+                    index,
+                    snapshot,
+                    endpoints,
+                    unreadable: None,
+                }));
             }
             Action::Save => self.save(),
             Action::Report(report) => self.report(report),
@@ -286,7 +291,7 @@
     let failed = |what: String, retry_after| Event::PollFailed { poll: ask, retry_after, error: what };
     // One call of a pair that is hedged may go to a replica whose link is in use; it opens one of its own.
     let mut kept = link.borrow_mut().take();
-    let answer = fetch::get(at, &mut kept, path).await;
+    let answer = http_get::get(at, &mut kept, path).await;
     if kept.is_some() {
         *link.borrow_mut() = kept;
     }
@@ -300,23 +305,23 @@
             let told = told.filter(|s| s.is_finite() && *s >= 0.0).map(|s| (s.min(60.0) * 1e6) as Micros);
             failed(format!("status {}", status.as_u16()), told)
         }
-        Err(what) => failed(what, None),
+        Err(e) => failed(e.to_string(), None),
     }
 }
 
-fn host(entry: Entry) -> Host {
-    Host {
+fn host(entry: Entry) -> ListedEndpoint {
+    ListedEndpoint {
         name: entry.name,
         address: Some(entry.address),
         zone: entry.zone,
-        kind: entry.machine_type,
-        group: entry.cell,
+        machine_type: entry.machine_type,
+        cell: entry.cell,
         status: match entry.status {
-            Status::Active => HostStatus::Active,
-            Status::Draining => HostStatus::Leaving,
-            Status::Removed => HostStatus::Left,
+            Status::Active => ListedStatus::Active,
+            Status::Draining => ListedStatus::Draining,
+            Status::Removed => ListedStatus::Removed,
         },
         weight: entry.weight,
-        since_ms: entry.started_ms,
+        started_ms: entry.started_ms,
     }
 }
--- a/crates/sidecar/src/upstream/tests.rs
+++ b/crates/sidecar/src/upstream/tests.rs
@@ -1,45 +1,51 @@
 use super::*;
-use crate::presence::Presence;
+use crate::body::MAX_BUFFERED_BYTES;
+use crate::client_liveness::ClientLiveness;
+use crate::engine_input::{Input, Inputs};
+use crate::outgoing_request::OutgoingRequest;
+use crate::request_lifecycle::RequestLifecycle;
+use bytes::Bytes;
+use hyper::header::HeaderMap;
+use hyper::{Method, Uri};
+use lotusmoor_balancer::Outcome;
+use std::collections::HashMap;
+use std::net::SocketAddr;
+use tokio::io::AsyncReadExt;
+use tokio::sync::mpsc;
 
 #[tokio::test]
-async fn without_room_for_a_connection_an_idle_one_makes_way_or_none_is_dialled() {
+async fn closes_idle_connection_for_a_new_one_or_does_not_dial() {
     let listener = std::net::TcpListener::bind("127.0.0.1:0").expect("a free port");
     let address = listener.local_addr().expect("an address");
-    let limits = Limits { clients: 1, upstream: 1, bodies: KEPT };
+    let limits = ResourceLimits { clients: 1, upstream: 1, bodies: MAX_BUFFERED_BYTES };
     let upstream = Upstream::new(limits, 5_000_000, 10_000_000);
-    let (connection, permit) = upstream.dial(address).await.expect("there is room");
+    let connection = upstream.dial(address).await.expect("there is room");
     assert_eq!(upstream.dial(address).await.err(), Some(Outcome::NotSent));
     let endpoint = upstream.endpoint(0);
     endpoint.set(Some(address), true, 0);
     let permission = endpoint.permission().expect("it is ready");
-    upstream.park(&endpoint, permission, connection, permit).await;
+    upstream.park(&endpoint, permission, connection).await;
     assert!(upstream.dial(address).await.is_ok());
     assert!(upstream.reuse(&endpoint).is_none());
     listener.set_nonblocking(true).expect("it can");
     assert_eq!((0..3).filter(|_| listener.accept().is_ok()).count(), 2);
 }
 
-#[test]
-fn a_load_report_is_read_as_far_as_it_can_be() {
-    let load = read_load(&HeaderValue::from_static("inflight=7,queue=,util=0.61,eps=NaN,odd=1,="));
-    assert_eq!(load, LoadReport { active: Some(7.0), cpu: Some(0.61), ..LoadReport::default() });
-}
-
 /// A request to be sent, of a client that is this connection's.
-fn outgoing(client: Option<Presence>) -> Rc<Outgoing> {
-    Rc::new(Outgoing {
+fn outgoing(client: Option<ClientLiveness>) -> Rc<OutgoingRequest> {
+    Rc::new(OutgoingRequest {
         method: Method::POST,
         uri: Uri::from_static("/api"),
         headers: HeaderMap::new(),
         body: Bytes::new(),
         rest: None,
-        life: RequestLife::new(b"1", client, false),
-        _share: None,
+        lifecycle: RequestLifecycle::new(b"1", client, false),
+        _reservation: None,
     })
 }
 
 /// A listener whose queue is full: whoever dials it waits until something is taken out.
-fn held_up() -> (std::net::TcpListener, SocketAddr, std::net::TcpStream) {
+fn unaccepting_listener() -> (std::net::TcpListener, SocketAddr, std::net::TcpStream) {
     let socket = socket2::Socket::new(socket2::Domain::IPV4, socket2::Type::STREAM, None).expect("a socket");
     let any: SocketAddr = "127.0.0.1:0".parse().expect("an address");
     socket.bind(&any.into()).and_then(|()| socket.listen(0)).expect("a free port");
@@ -49,43 +55,59 @@
     (listener, address, filler)
 }
 
-// A connection may come up seconds after it was asked for. Whatever has changed meanwhile, nothing is written then
-// that may not go any more; the connection is kept where it may serve another request.
-#[tokio::test]
-async fn a_connection_that_comes_up_late_carries_only_what_may_still_go() {
-    type Change = fn(&Endpoint, &Rc<Outgoing>, &mut Option<std::net::TcpStream>);
-    let changes: [(&str, bool, Change); 8] = [
-        ("nothing has changed", true, |_, _, _| {}),
-        ("its request is answered", true, |_, out, _| out.life.settle()),
-        ("its client has left", true, |_, _, client| drop(client.take())),
-        ("the window for its repeat is over", true, |_, _, _| {}),
-        ("its endpoint is leaving", false, |e, _, _| e.set(e.address.get(), false, 0)),
-        ("its endpoint was taken out, and given back since", false, |e, _, _| {
-            e.cordon(true);
-            e.cordon(false);
-        }),
-        ("its endpoint has moved", false, |e, _, _| {
-            let here = e.address.get();
-            e.set(here.map(|a| SocketAddr::new(a.ip(), 9)), true, 0);
-            e.set(here, true, 0);
-        }),
-        ("its endpoint is another process, which is cold", false, |e, _, _| e.set(e.address.get(), true, 7)),
-    ];
-    let (inputs, mut ended) = Inputs::new();
-    let mut cases = Vec::new();
-    let clients = tokio::net::TcpListener::bind("127.0.0.1:0").await.expect("a free port");
-    let local = tokio::task::LocalSet::new();
-    for (number, (what, kept, change)) in changes.into_iter().enumerate() {
-        let (listener, address, filler) = held_up();
-        let upstream =
-            Rc::new(Upstream::new(Limits { clients: 1, upstream: 1, bodies: KEPT }, 30_000_000, 0));
+type Change = fn(&Endpoint, &Rc<OutgoingRequest>, &mut Option<std::net::TcpStream>);
+
+/// What changes while a connection is being made, and whether the connection is still of use then.
+const CHANGES: [(&str, bool, Change); 8] = [
+    ("nothing has changed", true, |_, _, _| {}),
+    ("its request is answered", true, |_, out, _| out.lifecycle.complete()),
+    ("its client has left", true, |_, _, client| drop(client.take())),
+    ("the window for its repeat is over", true, |_, _, _| {}),
+    ("its endpoint is leaving", false, |e, _, _| e.set(e.address.get(), false, 0)),
+    ("its endpoint was taken out, and given back since", false, |e, _, _| {
+        e.cordon(true);
+        e.cordon(false);
+    }),
+    ("its endpoint has moved", false, |e, _, _| {
+        let here = e.address.get();
+        e.set(here.map(|a| SocketAddr::new(a.ip(), 9)), true, 0);
+        e.set(here, true, 0);
+    }),
+    ("its endpoint is another process, which is cold", false, |e, _, _| e.set(e.address.get(), true, 7)),
+];
+
+/// An attempt whose connection has not come up yet.
+struct LateAttempt {
+    what: &'static str,
+    reusable: bool,
+    number: usize,
+    listener: std::net::TcpListener,
+    endpoint: Rc<Endpoint>,
+    upstream: Rc<Upstream>,
+    attempting: tokio::task::JoinHandle<()>,
+    /// Held open.
+    _client: (Option<std::net::TcpStream>, Rc<tokio::net::TcpStream>, Rc<OutgoingRequest>),
+}
+
+impl LateAttempt {
+    /// Begins an attempt, makes the change while its connection is being made, and lets that come up.
+    async fn begin(
+        number: usize,
+        (what, reusable, change): (&'static str, bool, Change),
+        clients: &tokio::net::TcpListener,
+        local: &tokio::task::LocalSet,
+        inputs: &Inputs,
+    ) -> Self {
+        let (listener, address, filler) = unaccepting_listener();
+        let limits = ResourceLimits { clients: 1, upstream: 1, bodies: MAX_BUFFERED_BYTES };
+        let upstream = Rc::new(Upstream::new(limits, 30_000_000, 0));
         let endpoint = upstream.endpoint(0);
         endpoint.set(Some(address), true, 0);
         let client =
             std::net::TcpStream::connect(clients.local_addr().expect("an address")).expect("it connects");
         let (accepted, _) = clients.accept().await.expect("a connection");
         let (mut client, accepted) = (Some(client), Rc::new(accepted));
-        let out = outgoing(Some(Presence::of(&accepted)));
+        let out = outgoing(Some(ClientLiveness::of(&accepted)));
         let until = Instant::now() + Duration::from_secs(60);
         // Over before the connection is there: the system tries again to make one after a second.
         let write_by = what.contains("window").then(|| Instant::now() + Duration::from_millis(100));
@@ -98,39 +120,59 @@
         assert!(!attempting.is_finished(), "{what}");
         change(&endpoint, &out, &mut client);
         drop(filler);
-        cases.push((what, kept, listener, endpoint, out, client, accepted, attempting, upstream));
+        let _client = (client, accepted, out);
+        Self { what, reusable, number, listener, endpoint, upstream, attempting, _client }
+    }
+
+    /// Checks what was written to the connection, and what became of it.
+    async fn check(self, ends: &mut HashMap<u64, Outcome>, ended: &mut mpsc::UnboundedReceiver<Input>) {
+        let (what, number) = (self.what, self.number as u64);
+        // The filler's, and the one that was late.
+        self.listener.set_nonblocking(true).expect("it can");
+        let listener = tokio::net::TcpListener::from_std(self.listener).expect("a listener");
+        drop(listener.accept().await.expect("a connection"));
+        let (mut late, _) = listener.accept().await.expect("a connection");
+        if number == 0 {
+            let mut seen = [0; 4];
+            late.read_exact(&mut seen).await.expect("a request");
+            assert_eq!(&seen, b"POST", "{what}");
+            self.attempting.abort();
+            return;
+        }
+        self.attempting.await.expect("no panic");
+        // They end in any order.
+        while !ends.contains_key(&number) {
+            let Some(Input::AttemptEnded(end)) = ended.recv().await else {
+                panic!("{what}: it has not ended")
+            };
+            ends.insert(end.request, end.outcome);
+        }
+        assert_eq!(ends[&number], Outcome::NotSent, "{what}");
+        let idle = self.endpoint.idle.borrow().len();
+        assert_eq!(idle, usize::from(self.reusable), "{what}");
+        self.endpoint.close_idle();
+        drop(self.upstream);
+        let mut seen = Vec::new();
+        late.read_to_end(&mut seen).await.expect("it was closed");
+        assert!(seen.is_empty(), "{what}: {seen:?}");
+    }
+}
+
+// A connection may come up seconds after it was asked for. Whatever has changed meanwhile, nothing is written then
+// that may not be sent any more; the connection is kept where it may serve another request.
+#[tokio::test]
+async fn late_connection_carries_only_sends_that_are_still_permitted() {
+    let (inputs, mut ended) = Inputs::new();
+    let clients = tokio::net::TcpListener::bind("127.0.0.1:0").await.expect("a free port");
+    let local = tokio::task::LocalSet::new();
+    let mut attempts = Vec::new();
+    for (number, change) in CHANGES.into_iter().enumerate() {
+        attempts.push(LateAttempt::begin(number, change, &clients, &local, &inputs).await);
     }
-    let mut ends = std::collections::HashMap::new();
+    let mut ends = HashMap::new();
     let all = async {
-        for (number, (what, kept, listener, endpoint, _, _, _, attempting, upstream)) in
-            cases.into_iter().enumerate()
-        {
-            // The filler's, and the one that was late.
-            listener.set_nonblocking(true).expect("it can");
-            let listener = tokio::net::TcpListener::from_std(listener).expect("a listener");
-            drop(listener.accept().await.expect("a connection"));
-            let (mut late, _) = listener.accept().await.expect("a connection");
-            if number == 0 {
-                let mut seen = [0; 4];
-                tokio::io::AsyncReadExt::read_exact(&mut late, &mut seen).await.expect("a request");
-                assert_eq!(&seen, b"POST", "{what}");
-                attempting.abort();
-                continue;
-            }
-            attempting.await.expect("no panic");
-            // They end in any order.
-            while !ends.contains_key(&(number as u64)) {
-                let Some(Input::Ended(end)) = ended.recv().await else { panic!("{what}: it has not ended") };
-                ends.insert(end.request, end.outcome);
-            }
-            assert_eq!(ends[&(number as u64)], Outcome::NotSent, "{what}");
-            let idle = endpoint.idle.borrow().len();
-            assert_eq!(idle, usize::from(kept), "{what}");
-            endpoint.close_idle();
-            drop(upstream);
-            let mut seen = Vec::new();
-            tokio::io::AsyncReadExt::read_to_end(&mut late, &mut seen).await.expect("it was closed");
-            assert!(seen.is_empty(), "{what}: {seen:?}");
+        for attempt in attempts {
+            attempt.check(&mut ends, &mut ended).await;
         }
     };
     local.run_until(all).await;
--- a/crates/sidecar/tests/crossings/mod.rs
+++ b/crates/sidecar/tests/crossings/mod.rs
@@ -1,5 +1,7 @@
 //! Two events that cross, each forced in both orders: `docs/crossings.md` lists them.
 
+mod discovery;
+
 use crate::stubs::*;
 use std::io::{ErrorKind, Write};
 use std::net::TcpStream;
@@ -13,7 +15,7 @@
 
 /// A connection that has carried a request.
 fn resting(sidecar: &Sidecar) -> TcpStream {
-    let mut client = ask(sidecar, "look");
+    let mut client = send_request(sidecar, "look");
     assert_eq!(read_message(&mut client).expect("an answer").status(), 200);
     client
 }
@@ -55,9 +57,9 @@
 /// longer tells nothing, and is played again.
 fn within<T>(bound: Duration, mut play: impl FnMut() -> (Instant, T)) -> T {
     for _ in 0..20 {
-        let (began, came) = play();
+        let (began, result) = play();
         if began.elapsed() < bound {
-            return came;
+            return result;
         }
     }
     panic!("the machine is too slow to tell");
@@ -80,18 +82,18 @@
 }
 
 /// An endpoint that answers once the gate is open.
-fn held_back() -> (Gate, Endpoint) {
+fn gated_endpoint() -> (Gate, Endpoint) {
     let gate = Gate::default();
-    let held = gate.clone();
+    let endpoint_gate = gate.clone();
     let endpoint = Endpoint::start(move |message| {
-        held.pass();
+        endpoint_gate.pass();
         served(message)
     });
     (gate, endpoint)
 }
 
 /// A client that has asked.
-fn ask(sidecar: &Sidecar, class: &str) -> TcpStream {
+fn send_request(sidecar: &Sidecar, class: &str) -> TcpStream {
     let mut client = sidecar.connect();
     client.write_all(request(class, "", "").as_bytes()).expect("the sidecar takes it");
     client
@@ -99,15 +101,15 @@
 
 /// Clients that take both of the places that an endpoint has at first.
 fn take_places(sidecar: &Sidecar, endpoint: &Endpoint) -> Vec<TcpStream> {
-    let first = (0..2).map(|_| ask(sidecar, "look")).collect();
-    await_that("both places are taken", || endpoint.requests_begun() == 2);
+    let first = (0..2).map(|_| send_request(sidecar, "look")).collect();
+    wait_until("both places are taken", || endpoint.requests_begun() == 2);
     first
 }
 
 /// The ways in which a client leaves: it closes, it resets, and both after bytes that nobody has asked for.
 pub const WAYS: [(bool, &[u8]); 4] = [(false, b""), (true, b""), (false, b"more"), (true, b"more")];
 
-pub fn leave(mut client: TcpStream, (resets, last): (bool, &[u8])) {
+pub fn close_client(mut client: TcpStream, (resets, last): (bool, &[u8])) {
     // The sidecar may have turned it away by now.
     let _ = client.write_all(last);
     if resets {
@@ -117,20 +119,20 @@
 
 // Stopped by the system, the process meets both at once, in the order in which they came.
 #[test]
-fn a_request_that_crosses_the_end_of_its_resting_connection_is_served() {
+fn serves_request_that_crosses_close_of_idle_connection() {
     for request_first in [true, false] {
         let discovery = Discovery::start();
         let endpoint = Endpoint::start(served);
         let mut sidecar = Sidecar::start(&discovery, &[("s-1", &endpoint)]);
         let mut client = resting(&sidecar);
-        let asked = request("book", "", "");
+        let submitted = request("book", "", "");
         sidecar.signal("-STOP");
         if !request_first {
             sidecar.signal("-TERM");
         }
-        client.write_all(asked.as_bytes()).expect("the system takes it");
+        client.write_all(submitted.as_bytes()).expect("the system takes it");
         // In the system's queue, accepted by nobody yet.
-        let mut queued = ask(&sidecar, "book");
+        let mut queued = send_request(&sidecar, "book");
         if request_first {
             sidecar.signal("-TERM");
         }
@@ -138,7 +140,7 @@
         assert_eq!(next(&mut queued), Next::Status(200));
         let answer = read_message(&mut client).expect("an answer");
         assert_eq!((answer.status(), answer.header("connection")), (200, Some("close")));
-        assert!(reached(&endpoint, &asked) && await_close(&mut client));
+        assert!(reached(&endpoint, &submitted) && await_close(&mut client));
         assert_eq!(sidecar.process.wait().expect("it ends").code(), Some(0));
     }
 }
@@ -148,13 +150,13 @@
 // What was read would be owed an answer. A close over what is unread resets the connection at once, and so says that it
 // was not read; what is read and dropped is taken by the system for 200 ms.
 #[test]
-fn a_request_that_comes_after_the_end_of_its_resting_connection_is_left_unread() {
+fn leaves_request_after_close_of_idle_connection_unread() {
     for ends in ["quiesce", "-TERM"] {
         let discovery = Discovery::start();
         let endpoint = Endpoint::start(served);
-        let asked = within(Duration::from_millis(150), || {
+        let submitted = within(Duration::from_millis(150), || {
             let sidecar = Sidecar::start(&discovery, &[("s-1", &endpoint)]);
-            let (mut client, asked) = (resting(&sidecar), request("book", "", ""));
+            let (mut client, submitted) = (resting(&sidecar), request("book", "", ""));
             if ends == "quiesce" {
                 assert_eq!(sidecar.call(ends), "OK")
             } else {
@@ -162,36 +164,36 @@
             }
             assert_eq!(next(&mut client), Next::End);
             let began = Instant::now();
-            client.write_all(asked.as_bytes()).expect("the system takes it");
-            await_that("the connection is reset", || (&client).write_all(b"x").is_err());
-            (began, asked)
+            client.write_all(submitted.as_bytes()).expect("the system takes it");
+            wait_until("the connection is reset", || (&client).write_all(b"x").is_err());
+            (began, submitted)
         });
-        assert!(!reached(&endpoint, &asked), "{ends}");
+        assert!(!reached(&endpoint, &submitted), "{ends}");
     }
 }
 
 // A reset could take the answer with it, which its client may not have read yet.
 #[test]
-fn what_comes_behind_an_answer_that_ends_its_connection_does_not_reset_it() {
+fn bytes_after_final_answer_do_not_reset_connection() {
     let discovery = Discovery::start();
     let endpoint = Endpoint::start(served);
     let sidecar = Sidecar::start(&discovery, &[("s-1", &endpoint)]);
     // The sidecar reads on for 200 ms.
-    let came = within(Duration::from_millis(150), || {
+    let result = within(Duration::from_millis(150), || {
         let mut client = sidecar.connect();
-        let asked = request("book", "Connection: close\r\n", "");
+        let submitted = request("book", "Connection: close\r\n", "");
         let began = Instant::now();
-        client.write_all(asked.as_bytes()).expect("the system takes it");
+        client.write_all(submitted.as_bytes()).expect("the system takes it");
         let answer = next(&mut client);
         let written = client.write_all(b"x").is_ok();
         (began, (answer, next(&mut client), written, next(&mut client)))
     });
-    assert_eq!(came, (Next::Status(200), Next::End, true, Next::End));
+    assert_eq!(result, (Next::Status(200), Next::End, true, Next::End));
 }
 
 // It has just come to ask something, and has nowhere else to go: new connections are still taken after it.
 #[test]
-fn a_client_that_has_just_connected_as_the_stop_is_told_is_answered() {
+fn answers_client_that_connects_at_shutdown() {
     let discovery = Discovery::start();
     let endpoint = Endpoint::start(served);
     // It is waited for no longer than 500 ms.
@@ -210,21 +212,25 @@
 
 // Each is either answered or not sent on, whichever comes first; there is no third way.
 #[test]
-fn a_request_beside_a_drain_is_answered_or_never_sent_on() {
+fn request_during_drain_is_answered_or_never_forwarded() {
     let discovery = Discovery::start();
     let endpoint = Endpoint::start(served);
     let sidecar = Sidecar::start(&discovery, &[("s-1", &endpoint)]);
     let mut seen = [0, 0];
     for round in 0..60 {
-        let (mut client, asked) = (resting(&sidecar), request("book", "", ""));
+        let (mut client, submitted) = (resting(&sidecar), request("book", "", ""));
         thread::scope(|scope| {
             scope.spawn(|| assert_eq!(sidecar.call("quiesce"), "OK"));
             // From before the call to well behind it.
             thread::sleep(Duration::from_micros(50 * round));
-            let came = client.write_all(asked.as_bytes()).map_or(Next::End, |()| next(&mut client));
-            assert_ne!(came, Next::Reset, "round {round}");
-            assert_eq!(reached(&endpoint, &asked), came == Next::Status(200), "round {round}: {came:?}");
-            seen[usize::from(came == Next::End)] += 1;
+            let result = client.write_all(submitted.as_bytes()).map_or(Next::End, |()| next(&mut client));
+            assert_ne!(result, Next::Reset, "round {round}");
+            assert_eq!(
+                reached(&endpoint, &submitted),
+                result == Next::Status(200),
+                "round {round}: {result:?}"
+            );
+            seen[usize::from(result == Next::End)] += 1;
         });
         assert_eq!(sidecar.call("resume"), "OK");
     }
@@ -232,29 +238,29 @@
 }
 
 #[test]
-fn a_client_that_leaves_while_its_request_waits_for_a_place_is_not_sent_on() {
+fn does_not_forward_queued_request_of_closed_client() {
     let discovery = Discovery::start();
-    let (gate, endpoint) = held_back();
+    let (gate, endpoint) = gated_endpoint();
     let sidecar = Sidecar::start(&discovery, &[("s-1", &endpoint)]);
     let mut first = take_places(&sidecar, &endpoint);
     for way in WAYS {
         (0..5)
-            .map(|_| ask(&sidecar, "book"))
+            .map(|_| send_request(&sidecar, "book"))
             .collect::<Vec<_>>()
             .into_iter()
-            .for_each(|client| leave(client, way));
+            .for_each(|client| close_client(client, way));
     }
     gate.open();
     for client in &mut first {
         assert_eq!(next(client), Next::Status(200));
     }
     // Behind all that left.
-    assert_eq!(sidecar.ask(&request("book", "", "")).expect("an answer").status(), 200);
+    assert_eq!(sidecar.exchange(&request("book", "", "")).expect("an answer").status(), 200);
     assert_eq!(endpoint.requests(), 3);
 }
 
 #[test]
-fn a_client_that_leaves_while_its_connection_is_being_made_is_not_sent_on() {
+fn does_not_forward_request_of_client_closed_during_dial() {
     for way in WAYS {
         let discovery = Discovery::start();
         let sidecar = Sidecar::start(&discovery, &[]);
@@ -262,40 +268,40 @@
         let address = listener.local_addr().expect("an address");
         discovery.publish(2, list(2, false, &[("s-1", address, "active")]));
         discovery.await_watch(2);
-        let (mut client, asked) = (sidecar.connect(), request("book", "", ""));
-        client.write_all(asked.as_bytes()).expect("the sidecar takes it");
-        await_that("the endpoint is dialled", || being_dialled(address));
-        leave(client, way);
+        let (mut client, submitted) = (sidecar.connect(), request("book", "", ""));
+        client.write_all(submitted.as_bytes()).expect("the sidecar takes it");
+        wait_until("the endpoint is dialled", || being_dialled(address));
+        close_client(client, way);
         drop(filler);
         let endpoint = Endpoint::on(listener, served);
-        assert_eq!(sidecar.ask(&request("book", "", "")).expect("an answer").status(), 200);
-        assert!(!reached(&endpoint, &asked), "{way:?}");
+        assert_eq!(sidecar.exchange(&request("book", "", "")).expect("an answer").status(), 200);
+        assert!(!reached(&endpoint, &submitted), "{way:?}");
         assert_eq!(endpoint.requests(), 1);
     }
 }
 
 // With a body that is longer than is kept nothing is read while it has nowhere to go, and the end lies behind it.
 #[test]
-fn a_client_that_leaves_in_the_midst_of_a_long_body_is_not_sent_on() {
+fn does_not_forward_request_of_client_closed_within_body() {
     for resets in [false, true] {
         let discovery = Discovery::start();
-        let (gate, endpoint) = held_back();
+        let (gate, endpoint) = gated_endpoint();
         let sidecar = Sidecar::start(&discovery, &[("s-1", &endpoint)]);
         let mut first = take_places(&sidecar, &endpoint);
-        let (mut client, asked) = (sidecar.connect(), request("book", "", ""));
-        let head = asked.replace("Content-Length: 0", "Content-Length: 1000000");
+        let (mut client, submitted) = (sidecar.connect(), request("book", "", ""));
+        let head = submitted.replace("Content-Length: 0", "Content-Length: 1000000");
         client.write_all(head.as_bytes()).expect("the sidecar takes it");
         client.write_all(&[b'x'; 120_000]).expect("the system takes it");
         // All of it has left here, or its end would wait for it.
         let port = client.local_addr().expect("an address").port();
-        await_that("it has come", || unsent(port) == 0);
-        await_that("what is kept of it has been read", || unread(sidecar.address, port) < 50_000);
-        leave(client, (resets, b""));
+        wait_until("it has come", || unsent(port) == 0);
+        wait_until("what is kept of it has been read", || unread(sidecar.address, port) < 50_000);
+        close_client(client, (resets, b""));
         gate.open();
         for client in &mut first {
             assert_eq!(next(client), Next::Status(200));
         }
-        assert_eq!(sidecar.ask(&request("book", "", "")).expect("an answer").status(), 200);
+        assert_eq!(sidecar.exchange(&request("book", "", "")).expect("an answer").status(), 200);
         // Of itself, its head would have gone out first.
         assert_eq!(endpoint.heads(), 3, "resets: {resets}");
     }
@@ -303,7 +309,7 @@
 
 // The endpoint turns each attempt away, so that the request waits to be tried again.
 #[test]
-fn a_client_that_leaves_between_two_attempts_is_not_sent_on_again() {
+fn does_not_retry_request_of_closed_client() {
     for way in WAYS {
         // It is tried again after 125 ms at the earliest.
         let (_discovery, endpoint, sidecar) = within(Duration::from_millis(100), || {
@@ -312,223 +318,33 @@
             let sidecar = Sidecar::start(&discovery, &[("s-1", &endpoint)]);
             let (mut client, began) = (sidecar.connect(), Instant::now());
             client.write_all(request("book", "", "").as_bytes()).expect("the sidecar takes it");
-            await_that("it was turned away", || endpoint.requests() == 1);
-            leave(client, way);
+            wait_until("it was turned away", || endpoint.requests() == 1);
+            close_client(client, way);
             (began, (discovery, endpoint, sidecar))
         });
         // One that stays is tried until it may not be any more, and takes longer over it.
-        let asked = request("book", "", "");
-        let status = sidecar.ask(&asked).expect("an answer").status();
-        assert_eq!((status, reached(&endpoint, &asked)), (503, true));
-        assert_eq!(endpoint.requests(), 1 + times(&endpoint, &asked), "{way:?}");
+        let submitted = request("book", "", "");
+        let status = sidecar.exchange(&submitted).expect("an answer").status();
+        assert_eq!((status, reached(&endpoint, &submitted)), (503, true));
+        assert_eq!(endpoint.requests(), 1 + times(&endpoint, &submitted), "{way:?}");
     }
 }
 
 #[test]
-fn signals_that_cross_end_it_once_and_cost_no_answer() {
+fn crossing_signals_shut_down_once_and_cost_no_answer() {
     for signals in [["-TERM", "-TERM"], ["-TERM", "-HUP"], ["-HUP", "-TERM"], ["-TERM", "-INT"]] {
         let discovery = Discovery::start();
-        let (gate, endpoint) = held_back();
+        let (gate, endpoint) = gated_endpoint();
         let mut sidecar = Sidecar::start(&discovery, &[("s-1", &endpoint)]);
-        let mut client = ask(&sidecar, "book");
-        await_that("the request is out", || endpoint.requests_begun() == 1);
+        let mut client = send_request(&sidecar, "book");
+        wait_until("the request is out", || endpoint.requests_begun() == 1);
         sidecar.signal("-STOP");
         signals.iter().for_each(|signal| sidecar.signal(signal));
         sidecar.signal("-CONT");
-        await_that("it stops", || sidecar.call("health").starts_with("ERR "));
+        wait_until("it stops", || sidecar.call("health").starts_with("ERR "));
         signals.iter().for_each(|signal| sidecar.signal(signal));
         gate.open();
         assert_eq!(next(&mut client), Next::Status(200), "{signals:?}");
         assert_eq!(sidecar.process.wait().expect("it ends").code(), Some(0), "{signals:?}");
     }
 }
-
-// What is known from the start serves, whether discovery refuses, says nothing, or does not come up at all.
-#[test]
-fn a_sidecar_is_ready_though_discovery_is_away() {
-    let (silent, _filler) = full_queue();
-    let mute = Discovery::start();
-    mute.mute.store(true, std::sync::atomic::Ordering::SeqCst);
-    let away = [unused_address(), silent.local_addr().expect("an address"), mute.address];
-    for (at, mode) in away.into_iter().flat_map(|at| [(at, "pushed"), (at, "on_request")]) {
-        let endpoint = Endpoint::start(served);
-        let mut discovery = Discovery::start();
-        discovery.address = at;
-        let began = Instant::now();
-        let sidecar = Sidecar::start_as(&discovery, &[("s-1", &endpoint)], 1024, |config| {
-            config.replace("\"on_request\"", &format!("\"{mode}\""))
-        });
-        assert!(began.elapsed() < Duration::from_secs(10), "{:?}", began.elapsed());
-        assert_eq!(sidecar.ask(&request("book", "", "")).expect("an answer").status(), 200);
-    }
-}
-
-// Whichever came last stands in the file; what the others still say is of no account, and versions start anew.
-#[test]
-fn of_two_new_configurations_in_a_row_the_last_is_followed() {
-    let [first, second, third] = [(); 3].map(|()| Discovery::start());
-    let [old, middle, new] =
-        ["old", "middle", "new"].map(|body| Endpoint::start(move |_| Reply::Answer(200, "", body.into())));
-    let sidecar = Sidecar::start(&first, &[("s-old", &old)]);
-    first.publish(90, list(90, true, &[("s-old", old.address, "active")]));
-    first.await_watch(90);
-    // Its answer does not come, whatever is published there.
-    second.mute.store(true, std::sync::atomic::Ordering::SeqCst);
-    sidecar.reload(&config(sidecar.address, second.address, "null"));
-    await_that("the second is asked", || second.calls().len() == 1);
-    sidecar.reload(&config(sidecar.address, third.address, "null"));
-    third.publish(2, list(2, true, &[("s-new", new.address, "active")]));
-    third.await_watch(2);
-    second.mute.store(false, std::sync::atomic::Ordering::SeqCst);
-    second.publish(95, list(95, true, &[("s-middle", middle.address, "active")]));
-    first.publish(96, list(96, true, &[("s-old", old.address, "active")]));
-    third.publish(3, list(3, false, &[]));
-    third.await_watch(3);
-    for _ in 0..4 {
-        assert_eq!(sidecar.ask(&request("book", "", "")).expect("an answer").body, b"new");
-    }
-    assert_eq!((old.requests(), middle.requests(), second.calls().len()), (0, 0, 1));
-}
-
-/// After a reload, all that discovery has to report counts as told within 4 s, and nothing new goes to a server that is
-/// gone 2 s after that.
-const FOLLOWED: Duration = Duration::from_secs(6);
-
-#[test]
-fn a_reload_is_followed_though_discovery_is_slow_to_answer() {
-    let follows = |takes: Duration| {
-        let (first, slow) = (Discovery::start(), Discovery::start());
-        let [old, new] = [(); 2].map(|()| Endpoint::start(served));
-        let sidecar = Sidecar::start(&first, &[("s-old", &old)]);
-        first.publish(7, list(7, true, &[("s-old", old.address, "active")]));
-        first.await_watch(7);
-        *slow.slow.lock().expect("no stub panics") = takes;
-        slow.publish(2, list(2, true, &[("s-new", new.address, "active")]));
-        sidecar.reload(&config(sidecar.address, slow.address, "null"));
-        thread::sleep(FOLLOWED);
-        for _ in 0..4 {
-            assert_eq!(sidecar.ask(&request("look", "", "")).expect("an answer").status(), 200);
-        }
-        (old.requests(), new.requests())
-    };
-    let all = [1_500, 2_500, 3_500].map(Duration::from_millis);
-    let sent = thread::scope(|scope| {
-        let plays = all.map(|takes| scope.spawn(move || follows(takes)));
-        plays.map(|play| play.join().expect("it is played"))
-    });
-    assert_eq!(sent, [(0, 4); 3], "requests to the old server and to the new one");
-}
-
-#[test]
-fn an_indented_list_is_a_list() {
-    let discovery = Discovery::start();
-    let [old, new] = [(); 2].map(|()| Endpoint::start(served));
-    let sidecar = Sidecar::start(&discovery, &[("s-old", &old)]);
-    let text = list(2, true, &[("s-new", new.address, "active")]);
-    let indented =
-        serde_json::from_str::<serde_json::Value>(&text).and_then(|v| serde_json::to_string_pretty(&v));
-    let indented = indented.expect("a list").replace('\n', "\r\n\t");
-    discovery.publish(2, indented);
-    discovery.await_watch(2);
-    assert_eq!(sidecar.ask(&request("book", "", "")).expect("an answer").status(), 200);
-    assert_eq!((old.requests(), new.requests()), (0, 1));
-}
-
-// A reset is no end: only a whole stop of the stream is, where an answer says that it ends so.
-#[test]
-fn an_answer_that_ends_with_its_connection_is_whole_only_if_that_ends_well() {
-    let head = b"HTTP/1.1 200 OK\r\nConnection: close\r\n\r\nhello";
-    for ends in ["well", "reset", "never", "in its head"] {
-        let discovery = Discovery::start();
-        let listener = std::net::TcpListener::bind("127.0.0.1:0").expect("a free port");
-        let address = listener.local_addr().expect("an address");
-        let sidecar = Sidecar::start(&discovery, &[]);
-        discovery.publish(2, list(2, false, &[("s-1", address, "active")]));
-        discovery.await_watch(2);
-        let mut client = sidecar.connect();
-        let asked = request("book", "", "").replace("19000m", "900m");
-        client.write_all(asked.as_bytes()).expect("the sidecar takes it");
-        let (mut stream, _) = listener.accept().expect("a connection");
-        read_message(&mut stream).expect("a request");
-        stream.write_all(if ends == "in its head" { &head[..9] } else { head }).expect("it is taken");
-        // What was written is there before the reset, which would else overtake it.
-        let port = stream.local_addr().expect("an address").port();
-        await_that("it has been read", || unread_from(port) == 0);
-        if ends == "reset" {
-            socket2::SockRef::from(&stream).set_linger(Some(Duration::ZERO)).expect("it can");
-        }
-        let kept = Some(stream).filter(|_| ends == "never");
-        let came = next(&mut client);
-        match ends {
-            "well" => assert_eq!(came, Next::Status(200)),
-            // Passed on while it came, it breaks off for the client as well.
-            _ => assert!(matches!(came, Next::Status(502) | Next::Reset), "{ends}: {came:?}"),
-        }
-        drop(kept);
-    }
-}
-
-// Its openings were lost while it was away, and the system's own next try may be 4 s off: what leaves would be sent to
-// until then, and is told as soon as discovery is back.
-#[test]
-fn discovery_whose_connection_does_not_come_up_is_dialled_anew_soon() {
-    let (listener, _filler) = full_queue();
-    let mut discovery = Discovery::start();
-    discovery.address = listener.local_addr().expect("an address");
-    let endpoint = Endpoint::start(served);
-    let pushed = |config: String| config.replace("\"on_request\"", "\"pushed\"");
-    let _sidecar = Sidecar::start_as(&discovery, &[("s-1", &endpoint)], 1024, pushed);
-    // Each dial has a port of its own. By the time that a call may take, the second would come after 6 s.
-    let (began, seen) = (Instant::now(), Mutex::new(std::collections::BTreeSet::new()));
-    await_that("it is dialled three times", || {
-        let mut seen = seen.lock().expect("no panic");
-        seen.extend(diallers(discovery.address));
-        seen.len() >= 3
-    });
-    assert!(began.elapsed() < Duration::from_secs(10), "{:?}", began.elapsed());
-}
-
-// Whether what leaves is told before the watch is open again or after that.
-#[test]
-fn what_is_told_around_the_reset_of_a_watch_is_followed() {
-    for (mode, before) in [("pushed", true), ("pushed", false), ("on_request", true), ("on_request", false)] {
-        let discovery = Discovery::start();
-        let [old, new] = [(); 2].map(|()| Endpoint::start(served));
-        let sidecar = Sidecar::start_as(&discovery, &[("s-old", &old)], 1024, |config| {
-            config.replace("\"on_request\"", &format!("\"{mode}\""))
-        });
-        discovery.await_watch(1);
-        let calls = discovery.calls().len();
-        let changes = [("s-old", old.address, "leaving"), ("s-new", new.address, "active")];
-        discovery.reset();
-        if !before {
-            await_that("the watch is open again", || discovery.calls().len() > calls);
-        }
-        discovery.publish(2, list(2, false, &changes));
-        discovery.await_watch(2);
-        for _ in 0..4 {
-            assert_eq!(sidecar.ask(&request("book", "", "")).expect("an answer").status(), 200);
-        }
-        assert_eq!((old.requests(), new.requests()), (0, 4), "{mode}");
-    }
-}
-
-// Before its handler stands the system ends it; from then on it stops as it always does.
-#[test]
-fn a_stop_told_at_any_moment_of_the_start_ends_it() {
-    let discovery = Discovery::start();
-    for wait in 0..12 {
-        let address = unused_address();
-        let path = config_file(&config(address, discovery.address, "null"));
-        let mut command = std::process::Command::new(env!("CARGO_BIN_EXE_lotusmoor-sidecar"));
-        command.env("LB_CONFIG", &path).env_remove("LB_LISTEN").env_remove("LB_DISCOVERY");
-        let mut process = command.stdin(std::process::Stdio::null()).spawn().expect("it starts");
-        thread::sleep(Duration::from_micros(500 * wait));
-        let kill = std::process::Command::new("kill").args(["-TERM", &process.id().to_string()]).status();
-        assert!(kill.expect("kill runs").success());
-        let status = process.wait().expect("it ends");
-        let signal = std::os::unix::process::ExitStatusExt::signal(&status);
-        assert!(status.code() == Some(0) || signal == Some(15), "{status:?}");
-        let _ = std::fs::remove_file(path);
-    }
-}
--- a/crates/sidecar/tests/faults/mod.rs
+++ b/crates/sidecar/tests/faults/mod.rs
@@ -16,7 +16,7 @@
 }
 
 /// Connections with a whole request in each.
-fn asking(sidecar: &Sidecar, count: usize) -> Vec<std::net::TcpStream> {
+fn connect_with_requests(sidecar: &Sidecar, count: usize) -> Vec<std::net::TcpStream> {
     let mut clients = Vec::new();
     for _ in 0..count {
         let mut client = sidecar.connect();
@@ -27,7 +27,7 @@
 }
 
 #[test]
-fn errors_of_accept_as_accepting_ends_lose_no_connection_of_the_queue() {
+fn accept_errors_at_shutdown_lose_no_queued_connection() {
     for errno in [errno::ECONNABORTED, errno::ENOBUFS, errno::EMFILE, errno::EINTR] {
         let (discovery, endpoint) = (Discovery::start(), Endpoint::start(served));
         let faults = fault_table();
@@ -36,7 +36,7 @@
         thread::sleep(Duration::from_millis(250));
         // Held over the end of accepting, it finds connections and errors together.
         sidecar.signal("-STOP");
-        let clients = asking(&sidecar, 5);
+        let clients = connect_with_requests(&sidecar, 5);
         thread::sleep(Duration::from_millis(350));
         let few = Rule { span: Span::Calls(3), ..Rule::once(Call::Accept, errno) };
         faults.arm(few).expect("a rule");
@@ -49,7 +49,7 @@
 }
 
 #[test]
-fn interrupted_calls_on_sockets_cost_no_answer() {
+fn interrupted_socket_calls_cost_no_answer() {
     let (discovery, endpoint) = (Discovery::start(), Endpoint::start(served));
     for calls in [vec![Call::Receive, Call::Send, Call::Peek], vec![Call::Peek]] {
         let faults = fault_table();
@@ -59,7 +59,7 @@
         }
         for turn in 0..240 {
             let class = ["look", "pay", "book"][turn % 3];
-            let answer = sidecar.ask(&request(class, "", "")).map(|m| m.status());
+            let answer = sidecar.exchange(&request(class, "", "")).map(|m| m.status());
             assert_eq!(answer, Some(200), "request {turn} of class {class}, {calls:?}");
         }
     }
--- a/crates/sidecar/tests/stored_state/mod.rs
+++ b/crates/sidecar/tests/stored_state/mod.rs
@@ -1,7 +1,7 @@
 //! What a sidecar keeps for the process after it, against fixtures that the program wrote at commit 3f326ce. Two versions
 //! of the sidecar read these files side by side during a hand-over, so neither their names nor their text may change.
 
-use crate::operation::{folder, held_socket};
+use crate::operation::{folder, shared_listener};
 use crate::stubs::*;
 use std::fs::File;
 use std::net::{SocketAddr, TcpListener};
@@ -69,11 +69,11 @@
 }
 
 fn status_of_look(sidecar: &Sidecar) -> u16 {
-    sidecar.ask(&request("look", "", "")).expect("an answer").status()
+    sidecar.exchange(&request("look", "", "")).expect("an answer").status()
 }
 
 fn status_of_up(sidecar: &Sidecar) -> u16 {
-    sidecar.ask("GET /up HTTP/1.1\r\nHost: x\r\n\r\n").expect("an answer").status()
+    sidecar.exchange("GET /up HTTP/1.1\r\nHost: x\r\n\r\n").expect("an answer").status()
 }
 
 #[test]
@@ -81,7 +81,7 @@
     for stored in ALL_STORED {
         let discovery = Discovery::start();
         let [one, two] = [(); 2].map(|()| served());
-        let listener = held_socket();
+        let listener = shared_listener();
         let folder = folder(&listener);
         let endpoints = [("s-1", &one), ("s-2", &two)];
         let sidecar = Sidecar::start_passed(&discovery, &endpoints, &listener, &folder);
@@ -107,7 +107,7 @@
     for stored in ALL_STORED {
         let discovery = Discovery::start();
         let [one, two, three] = [(); 3].map(|()| served());
-        let listener = held_socket();
+        let listener = shared_listener();
         let folder = folder(&listener);
         let file = state_file(&folder, address(&listener));
         std::fs::write(&file, fixture(stored.fixture)).expect("it can be written");
@@ -141,7 +141,7 @@
 fn a_stored_state_that_another_version_writes_is_followed_while_the_sidecar_runs() {
     let discovery = Discovery::start();
     let [one, two] = [(); 2].map(|()| served());
-    let listener = held_socket();
+    let listener = shared_listener();
     let folder = folder(&listener);
     let file = state_file(&folder, address(&listener));
     let endpoints = [("s-1", &one), ("s-2", &two)];
@@ -152,19 +152,19 @@
         std::fs::rename(&beside, &file).expect("it can be put in place");
     };
     puts(STATE_CORDONED_AND_DRAINED);
-    await_that("it is drained", || status_of_up(&sidecar) == 503);
+    wait_until("it is drained", || status_of_up(&sidecar) == 503);
     assert_eq!(status_of_look(&sidecar), 503, "both endpoints are out");
     puts(STATE_DRAINED);
-    await_that("endpoints are given back", || status_of_look(&sidecar) == 200);
+    wait_until("endpoints are given back", || status_of_look(&sidecar) == 200);
     puts(STATE_EMPTY);
-    await_that("it is in service", || status_of_up(&sidecar) == 200);
+    wait_until("it is in service", || status_of_up(&sidecar) == 200);
 }
 
 #[test]
 fn the_lock_of_another_version_is_respected_under_its_stored_name() {
     let discovery = Discovery::start();
     let endpoint = served();
-    let listener = held_socket();
+    let listener = shared_listener();
     let folder = folder(&listener);
     let listen = address(&listener);
     let sidecar = Sidecar::start_passed(&discovery, &[("s-1", &endpoint)], &listener, &folder);
@@ -192,7 +192,7 @@
         ("list-whole.json", "", ["OK version=3/70 ", " servers=2 held=0"]),
         ("list-of-services.json", r#""ledger","mail""#, ["OK version=4/71 ", " servers=2 held=0 services=2"]),
     ] {
-        let listener = held_socket();
+        let listener = shared_listener();
         let list = folder(&listener).join(name);
         let stored =
             Path::new(env!("CARGO_MANIFEST_DIR")).join("../registry-client/tests/fixtures").join(name);
@@ -201,7 +201,7 @@
         let sidecar =
             Sidecar::start_as(&discovery, &[], 1024, |config| with_registry(&config, &list, services));
         let [start, end] = wanted;
-        await_that("the stored list is in use", || {
+        wait_until("the stored list is in use", || {
             let line = sidecar.call("list");
             line.starts_with(start) && line.ends_with(end)
         });
