--- a/crates/sidecar/src/client_liveness/tests.rs
+++ b/crates/sidecar/src/client_liveness/tests.rs
@@ -12,7 +12,7 @@
     (client, Rc::new(TcpStream::from_std(stream).expect("a stream")))
 }
 
-// What it sent before its end may lie unread for as long as its request waits, by a full channel say.
+// Bytes before the end of a connection may be unread for as long as its request waits, behind a full channel for one.
 #[tokio::test]
 async fn detects_closed_client_behind_unread_bytes() {
     for unread in [&b""[..], b"half a body"] {
@@ -31,7 +31,7 @@
     }
 }
 
-// Of all that comes while the process stands still, nothing has been polled when a request's time to go out has come.
+// After a pause of the whole process, a request may be about to be sent before anything that came meanwhile is polled.
 #[tokio::test]
 async fn detects_close_or_further_bytes_before_they_are_polled() {
     for (unread, leaves) in [(&b""[..], true), (b"more", true), (b"more", false)] {
--- a/crates/sidecar/src/idle_bound/tests.rs
+++ b/crates/sidecar/src/idle_bound/tests.rs
@@ -21,7 +21,7 @@
     let later = now + WIDEN_INTERVAL;
     let wider = bound.get(later);
     assert!(wider > learnt && wider < learnt * 2, "{wider:?}");
-    // Found too old once more, it counts at once; never again, it no longer does.
+    // Further losses at this age lower the bound at once; without any it widens up to the agreed time.
     for _ in 0..MIN_LOST {
         bound.record_reused(later, 150 * MS, true);
     }
--- a/crates/sidecar/src/inbound/write_reply/tests.rs
+++ b/crates/sidecar/src/inbound/write_reply/tests.rs
@@ -5,7 +5,7 @@
 use tokio::net::{TcpListener, TcpStream};
 use tokio::time::Instant;
 
-// Else its place, its id and the memory of its answer would be gone for as long as it likes.
+// Otherwise it would keep its permit, its request id and the memory of its answer for as long as it likes.
 #[tokio::test]
 async fn gives_up_client_that_never_reads_its_answer() {
     let listener = TcpListener::bind("127.0.0.1:0").await.expect("a free port");
@@ -17,7 +17,7 @@
     let more_than_the_system_holds = AnswerBody::buffered(Bytes::from(vec![0; 64 << 20]));
     let reply = Reply { body: more_than_the_system_holds, ..Reply::without_body(StatusCode::OK) };
     assert!(!client.write_reply(reply, true, &mut in_service).await);
-    // The same where it flows.
+    // The same where the answer is streamed.
     let (pieces, rest) = tokio::sync::mpsc::channel(1);
     let body = AnswerBody { first: Bytes::new(), rest: Some(rest), length: Some(64 << 20) };
     let reply = Reply { body, ..Reply::without_body(StatusCode::OK) };
--- a/crates/sidecar/src/request/head/tests.rs
+++ b/crates/sidecar/src/request/head/tests.rs
@@ -1,6 +1,6 @@
 use super::*;
 
-// Whoever reads such a head in another way finds a further request in the body.
+// A reader that interprets such a head differently finds a further request in the body.
 #[test]
 fn rejects_ambiguous_body_framing() {
     let read = |lines: &str| {
--- a/crates/sidecar/src/send_gate/tests.rs
+++ b/crates/sidecar/src/send_gate/tests.rs
@@ -94,26 +94,26 @@
     timed.advertise_wait(Duration::from_millis(1300));
     timed.begin();
     assert_eq!(before()[3], 1);
-    // Its body flows on, and an attempt may last until long after it has come; its client waits no longer for that.
-    let flows = RequestLifecycle::new(b"1", None, true);
+    // With a streamed body the attempt may last until long after its last byte; the client does not wait longer for that.
+    let streamed = RequestLifecycle::new(b"1", None, true);
     let (now, wait, body) = (Instant::now(), Duration::from_secs(1), Duration::from_secs(9));
-    flows.set_earliest_deadline(now + wait);
-    let left = flows.advertised_wait(now + body);
+    streamed.set_earliest_deadline(now + wait);
+    let left = streamed.advertised_wait(now + body);
     assert!(left <= wait && left > wait / 2, "{left:?}");
-    let timed = send(&flows, None, None);
+    let timed = send(&streamed, None, None);
     timed.advertise_wait(Duration::from_secs(2));
     timed.begin();
     assert_eq!(before()[3], 2);
 }
 
-// The rest of its body may lie in the system's queue; as far as is known its client has stopped waiting.
+// The rest of the body may be in the system's queue already, so that the client may have stopped waiting.
 #[tokio::test]
 async fn does_not_send_streamed_request_after_earliest_deadline() {
-    let flows = RequestLifecycle::new(b"1", None, true);
-    flows.set_earliest_deadline(Instant::now() - Duration::from_millis(1));
-    let late = send(&flows, Some(Instant::now() + Duration::from_secs(9)), None);
+    let streamed = RequestLifecycle::new(b"1", None, true);
+    streamed.set_earliest_deadline(Instant::now() - Duration::from_millis(1));
+    let late = send(&streamed, Some(Instant::now() + Duration::from_secs(9)), None);
     assert!(!late.may_write());
     assert_eq!(late.denial(), Some(SendDenial::DeadlineExceeded));
-    flows.set_earliest_deadline(Instant::now() + Duration::from_secs(9));
+    streamed.set_earliest_deadline(Instant::now() + Duration::from_secs(9));
     assert!(late.may_write(), "its last byte has come since");
 }
--- a/crates/sidecar/src/start_times/tests.rs
+++ b/crates/sidecar/src/start_times/tests.rs
@@ -41,7 +41,7 @@
     assert_eq!(starts, [Some(now), Some(now - 60 * SECOND)]);
 }
 
-// By seconds it can't be told from one that is right.
+// A clock that is ahead by seconds can't be told from a correct one.
 #[test]
 fn clock_stepped_forward_by_seconds_makes_no_server_warm() {
     for ahead in [1, 5, 9] {
@@ -65,7 +65,7 @@
     // The clock of its machine was stepped back by an hour.
     let starts = list(&mut times, 3 * SECOND, &[(0, NOON_MS - 3_600_000)]);
     assert_eq!(starts, [Some(SECOND)]);
-    // Forward by an hour: it has not started in the time to come.
+    // Stepped forward by an hour: a start can't lie in the future.
     let starts = list(&mut times, 5 * SECOND, &[(1, NOON_MS + 3_600_000)]);
     assert_eq!(starts, [Some(5 * SECOND)]);
 }
