--- a/crates/registry-client/src/lib.rs
+++ b/crates/registry-client/src/lib.rs
@@ -4,7 +4,7 @@
 //! replica is polled, when and for what, and which of the lists that come back are used. A driver puts it on sockets
 //! (the sidecar does), another one on the clock of a model. It knows nothing about how the registry works.
 
-pub mod file;
+pub mod cache_file;
 pub mod list;
 mod watcher;
 
--- a/crates/sidecar/src/roster.rs
+++ b/crates/sidecar/src/roster.rs
@@ -8,7 +8,8 @@
 use hyper::StatusCode;
 use hyper::header::RETRY_AFTER;
 use lotusmoor_registry_client::{
-    Action, EndpointList, Entry, Event, ListUpdate, Micros, RegistryWatcher, Report, Settings, Status, file,
+    Action, EndpointList, Entry, Event, ListUpdate, Micros, RegistryWatcher, Report, Settings, Status,
+    cache_file,
 };
 use serde::Deserialize;
 use std::cell::RefCell;
@@ -186,7 +187,7 @@
     }
 
     fn load(&self) -> Option<EndpointList> {
-        match file::load(self.config.file.as_ref()?) {
+        match cache_file::load(self.config.file.as_ref()?) {
             Ok(Some((known, age))) => {
                 let (version, servers, age) = (known.version, known.entries.len(), age.as_secs());
                 log_line!("roster: list {version} of {servers} servers from the file, {age} s old");
@@ -243,7 +244,7 @@
         let known = self.standing.rider.borrow().list().cloned();
         if let (Some(path), Some(known)) = (self.config.file.clone(), known) {
             tokio::task::spawn_blocking(move || {
-                if let Err(what) = file::save(&path, &known) {
+                if let Err(what) = cache_file::save(&path, &known) {
                     log_line!("roster: the list can't be kept: {what}");
                 }
             });
