--- a/crates/fleet/src/model/run/roster.rs
+++ b/crates/fleet/src/model/run/roster.rs
@@ -1,4 +1,4 @@
-//! The list from a roster of the project's own: its list, leases and admission, and the sidecars' riders, are the very
+//! The list from a roster of the project's own: its list, leases and admission, and the sidecars' watchers, are the very
 //! cores that run in processes. What the log costs (a commit, a change of leader) is drawn from what was measured.
 
 use super::*;
@@ -18,7 +18,7 @@
     WatchOver(u32),
     /// A call's answer, or its failure, has come to its sidecar.
     Replied(u32),
-    /// A rider's time has come, if it still means that.
+    /// A watcher's timer is due, if it was not set anew.
     Wake(u32, u32),
     /// A write comes to the leader.
     Write(u32),
@@ -36,6 +36,8 @@
 const TICK: Micros = SECOND / 4;
 /// A writer that is turned away comes again after about this.
 const AGAIN: Micros = SECOND / 2;
+/// What a replica responds to a poll that it has no capacity for.
+const SERVICE_UNAVAILABLE: u16 = 503;
 
 /// A replica.
 struct Replica {
@@ -145,9 +147,9 @@
     }
 }
 
-/// A sidecar's rider, where it rides a roster.
+/// A sidecar's watcher, where its list comes from a roster.
 pub(super) struct Riding {
-    rider: RegistryWatcher,
+    watcher: RegistryWatcher,
     /// Marks the wake that is still meant.
     stamp: u32,
     wakes_at: Micros,
@@ -255,9 +257,11 @@
                 let (process, number) = (a.process, a.number);
                 let event = match std::mem::replace(&mut a.reply, Err(None)) {
                     Ok(update) => client::Event::Response { poll: number, update: *update },
-                    Err(retry_after) => {
-                        client::Event::PollFailed { poll: number, retry_after, error: String::new() }
-                    }
+                    Err(retry_after) => client::Event::PollFailed {
+                        poll: number,
+                        retry_after,
+                        error: poll_error(retry_after),
+                    },
                 };
                 self.ride(now, process, event);
             }
@@ -444,8 +448,8 @@
         if self.sidecars[sidecar].starts == 1 {
             self.sidecars[sidecar].file = known.clone();
         }
-        let rider = RegistryWatcher::new(client::Settings::new(roster.replicas.len()), seed);
-        let riding = Riding { rider, stamp: 0, wakes_at: 0, began: false };
+        let watcher = RegistryWatcher::new(client::Settings::new(roster.replicas.len()), seed);
+        let riding = Riding { watcher, stamp: 0, wakes_at: 0, began: false };
         self.processes[process as usize].riding = Some(Box::new(riding));
         // Without its file it has the list of its configuration, which is as old as that.
         if known.is_none() {
@@ -462,8 +466,8 @@
         }
         let Some(riding) = &mut p.riding else { return };
         let mut actions = Vec::new();
-        riding.rider.handle(now, event, &mut actions);
-        if let Some(at) = riding.rider.next_timer()
+        riding.watcher.handle(now, event, &mut actions);
+        if let Some(at) = riding.watcher.next_timer()
             && (at != riding.wakes_at || now >= riding.wakes_at)
         {
             (riding.stamp, riding.wakes_at) = (riding.stamp + 1, at);
@@ -473,15 +477,15 @@
         }
         for action in actions {
             match action {
-                client::Action::Poll { poll: ask, replica: roster, after, wait } => {
-                    self.ask_roster(now, process, ask, roster, after, wait)
+                client::Action::Poll { poll, replica, after, wait } => {
+                    self.ask_roster(now, process, poll, replica, after, wait)
                 }
-                // What a call that is forgotten brings is passed over by the rider.
+                // The watcher ignores the response to a poll that it cancelled.
                 client::Action::CancelPoll(_) => {}
                 client::Action::Apply(applied) => self.apply_roster(now, process, applied),
                 client::Action::Save => {
                     let p = &self.processes[process as usize];
-                    let known = p.riding.as_ref().and_then(|r| r.rider.list().cloned());
+                    let known = p.riding.as_ref().and_then(|r| r.watcher.list().cloned());
                     self.sidecars[p.sidecar as usize].file = known;
                 }
                 client::Action::Report(report) => {
@@ -554,6 +558,14 @@
     }
 }
 
+/// What a driver on sockets would see: a refusal names a time, a broken connection doesn't.
+fn poll_error(retry_after: Option<Micros>) -> client::PollError {
+    match retry_after {
+        Some(_) => client::PollError::Status(SERVICE_UNAVAILABLE),
+        None => client::PollError::connection(std::io::Error::from(std::io::ErrorKind::ConnectionReset)),
+    }
+}
+
 fn name_of(server: usize) -> String {
     format!("s{server}")
 }
--- a/crates/fleet/src/scale/hollow.rs
+++ b/crates/fleet/src/scale/hollow.rs
@@ -3,7 +3,7 @@
 
 use super::{allow_files, monotonic};
 use lotusmoor_registry_client::{
-    Action, EndpointList, Event, ListUpdate, Micros, RegistryWatcher, Settings, Version,
+    Action, EndpointList, Event, ListUpdate, Micros, PollError, RegistryWatcher, Settings, Version,
 };
 use serde::{Deserialize, Serialize};
 use socket2::SockRef;
@@ -134,7 +134,7 @@
 }
 
 struct Reader {
-    rider: Mutex<RegistryWatcher>,
+    watcher: Mutex<RegistryWatcher>,
     seen: Mutex<Seen>,
 }
 
@@ -168,7 +168,7 @@
     let reader = |hollow: &Hollow| {
         let settings = Settings { services: hollow.services.clone(), ..Settings::new(replicas.len()) };
         Reader {
-            rider: Mutex::new(RegistryWatcher::new(settings, hollow.seed)),
+            watcher: Mutex::new(RegistryWatcher::new(settings, hollow.seed)),
             seen: Mutex::new(Seen { away_since: Some(now), heard: now, ..Seen::default() }),
         }
     };
@@ -206,35 +206,35 @@
         Micros::try_from(self.began.elapsed().as_micros()).unwrap_or(Micros::MAX)
     }
 
-    /// One reader, for good: carries out what its rider wants, as a real sidecar does.
+    /// One reader, for good: carries out what its watcher wants, as a real sidecar does.
     async fn read(self: Arc<Self>, number: usize, source: Ipv4Addr) {
         let links: Vec<Link> = self.replicas.iter().map(|_| Link::default()).collect();
         let mut calls: Vec<(u64, Call)> = Vec::new();
         let mut event = Event::Start(None);
         let mut actions = Vec::new();
         loop {
-            if let Event::Response { poll: ask, .. } | Event::PollFailed { poll: ask, .. } = &event {
-                calls.retain(|(a, _)| a != ask);
+            if let Event::Response { poll, .. } | Event::PollFailed { poll, .. } = &event {
+                calls.retain(|(number, _)| number != poll);
             }
             self.note(number, &event);
             let next = {
-                let mut rider = lock(&self.readers[number].rider);
-                rider.handle(self.now(), event, &mut actions);
+                let mut watcher = lock(&self.readers[number].watcher);
+                watcher.handle(self.now(), event, &mut actions);
                 for action in actions.drain(..) {
                     match action {
-                        Action::Poll { poll: ask, replica: roster, after, wait } => {
-                            let path = rider.poll_path(after, wait);
-                            let (shared, link) = (Arc::clone(&self), Arc::clone(&links[roster]));
-                            let call = async move { shared.call(ask, roster, link, source, path).await };
-                            calls.push((ask, Box::pin(call)));
+                        Action::Poll { poll, replica, after, wait } => {
+                            let path = watcher.poll_path(after, wait);
+                            let (shared, link) = (Arc::clone(&self), Arc::clone(&links[replica]));
+                            let call = async move { shared.call(poll, replica, link, source, path).await };
+                            calls.push((poll, Box::pin(call)));
                         }
-                        Action::CancelPoll(ask) => calls.retain(|(a, _)| *a != ask),
+                        Action::CancelPoll(poll) => calls.retain(|(number, _)| *number != poll),
                         Action::Apply(applied) => self.told(number, applied.version),
                         // It has no file; its failures are counted.
                         Action::Save | Action::Report(_) => {}
                     }
                 }
-                rider.next_timer()
+                watcher.next_timer()
             };
             lock(&self.readers[number].seen).waiting = !calls.is_empty();
             let timer = async {
@@ -284,24 +284,25 @@
         seen.told.push((version.index, monotonic()));
     }
 
-    async fn call(&self, ask: u64, roster: usize, link: Link, source: Ipv4Addr, path: String) -> Event {
-        let failed = |what: String, retry_after| Event::PollFailed { poll: ask, retry_after, error: what };
-        let counts = &self.counts[roster];
-        let request = format!("GET {path} HTTP/1.1\r\nHost: {}\r\n\r\n", self.replicas[roster]);
-        match self.exchange(roster, &link, source, request.as_bytes()).await {
+    async fn call(&self, poll: u64, replica: usize, link: Link, source: Ipv4Addr, path: String) -> Event {
+        let failed = |error, retry_after| Event::PollFailed { poll, retry_after, error };
+        let counts = &self.counts[replica];
+        let request = format!("GET {path} HTTP/1.1\r\nHost: {}\r\n\r\n", self.replicas[replica]);
+        match self.exchange(replica, &link, source, request.as_bytes()).await {
             Ok(Answer { status: 200, body, .. }) => match ListUpdate::from_json(&body) {
                 Ok(update) => {
                     counts.answers.fetch_add(1, Ordering::Relaxed);
                     counts.whole.fetch_add(u64::from(update.snapshot), Ordering::Relaxed);
-                    Event::Response { poll: ask, update }
+                    Event::Response { poll, update }
                 }
-                Err(e) => failed(format!("unreadable list: {e}"), None),
+                Err(e) => failed(e.into(), None),
             },
             Ok(answer) => {
-                let told = answer.retry_after.filter(|s| s.is_finite() && *s >= 0.0);
-                failed(format!("status {}", answer.status), told.map(|s| (s.min(60.0) * 1e6) as Micros))
+                let retry_after = answer.retry_after.filter(|s| s.is_finite() && *s >= 0.0);
+                let retry_after = retry_after.map(|s| (s.min(60.0) * 1e6) as Micros);
+                failed(PollError::Status(answer.status), retry_after)
             }
-            Err(error) => failed(error.to_string(), None),
+            Err(error) => failed(PollError::connection(error), None),
         }
     }
 
@@ -399,7 +400,7 @@
                 }
                 Ask::Known(number) => {
                     let known: Option<EndpointList> =
-                        self.readers.get(number).and_then(|r| lock(&r.rider).list().cloned());
+                        self.readers.get(number).and_then(|r| lock(&r.watcher).list().cloned());
                     serde_json::to_string(&known)?
                 }
             };
--- a/crates/registry-client/src/cache_file.rs
+++ b/crates/registry-client/src/cache_file.rs
@@ -1,98 +1,156 @@
-//! The last good list in a file, for a reader that starts while no replica can be reached. It is put in place by
-//! rename, so that a reader finds the old one or the new one whole; what a disk makes of it is seen by a checksum.
+//! The last good list in a file, for a client that starts while no replica can be reached.
+//!
+//! The file is replaced by a rename, so that a reader finds either the old list or the new one. A checksum detects what
+//! a disk changed.
 
 use crate::list::EndpointList;
 use serde::{Deserialize, Serialize};
+use std::error::Error;
+use std::fmt;
 use std::fs::File;
 use std::io::{self, Write};
 use std::path::{Path, PathBuf};
 use std::time::{Duration, SystemTime, UNIX_EPOCH};
 
-/// The form of the file with a list of all servers.
-const FORMAT: u32 = 1;
-/// The form with a list of some services. A program that does not know of services would take it for the whole list.
-const FORMAT_BY_SERVICE: u32 = 2;
+/// The format of a list of all servers.
+const FORMAT_ALL_SERVERS: u32 = 1;
+/// The format of a list of some services. A version that knows no services must not take it for a complete list.
+const FORMAT_SOME_SERVICES: u32 = 2;
 
-/// Why a file can't be used.
+const FNV_OFFSET_BASIS: u64 = 0xcbf2_9ce4_8422_2325;
+const FNV_PRIME: u64 = 0x100_0000_01b3;
+
+/// A cache file that can't be used.
+#[derive(Debug)]
+pub struct CacheFileError {
+    /// The file.
+    pub path: PathBuf,
+    /// What is wrong with it.
+    pub fault: CacheFileFault,
+}
+
+/// What is wrong with a cache file.
 #[derive(Debug)]
-pub enum FileError {
+pub enum CacheFileFault {
     /// It can't be read or written.
-    Io(PathBuf, io::Error),
-    /// What stands in it is not what was written, or of another form.
-    Corrupt(PathBuf, String),
+    Io(io::Error),
+    /// It is not the JSON of a list.
+    Json(serde_json::Error),
+    /// It has a format that this version does not know.
+    UnknownFormat(u32),
+    /// The list is not the one that was written.
+    ChecksumMismatch,
+}
+
+impl From<io::Error> for CacheFileFault {
+    fn from(error: io::Error) -> Self {
+        Self::Io(error)
+    }
+}
+
+impl From<serde_json::Error> for CacheFileFault {
+    fn from(error: serde_json::Error) -> Self {
+        Self::Json(error)
+    }
+}
+
+impl fmt::Display for CacheFileError {
+    fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
+        write!(f, "{}: {}", self.path.display(), self.fault)
+    }
 }
 
-impl std::fmt::Display for FileError {
-    fn fmt(&self, f: &mut std::fmt::Formatter<'_>) -> std::fmt::Result {
+impl fmt::Display for CacheFileFault {
+    fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         match self {
-            Self::Io(path, error) => write!(f, "{}: {error}", path.display()),
-            Self::Corrupt(path, what) => write!(f, "{}: {what}", path.display()),
+            Self::Io(error) => error.fmt(f),
+            Self::Json(error) => error.fmt(f),
+            Self::UnknownFormat(format) => {
+                write!(f, "format {format} is neither {FORMAT_ALL_SERVERS} nor {FORMAT_SOME_SERVICES}")
+            }
+            Self::ChecksumMismatch => f.write_str("the checksum is not that of the list"),
+        }
+    }
+}
+
+impl Error for CacheFileError {
+    fn source(&self) -> Option<&(dyn Error + 'static)> {
+        match &self.fault {
+            CacheFileFault::Io(error) => Some(error),
+            CacheFileFault::Json(error) => Some(error),
+            CacheFileFault::UnknownFormat(_) | CacheFileFault::ChecksumMismatch => None,
         }
     }
 }
-impl std::error::Error for FileError {}
 
+/// The content of the file.
 #[derive(Deserialize, Serialize)]
-struct Written {
+struct StoredList {
     format: u32,
-    /// Of the text of the list.
+    /// Of the bytes of `list`.
     checksum: u64,
     /// Unix time in milliseconds at which it was written. It is shown to people; nothing is decided by it.
     saved_ms: u64,
+    /// The list as JSON.
     list: String,
 }
 
-/// Writes a list into the file.
-pub fn save(path: &Path, known: &EndpointList) -> Result<(), FileError> {
-    let failed = |e| FileError::Io(path.to_owned(), e);
-    let list = serde_json::to_string(known).map_err(|e| failed(e.into()))?;
-    let format = if known.services.is_empty() { FORMAT } else { FORMAT_BY_SERVICE };
-    let written = Written { format, checksum: checksum(list.as_bytes()), saved_ms: unix_ms(), list };
-    let text = serde_json::to_vec(&written).map_err(|e| failed(e.into()))?;
-    // Beside it, as a rename works within one file system; by its own name, as an old process may still run.
-    let beside = path.with_extension(format!("new-{}", std::process::id()));
-    let put = || {
-        let mut file = File::create(&beside)?;
-        file.write_all(&text)?;
-        file.sync_all()?;
-        std::fs::rename(&beside, path)
-    };
-    put().map_err(|e| {
-        let _ = std::fs::remove_file(&beside);
-        failed(e)
+/// Writes a list to the file.
+pub fn save(path: &Path, list: &EndpointList) -> Result<(), CacheFileError> {
+    write(path, list).map_err(|fault| CacheFileError { path: path.to_owned(), fault })
+}
+
+/// Reads the list of the file, and how long ago it was written by the machine's clock; `None` where there is no file.
+pub fn load(path: &Path) -> Result<Option<(EndpointList, Duration)>, CacheFileError> {
+    read(path).map_err(|fault| CacheFileError { path: path.to_owned(), fault })
+}
+
+fn write(path: &Path, list: &EndpointList) -> Result<(), CacheFileFault> {
+    let format = if list.services.is_empty() { FORMAT_ALL_SERVERS } else { FORMAT_SOME_SERVICES };
+    let list = serde_json::to_string(list)?;
+    let stored = StoredList { format, checksum: checksum(list.as_bytes()), saved_ms: unix_millis(), list };
+    let bytes = serde_json::to_vec(&stored)?;
+    // In the same folder, as a rename works within one file system only; with the process in its name, as the process
+    // of an earlier version may still run.
+    let temporary = path.with_extension(format!("new-{}", std::process::id()));
+    write_synced(&temporary, &bytes).and_then(|()| std::fs::rename(&temporary, path)).map_err(|error| {
+        let _ = std::fs::remove_file(&temporary);
+        error.into()
     })
 }
 
-/// Reads the list of the file, and how long ago it was written by the machine's clock; `None` where there is none.
-pub fn load(path: &Path) -> Result<Option<(EndpointList, Duration)>, FileError> {
-    let corrupt = |what: String| FileError::Corrupt(path.to_owned(), what);
-    let text = match std::fs::read(path) {
-        Ok(text) => text,
-        Err(e) if e.kind() == io::ErrorKind::NotFound => return Ok(None),
-        Err(e) => return Err(FileError::Io(path.to_owned(), e)),
+fn write_synced(path: &Path, bytes: &[u8]) -> io::Result<()> {
+    let mut file = File::create(path)?;
+    file.write_all(bytes)?;
+    file.sync_all()
+}
+
+fn read(path: &Path) -> Result<Option<(EndpointList, Duration)>, CacheFileFault> {
+    let bytes = match std::fs::read(path) {
+        Ok(bytes) => bytes,
+        Err(error) if error.kind() == io::ErrorKind::NotFound => return Ok(None),
+        Err(error) => return Err(error.into()),
     };
-    let written: Written = serde_json::from_slice(&text).map_err(|e| corrupt(e.to_string()))?;
-    if ![FORMAT, FORMAT_BY_SERVICE].contains(&written.format) {
-        return Err(corrupt(format!(
-            "format {} is neither {FORMAT} nor {FORMAT_BY_SERVICE}",
-            written.format
-        )));
+    let stored: StoredList = serde_json::from_slice(&bytes)?;
+    if ![FORMAT_ALL_SERVERS, FORMAT_SOME_SERVICES].contains(&stored.format) {
+        return Err(CacheFileFault::UnknownFormat(stored.format));
     }
-    if written.checksum != checksum(written.list.as_bytes()) {
-        return Err(corrupt("the checksum is not that of the list".into()));
+    if stored.checksum != checksum(stored.list.as_bytes()) {
+        return Err(CacheFileFault::ChecksumMismatch);
     }
-    let known = serde_json::from_str(&written.list).map_err(|e| corrupt(e.to_string()))?;
-    Ok(Some((known, Duration::from_millis(unix_ms().saturating_sub(written.saved_ms)))))
+    let list = serde_json::from_str(&stored.list)?;
+    let age = Duration::from_millis(unix_millis().saturating_sub(stored.saved_ms));
+    Ok(Some((list, age)))
 }
 
-fn unix_ms() -> u64 {
-    let since = SystemTime::now().duration_since(UNIX_EPOCH).unwrap_or_default();
-    u64::try_from(since.as_millis()).unwrap_or(u64::MAX)
+fn unix_millis() -> u64 {
+    let since_epoch = SystemTime::now().duration_since(UNIX_EPOCH).unwrap_or_default();
+    u64::try_from(since_epoch.as_millis()).unwrap_or(u64::MAX)
 }
 
-/// FNV-1a over the bytes: against what a disk or a hand changes, not against an attacker.
+/// FNV-1a, which detects accidental changes and no deliberate ones.
 fn checksum(bytes: &[u8]) -> u64 {
-    bytes.iter().fold(0xcbf2_9ce4_8422_2325, |h, b| (h ^ u64::from(*b)).wrapping_mul(0x100_0000_01b3))
+    bytes.iter().fold(FNV_OFFSET_BASIS, |hash, byte| (hash ^ u64::from(*byte)).wrapping_mul(FNV_PRIME))
 }
 
 #[cfg(test)]
--- a/crates/registry-client/src/cache_file/tests.rs
+++ b/crates/registry-client/src/cache_file/tests.rs
@@ -6,7 +6,7 @@
 }
 
 #[test]
-fn what_was_saved_is_loaded_and_no_other_file_is_left() {
+fn loads_what_was_saved_and_leaves_no_temporary_file() {
     let folder = tempfile::tempdir().expect("a folder");
     let path = folder.path().join("list.json");
     assert!(load(&path).expect("it is not there").is_none());
@@ -19,12 +19,12 @@
 }
 
 #[test]
-fn an_older_program_refuses_a_list_of_services_and_no_other() {
+fn marks_only_lists_of_services_with_a_format_that_older_versions_refuse() {
     let folder = tempfile::tempdir().expect("a folder");
     let path = folder.path().join("list.json");
     let format = || {
         let text = std::fs::read_to_string(&path).expect("it is read");
-        serde_json::from_str::<Written>(&text).expect("it is text").format
+        serde_json::from_str::<StoredList>(&text).expect("it is text").format
     };
     save(&path, &known()).expect("it is written");
     assert_eq!(format(), 1);
@@ -34,22 +34,23 @@
     assert_eq!(load(&path).expect("it is read").map(|(k, _)| k), Some(of_services));
 }
 
-// Word for word as a program wrote it that knew of no services.
+// The bytes that a version without services wrote.
 #[test]
-fn an_older_file_is_of_all_servers() {
+fn reads_and_writes_a_list_of_all_servers_as_older_versions_do() {
     let folder = tempfile::tempdir().expect("a folder");
     let path = folder.path().join("list.json");
     let list = r#"{"version":{"epoch":3,"index":70},"digest":9,"entries":{}}"#;
-    let written = Written { format: 1, checksum: checksum(list.as_bytes()), saved_ms: 5, list: list.into() };
+    let written =
+        StoredList { format: 1, checksum: checksum(list.as_bytes()), saved_ms: 5, list: list.into() };
     std::fs::write(&path, serde_json::to_vec(&written).expect("text")).expect("it is written");
     assert_eq!(load(&path).expect("it is read").map(|(k, _)| k), Some(known()));
     save(&path, &known()).expect("it is written");
     let text = std::fs::read_to_string(&path).expect("it is read");
-    assert_eq!(serde_json::from_str::<Written>(&text).expect("it is text").list, list);
+    assert_eq!(serde_json::from_str::<StoredList>(&text).expect("it is text").list, list);
 }
 
 #[test]
-fn one_flipped_byte_or_a_torn_end_is_seen() {
+fn detects_a_flipped_bit_or_a_truncated_file() {
     let folder = tempfile::tempdir().expect("a folder");
     let path = folder.path().join("list.json");
     save(&path, &known()).expect("it is written");
@@ -68,7 +69,7 @@
 }
 
 #[test]
-fn a_folder_that_is_not_there_is_an_error_that_names_the_file() {
+fn names_the_file_where_its_folder_does_not_exist() {
     let error = save(Path::new("/nowhere/at/all/list.json"), &known()).expect_err("no folder");
     assert!(error.to_string().starts_with("/nowhere/at/all/list.json: "), "{error}");
 }
--- /dev/null
+++ b/crates/registry-client/src/confirmation.rs
@@ -0,0 +1,97 @@
+//! Which lists need the confirmation of a second replica.
+//!
+//! A replica that was cut off from the servers lets their leases expire, and must not empty the list of clients that
+//! still reach them. So a list that removes more than a share of the active servers is withheld until another
+//! replica has it as well. Drains and removals by an operator name their servers and are trusted at once.
+
+use crate::list::{EndpointList, Entry, ListUpdate, Status, StatusReason, Version};
+use crate::{Micros, Settings};
+use std::collections::{BTreeMap, BTreeSet};
+
+/// A list that waits for its confirmation.
+pub(crate) struct WithheldList {
+    pub(crate) replica: usize,
+    pub(crate) version: Version,
+    pub(crate) since: Micros,
+}
+
+impl WithheldList {
+    /// Whether a list of this version from that replica confirms it. A single replica confirms itself after a while,
+    /// as there is no other that could.
+    pub(crate) fn is_confirmed_by(
+        &self,
+        replica: usize,
+        version: Version,
+        now: Micros,
+        settings: &Settings,
+    ) -> bool {
+        let confirms_itself = settings.replicas == 1 && now - self.since >= settings.self_confirm_after;
+        version >= self.version && (replica != self.replica || confirms_itself)
+    }
+}
+
+/// How many active servers a list removes, of how many.
+#[derive(Clone, Copy)]
+pub(crate) struct Removal {
+    pub(crate) removed: usize,
+    pub(crate) of: usize,
+}
+
+impl Removal {
+    fn is_excessive(self, remaining: usize, max_share: f64) -> bool {
+        remaining == 0 || self.removed as f64 > max_share * self.of as f64
+    }
+}
+
+/// What a list removes, where that is too much of a watched service; of all servers where no service is watched.
+pub(crate) fn excessive_removal(
+    known: &EndpointList,
+    new: &EndpointList,
+    update: &ListUpdate,
+    max_share: f64,
+) -> Option<Removal> {
+    let removed = removed_without_naming(known, new, update);
+    if new.services.is_empty() {
+        let removal = Removal { removed: removed.len(), of: known.active_count() };
+        return (!removed.is_empty() && removal.is_excessive(new.active_count(), max_share))
+            .then_some(removal);
+    }
+    let mut removed_by_service: BTreeMap<&str, usize> = BTreeMap::new();
+    for service in removed.iter().filter_map(|entry| entry.service.as_deref()) {
+        *removed_by_service.entry(service).or_default() += 1;
+    }
+    removed_by_service
+        .into_iter()
+        .filter_map(|(service, removed)| {
+            let removal = Removal { removed, of: active_count(known, service) };
+            removal.is_excessive(active_count(new, service), max_share).then_some(removal)
+        })
+        .reduce(|sum, one| Removal { removed: sum.removed + one.removed, of: sum.of + one.of })
+}
+
+/// Whether an entry says that its server drains or is removed because an operator or the server itself named it.
+pub(crate) fn is_named_removal(entry: &Entry) -> bool {
+    matches!(entry.status_reason, StatusReason::Drained | StatusReason::Removed)
+        && entry.status != Status::Active
+}
+
+/// Servers that are active in the known list and not in the new one, without having been named. One that moved to
+/// another watched service is still active.
+fn removed_without_naming<'a>(
+    known: &'a EndpointList,
+    new: &EndpointList,
+    update: &ListUpdate,
+) -> Vec<&'a Entry> {
+    let named: BTreeSet<&str> =
+        update.endpoints.iter().filter(|e| is_named_removal(e)).map(|e| e.name.as_str()).collect();
+    let is_removed = |entry: &&Entry| {
+        let stays_active = new.entries.get(&entry.name).is_some_and(|now| now.status == Status::Active);
+        !stays_active && !named.contains(entry.name.as_str())
+    };
+    known.entries.values().filter(|e| e.status == Status::Active).filter(is_removed).collect()
+}
+
+fn active_count(list: &EndpointList, service: &str) -> usize {
+    let is_active = |e: &&Entry| e.status == Status::Active && e.service.as_deref() == Some(service);
+    list.entries.values().filter(is_active).count()
+}
--- a/crates/registry-client/src/lib.rs
+++ b/crates/registry-client/src/lib.rs
@@ -1,15 +1,31 @@
 //! The client of the service registry.
 //!
 //! [`RegistryWatcher`] is a state machine without I/O: it takes `(now, event)` and returns actions. It decides which
-//! replica is polled, when and for what, and which of the lists that come back are used. A driver puts it on sockets
-//! (the sidecar does), another one on the clock of a model. It knows nothing about how the registry works.
+//! replica is polled, when and for what, and which of the lists that come back are used. A driver connects it to
+//! sockets and a clock: the sidecar does, and so does the simulation. It depends on nothing of the registry's
+//! implementation.
 
+mod action;
 pub mod cache_file;
+mod confirmation;
+mod event;
+mod freshness;
 pub mod list;
+mod poll_error;
+mod polls;
+mod report;
+mod save_schedule;
+mod services;
+mod settings;
 mod watcher;
 
+pub use action::{Action, AppliedList};
+pub use event::Event;
 pub use list::{EndpointList, Entry, ListUpdate, Status, StatusReason, UnreadableEntry, Version};
-pub use watcher::{Action, AppliedList, Event, RegistryWatcher, Report, Settings};
+pub use poll_error::PollError;
+pub use report::Report;
+pub use settings::Settings;
+pub use watcher::RegistryWatcher;
 
 /// Microseconds on the caller's own monotonic clock, from any origin.
 pub type Micros = i64;
--- a/crates/registry-client/src/list.rs
+++ b/crates/registry-client/src/list.rs
@@ -1,17 +1,17 @@
-//! The list as it goes over the wire and into files: versions, entries, and answers of a replica.
+//! The endpoint list as it is sent and stored: versions, entries, and responses of a replica.
 
 use serde::{Deserialize, Serialize};
 use std::collections::BTreeMap;
 use std::fmt;
 use std::net::SocketAddr;
 
-/// A version of the list. Epochs come first: a list that was founded anew, or restored from a backup, has a higher
-/// one than all that came before it. Within an epoch the index goes up by one with every change.
+/// A version of the list. Epochs are compared first: a list that was bootstrapped again or restored from a backup has
+/// a higher epoch than all lists before it. Within an epoch each change raises the index by one.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash, Deserialize, Serialize)]
 pub struct Version {
-    /// Which history this is.
+    /// The history that the index belongs to.
     pub epoch: u64,
-    /// How far it has come. It never goes back, not even from one epoch to the next.
+    /// Number of the last change. It never decreases, not even from one epoch to the next.
     pub index: u64,
 }
 
@@ -21,14 +21,14 @@
     }
 }
 
-/// State of an entry.
+/// Status of an entry.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Hash, Deserialize, Serialize)]
 #[serde(rename_all = "lowercase")]
 pub enum Status {
     /// Takes requests.
     #[default]
     Active,
-    /// Draining: it finishes what it has and takes nothing new.
+    /// Finishes the requests that it has and takes no new ones.
     #[serde(rename = "leaving")]
     Draining,
     /// Removed; appears in changes only.
@@ -36,29 +36,29 @@
     Removed,
 }
 
-/// How an entry came to be what it is.
+/// Why an entry has its status.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Hash, Deserialize, Serialize)]
 #[serde(rename_all = "lowercase")]
 pub enum StatusReason {
     /// It was registered.
     #[default]
     Registered,
-    /// It was drained by name.
+    /// An operator or the server itself drained it.
     Drained,
-    /// It was removed by name.
+    /// An operator or the server itself removed it.
     Removed,
-    /// Its lease ran out: nobody has said that it leaves, it was only not heard of.
+    /// Its lease expired. The server may be well and only cut off from the registry.
     Expired,
 }
 
 /// An entry of the list.
 #[derive(Clone, Debug, PartialEq, Deserialize, Serialize)]
 pub struct Entry {
-    /// Its name, the same for every reader.
+    /// Its name, by which all clients know it.
     pub name: String,
-    /// Where it is reached.
+    /// The address that it serves at.
     pub address: SocketAddr,
-    /// The service that it is a server of.
+    /// Its service.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub service: Option<String>,
     /// Its zone.
@@ -73,46 +73,47 @@
     /// Its cell.
     #[serde(default, rename = "group")]
     pub cell: u64,
-    /// Its state.
+    /// Its status.
     #[serde(default)]
     pub status: Status,
-    /// Its size, for comparison with others.
-    #[serde(default = "unit")]
+    /// Its capacity relative to other servers.
+    #[serde(default = "default_weight")]
     pub weight: f64,
-    /// Unix time in milliseconds of its last start; 0 is long ago.
+    /// Unix time of its last start in milliseconds; 0 if that was long ago.
     #[serde(default, rename = "since_ms")]
     pub started_ms: i64,
-    /// How it came to its state.
+    /// Why it has this status.
     #[serde(default, rename = "why")]
     pub status_reason: StatusReason,
 }
 
-fn unit() -> f64 {
+fn default_weight() -> f64 {
     1.0
 }
 
-/// An answer of a replica: the whole list, or what has changed since the version that was asked for.
+/// A response of a replica: the complete list, or the changes since the version that the poll names.
 #[derive(Clone, Debug, Default, PartialEq, Serialize)]
 pub struct ListUpdate {
-    /// The version that it brings its reader to.
+    /// The version of the list with this update.
     #[serde(flatten)]
     pub version: Version,
-    /// Whether it is the whole list.
+    /// Whether it is the complete list.
     pub snapshot: bool,
-    /// Equal for equal histories; two that differ at one version are a fault of the service.
+    /// Digest of the list's history. Two replicas with different digests at one version have diverged, which is a fault
+    /// of the registry.
     pub digest: u64,
-    /// The replica that answered.
+    /// The replica that responded.
     pub replica: u64,
-    /// How long before the answer the replica last knew that nothing newer was acknowledged, in milliseconds.
+    /// How long before the response the replica last knew that nothing newer was acknowledged, in milliseconds.
     pub age_ms: u64,
-    /// How long the answer had waited for news, in milliseconds.
+    /// How long the replica held the poll until there was a change, in milliseconds.
     pub waited_ms: u64,
-    /// The services that it was asked for, in order of their names, and tells of alone; `None`: of all servers.
+    /// The services that it is limited to, sorted by name; `None` if it is of all servers.
     #[serde(skip_serializing_if = "Option::is_none")]
     pub services: Option<Vec<String>>,
     /// The entries.
     pub endpoints: Vec<Entry>,
-    /// Entries that can't be read. What is known of them stays as it is.
+    /// Entries that can't be read. Known entries of these names stay as they are.
     #[serde(skip)]
     pub unreadable: Vec<UnreadableEntry>,
 }
@@ -120,14 +121,21 @@
 /// An entry that can't be read.
 #[derive(Clone, Debug, PartialEq)]
 pub struct UnreadableEntry {
-    /// Its name, where that much can be read.
+    /// Its name, if that can be read.
     pub name: Option<String>,
     /// What is wrong with it.
     pub error: String,
 }
 
+impl fmt::Display for UnreadableEntry {
+    fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
+        write!(f, "{}: {}", self.name.as_deref().unwrap_or("one without a name"), self.error)
+    }
+}
+
+/// A response as it is sent, with its entries not yet decoded.
 #[derive(Deserialize)]
-struct Written {
+struct WireUpdate {
     epoch: u64,
     index: u64,
     snapshot: bool,
@@ -144,21 +152,21 @@
 }
 
 impl ListUpdate {
-    /// Reads an answer. An entry that can't be read is set aside, as a newer service may know words that this
-    /// reader does not; given up for it, all others would be lost to this reader as well.
+    /// Decodes a response. An entry that can't be decoded is set aside and the others are used, as a newer registry
+    /// may send values that this version does not know.
     pub fn from_json(bytes: &[u8]) -> Result<Self, serde_json::Error> {
-        let written: Written = serde_json::from_slice(bytes)?;
+        let wire: WireUpdate = serde_json::from_slice(bytes)?;
         let mut update = Self {
-            version: Version { epoch: written.epoch, index: written.index },
-            snapshot: written.snapshot,
-            digest: written.digest,
-            replica: written.replica,
-            age_ms: written.age_ms,
-            waited_ms: written.waited_ms,
-            services: written.services,
+            version: Version { epoch: wire.epoch, index: wire.index },
+            snapshot: wire.snapshot,
+            digest: wire.digest,
+            replica: wire.replica,
+            age_ms: wire.age_ms,
+            waited_ms: wire.waited_ms,
+            services: wire.services,
             ..Self::default()
         };
-        for value in written.endpoints {
+        for value in wire.endpoints {
             let name = value.get("name").and_then(|n| n.as_str()).map(str::to_owned);
             match serde_json::from_value(value) {
                 Ok(entry) => update.endpoints.push(entry),
@@ -169,27 +177,29 @@
     }
 }
 
-/// The list as a watcher has it, and as it stands in the cache file.
+/// The list of a watcher, as it is stored in the cache file too.
 #[derive(Clone, Debug, Default, PartialEq, Deserialize, Serialize)]
 pub struct EndpointList {
     /// Its version.
     pub version: Version,
-    /// The service's digest of it.
+    /// The registry's digest of it.
     pub digest: u64,
-    /// The services that it was asked for, in order of their names; none: it is of all servers.
+    /// The services that it is limited to, sorted by name; empty if it is of all servers.
     #[serde(default, skip_serializing_if = "Vec::is_empty")]
     pub services: Vec<String>,
-    /// Its entries by name; none of them has left.
+    /// Its entries by name, without removed ones.
     pub entries: BTreeMap<String, Entry>,
 }
 
 impl EndpointList {
-    /// This list with an update applied; `None` if the update holds changes to another list than this.
+    /// This list with an update applied; `None` if the update is changes to another list than this.
+    ///
+    /// `polled_after` is the version that the poll named.
     pub fn updated(&self, update: &ListUpdate, polled_after: Option<Version>) -> Option<Self> {
         let services = update.services.as_deref().unwrap_or_default();
         let mut entries = if update.snapshot {
-            let kept = |u: &UnreadableEntry| self.entries.get_key_value(u.name.as_ref()?);
-            update.unreadable.iter().filter_map(kept).map(|(n, e)| (n.clone(), e.clone())).collect()
+            let known = |entry: &UnreadableEntry| self.entries.get_key_value(entry.name.as_ref()?);
+            update.unreadable.iter().filter_map(known).map(|(name, e)| (name.clone(), e.clone())).collect()
         } else if polled_after == Some(self.version)
             && update.version.epoch == self.version.epoch
             && services == self.services
@@ -215,45 +225,4 @@
 }
 
 #[cfg(test)]
-mod tests {
-    use super::*;
-
-    fn entry(name: &str, status: Status) -> Entry {
-        let text = format!(r#"{{"name":"{name}","address":"127.0.0.1:80"}}"#);
-        Entry { status, ..serde_json::from_str(&text).expect("it is read") }
-    }
-
-    #[test]
-    fn an_entry_that_can_not_be_read_is_set_aside_and_what_is_known_of_it_stays() {
-        let text = r#"{"epoch":1,"index":9,"snapshot":true,"digest":5,"endpoints":[
-            {"name":"a","address":"127.0.0.1:80","status":"active"},
-            {"name":"b","address":"127.0.0.1:81","status":"resting"},{"address":7}]}"#;
-        let update = ListUpdate::from_json(text.as_bytes()).expect("the rest is read");
-        assert_eq!((update.endpoints.len(), update.unreadable.len()), (1, 2));
-        let mut known = EndpointList::default();
-        known.entries.insert("b".into(), entry("b", Status::Active));
-        known.entries.insert("c".into(), entry("c", Status::Active));
-        let after = known.updated(&update, None).expect("a whole list");
-        assert_eq!(after.entries.keys().collect::<Vec<_>>(), ["a", "b"]);
-        assert!(ListUpdate::from_json(b"{\"epoch\":1").is_err());
-    }
-
-    #[test]
-    fn changes_apply_only_to_the_version_that_they_were_asked_for() {
-        let known = EndpointList { version: Version { epoch: 1, index: 4 }, ..EndpointList::default() };
-        let to = Version { epoch: 1, index: 5 };
-        let update =
-            ListUpdate { version: to, endpoints: vec![entry("a", Status::Active)], ..ListUpdate::default() };
-        assert_eq!(known.updated(&update, Some(Version { epoch: 1, index: 3 })), None);
-        let later = known.updated(&update, Some(known.version)).expect("they fit");
-        assert_eq!((later.version, later.active_count()), (to, 1));
-        let gone = ListUpdate { endpoints: vec![entry("a", Status::Removed)], ..update };
-        assert_eq!(known.updated(&gone, Some(known.version)).map(|k| k.entries.len()), Some(0));
-    }
-
-    #[test]
-    fn epochs_come_before_indexes() {
-        let v = |epoch, index| Version { epoch, index };
-        assert!(v(2, 1) > v(1, 9) && v(1, 2) > v(1, 1));
-    }
-}
+mod tests;
--- /dev/null
+++ b/crates/registry-client/src/settings.rs
@@ -0,0 +1,65 @@
+//! Settings of a watcher.
+
+use crate::Micros;
+
+const DEFAULT_WATCH_WAIT_MICROS: Micros = 4_000_000;
+/// With the wait of a watch 6 s: a sidecar has to know within that time what it missed after a watch fell silent.
+const DEFAULT_RESPONSE_TIMEOUT_MICROS: Micros = 2_000_000;
+const DEFAULT_MIN_POLL_INTERVAL_MICROS: Micros = 50_000;
+const DEFAULT_INITIAL_BACKOFF_MICROS: Micros = 250_000;
+const DEFAULT_MAX_BACKOFF_MICROS: Micros = 8_000_000;
+const DEFAULT_HEDGE_DELAY_MICROS: Micros = 300_000;
+const DEFAULT_MAX_REMOVED_SHARE: f64 = 0.5;
+const DEFAULT_SELF_CONFIRM_AFTER_MICROS: Micros = 30_000_000;
+const DEFAULT_STALE_AFTER_MICROS: Micros = 15_000_000;
+const DEFAULT_MIN_SAVE_INTERVAL_MICROS: Micros = 1_000_000;
+
+/// Settings of a [`RegistryWatcher`](crate::RegistryWatcher). Times are in microseconds.
+#[derive(Clone, Debug)]
+pub struct Settings {
+    /// Number of replicas; at least one.
+    pub replicas: usize,
+    /// How long a replica may hold a watch open without a change.
+    pub watch_wait: Micros,
+    /// How much longer than that a response may take.
+    pub response_timeout: Micros,
+    /// Least time from one poll to the next.
+    pub min_poll_interval: Micros,
+    /// Backoff after a first failure, before jitter.
+    pub initial_backoff: Micros,
+    /// Longest backoff.
+    pub max_backoff: Micros,
+    /// Time without a response after which the first poll after a failure is hedged at a second replica.
+    pub hedge_delay: Micros,
+    /// A list that removes more than this share of the active servers needs confirmation.
+    pub max_removed_share: f64,
+    /// Time after which a single replica may confirm such a list itself.
+    pub self_confirm_after: Micros,
+    /// Age from which the list is reported stale.
+    pub stale_after: Micros,
+    /// Least time between two writes of the cache file.
+    pub min_save_interval: Micros,
+    /// Services whose servers are watched; names are made of letters, digits and `.`, `_`, `:`, `-`. Empty means all
+    /// servers.
+    pub services: Vec<String>,
+}
+
+impl Settings {
+    /// Defaults for that many replicas.
+    pub fn new(replicas: usize) -> Self {
+        Self {
+            replicas,
+            watch_wait: DEFAULT_WATCH_WAIT_MICROS,
+            response_timeout: DEFAULT_RESPONSE_TIMEOUT_MICROS,
+            min_poll_interval: DEFAULT_MIN_POLL_INTERVAL_MICROS,
+            initial_backoff: DEFAULT_INITIAL_BACKOFF_MICROS,
+            max_backoff: DEFAULT_MAX_BACKOFF_MICROS,
+            hedge_delay: DEFAULT_HEDGE_DELAY_MICROS,
+            max_removed_share: DEFAULT_MAX_REMOVED_SHARE,
+            self_confirm_after: DEFAULT_SELF_CONFIRM_AFTER_MICROS,
+            stale_after: DEFAULT_STALE_AFTER_MICROS,
+            min_save_interval: DEFAULT_MIN_SAVE_INTERVAL_MICROS,
+            services: Vec::new(),
+        }
+    }
+}
--- a/crates/registry-client/tests/services.rs
+++ b/crates/registry-client/tests/services.rs
@@ -1,8 +1,8 @@
 //! Readers of some services against replicas that tell by service, and against some that don't.
 
 use lotusmoor_registry_client::{
-    Action, EndpointList, Entry, Event, ListUpdate, Micros, RegistryWatcher, Report, Settings, Status,
-    StatusReason, Version,
+    Action, EndpointList, Entry, Event, ListUpdate, Micros, PollError, RegistryWatcher, Report, Settings,
+    Status, StatusReason, Version,
 };
 use proptest::prelude::*;
 use std::collections::{BTreeMap, BTreeSet};
@@ -267,11 +267,12 @@
     out.iter().find_map(|a| if let Action::Apply(applied) = a { Some(applied) } else { None })
 }
 
-fn failed(out: &[Action]) -> Vec<&str> {
-    fn what(report: &Report) -> Option<&str> {
-        if let Report::PollFailed { error: what, .. } = report { Some(what) } else { None }
-    }
-    reports(out).into_iter().filter_map(what).collect()
+fn poll_errors(out: &[Action]) -> Vec<String> {
+    let error = |report: &Report| match report {
+        Report::PollFailed { error, .. } => Some(error.to_string()),
+        _ => None,
+    };
+    reports(out).into_iter().filter_map(error).collect()
 }
 
 /// Three services of four servers each: `a-0` to `c-3`.
@@ -541,7 +542,7 @@
             }
             // Those of the form before heed no services and say so by not saying anything of them.
             let out = reader.answer_with(&asked, list.update(&[], asked.after));
-            assert_eq!(failed(&out), ["does not know services"]);
+            assert_eq!(poll_errors(&out), ["does not know services"]);
             assert!(applied(&out).is_none());
             turned += 1;
         }
@@ -558,7 +559,7 @@
         let asked = reader.asked();
         let out = reader.answer_with(&asked, list.update(&names(told), None));
         assert!(applied(&out).is_none() && reader.rider.list().is_none());
-        assert_eq!(failed(&out), ["told of other services"], "{services:?} {told:?}");
+        assert_eq!(poll_errors(&out), ["told of other services"], "{services:?} {told:?}");
     };
     of(&["a", "b"], &["a"]);
     of(&["a"], &["a", "b"]);
@@ -568,7 +569,7 @@
     let mut reader = Reader::start(3, &["a"]);
     let asked = reader.asked();
     let whole = ListUpdate { services: Some(names(&["a"])), ..list.update(&[], None) };
-    assert_eq!(failed(&reader.answer_with(&asked, whole)), ["told of other services"]);
+    assert_eq!(poll_errors(&reader.answer_with(&asked, whole)), ["told of other services"]);
 }
 
 #[test]
@@ -743,7 +744,7 @@
             Step::Fail => {
                 if let Some(asked) = self.reader.open.pop() {
                     self.reader.now += 1000;
-                    let (ask, what) = (asked.ask, "refused".into());
+                    let (ask, what) = (asked.ask, PollError::connection("refused"));
                     self.reader.give(Event::PollFailed { poll: ask, retry_after: None, error: what });
                 }
             }
--- a/crates/registry-client/tests/watcher.rs
+++ b/crates/registry-client/tests/watcher.rs
@@ -1,8 +1,8 @@
 //! The rider against replicas that fail, lie, lag and forget.
 
 use lotusmoor_registry_client::{
-    Action, EndpointList, Entry, Event, ListUpdate, Micros, RegistryWatcher, Report, Settings, Status,
-    StatusReason, Version,
+    Action, EndpointList, Entry, Event, ListUpdate, Micros, PollError, RegistryWatcher, Report, Settings,
+    Status, StatusReason, Version,
 };
 use proptest::prelude::*;
 
@@ -83,7 +83,7 @@
 
     fn fail(&mut self, ask: u64, retry_after: Option<Micros>) -> Vec<Action> {
         self.now += 1000;
-        self.give(Event::PollFailed { poll: ask, retry_after, error: "refused".into() })
+        self.give(Event::PollFailed { poll: ask, retry_after, error: PollError::connection("refused") })
     }
 
     /// Starts and takes a first whole list.
--- a/crates/sidecar/src/roster.rs
+++ b/crates/sidecar/src/roster.rs
@@ -8,8 +8,8 @@
 use hyper::StatusCode;
 use hyper::header::RETRY_AFTER;
 use lotusmoor_registry_client::{
-    Action, EndpointList, Entry, Event, ListUpdate, Micros, RegistryWatcher, Report, Settings, Status,
-    cache_file,
+    Action, EndpointList, Entry, Event, ListUpdate, Micros, PollError, RegistryWatcher, Report, Settings,
+    Status, cache_file,
 };
 use serde::Deserialize;
 use std::cell::RefCell;
@@ -284,7 +284,7 @@
 }
 
 async fn call(ask: u64, at: SocketAddr, link: Link, path: &str) -> Event {
-    let failed = |what: String, retry_after| Event::PollFailed { poll: ask, retry_after, error: what };
+    let failed = |error, retry_after| Event::PollFailed { poll: ask, retry_after, error };
     // One call of a pair that is hedged may go to a replica whose link is in use; it opens one of its own.
     let mut kept = link.borrow_mut().take();
     let answer = fetch::get(at, &mut kept, path).await;
@@ -294,14 +294,14 @@
     match answer {
         Ok((StatusCode::OK, _, body)) => match ListUpdate::from_json(&body) {
             Ok(update) => Event::Response { poll: ask, update },
-            Err(e) => failed(format!("unreadable list: {e}"), None),
+            Err(e) => failed(e.into(), None),
         },
         Ok((status, headers, _)) => {
             let told = headers.get(RETRY_AFTER).and_then(|v| v.to_str().ok()?.parse::<f64>().ok());
             let told = told.filter(|s| s.is_finite() && *s >= 0.0).map(|s| (s.min(60.0) * 1e6) as Micros);
-            failed(format!("status {}", status.as_u16()), told)
+            failed(PollError::Status(status.as_u16()), told)
         }
-        Err(what) => failed(what, None),
+        Err(what) => failed(PollError::connection(what), None),
     }
 }
 
