--- /dev/null
+++ b/crates/registry-client/tests/services/main.rs
@@ -0,0 +1,345 @@
+//! Watching some services only, with replicas that know services and with some of an earlier version that don't.
+
+mod driver;
+mod registry_model;
+mod simulation;
+mod support;
+
+use driver::TestDriver;
+use lotusmoor_registry_client::{
+    Action, EndpointList, Event, ListUpdate, Micros, RegistryWatcher, Report, Settings, Status, StatusReason,
+    Version,
+};
+use registry_model::RegistryModel;
+use support::{applied, names, poll_errors, reports, three_services};
+
+const SECOND: Micros = 1_000_000;
+
+#[test]
+fn polls_services_sorted_and_without_duplicates() {
+    let settings = Settings { services: names(&["b", "a.x", "b", "a"]), ..Settings::new(1) };
+    let watcher = RegistryWatcher::new(settings, 1);
+    let after = Some(Version { epoch: 2, index: 9 });
+    assert_eq!(
+        watcher.poll_path(after, 4_000_000),
+        "/v1/watch?wait_ms=4000&epoch=2&after=9&services=a,a.x,b"
+    );
+    assert_eq!(watcher.poll_path(None, 0), "/v1/watch?wait_ms=0&services=a,a.x,b");
+    assert_eq!(RegistryWatcher::new(Settings::new(1), 1).poll_path(None, 0), "/v1/watch?wait_ms=0");
+}
+
+#[test]
+fn reports_service_without_servers_once_and_follows_it_when_it_gets_one() {
+    let mut list = three_services();
+    let mut driver = TestDriver::start(3, &["a", "z"]);
+    let out = driver.respond(&list);
+    assert_eq!(reports(&out), [&Report::NoServers("z".into())]);
+    assert_eq!(driver.names_in_use(), ["a-0", "a-1", "a-2", "a-3"]);
+    // A change of another service reports nothing again.
+    list.register("b-4", "b");
+    let out = driver.respond(&list);
+    assert!(reports(&out).is_empty(), "{out:?}");
+    assert_eq!(driver.watcher.list().map(|k| k.version), Some(list.version));
+    list.register("z-0", "z");
+    let out = driver.respond(&list);
+    assert_eq!(applied(&out).map(|a| (a.full, a.entries.len())), Some((false, 1)));
+    assert!(driver.names_in_use().contains(&"z-0"));
+    list.remove("z-0", StatusReason::Removed);
+    assert_eq!(reports(&driver.respond(&list)), [&Report::NoServers("z".into())]);
+}
+
+#[test]
+fn has_empty_list_with_version_for_unknown_service() {
+    let list = three_services();
+    let driver = TestDriver::with(&list, 3, &["z"]);
+    assert_eq!(driver.watcher.list().map(|k| (k.version, k.entries.len())), Some((list.version, 0)));
+    assert!(!driver.watcher.withholds_list());
+}
+
+// A third of all known servers is removed, which a watcher of all servers uses without confirmation.
+#[test]
+fn withholds_list_that_empties_one_of_three_services_until_confirmed() {
+    let mut list = three_services();
+    let mut driver = TestDriver::with(&list, 3, &["a", "b", "c"]);
+    for i in 0..4 {
+        list.remove(&format!("b-{i}"), StatusReason::Expired);
+    }
+    let poll = driver.next_poll();
+    let doubted = poll.replica;
+    let out = driver.respond(&list);
+    let withheld = Report::Withheld { replica: doubted, version: list.version, removed: 4, of: 4 };
+    assert_eq!(reports(&out), [&withheld]);
+    assert!(applied(&out).is_none() && driver.watcher.withholds_list() && driver.names_in_use().len() == 12);
+    let poll = driver.next_poll();
+    assert!(poll.replica != doubted && poll.after.is_none());
+    let out = driver.respond(&list);
+    assert_eq!(reports(&out), [&Report::Confirmed(poll.replica), &Report::NoServers("b".into())]);
+    assert_eq!(driver.names_in_use().len(), 8);
+    let mut all = three_services();
+    let mut driver = TestDriver::with(&all, 3, &[]);
+    for i in 0..4 {
+        all.remove(&format!("b-{i}"), StatusReason::Expired);
+    }
+    assert!(reports(&driver.respond(&all)).is_empty());
+    assert_eq!(driver.names_in_use().len(), 8);
+}
+
+#[test]
+fn withholds_list_where_service_loses_most_servers_but_not_half() {
+    for (removed, withheld) in [(2, false), (3, true)] {
+        let mut list = three_services();
+        let mut driver = TestDriver::with(&list, 3, &["a", "b", "c"]);
+        for i in 0..removed {
+            list.remove(&format!("c-{i}"), StatusReason::Expired);
+        }
+        driver.respond(&list);
+        assert_eq!(driver.watcher.withholds_list(), withheld, "{removed}");
+    }
+}
+
+#[test]
+fn applies_named_drains_and_removals_of_whole_service_at_once() {
+    for drains in [true, false] {
+        let mut list = three_services();
+        let mut driver = TestDriver::with(&list, 3, &["a", "b", "c"]);
+        for i in 0..4 {
+            let name = format!("b-{i}");
+            assert!(if drains {
+                list.drain(&name, StatusReason::Drained)
+            } else {
+                list.remove(&name, StatusReason::Removed)
+            });
+        }
+        let out = driver.respond(&list);
+        assert!(applied(&out).is_some() && !driver.watcher.withholds_list(), "{out:?}");
+        let active = driver.in_use.values().filter(|e| e.status == Status::Active).count();
+        assert_eq!(active, 8);
+    }
+}
+
+// The only server of `a` moves to `b`: for a watcher of `a` that is a named removal.
+#[test]
+fn follows_server_that_moves_between_services() {
+    let mut list = RegistryModel::bootstrapped(1);
+    list.register("s", "a");
+    list.register("t", "b");
+    let watch = |services: &[&str]| TestDriver::with(&list, 3, services);
+    let mut drivers = [watch(&["a", "b"]), watch(&["a"]), watch(&["b"]), watch(&[])];
+    list.register("s", "b");
+    for (driver, (left, changed)) in drivers.iter_mut().zip([(2, 1), (0, 1), (2, 1), (2, 1)]) {
+        let out = driver.respond(&list);
+        let changes = applied(&out).unwrap_or_else(|| panic!("{:?}: {out:?}", driver.services));
+        assert_eq!((changes.entries.len(), driver.in_use.len()), (changed, left), "{:?}", driver.services);
+        assert!(!driver.watcher.withholds_list());
+        assert!(driver.in_use.values().all(|e| e.service.as_deref() == Some("b")));
+    }
+}
+
+#[test]
+fn polls_complete_list_on_change_of_services_and_keeps_common_ones_in_use() {
+    let mut list = three_services();
+    let mut driver = TestDriver::with(&list, 3, &["a", "b"]);
+    let before = driver.next_poll();
+    let out = driver.change_services(&["c", "b"]);
+    // Servers of the service that is not watched any more are dropped at once.
+    let cut = applied(&out).expect("the list is cut");
+    assert!(cut.full && cut.version == list.version && cut.entries.len() == 4);
+    assert_eq!(driver.names_in_use(), ["b-0", "b-1", "b-2", "b-3"]);
+    assert!(out.contains(&Action::CancelPoll(before.id)));
+    let now = driver.in_flight.first().cloned().expect("it polls at once");
+    assert_eq!((now.after, now.services.as_slice()), (None, names(&["b", "c"]).as_slice()));
+    // The response to the earlier poll is ignored.
+    let mut newer = list.clone();
+    newer.register("a-9", "a");
+    let late = driver.respond_with(&before, newer.update(&before.services, before.after));
+    assert!(late.is_empty(), "{late:?}");
+    list.register("c-4", "c");
+    let out = driver.respond(&list);
+    assert!(applied(&out).is_some_and(|a| a.full) && reports(&out).is_empty(), "{out:?}");
+    assert_eq!(driver.names_in_use().len(), 9);
+    assert_eq!(driver.watcher.list().map(|k| k.services.clone()), Some(names(&["b", "c"])));
+    // The same services again change nothing.
+    assert!(driver.change_services(&["b", "c", "b"]).is_empty());
+}
+
+#[test]
+fn rejects_older_version_after_change_of_services() {
+    let old = three_services();
+    let mut list = old.clone();
+    list.register("a-4", "a");
+    let mut driver = TestDriver::with(&list, 3, &["a"]);
+    driver.change_services(&["b"]);
+    let replica = driver.next_poll().replica;
+    let out = driver.respond(&old);
+    assert_eq!(reports(&out), [&Report::OlderVersion { replica, version: old.version }]);
+    assert!(driver.names_in_use().is_empty());
+    let poll = driver.next_poll();
+    assert!(poll.replica != replica && poll.after.is_none());
+    assert!(applied(&driver.respond(&list)).is_some());
+    assert_eq!(driver.names_in_use().len(), 4);
+}
+
+#[test]
+fn drops_withheld_list_on_change_of_services() {
+    let mut list = three_services();
+    let mut driver = TestDriver::with(&list, 3, &["a", "b"]);
+    for i in 0..4 {
+        list.remove(&format!("a-{i}"), StatusReason::Expired);
+    }
+    driver.respond(&list);
+    assert!(driver.watcher.withholds_list());
+    driver.change_services(&["b", "c"]);
+    assert!(!driver.watcher.withholds_list());
+    assert!(reports(&driver.respond(&list)).is_empty());
+    assert_eq!(driver.names_in_use().len(), 8);
+}
+
+#[test]
+fn does_not_save_list_cut_by_change_of_services() {
+    let mut list = three_services();
+    let mut driver = TestDriver::with(&list, 3, &["a", "b"]);
+    driver.advance();
+    list.register("b-4", "b");
+    driver.respond(&list);
+    driver.saved = None;
+    driver.change_services(&["b", "c"]);
+    for _ in 0..50 {
+        if driver.now > 5 * SECOND {
+            break;
+        }
+        driver.advance();
+    }
+    assert_eq!(driver.saved, None);
+    driver.respond(&list);
+    for _ in 0..50 {
+        if driver.saved.is_some() {
+            break;
+        }
+        driver.advance();
+    }
+    assert!(driver.saved.is_some() && driver.saved.as_ref() == driver.watcher.list());
+}
+
+#[test]
+fn changes_between_all_servers_and_some_services() {
+    let list = three_services();
+    let mut driver = TestDriver::with(&list, 3, &[]);
+    driver.change_services(&["c"]);
+    assert_eq!(driver.names_in_use().len(), 4);
+    assert!(reports(&driver.respond(&list)).is_empty());
+    assert!(driver.change_services(&[]).iter().all(|a| !matches!(a, Action::Apply(_))), "nothing is dropped");
+    let poll = driver.next_poll();
+    assert!(poll.after.is_none() && poll.services.is_empty());
+    assert!(reports(&driver.respond(&list)).is_empty());
+    assert_eq!(driver.names_in_use().len(), 12);
+}
+
+#[test]
+fn reports_digest_mismatch_only_for_watched_services() {
+    let list = three_services();
+    let mut other = list.clone();
+    *other.digests.get_mut("b").expect("it is there") ^= 1;
+    for (services, differs) in [(["a", "b"], true), (["b", "c"], true), (["a", "c"], false)] {
+        let mut driver = TestDriver::with(&list, 3, &services);
+        let replica = driver.next_poll().replica;
+        let out = driver.respond(&other);
+        let mismatch = Report::DigestMismatch { replica, version: list.version };
+        assert_eq!(reports(&out).contains(&&mismatch), differs, "{services:?}");
+        assert_eq!(driver.names_in_use().len(), 8);
+    }
+}
+
+// The digest is of other services than the one before.
+#[test]
+fn compares_no_digest_right_after_change_of_services() {
+    let list = three_services();
+    let mut driver = TestDriver::with(&list, 1, &["a"]);
+    driver.change_services(&["a", "b"]);
+    assert!(reports(&driver.respond(&list)).is_empty());
+    assert_eq!(driver.names_in_use().len(), 8);
+}
+
+#[test]
+fn uses_no_replica_without_services_and_settles_on_one_with_them() {
+    let mut list = three_services();
+    for (replicas, new) in [(3, 1), (3, 2), (2, 1)] {
+        let mut driver = TestDriver::start(replicas, &["a"]);
+        let mut polls_without_services = 0;
+        for _ in 0..30 {
+            let poll = driver.next_poll();
+            if poll.replica == new {
+                driver.respond(&list);
+                list.register("b-0", if polls_without_services % 2 == 0 { "b" } else { "c" });
+                continue;
+            }
+            // A version without services ignores them, and its response names none.
+            let out = driver.respond_with(&poll, list.update(&[], poll.after));
+            assert_eq!(poll_errors(&out), ["does not know services"]);
+            assert!(applied(&out).is_none());
+            polls_without_services += 1;
+        }
+        assert!(
+            polls_without_services <= 2 * replicas,
+            "{polls_without_services} polls of replicas without services"
+        );
+        assert_eq!((driver.names_in_use().len(), driver.next_poll().replica), (4, new));
+    }
+}
+
+#[test]
+fn rejects_response_of_other_services() {
+    let list = three_services();
+    let rejects = |services: &[&str], response: &[&str]| {
+        let mut driver = TestDriver::start(3, services);
+        let poll = driver.next_poll();
+        let out = driver.respond_with(&poll, list.update(&names(response), None));
+        assert!(applied(&out).is_none() && driver.watcher.list().is_none());
+        assert_eq!(poll_errors(&out), ["told of other services"], "{services:?} {response:?}");
+    };
+    rejects(&["a", "b"], &["a"]);
+    rejects(&["a"], &["a", "b"]);
+    rejects(&["a"], &["b"]);
+    rejects(&[], &["a"]);
+    // It claims to be of `a` and has entries of others.
+    let mut driver = TestDriver::start(3, &["a"]);
+    let poll = driver.next_poll();
+    let mislabelled = ListUpdate { services: Some(names(&["a"])), ..list.update(&[], None) };
+    assert_eq!(poll_errors(&driver.respond_with(&poll, mislabelled)), ["told of other services"]);
+}
+
+#[test]
+fn uses_watched_part_of_cached_list_of_other_services() {
+    let list = three_services();
+    let file = |services: &[&str]| TestDriver::with(&list, 3, services).watcher.list().cloned();
+    let start = |services: &[&str], known: Option<EndpointList>| {
+        let mut driver = TestDriver::new(3, services, 1);
+        let out = driver.handle(Event::Start(known));
+        (driver, out)
+    };
+    // A cached list of all servers, of overlapping services, of fewer and of more: only what is watched is used.
+    for (of, services, used) in [
+        (&[][..], &["a"][..], 4),
+        (&["a", "b"], &["b", "c"], 4),
+        (&["a"], &["a", "b"], 4),
+        (&["a"], &[], 4),
+        (&["a", "b"], &["a", "b"], 8),
+    ] {
+        let (mut driver, out) = start(services, file(of));
+        assert_eq!(
+            applied(&out).map(|a| (a.full, a.entries.len())),
+            Some((true, used)),
+            "{of:?} {services:?}"
+        );
+        let after = (of == services).then_some(list.version);
+        assert_eq!(driver.next_poll().after, after, "{of:?} {services:?}");
+        let out = driver.respond(&list);
+        assert!(reports(&out).is_empty(), "{out:?}");
+        let all = if services.is_empty() { 12 } else { 4 * services.len() };
+        assert_eq!(driver.names_in_use().len(), all);
+    }
+    // Where nothing of it is watched it is not applied, and its version is known all the same.
+    let (mut driver, out) = start(&["c"], file(&["a"]));
+    assert!(applied(&out).is_none() && driver.next_poll().after.is_none());
+    let old = RegistryModel::bootstrapped(1);
+    assert!(matches!(reports(&driver.respond(&old))[..], [Report::OlderVersion { .. }]));
+}
