--- a/crates/registry-client/src/cache_file/tests.rs
+++ b/crates/registry-client/src/cache_file/tests.rs
@@ -54,16 +54,16 @@
     let folder = tempfile::tempdir().expect("a folder");
     let path = folder.path().join("list.json");
     save(&path, &known()).expect("it is written");
-    let whole = std::fs::read(&path).expect("it is read");
-    for at in 0..whole.len() {
-        let mut flipped = whole.clone();
+    let bytes = std::fs::read(&path).expect("it is read");
+    for at in 0..bytes.len() {
+        let mut flipped = bytes.clone();
         flipped[at] ^= 1;
         std::fs::write(&path, &flipped).expect("it is written");
         // A flip in the time of writing alone may pass: nothing is decided by it.
         if let Ok(loaded) = load(&path) {
             assert_eq!(loaded.map(|(k, _)| k), Some(known()), "byte {at}");
         }
-        std::fs::write(&path, &whole[..at]).expect("it is written");
+        std::fs::write(&path, &bytes[..at]).expect("it is written");
         assert!(load(&path).is_err(), "torn at {at}");
     }
 }
--- a/crates/registry-client/src/list/tests.rs
+++ b/crates/registry-client/src/list/tests.rs
@@ -15,7 +15,7 @@
     let mut known = EndpointList::default();
     known.entries.insert("b".into(), entry("b", Status::Active));
     known.entries.insert("c".into(), entry("c", Status::Active));
-    let after = known.updated(&update, None).expect("a whole list");
+    let after = known.updated(&update, None).expect("a complete list");
     assert_eq!(after.entries.keys().collect::<Vec<_>>(), ["a", "b"]);
     assert!(ListUpdate::from_json(b"{\"epoch\":1").is_err());
 }
--- a/crates/registry-client/src/poll_error.rs
+++ b/crates/registry-client/src/poll_error.rs
@@ -64,3 +64,6 @@
         std::mem::discriminant(self) == std::mem::discriminant(other) && self.to_string() == other.to_string()
     }
 }
+
+#[cfg(test)]
+mod tests;
--- a/crates/registry-client/src/polls.rs
+++ b/crates/registry-client/src/polls.rs
@@ -91,7 +91,7 @@
         Some(self.in_flight.swap_remove(position))
     }
 
-    /// Whether the next poll is due; asked once for each.
+    /// Whether the next poll is due; true once for each.
     pub(crate) fn take_next(&mut self, now: Micros) -> bool {
         self.next_at.take_if(|at| *at <= now).is_some()
     }
