--- a/crates/sidecar/src/config.rs
+++ b/crates/sidecar/src/config.rs
@@ -4,7 +4,7 @@
 use crate::io_failure::IoFailure;
 use crate::limits::Limits;
 use crate::persistence::at_start;
-use crate::roster;
+use crate::registry_watch;
 use lotusmoor_balancer::settings::{self, Decoded};
 use serde::Deserialize;
 use serde_json::value::RawValue;
@@ -35,7 +35,7 @@
     /// The endpoints as last known.
     pub known: Option<HostList>,
     /// A roster, which takes discovery's place.
-    pub roster: Option<roster::Config>,
+    pub roster: Option<registry_watch::Config>,
     /// The settings object.
     pub decoded: Decoded,
 }
@@ -54,7 +54,7 @@
     peers: Vec<SocketAddr>,
     peers_all: Option<SocketAddr>,
     known: Option<HostList>,
-    roster: Option<roster::Config>,
+    roster: Option<registry_watch::Config>,
     settings: Box<RawValue>,
 }
 
@@ -146,7 +146,7 @@
         if file.limits.memory_mb < LEAST_MEMORY_MB {
             return Err(format!("limits: memory_mb must be {LEAST_MEMORY_MB} or more"));
         }
-        if let Some(what) = file.roster.as_ref().and_then(roster::Config::wrong) {
+        if let Some(what) = file.roster.as_ref().and_then(registry_watch::Config::wrong) {
             return Err(what.to_owned());
         }
         Ok(Self {
--- a/crates/sidecar/src/engine.rs
+++ b/crates/sidecar/src/engine.rs
@@ -9,7 +9,7 @@
 use crate::limits::Limits;
 use crate::log::log_line;
 use crate::peers::Peers;
-use crate::roster::{self, Standing};
+use crate::registry_watch::{self, Standing};
 use crate::start_times::StartTimes;
 use crate::upstream::{Grant, Upstream};
 use lotusmoor_balancer::settings::Names;
@@ -238,7 +238,7 @@
             }
             // It brings changes unasked, whatever the settings say of discovery.
             Some(roster) => {
-                let (riding, standing) = roster::new(roster, config.seed, sender.clone());
+                let (riding, standing) = registry_watch::new(roster, config.seed, sender.clone());
                 spawn_local(riding.run());
                 Some(standing)
             }
--- a/crates/sidecar/src/management.rs
+++ b/crates/sidecar/src/management.rs
@@ -4,7 +4,7 @@
 use crate::engine::Handle;
 use crate::io_failure::{IoFailure, RESOURCE_PAUSE};
 use crate::persistence::at_start;
-use crate::roster::Standing;
+use crate::registry_watch::Standing;
 use crate::service::Service;
 use crate::state_file::StateFile;
 use std::cell::{Cell, RefCell};
