--- a/crates/sidecar/src/config.rs
+++ b/crates/sidecar/src/config.rs
@@ -4,7 +4,7 @@
 use crate::io_failure::IoFailure;
 use crate::limits::Limits;
 use crate::persistence::at_start;
-use crate::registry_watch;
+use crate::registry_watch::RegistryConfig;
 use lotusmoor_balancer::settings::{self, Decoded};
 use serde::Deserialize;
 use serde_json::value::RawValue;
@@ -34,8 +34,8 @@
     pub peers_all: Option<SocketAddr>,
     /// The endpoints as last known.
     pub known: Option<HostList>,
-    /// A roster, which takes discovery's place.
-    pub roster: Option<registry_watch::Config>,
+    /// A service registry, which takes discovery's place.
+    pub registry: Option<RegistryConfig>,
     /// The settings object.
     pub decoded: Decoded,
 }
@@ -54,7 +54,8 @@
     peers: Vec<SocketAddr>,
     peers_all: Option<SocketAddr>,
     known: Option<HostList>,
-    roster: Option<registry_watch::Config>,
+    #[serde(alias = "roster")]
+    registry: Option<RegistryConfig>,
     settings: Box<RawValue>,
 }
 
@@ -75,7 +76,7 @@
 pub struct Reread {
     /// Discovery.
     pub discovery: SocketAddr,
-    /// The services whose servers are asked for of the roster; `None` where no roster is named.
+    /// The services whose servers are watched at the registry; `None` where no registry is configured.
     pub services: Option<BTreeSet<String>>,
 }
 
@@ -118,7 +119,7 @@
         Ok(config)
     }
 
-    /// Reads the file again, in which discovery may have moved and a roster's services may be others. For discovery
+    /// Reads the file again, in which discovery may have moved and a registry's services may be others. For discovery
     /// the file's address comes first, as the environment still says what held at the start. Everything else holds for
     /// the life of the process, but a file that could not be started with is not trusted for these either.
     pub fn read_again() -> Result<Reread, ConfigError> {
@@ -132,7 +133,10 @@
         let beside = |name: &str| std::env::var(name).ok().and_then(|value| value.parse().ok());
         let config = Self::read(&text, beside("LB_LISTEN"), None)
             .map_err(|e| unusable(format!("LB_CONFIG {}: {e}", path.display())))?;
-        Ok(Reread { discovery: config.discovery, services: config.roster.map(|roster| roster.services) })
+        Ok(Reread {
+            discovery: config.discovery,
+            services: config.registry.map(|registry| registry.services),
+        })
     }
 
     /// Reads the text of the file; an address given beside it holds.
@@ -146,8 +150,8 @@
         if file.limits.memory_mb < LEAST_MEMORY_MB {
             return Err(format!("limits: memory_mb must be {LEAST_MEMORY_MB} or more"));
         }
-        if let Some(what) = file.roster.as_ref().and_then(registry_watch::Config::wrong) {
-            return Err(what.to_owned());
+        if let Some(registry) = &file.registry {
+            registry.check().map_err(|e| e.to_string())?;
         }
         Ok(Self {
             listen: listen.or(file.listen).ok_or("no address to listen on")?,
@@ -160,7 +164,7 @@
             peers: file.peers,
             peers_all: file.peers_all,
             known: file.known,
-            roster: file.roster,
+            registry: file.registry,
             decoded,
         })
     }
@@ -182,3 +186,6 @@
     u64::from_str_radix(text, 16)
         .unwrap_or_else(|_| text.bytes().fold(0, |sum, byte| sum.rotate_left(8) ^ u64::from(byte)))
 }
+
+#[cfg(test)]
+mod tests;
--- a/crates/sidecar/src/engine.rs
+++ b/crates/sidecar/src/engine.rs
@@ -9,7 +9,7 @@
 use crate::limits::Limits;
 use crate::log::log_line;
 use crate::peers::Peers;
-use crate::registry_watch::{self, Standing};
+use crate::registry_watch::{ListStatus, RegistryWatch};
 use crate::start_times::StartTimes;
 use crate::upstream::{Grant, Upstream};
 use lotusmoor_balancer::settings::Names;
@@ -200,7 +200,7 @@
         most: Limits,
         peers: Option<Peers>,
         cordoned: BTreeSet<String>,
-    ) -> Result<(Self, Handle, Option<Standing>), String> {
+    ) -> Result<(Self, Handle, Option<ListStatus>), String> {
         let decoded = config.decoded;
         let limits = &decoded.settings.limits;
         let pushed = decoded.settings.discovery == DiscoveryMode::Pushed;
@@ -231,16 +231,16 @@
         };
         spawn_local(upstream.retire_idle());
         let known = config.known.as_ref().map(|list| list.index);
-        let standing = match config.roster {
+        let list_status = match config.registry {
             None => {
                 spawn_local(discovery::run(config.discovery, pushed, known, asked, sender.clone()));
                 None
             }
             // It brings changes unasked, whatever the settings say of discovery.
-            Some(roster) => {
-                let (riding, standing) = registry_watch::new(roster, config.seed, sender.clone());
-                spawn_local(riding.run());
-                Some(standing)
+            Some(registry) => {
+                let (watch, list_status) = RegistryWatch::new(registry, config.seed, sender.clone());
+                spawn_local(watch.run());
+                Some(list_status)
             }
         };
         if let Some(peers) = peers {
@@ -250,7 +250,7 @@
         let listings = engine.apply(known, true);
         engine.deliver(Event::EndpointList(EndpointListUpdate::Cached(listings)));
         let asks = engine.asks.clone();
-        Ok((engine, Handle { inputs: sender, clock, last_id: Rc::default(), asks }, standing))
+        Ok((engine, Handle { inputs: sender, clock, last_id: Rc::default(), asks }, list_status))
     }
 
     /// Runs for good.
--- a/crates/sidecar/src/main.rs
+++ b/crates/sidecar/src/main.rs
@@ -37,7 +37,7 @@
 use log::log_line;
 use management::Operators;
 use persistence::{Backoff, at_start};
-use registry_watch::Standing;
+use registry_watch::ListStatus;
 use service::Service;
 use state_file::StateFile;
 use std::process::ExitCode;
@@ -82,13 +82,13 @@
 }
 
 /// Does as a new configuration says.
-fn follow(reread: &Reread, engine: &Handle, roster: Option<&Standing>) {
+fn follow(reread: &Reread, engine: &Handle, list_status: Option<&ListStatus>) {
     let at = reread.discovery;
     log_line!("configuration read again, discovery at {at}");
     engine.move_discovery(at);
     // One that was not there at the start, or is not named any more, is the next process's.
-    if let (Some(roster), Some(services)) = (roster, &reread.services) {
-        roster.ask_for(services.clone());
+    if let (Some(list_status), Some(services)) = (list_status, &reread.services) {
+        list_status.watch_services(services.clone());
     }
 }
 
@@ -120,7 +120,7 @@
     let lanes = request::Lanes::of(&config);
     let kept = if shared_socket { StateFile::shared(config.listen) } else { StateFile::alone() };
     let (engine, handle, list) = Engine::new(config, limits, peers, kept.state().cordoned.clone())?;
-    let (reloading, roster) = (handle.clone(), list.clone());
+    let (reloading, list_status) = (handle.clone(), list.clone());
     let at_first = if kept.state().drained { Service::Draining } else { Service::Serving };
     let (service, in_service) = watch::channel(at_first);
     let service = Rc::new(service);
@@ -155,7 +155,7 @@
             () = sleep_until(due), if reload.is_some() => match Config::read_again() {
                 Ok(reread) => {
                     reload = None;
-                    follow(&reread, &reloading, roster.as_ref());
+                    follow(&reread, &reloading, list_status.as_ref());
                 }
                 Err(ConfigError::Unusable(what)) => {
                     reload = None;
--- a/crates/sidecar/src/management.rs
+++ b/crates/sidecar/src/management.rs
@@ -4,7 +4,7 @@
 use crate::engine::Handle;
 use crate::io_failure::{IoFailure, RESOURCE_PAUSE};
 use crate::persistence::at_start;
-use crate::registry_watch::Standing;
+use crate::registry_watch::ListStatus;
 use crate::service::Service;
 use crate::state_file::StateFile;
 use std::cell::{Cell, RefCell};
@@ -49,7 +49,7 @@
     Quiesce,
     /// End of the drain.
     Resume,
-    /// How the list from a roster stands.
+    /// Status of the list from a registry.
     List,
     /// What this process has counted.
     Metrics,
@@ -84,8 +84,8 @@
     pub service: Rc<watch::Sender<Service>>,
     /// The engine.
     pub handle: Handle,
-    /// The list from a roster, where one is configured.
-    pub list: Option<Standing>,
+    /// Status of the list from a registry, where one is configured.
+    pub list: Option<ListStatus>,
 }
 
 impl Operators {
@@ -98,7 +98,7 @@
             return if stopping { Err(STOPPING.to_owned()) } else { Ok(String::new()) };
         }
         if call == Call::List {
-            let list = self.list.as_ref().map(Standing::line);
+            let list = self.list.as_ref().map(ListStatus::summary);
             return list.ok_or_else(|| "no roster is configured".to_owned());
         }
         if call == Call::Metrics {
--- /dev/null
+++ b/crates/sidecar/src/registry_watch/config.rs
@@ -0,0 +1,99 @@
+//! The registry's part of the configuration.
+
+use lotusmoor_registry_client::{Micros, Settings};
+use serde::Deserialize;
+use std::collections::BTreeSet;
+use std::error::Error;
+use std::fmt;
+use std::net::SocketAddr;
+use std::path::PathBuf;
+
+/// Most services that are watched at once; their names stand in the path of each poll.
+const MAX_SERVICES: usize = 256;
+const MAX_SERVICE_NAME_BYTES: usize = 64;
+const MICROS_PER_MILLISECOND: Micros = 1000;
+
+/// A service registry, as the configuration names it.
+#[derive(Clone, Debug, Deserialize)]
+#[serde(deny_unknown_fields)]
+pub struct RegistryConfig {
+    /// Its replicas.
+    pub addresses: Vec<SocketAddr>,
+    /// The cache file for the last good list.
+    pub file: Option<PathBuf>,
+    /// A list that removes more than this share of the servers is withheld until it is confirmed.
+    #[serde(rename = "hold_back")]
+    pub max_removed_share: Option<f64>,
+    /// Age from which a list is reported stale, in milliseconds.
+    pub stale_after_ms: Option<u32>,
+    /// The services whose servers are watched; none for all servers.
+    #[serde(default)]
+    pub services: BTreeSet<String>,
+}
+
+/// What is wrong with a registry's configuration.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+pub enum RegistryConfigError {
+    /// There are no addresses.
+    NoAddresses,
+    /// The largest share of removed servers is not above 0 and up to 1.
+    RemovedShareOutOfRange,
+    /// The age of a stale list is 0.
+    ZeroStaleAge,
+    /// There are too many services.
+    TooManyServices,
+    /// A service has a name that can't stand in a path.
+    InvalidServiceName,
+}
+
+impl fmt::Display for RegistryConfigError {
+    fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
+        f.write_str(match self {
+            Self::NoAddresses => "roster: addresses: at least one is wanted",
+            Self::RemovedShareOutOfRange => "roster: hold_back must lie above 0 and up to 1",
+            Self::ZeroStaleAge => "roster: stale_after_ms must be above 0",
+            Self::TooManyServices => "roster: services: at most 256 can be asked for",
+            Self::InvalidServiceName => "roster: services: a name has 1 to 64 letters, digits or . _ : -",
+        })
+    }
+}
+
+impl Error for RegistryConfigError {}
+
+impl RegistryConfig {
+    /// Checks what its type doesn't.
+    pub fn check(&self) -> Result<(), RegistryConfigError> {
+        if self.addresses.is_empty() {
+            return Err(RegistryConfigError::NoAddresses);
+        }
+        if !self.max_removed_share.is_none_or(|share| share > 0.0 && share <= 1.0) {
+            return Err(RegistryConfigError::RemovedShareOutOfRange);
+        }
+        if self.stale_after_ms == Some(0) {
+            return Err(RegistryConfigError::ZeroStaleAge);
+        }
+        if self.services.len() > MAX_SERVICES {
+            return Err(RegistryConfigError::TooManyServices);
+        }
+        if !self.services.iter().all(|name| is_service_name(name)) {
+            return Err(RegistryConfigError::InvalidServiceName);
+        }
+        Ok(())
+    }
+
+    pub(super) fn settings(&self) -> Settings {
+        let mut settings = Settings::new(self.addresses.len());
+        settings.max_removed_share = self.max_removed_share.unwrap_or(settings.max_removed_share);
+        if let Some(ms) = self.stale_after_ms {
+            settings.stale_after = Micros::from(ms) * MICROS_PER_MILLISECOND;
+        }
+        settings.services = self.services.iter().cloned().collect();
+        settings
+    }
+}
+
+/// Whether a service can have this name. It stands in the path of polls, where nothing is escaped.
+fn is_service_name(name: &str) -> bool {
+    let is_allowed = |byte: u8| byte.is_ascii_alphanumeric() || b"._:-".contains(&byte);
+    (1..=MAX_SERVICE_NAME_BYTES).contains(&name.len()) && name.bytes().all(is_allowed)
+}
--- /dev/null
+++ b/crates/sidecar/src/registry_watch/list_status.rs
@@ -0,0 +1,52 @@
+//! The status of the list for operators, and a reload of the services that are watched.
+
+use super::Watcher;
+use crate::log::log_line;
+use lotusmoor_registry_client::Micros;
+use std::collections::BTreeSet;
+use std::rc::Rc;
+use tokio::sync::watch;
+
+const MICROS_PER_MILLISECOND: Micros = 1000;
+
+/// The status of the list of a [`RegistryWatch`](super::RegistryWatch).
+#[derive(Clone)]
+pub struct ListStatus {
+    watcher: Watcher,
+    /// The services that are watched.
+    services: Rc<watch::Sender<BTreeSet<String>>>,
+}
+
+impl ListStatus {
+    pub(super) fn new(watcher: Watcher, services: watch::Sender<BTreeSet<String>>) -> Self {
+        Self { watcher, services: Rc::new(services) }
+    }
+
+    /// Watches the servers of these services from now on; none for all servers.
+    pub fn watch_services(&self, services: BTreeSet<String>) {
+        if *self.services.borrow() == services {
+            return;
+        }
+        let names: Vec<&str> = services.iter().map(String::as_str).collect();
+        let names = if names.is_empty() { "all".to_owned() } else { names.join(", ") };
+        log_line!("roster: services asked for from now on: {names}");
+        self.services.send_replace(services);
+    }
+
+    /// One line: version, age, number of servers, whether a list is withheld, and the number of watched services, where
+    /// not all servers are watched.
+    pub fn summary(&self) -> String {
+        let watcher = self.watcher.state.borrow();
+        let (version, servers) = match watcher.list() {
+            Some(list) => (list.version.to_string(), list.entries.len()),
+            None => ("none".to_owned(), 0),
+        };
+        let age_ms = watcher.age(self.watcher.now()) / MICROS_PER_MILLISECOND;
+        let withheld = u8::from(watcher.withholds_list());
+        let services = match self.services.borrow().len() {
+            0 => String::new(),
+            number => format!(" services={number}"),
+        };
+        format!("version={version} age_ms={age_ms} servers={servers} held={withheld}{services}")
+    }
+}
--- /dev/null
+++ b/crates/sidecar/src/registry_watch/poll.rs
@@ -0,0 +1,47 @@
+//! One poll of a replica over HTTP.
+
+use crate::connection::Connection;
+use crate::fetch;
+use hyper::header::RETRY_AFTER;
+use hyper::{HeaderMap, StatusCode};
+use lotusmoor_registry_client::{Event, ListUpdate, Micros, PollError};
+use std::cell::RefCell;
+use std::net::SocketAddr;
+use std::rc::Rc;
+
+/// Longer waits that a replica names are cut to this one.
+const MAX_RETRY_AFTER_SECONDS: f64 = 60.0;
+const MICROS_PER_SECOND: f64 = 1e6;
+
+/// A connection that is kept for the next poll of the same replica.
+pub(super) type KeptConnection = Rc<RefCell<Option<Connection>>>;
+
+/// Sends a poll, and makes an event of its response. The other poll of a hedged pair may use the kept connection at the
+/// same time; then this one opens its own.
+pub(super) async fn send(poll: u64, address: SocketAddr, kept: KeptConnection, path: &str) -> Event {
+    let mut connection = kept.borrow_mut().take();
+    let result = fetch::get(address, &mut connection, path).await;
+    if connection.is_some() {
+        *kept.borrow_mut() = connection;
+    }
+    let (status, headers, body) = match result {
+        Ok(response) => response,
+        Err(error) => {
+            return Event::PollFailed { poll, retry_after: None, error: PollError::connection(error) };
+        }
+    };
+    if status != StatusCode::OK {
+        let error = PollError::Status(status.as_u16());
+        return Event::PollFailed { poll, retry_after: retry_after(&headers), error };
+    }
+    match ListUpdate::from_json(&body) {
+        Ok(update) => Event::Response { poll, update },
+        Err(error) => Event::PollFailed { poll, retry_after: None, error: error.into() },
+    }
+}
+
+fn retry_after(headers: &HeaderMap) -> Option<Micros> {
+    let seconds: f64 = headers.get(RETRY_AFTER)?.to_str().ok()?.parse().ok()?;
+    let is_valid = seconds.is_finite() && seconds >= 0.0;
+    is_valid.then(|| (seconds.min(MAX_RETRY_AFTER_SECONDS) * MICROS_PER_SECOND) as Micros)
+}
