--- a/crates/registry-client/tests/stored_forms.rs
+++ b/crates/registry-client/tests/stored_forms.rs
@@ -1,7 +1,7 @@
 //! The forms in which lists are stored and sent: fixtures that were written by the program at commit 3f326ce. Names in
 //! the code may change; what is read from these files and written again may not.
 
-use lotusmoor_registry_client::file::{load, save};
+use lotusmoor_registry_client::cache_file::{load, save};
 use lotusmoor_registry_client::{EndpointList, Entry, ListUpdate, Status, StatusReason, Version};
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
--- a/crates/sidecar/src/config.rs
+++ b/crates/sidecar/src/config.rs
@@ -5,9 +5,9 @@
 pub use error::{ConfigError, InvalidConfig};
 
 use crate::endpoint_list::ListMessage;
+use crate::registry_watch::RegistryConfig;
 use crate::resource_limits::ResourceLimits;
 use crate::retry::retry_at_startup;
-use crate::roster;
 use lotusmoor_balancer::settings::{self, DecodedSettings};
 use serde::Deserialize;
 use serde_json::value::RawValue;
@@ -56,7 +56,7 @@
     /// The endpoint list as last known.
     pub known: Option<ListMessage>,
     /// A registry, which takes discovery's place.
-    pub roster: Option<roster::Config>,
+    pub registry: Option<RegistryConfig>,
     /// The decoded settings object.
     pub decoded: DecodedSettings,
 }
@@ -75,7 +75,8 @@
     peers: Vec<SocketAddr>,
     peers_all: Option<SocketAddr>,
     known: Option<ListMessage>,
-    roster: Option<roster::Config>,
+    #[serde(alias = "roster")]
+    registry: Option<RegistryConfig>,
     settings: Box<RawValue>,
 }
 
@@ -128,7 +129,7 @@
         let listen = std::env::var(LISTEN_VARIABLE).ok().and_then(|value| value.parse().ok());
         let config = Self::parse(&text, listen, None)
             .map_err(|reason| ConfigError::Invalid { path: path.into(), reason })?;
-        let services = config.roster.map(|registry| registry.services);
+        let services = config.registry.map(|registry| registry.services);
         Ok(ReloadedConfig { discovery: config.discovery, services })
     }
 
@@ -139,7 +140,7 @@
         discovery: Option<SocketAddr>,
     ) -> Result<Self, InvalidConfig> {
         let file: File = serde_json::from_str(text).map_err(InvalidConfig::Json)?;
-        let decoded = settings::decode(file.settings.get()).map_err(|e| InvalidConfig::Settings(e.into()))?;
+        let decoded = settings::decode(file.settings.get()).map_err(InvalidConfig::Settings)?;
         decoded.settings.check().map_err(InvalidConfig::SettingsCheck)?;
         if file.limits.sockets < MIN_SOCKETS {
             return Err(InvalidConfig::TooFewSockets { least: MIN_SOCKETS });
@@ -147,8 +148,8 @@
         if file.limits.memory_mb < MIN_MEMORY_MB {
             return Err(InvalidConfig::TooLittleMemory { least_mb: MIN_MEMORY_MB });
         }
-        if let Some(reason) = file.roster.as_ref().and_then(roster::Config::wrong) {
-            return Err(InvalidConfig::Registry(reason));
+        if let Some(registry) = &file.registry {
+            registry.check().map_err(InvalidConfig::Registry)?;
         }
         Ok(Self {
             listen: listen.or(file.listen).ok_or(InvalidConfig::NoListenAddress)?,
@@ -161,7 +162,7 @@
             peers: file.peers,
             peers_all: file.peers_all,
             known: file.known,
-            roster: file.roster,
+            registry: file.registry,
             decoded,
         })
     }
--- a/crates/sidecar/src/config/error.rs
+++ b/crates/sidecar/src/config/error.rs
@@ -1,7 +1,9 @@
 //! Why a configuration can't be used. Each error is one plain line.
 
 use crate::io_failure::IoFailure;
+use crate::registry_watch::RegistryConfigError;
 use lotusmoor_balancer::SettingsError;
+use lotusmoor_balancer::settings::DecodeError;
 use std::error::Error;
 use std::fmt;
 use std::io;
@@ -41,7 +43,7 @@
     /// It is not the JSON that is expected.
     Json(serde_json::Error),
     /// The settings object can't be decoded.
-    Settings(Box<dyn Error + Send + Sync>),
+    Settings(DecodeError),
     /// The balancer can't work with the settings.
     SettingsCheck(SettingsError),
     /// Too few file descriptors.
@@ -55,7 +57,7 @@
         least_mb: usize,
     },
     /// The registry's part can't be meant.
-    Registry(&'static str),
+    Registry(RegistryConfigError),
     /// There is no address that clients connect to.
     NoListenAddress,
     /// There is no address of discovery.
@@ -90,7 +92,7 @@
             Self::SettingsCheck(e) => e.fmt(f),
             Self::TooFewSockets { least } => write!(f, "limits: sockets must be {least} or more"),
             Self::TooLittleMemory { least_mb } => write!(f, "limits: memory_mb must be {least_mb} or more"),
-            Self::Registry(reason) => f.write_str(reason),
+            Self::Registry(e) => e.fmt(f),
             Self::NoListenAddress => f.write_str("no address to listen on"),
             Self::NoDiscoveryAddress => f.write_str("no address of discovery"),
         }
@@ -111,7 +113,7 @@
     fn source(&self) -> Option<&(dyn Error + 'static)> {
         match self {
             Self::Json(e) => Some(e),
-            Self::Settings(e) => Some(e.as_ref()),
+            Self::Settings(e) => Some(e),
             Self::SettingsCheck(e) => Some(e),
             _ => None,
         }
--- a/crates/sidecar/src/config/tests.rs
+++ b/crates/sidecar/src/config/tests.rs
@@ -50,15 +50,15 @@
 
 #[test]
 fn every_key_of_the_registry_is_read_under_its_name_roster() {
-    let registry = read(ALL_KEYS).roster.expect("a registry");
+    let registry = read(ALL_KEYS).registry.expect("a registry");
     assert_eq!(registry.addresses, ["127.0.0.1:7101", "127.0.0.1:7102", "127.0.0.1:7103"].map(address));
     assert_eq!(registry.file.as_deref(), Some(Path::new("/var/lib/balancer/list.json")));
-    assert_eq!((registry.hold_back, registry.stale_after_ms), (Some(0.25), Some(20_000)));
+    assert_eq!((registry.max_removed_share, registry.stale_after_ms), (Some(0.25), Some(20_000)));
     assert_eq!(registry.services, BTreeSet::from(["ledger".to_owned(), "mail".to_owned()]));
     let least = ALL_KEYS.replace(r#""hold_back": 0.25,"#, "").replace(r#""stale_after_ms": 20000,"#, "");
     let least = least.replace(r#""file": "/var/lib/balancer/list.json","#, "");
-    let registry = read(&least).roster.expect("a registry");
-    assert_eq!((registry.file, registry.hold_back, registry.stale_after_ms), (None, None, None));
+    let registry = read(&least).registry.expect("a registry");
+    assert_eq!((registry.file, registry.max_removed_share, registry.stale_after_ms), (None, None, None));
 }
 
 #[test]
@@ -77,7 +77,7 @@
     assert_eq!((config.listen, config.discovery), (address("127.0.0.9:1"), address("127.0.0.9:2")));
     assert_eq!((config.sockets, config.memory_mb, config.seed), (1024, 192, 0));
     assert_eq!((config.management, config.peer_listen, config.peers_all), (None, None, None));
-    assert!(config.peers.is_empty() && config.known.is_none() && config.roster.is_none());
+    assert!(config.peers.is_empty() && config.known.is_none() && config.registry.is_none());
     let config = Config::parse(ALL_KEYS, Some(address("127.0.0.9:1")), Some(address("127.0.0.9:2")));
     let config = config.unwrap_or_else(|what| panic!("{what}"));
     assert_eq!((config.listen, config.discovery), (address("127.0.0.9:1"), address("127.0.0.9:2")));
@@ -105,3 +105,32 @@
         assert_eq!(failure(&ALL_KEYS.replace(right, wrong)), what);
     }
 }
+
+/// A configuration with only the keys that have no default, and a part for the registry.
+fn read_with(registry: &str) -> Result<Config, InvalidConfig> {
+    let settings = &ALL_KEYS[ALL_KEYS.find(r#""settings""#).expect("settings")..];
+    let text = format!(r#"{{"listen":"127.0.0.1:1","discovery":"127.0.0.1:2",{registry}{settings}"#);
+    Config::parse(&text, None, None)
+}
+
+#[test]
+fn takes_the_registry_under_either_key() {
+    for key in ["registry", "roster"] {
+        let part =
+            format!(r#""{key}":{{"addresses":["127.0.0.1:7400"],"hold_back":0.25,"services":["a"]}},"#);
+        let registry = read_with(&part).expect("it is read").registry.expect("a registry");
+        assert_eq!(registry.addresses, ["127.0.0.1:7400".parse().expect("an address")], "{key}");
+        assert_eq!((registry.max_removed_share, registry.services.len()), (Some(0.25), 1), "{key}");
+    }
+    assert!(read_with("").expect("it is read").registry.is_none());
+}
+
+#[test]
+fn refuses_a_registry_that_can_not_be_used() {
+    for key in ["registry", "roster"] {
+        let error = read_with(&format!(r#""{key}":{{"addresses":[]}},"#)).err().map(|e| e.to_string());
+        assert_eq!(error.as_deref(), Some("roster: addresses: at least one is wanted"), "{key}");
+    }
+    let address = r#"{"addresses":["127.0.0.1:7400"]}"#;
+    assert!(read_with(&format!(r#""registry":{address},"roster":{address},"#)).is_err(), "both keys");
+}
--- a/crates/sidecar/src/engine.rs
+++ b/crates/sidecar/src/engine.rs
@@ -15,8 +15,8 @@
 use crate::engine_input::{Answer, HealthCheckResult, Input, Inputs, QueuedDatagram};
 use crate::gossip::{Datagram, GossipSocket};
 use crate::log::{ThrottledLog, log_line};
+use crate::registry_watch::{ListStatus, RegistryWatch};
 use crate::resource_limits::ResourceLimits;
-use crate::roster::{self, Standing};
 use crate::upstream::Upstream;
 use clock::Clock;
 use endpoint_table::EndpointTable;
@@ -66,7 +66,7 @@
     /// How the others reach it.
     pub handle: EngineHandle,
     /// The status of the registry's list, where a registry is configured.
-    pub list_status: Option<Standing>,
+    pub list_status: Option<ListStatus>,
 }
 
 impl Engine {
@@ -102,7 +102,7 @@
         };
         spawn_local(upstream.retire_idle());
         let known_index = config.known.as_ref().map(|list| list.index);
-        let list_status = match config.roster {
+        let list_status = match config.registry {
             None => {
                 let watch = discovery::Watch { address: config.discovery, pushed, known_index };
                 spawn_local(discovery::run(watch, commands, sender.clone()));
@@ -110,7 +110,7 @@
             }
             // A registry pushes changes, whatever the settings say of discovery.
             Some(registry) => {
-                let (watcher, status) = roster::new(registry, config.seed, sender.clone());
+                let (watcher, status) = RegistryWatch::new(registry, config.seed, sender.clone());
                 spawn_local(watcher.run());
                 Some(status)
             }
--- a/crates/sidecar/src/management/operations.rs
+++ b/crates/sidecar/src/management/operations.rs
@@ -3,7 +3,7 @@
 use super::call::Call;
 use crate::engine::EngineHandle;
 use crate::metrics;
-use crate::roster::Standing;
+use crate::registry_watch::ListStatus;
 use crate::service_state::{self, ServiceState};
 use crate::state_file::{StateFile, StoreError};
 use std::error::Error;
@@ -74,7 +74,7 @@
     /// The engine.
     pub engine: EngineHandle,
     /// The status of the registry's list, where a registry is configured.
-    pub list_status: Option<Standing>,
+    pub list_status: Option<ListStatus>,
 }
 
 impl Management {
@@ -86,7 +86,7 @@
             Call::Health => Ok(Reply::Done),
             Call::List => {
                 let status = self.list_status.as_ref().ok_or(CallError::NoRegistry)?;
-                Ok(Reply::Line(status.line()))
+                Ok(Reply::Line(status.summary()))
             }
             Call::Metrics => Ok(Reply::Metrics(metrics::to_prometheus_text())),
             Call::Quiesce => self.set_drained(true).await,
--- /dev/null
+++ b/crates/sidecar/src/registry_watch.rs
@@ -0,0 +1,205 @@
+//! The endpoint list from a service registry, where one is configured: carries out what the registry's client
+//! ([`RegistryWatcher`]) decides.
+
+mod config;
+mod list_status;
+mod poll;
+mod report;
+
+pub use config::{RegistryConfig, RegistryConfigError};
+pub use list_status::ListStatus;
+
+use crate::endpoint_list::{ListMessage, ListedEndpoint, ListedStatus};
+use crate::engine_input::{Input, Inputs};
+use crate::log::log_line;
+use lotusmoor_registry_client::{
+    Action, EndpointList, Entry, Event, Micros, RegistryWatcher, Status, Version, cache_file,
+};
+use poll::KeptConnection;
+use report::ReportLog;
+use std::cell::RefCell;
+use std::collections::{BTreeSet, HashMap};
+use std::rc::Rc;
+use std::time::Duration;
+use tokio::sync::{mpsc, watch};
+use tokio::task::{AbortHandle, spawn_local};
+use tokio::time::{Instant, sleep_until};
+
+/// A watcher with the clock that it runs on.
+#[derive(Clone)]
+struct Watcher {
+    state: Rc<RefCell<RegistryWatcher>>,
+    started: Instant,
+}
+
+impl Watcher {
+    fn now(&self) -> Micros {
+        Micros::try_from(self.started.elapsed().as_micros()).unwrap_or(Micros::MAX)
+    }
+
+    /// When its next timer is due.
+    fn next_timer(&self) -> Option<Instant> {
+        let at = self.state.borrow().next_timer()?;
+        Some(self.started + Duration::from_micros(at.max(0).unsigned_abs()))
+    }
+
+    fn handle(&self, event: Event) -> Vec<Action> {
+        let mut actions = Vec::new();
+        self.state.borrow_mut().handle(self.now(), event, &mut actions);
+        actions
+    }
+}
+
+/// Drives a [`RegistryWatcher`] on the sidecar's sockets and clock, and passes its list on.
+pub struct RegistryWatch {
+    config: RegistryConfig,
+    watcher: Watcher,
+    inputs: Inputs,
+    /// By replica.
+    connections: Vec<KeptConnection>,
+    polls_in_flight: HashMap<u64, AbortHandle>,
+    poll_events: mpsc::UnboundedSender<Event>,
+    poll_results: mpsc::UnboundedReceiver<Event>,
+    services: watch::Receiver<BTreeSet<String>>,
+    report_log: ReportLog,
+}
+
+impl RegistryWatch {
+    /// A watch that has not started, and its status. Its lists go to `inputs`.
+    pub fn new(config: RegistryConfig, seed: u64, inputs: Inputs) -> (Self, ListStatus) {
+        let state = Rc::new(RefCell::new(RegistryWatcher::new(config.settings(), seed)));
+        let watcher = Watcher { state, started: Instant::now() };
+        let (services_sender, services) = watch::channel(config.services.clone());
+        let status = ListStatus::new(watcher.clone(), services_sender);
+        let (poll_events, poll_results) = mpsc::unbounded_channel();
+        let registry_watch = Self {
+            watcher,
+            inputs,
+            connections: config.addresses.iter().map(|_| Rc::default()).collect(),
+            polls_in_flight: HashMap::new(),
+            poll_events,
+            poll_results,
+            services,
+            report_log: ReportLog::new(config.addresses.clone()),
+            config,
+        };
+        (registry_watch, status)
+    }
+
+    /// Runs until the process ends. The list of the cache file is in use at once.
+    pub async fn run(mut self) {
+        let cached = self.load();
+        self.handle(Event::Start(cached));
+        loop {
+            let event = self.next_event().await;
+            self.handle(event);
+        }
+    }
+
+    async fn next_event(&mut self) -> Event {
+        let next_timer = self.watcher.next_timer();
+        let timer = async {
+            match next_timer {
+                Some(at) => sleep_until(at).await,
+                None => std::future::pending().await,
+            }
+        };
+        tokio::select! {
+            event = self.poll_results.recv() => event.unwrap_or(Event::Timer),
+            Ok(()) = self.services.changed() => {
+                Event::ServicesChanged(self.services.borrow_and_update().iter().cloned().collect())
+            }
+            () = timer => Event::Timer,
+        }
+    }
+
+    fn handle(&mut self, event: Event) {
+        if let Event::Response { poll, .. } | Event::PollFailed { poll, .. } = &event {
+            self.polls_in_flight.remove(poll);
+        }
+        for action in self.watcher.handle(event) {
+            self.carry_out(action);
+        }
+    }
+
+    fn carry_out(&mut self, action: Action) {
+        match action {
+            Action::Poll { poll, replica, after, wait } => self.send_poll(poll, replica, after, wait),
+            Action::CancelPoll(poll) => {
+                if let Some(task) = self.polls_in_flight.remove(&poll) {
+                    task.abort();
+                }
+            }
+            Action::Apply(applied) => {
+                let endpoints = applied.entries.into_iter().map(listed_endpoint).collect();
+                let (index, snapshot) = (applied.version.index, applied.full);
+                self.inputs.send(Input::ListReceived(ListMessage {
+                    index,
+                    snapshot,
+                    endpoints,
+                    unreadable: None,
+                }));
+            }
+            Action::Save => self.save(),
+            Action::Report(report) => self.report_log.write(report),
+        }
+    }
+
+    fn send_poll(&mut self, poll: u64, replica: usize, after: Option<Version>, wait: Micros) {
+        let path = self.watcher.state.borrow().poll_path(after, wait);
+        let (address, connection) = (self.config.addresses[replica], Rc::clone(&self.connections[replica]));
+        let events = self.poll_events.clone();
+        let task = spawn_local(async move {
+            let event = poll::send(poll, address, connection, &path).await;
+            // The receiver lives as long as the process.
+            let _ = events.send(event);
+        });
+        self.polls_in_flight.insert(poll, task.abort_handle());
+    }
+
+    fn load(&self) -> Option<EndpointList> {
+        match cache_file::load(self.config.file.as_ref()?) {
+            Ok(Some((list, age))) => {
+                let (version, servers, age) = (list.version, list.entries.len(), age.as_secs());
+                log_line!("roster: list {version} of {servers} servers from the file, {age} s old");
+                Some(list)
+            }
+            Ok(None) => None,
+            Err(error) => {
+                log_line!("roster: the file can't be used: {error}");
+                None
+            }
+        }
+    }
+
+    /// Writes the cache file on a thread of its own, as a disk may take its time.
+    fn save(&self) {
+        let list = self.watcher.state.borrow().list().cloned();
+        let (Some(path), Some(list)) = (self.config.file.clone(), list) else { return };
+        tokio::task::spawn_blocking(move || {
+            if let Err(error) = cache_file::save(&path, &list) {
+                log_line!("roster: the list can't be kept: {error}");
+            }
+        });
+    }
+}
+
+fn listed_endpoint(entry: Entry) -> ListedEndpoint {
+    ListedEndpoint {
+        name: entry.name,
+        address: Some(entry.address),
+        zone: entry.zone,
+        machine_type: entry.machine_type,
+        cell: entry.cell,
+        status: match entry.status {
+            Status::Active => ListedStatus::Active,
+            Status::Draining => ListedStatus::Draining,
+            Status::Removed => ListedStatus::Removed,
+        },
+        weight: entry.weight,
+        started_ms: entry.started_ms,
+    }
+}
+
+#[cfg(test)]
+mod tests;
--- a/crates/sidecar/src/reload.rs
+++ b/crates/sidecar/src/reload.rs
@@ -3,8 +3,8 @@
 use crate::config::{Config, ReloadedConfig};
 use crate::engine::EngineHandle;
 use crate::log::log_line;
+use crate::registry_watch::ListStatus;
 use crate::retry::Backoff;
-use crate::roster::Standing;
 use std::future::pending;
 use std::time::Duration;
 use tokio::time::{Instant, sleep_until};
@@ -17,7 +17,7 @@
 /// Reloads the configuration, with retries while its file can't be read.
 pub struct Reloader {
     engine: EngineHandle,
-    list_status: Option<Standing>,
+    list_status: Option<ListStatus>,
     requested: Option<RequestedReload>,
 }
 
@@ -29,7 +29,7 @@
 
 impl Reloader {
     /// Applies changes to the engine, and to the registry where one is configured.
-    pub fn new(engine: EngineHandle, list_status: Option<Standing>) -> Self {
+    pub fn new(engine: EngineHandle, list_status: Option<ListStatus>) -> Self {
         Self { engine, list_status, requested: None }
     }
 
@@ -74,7 +74,7 @@
         self.engine.move_discovery(address);
         // A registry that is new, or no longer named, takes effect with the next process.
         if let (Some(list_status), Some(services)) = (&self.list_status, config.services) {
-            list_status.ask_for(services);
+            list_status.watch_services(services);
         }
     }
 }
