--- a/crates/balancer/tests/common/mod.rs
+++ b/crates/balancer/tests/common/mod.rs
@@ -203,3 +203,40 @@
 pub fn failed(actions: &[Action], id: RequestId) -> bool {
     actions.contains(&Action::Fail(id))
 }
+
+pub fn delta(rig: &mut Rig, entry: EndpointEntry) -> Vec<Action> {
+    rig.event(Event::EndpointList(EndpointListUpdate::Delta(vec![entry])))
+}
+
+pub fn used(rig: &mut Rig, requests: usize) -> Vec<EndpointId> {
+    let mut all = Vec::new();
+    for _ in 0..requests {
+        all.extend(sent(&rig.request(SAFE).1));
+        rig.serve(20 * MS);
+    }
+    all
+}
+
+/// Endpoints that each of some sidecars sends to in the last of five seconds at 16 requests a second, 64 endpoints and
+/// deadlines of a second, with the first of these cold from the third second on.
+pub fn gone_round(cold: usize) -> Vec<Vec<EndpointId>> {
+    let sidecar = |seed| {
+        let mut set = Settings { instances: 100, ..settings() };
+        set.classes.iter_mut().for_each(|c| (c.latency_objective, c.deadline) = (250 * MS, 1000 * MS));
+        let mut rig = Rig::new(set, 64, seed);
+        let mut to = Vec::new();
+        for n in 0..80 {
+            if n == 32 {
+                let started = Some(rig.now);
+                let cold = (0..cold).map(|e| EndpointEntry { started_at: started, ..listing(e) });
+                rig.event(Event::EndpointList(EndpointListUpdate::Delta(cold.collect())));
+            }
+            let (_, actions) = rig.request_for(SAFE, 800 * MS, None, None);
+            to.extend(sent(&actions).into_iter().filter(|_| n >= 64));
+            rig.serve(20 * MS);
+            rig.wait(42 * MS);
+        }
+        to
+    };
+    (0..100).map(sidecar).collect()
+}
--- /dev/null
+++ b/crates/balancer/tests/concurrency_limit.rs
@@ -0,0 +1,250 @@
+//! Concurrency limits, and the queue of requests that wait for capacity.
+
+mod common;
+use common::*;
+use lotusmoor_balancer::*;
+
+/// One warm endpoint among nine that have just started: what it is sent at once of eight requests, once each has been
+/// answered within 20 ms for a while.
+fn at_once_to_the_warm_one(rounds: usize) -> usize {
+    let mut rig = Rig::new(settings(), 10, 1);
+    let mut to_warm = 0;
+    for round in 0..=rounds {
+        let started = Some(rig.now);
+        (1..10).for_each(|e| drop(delta(&mut rig, EndpointEntry { started_at: started, ..listing(e) })));
+        let sends = (0..8).flat_map(|_| sent(&rig.request(SAFE).1));
+        to_warm = sends.filter(|e| *e == 0 && round == rounds).count();
+        rig.serve(20 * MS);
+        rig.wait(50 * MS);
+    }
+    to_warm
+}
+
+// Nine caps that can't be filled, as their endpoints are cold, are no sign that the tenth has room enough.
+#[test]
+fn a_cap_that_is_full_grows_while_requests_wait_whatever_room_others_have() {
+    let to_warm = at_once_to_the_warm_one(100);
+    assert!(to_warm >= 6, "{to_warm}");
+}
+
+// The fair part of what is in flight is a small one where most of it belongs to endpoints that get nothing now.
+#[test]
+fn the_part_of_cold_endpoints_that_have_had_their_due_is_left_to_the_others() {
+    let to_warm = at_once_to_the_warm_one(0);
+    assert!(to_warm >= 2, "{to_warm}");
+}
+
+#[test]
+fn tenants_far_above_their_share_wait_behind_the_others() {
+    let mut set = settings();
+    set.tenants = vec![Tenant { quota_per_s: 10.0, capacity_share: 0.5 }; 2];
+    let mut rig = Rig::new(set, 1, 1);
+    let request = |rig: &mut Rig, tenant| rig.request_for(SAFE, 3000 * MS, Some(tenant), None).0;
+    let burst: Vec<_> = (0..12).map(|_| request(&mut rig, 0)).collect();
+    let other = request(&mut rig, 1);
+    rig.wait(50 * MS);
+    rig.end(burst[0], 0, Outcome::Ok);
+    assert!(rig.out.contains_key(&(other, 0)), "it came last and goes first");
+}
+
+#[test]
+fn a_retry_waits_for_room_from_when_it_comes() {
+    let mut rig = Rig::new(settings(), 1, 1);
+    let ids: Vec<_> = (0..2).map(|_| rig.request(SAFE).0).collect();
+    rig.wait(200 * MS);
+    rig.end(ids[0], 0, Outcome::Error);
+    rig.request(SAFE);
+    let early = rig.wait(100 * MS);
+    assert!(!refused(&early, ids[0]), "its first wait is long over, this one is not");
+    rig.end(ids[1], 0, Outcome::Ok);
+    assert!(rig.out.contains_key(&(ids[0], 1)));
+}
+
+#[test]
+fn the_end_of_a_first_wait_does_not_end_a_second_one() {
+    let mut rig = Rig::new(settings(), 1, 1);
+    let first: Vec<_> = (0..2).map(|_| rig.request(SAFE).0).collect();
+    let (id, _) = rig.request(SAFE);
+    rig.wait(90 * MS);
+    rig.end(first[0], 0, Outcome::Ok);
+    rig.request(SAFE);
+    rig.end(id, 0, Outcome::Error);
+    let seen = rig.wait(100 * MS);
+    assert!(!refused(&seen, id), "its second wait began less than 0.15 of the aim ago");
+    rig.end(first[1], 0, Outcome::Ok);
+    assert!(rig.out.contains_key(&(id, 1)));
+}
+
+#[test]
+fn repeats_wait_behind_first_tries() {
+    let mut rig = Rig::new(settings(), 1, 1);
+    let first = rig.request(SAFE).0;
+    rig.request(SAFE);
+    let due = rig.now + 3000 * MS;
+    let (id, class, repeat, coming) = (0, SAFE, true, false);
+    let repeat = NewRequest {
+        id,
+        class,
+        tenant: None,
+        partition_key: None,
+        deadline: due,
+        expected_work: None,
+        is_client_retry: repeat,
+        body_incomplete: coming,
+    };
+    rig.event(Event::RequestReceived(repeat));
+    let fresh = rig.request(SAFE).0;
+    rig.wait(50 * MS);
+    let actions = rig.end(first, 0, Outcome::Ok);
+    let of = |a: &Action| if let Action::Send { request, .. } = a { Some(*request) } else { None };
+    assert_eq!(actions.iter().find_map(of), Some(fresh), "it came last and goes first");
+}
+
+#[test]
+fn short_aims_do_not_starve_behind_long_ones_in_the_queue() {
+    let mut set = settings();
+    set.classes[KEYED].latency_objective = 300 * MS;
+    let mut rig = Rig::new(set, 1, 1);
+    let first: Vec<_> = (0..8).map(|_| rig.request(SAFE).0).collect();
+    let urgent = rig.request(KEYED).0;
+    rig.wait(30 * MS);
+    rig.end(first[0], 0, Outcome::Ok);
+    assert!(rig.out.contains_key(&(urgent, 0)));
+}
+
+#[test]
+fn tiny_requests_do_not_make_the_fleet_look_crowded() {
+    let mut rig = Rig::new(settings(), 2, 1);
+    for n in 0..400 {
+        (0..6).for_each(|i| {
+            let work = if (n + i) % 2 == 0 { 200 } else { 60 * MS };
+            rig.request_for(SAFE, 3000 * MS, None, Some(work));
+        });
+        rig.serve(60 * MS);
+    }
+    (0..8).for_each(|_| drop(rig.request(SAFE)));
+    assert!(rig.out.len() >= 6, "{}", rig.out.len());
+}
+
+#[test]
+fn caps_rise_by_even_steps_from_the_smallest() {
+    // Steps in proportion to the cap would keep sidecars apart for good once one has fallen behind; and a
+    // cap under two must not pass for unused while the one call it allows is out.
+    let mut rig = Rig::new(Settings { instances: 4, ..settings() }, 1, 1);
+    used(&mut rig, 60);
+    let mut held = Vec::new();
+    for _ in 0..12 {
+        (0..100).for_each(|_| drop(rig.request(SAFE)));
+        held.push(rig.out.len());
+        rig.serve(20 * MS);
+    }
+    assert!(held[11] > 20 && held[11] < 90, "{held:?}");
+}
+
+#[test]
+fn caps_fall_while_calls_take_half_of_their_aim() {
+    // Their mean is inside the aim, but in a queue's spread one in seven of them is late.
+    let mut rig = Rig::new(settings(), 4, 1);
+    (0..80).for_each(|_| {
+        rig.request(SAFE);
+        rig.serve(180 * MS);
+    });
+    for _ in 0..40 {
+        (0..12).for_each(|_| drop(rig.request(SAFE)));
+        rig.serve(500 * MS);
+    }
+    (0..40).for_each(|_| drop(rig.request(SAFE)));
+    assert!(rig.out.len() <= 6, "{}", rig.out.len());
+}
+
+#[test]
+fn many_sidecars_begin_with_caps_over_the_root_of_their_number() {
+    let mut rig = Rig::new(Settings { instances: 16, ..settings() }, 4, 1);
+    let sent: usize = (0..12).map(|_| sent(&rig.request(SAFE).1).len()).sum();
+    assert_eq!(sent, 4, "half a request each is one at a time, where one sidecar alone has two");
+}
+
+#[test]
+fn a_quiet_sidecar_among_many_is_not_refused_what_comes_in_threes() {
+    let mut rig = Rig::new(Settings { instances: 150, ..settings() }, 10, 1);
+    used(&mut rig, 30);
+    for _ in 0..20 {
+        (0..3).for_each(|_| assert_eq!(sent(&rig.request(UNSAFE).1).len(), 1));
+        rig.serve(300 * MS);
+        rig.wait(1000 * MS);
+    }
+}
+
+#[test]
+fn requests_wait_only_while_all_are_capped_and_go_when_one_is_free() {
+    let mut rig = Rig::new(settings(), 2, 4);
+    let ids: Vec<_> = (0..5).map(|_| rig.request(SAFE)).collect();
+    let waiting: Vec<_> = ids.iter().filter(|(_, a)| sent(a).is_empty()).map(|(id, _)| *id).collect();
+    assert_eq!(waiting.len(), 1, "caps of two at two endpoints");
+    rig.wait(50 * MS);
+    let after = rig.end(ids[0].0, 0, Outcome::Ok);
+    assert_eq!(sent(&after).len(), 1);
+    assert!(rig.out.contains_key(&(waiting[0], 0)));
+}
+
+#[test]
+fn a_request_that_waits_too_long_is_refused() {
+    let mut rig = Rig::new(settings(), 2, 4);
+    let last = (0..9).map(|_| rig.request(UNSAFE).0).last().expect("nine requests");
+    assert!(refused(&rig.wait(450 * MS), last));
+}
+
+#[test]
+fn caps_grow_with_answers_in_time_and_shrink_with_late_ones() {
+    let most = |time: Micros| {
+        let mut rig = Rig::new(settings(), 2, 4);
+        for _ in 0..30 {
+            (0..12).for_each(|_| drop(rig.request(SAFE)));
+            rig.serve(time);
+            rig.wait(500 * MS);
+        }
+        (0..40).for_each(|_| drop(rig.request(SAFE)));
+        rig.out.len()
+    };
+    let (quick, slow) = (most(30 * MS), most(900 * MS));
+    assert!(quick > 8 && slow < 8, "{quick} {slow}");
+}
+
+// Slow clients would else fill every bulkhead while the endpoints wait for them, and all others be refused.
+#[test]
+fn a_request_whose_body_still_comes_holds_no_place() {
+    let mut rig = Rig::new(settings(), 2, 1);
+    let ask = |rig: &mut Rig, coming| {
+        let id = rig.next;
+        rig.next += 1;
+        let (class, due, tenant, key, work, repeat) = (KEYED, rig.now + 60_000 * MS, None, None, None, false);
+        let new = NewRequest {
+            id,
+            class,
+            tenant,
+            partition_key: key,
+            deadline: due,
+            expected_work: work,
+            is_client_retry: repeat,
+            body_incomplete: coming,
+        };
+        (id, sent(&rig.event(Event::RequestReceived(new))).len())
+    };
+    let slow: Vec<_> = (0..60).map(|_| ask(&mut rig, true)).collect();
+    assert!(slow.iter().all(|(_, sent)| *sent == 1));
+    assert_eq!(ask(&mut rig, false).1, 1);
+    rig.serve(50 * MS);
+    // Its aim counts from its end, and so does its time.
+    let (id, _) = ask(&mut rig, true);
+    rig.wait(3000 * MS);
+    let due = rig.now + 4000 * MS;
+    rig.event(Event::BodyReceived { request: id, deadline: due });
+    assert!(!failed(&rig.wait(3900 * MS), id));
+    assert!(failed(&rig.wait(200 * MS), id) || !rig.out.contains_key(&(id, 0)));
+    // Once they are there they count.
+    let slow: Vec<_> = (0..60).map(|_| ask(&mut rig, true)).collect();
+    for (request, _) in slow {
+        rig.event(Event::BodyReceived { request, deadline: rig.now + 4000 * MS });
+    }
+    assert_eq!(ask(&mut rig, false).1, 0);
+}
--- /dev/null
+++ b/crates/balancer/tests/request.rs
@@ -0,0 +1,97 @@
+//! A request's life.
+
+mod common;
+use common::*;
+use lotusmoor_balancer::*;
+
+#[test]
+fn every_request_is_answered_before_its_deadline() {
+    for class in [SAFE, KEYED, UNSAFE] {
+        let mut rig = Rig::new(settings(), 2, 1);
+        let (id, _) = rig.request_for(class, 700 * MS, None, None);
+        let due = START + 700 * MS;
+        let mut actions = Vec::new();
+        while rig.now < due {
+            actions.extend(rig.wait(5 * MS));
+        }
+        assert!(refused(&actions, id) || failed(&actions, id), "class {class}");
+        assert!(sent(&rig.wait(3000 * MS)).is_empty());
+    }
+}
+
+#[test]
+fn a_request_that_comes_too_late_is_refused_unsent() {
+    for left in [0, -5, 1, 10] {
+        let mut rig = Rig::new(settings(), 2, 1);
+        let (id, actions) = rig.request_for(UNSAFE, left * MS, None, None);
+        assert!(refused(&actions, id) && sent(&actions).is_empty(), "{left} ms left");
+    }
+}
+
+#[test]
+fn a_started_stream_has_no_deadline_and_its_interruption_ends_the_request() {
+    let mut rig = Rig::new(settings(), 2, 1);
+    let (id, _) = rig.request_for(SAFE, 500 * MS, None, None);
+    rig.event(Event::StreamStarted { request: id, attempt: 0 });
+    let out = rig.out.remove(&(id, 0)).expect("sent");
+    assert!(!rig.wait(5000 * MS).iter().any(|a| matches!(a, Action::Reject { .. } | Action::Fail(_))));
+    let end = AttemptEnd {
+        request: id,
+        attempt: 0,
+        endpoint: out.endpoint,
+        outcome: Outcome::Reset,
+        duration: 5000 * MS,
+        request_completed: true,
+        body_consumed: false,
+        load_report: LoadReport::default(),
+    };
+    assert!(
+        !rig.event(Event::AttemptEnded(end))
+            .iter()
+            .any(|a| matches!(a, Action::Reject { .. } | Action::Fail(_)))
+    );
+}
+
+#[test]
+fn unknown_and_repeated_events_change_nothing() {
+    let mut rig = Rig::new(settings(), 2, 1);
+    let (id, _) = rig.request(SAFE);
+    let end = AttemptEnd {
+        request: id,
+        attempt: 0,
+        endpoint: rig.out[&(id, 0)].endpoint,
+        outcome: Outcome::Error,
+        duration: 1,
+        request_completed: false,
+        body_consumed: false,
+        load_report: LoadReport::default(),
+    };
+    for odd in [
+        Event::Timer(99),
+        Event::RequestAbandoned(77),
+        Event::StreamStarted { request: 77, attempt: 3 },
+        Event::AttemptEnded(AttemptEnd { request: 77, ..end }),
+        Event::AttemptEnded(AttemptEnd { attempt: 5, ..end }),
+        Event::AttemptEnded(AttemptEnd { endpoint: 50, ..end }),
+        Event::HealthCheckEnded {
+            endpoint: 9,
+            outcome: Outcome::Ok,
+            duration: 1,
+            load_report: LoadReport::default(),
+        },
+        Event::PeerMessage { from: 3, bytes: vec![1, 2] },
+    ] {
+        let text = format!("{odd:?}");
+        assert!(rig.event(odd).is_empty(), "{text}");
+    }
+    rig.event(Event::AttemptEnded(end));
+    assert!(rig.event(Event::AttemptEnded(end)).is_empty());
+}
+
+#[test]
+fn a_client_that_left_ends_the_request_and_its_attempt() {
+    let mut rig = Rig::new(settings(), 2, 1);
+    let (id, _) = rig.request(SAFE);
+    assert_eq!(rig.event(Event::RequestAbandoned(id)), [Action::Cancel { request: id, attempt: 0 }]);
+    assert!(rig.end(id, 0, Outcome::Cancelled).is_empty());
+}
--- a/crates/balancer/tests/settings.rs
+++ b/crates/balancer/tests/settings.rs
@@ -1,7 +1,9 @@
 //! The settings object: each key of the encoding, and what it means.
 
+mod common;
+use common::*;
 use lotusmoor_balancer::settings::{DecodeError, decode};
-use lotusmoor_balancer::{DedupScope, DiscoveryMode, Idempotency, LoadReportSource, WeightSource};
+use lotusmoor_balancer::*;
 
 /// Every key, with values that differ from each other and from defaults.
 const SETTINGS: &str = r#"{"Balancers": 7, "Index": 3, "Clients": {"MarksRetry": true}, "CountedBy": "work",
@@ -67,3 +69,39 @@
     assert!(matches!(missing, DecodeError::Json(_)));
     assert!(missing.to_string().starts_with("missing field `MaxAttempts` at line "), "{missing}");
 }
+
+#[test]
+fn unusable_settings_are_an_error() {
+    let spoil = |f: fn(&mut Settings)| {
+        let mut set = settings();
+        f(&mut set);
+        Balancer::new(set, 1).is_err()
+    };
+    assert!(spoil(|s| s.classes.clear()));
+    assert!(spoil(|s| s.classes[0].latency_objective = 0));
+    assert!(spoil(|s| s.rules.initial_capacity_share = f64::NAN));
+    assert!(spoil(|s| s.rules.slow_start_duration = -1));
+    assert!(spoil(|s| s.limits.max_attempts = 0));
+    assert!(!spoil(|_| ()));
+}
+
+#[test]
+fn an_error_of_settings_names_the_setting() {
+    type Spoil = fn(&mut Settings);
+    let spoilt: [(Spoil, &str); 8] = [
+        (|s| s.classes.clear(), "classes"),
+        (|s| s.classes[1].latency_objective = 0, "aim"),
+        (|s| s.classes[0].deadline = -1, "deadline"),
+        (|s| s.classes[2].objective_per_work = f64::NAN, "aim_stretch"),
+        (|s| s.limits.max_attempts = 0, "max_attempts"),
+        (|s| s.rules.initial_capacity_share = f64::INFINITY, "cold_share"),
+        (|s| s.rules.overload_collapse_after = Micros::MAX, "tip_after"),
+        (|s| s.tick = -5, "tick"),
+    ];
+    for (spoil, word) in spoilt {
+        let mut set = settings();
+        spoil(&mut set);
+        let error = Balancer::new(set, 1).err().expect(word).to_string();
+        assert!(error.contains(word), "{error}");
+    }
+}
--- /dev/null
+++ b/crates/balancer/tests/slow_start.rs
@@ -0,0 +1,296 @@
+//! Slow start.
+
+mod common;
+use common::*;
+use lotusmoor_balancer::*;
+
+/// What endpoint 0 is sent over 4 s of traffic for two, once its attempts have ended in these ways.
+fn sent_after(ends: &[Outcome]) -> usize {
+    let mut rig = Rig::new(settings(), 2, 1);
+    used(&mut rig, 100);
+    let mut left = ends.iter();
+    let mut count = 0;
+    for _ in 0..200 {
+        rig.request(SAFE);
+        rig.wait(20 * MS);
+        for (key, out) in rig.out.iter().map(|(k, o)| (*k, *o)).collect::<Vec<_>>() {
+            let end = if out.endpoint == 0 { left.next() } else { None };
+            count += usize::from(out.endpoint == 0 && end.is_none());
+            rig.end(key.0, key.1, end.copied().unwrap_or(Outcome::Ok));
+        }
+    }
+    assert_eq!(left.next(), None, "some were never tried");
+    count
+}
+
+// A network that resets connections says nothing of the process behind them, nor does one connection that could
+// not be made: an endpoint taken for a cold new one gets next to nothing for seconds. Several that can't be made
+// and no answer since tell of a restart.
+#[test]
+fn broken_connections_alone_do_not_make_an_endpoint_pass_for_cold() {
+    use Outcome::{ConnectFailed, Reset};
+    let cold = sent_after(&[ConnectFailed; 3]);
+    for ends in [[Reset; 3], [Reset, ConnectFailed, Reset], [Reset, Reset, ConnectFailed]] {
+        let kept = sent_after(&ends);
+        assert!(2 * kept > 3 * cold, "{ends:?}: {kept} {cold}");
+    }
+}
+
+// Whatever broke the connections, the process that answers a request it had before is no new one.
+#[test]
+fn an_answer_to_what_was_sent_before_connections_failed_proves_that_the_process_lives() {
+    for lives in [false, true] {
+        let mut rig = Rig::new(settings(), 1, 1);
+        used(&mut rig, 100);
+        let (long, _) = rig.request(SAFE);
+        for _ in 0..3 {
+            let (id, _) = rig.request(UNSAFE);
+            rig.end(id, 0, Outcome::ConnectFailed);
+            rig.event(Event::RequestAbandoned(id));
+        }
+        if lives {
+            rig.end(long, 0, Outcome::Ok);
+        } else {
+            rig.event(Event::RequestAbandoned(long));
+            rig.wait(4000 * MS);
+            let (trial, _) = rig.request(SAFE);
+            rig.end(trial, 0, Outcome::Ok);
+        }
+        let sent: usize = (0..10).map(|_| sent(&rig.request(SAFE).1).len()).sum();
+        assert_eq!(sent > 2, lives, "{sent}");
+    }
+}
+
+#[test]
+fn a_cold_endpoint_gets_a_small_part_that_grows() {
+    let mut rig = Rig::new(settings(), 4, 1);
+    used(&mut rig, 200);
+    let now = rig.now;
+    delta(&mut rig, EndpointEntry { started_at: Some(now), ..listing(3) });
+    let part = |rig: &mut Rig| used(rig, 60).iter().filter(|e| **e == 3).count();
+    let cold = part(&mut rig);
+    rig.wait(3000 * MS);
+    used(&mut rig, 60);
+    let mid = part(&mut rig);
+    rig.wait(9000 * MS);
+    let warm = part(&mut rig);
+    assert!(cold <= 6 && cold < mid && mid <= warm && warm >= 13, "{cold} {mid} {warm}");
+}
+
+#[test]
+fn a_cold_endpoint_left_alone_is_not_pushed_over_by_a_burst() {
+    let mut rig = Rig::new(settings(), 4, 1);
+    used(&mut rig, 60);
+    for _ in 0..12 {
+        (0..100).for_each(|_| drop(rig.request(SAFE)));
+        rig.serve(20 * MS);
+    }
+    rig.wait(9000 * MS);
+    let now = rig.now;
+    let full = EndpointEntry { started_at: Some(now), ..listing(0) };
+    rig.event(Event::EndpointList(EndpointListUpdate::Full(vec![full])));
+    let burst: usize = (0..50).map(|_| sent(&rig.request(SAFE).1).len()).sum();
+    assert!(burst <= 2, "{burst}");
+}
+
+// After a release most of the fleet is cold. What the warm ones serve is the measure of what a cold one can do: parted
+// among cold ones as well, it leaves them idle while the warm ones are overrun.
+#[test]
+fn among_many_cold_endpoints_each_gets_what_it_can_do() {
+    let mut rig = Rig::new(settings(), 12, 1);
+    let mut to = [0; 12];
+    for step in 0..80 {
+        for _ in 0..6 {
+            sent(&rig.request(UNSAFE).1).into_iter().for_each(|e| to[e] += u32::from(step >= 40));
+        }
+        rig.serve(50 * MS);
+        rig.wait(50 * MS);
+        if step == 20 {
+            let started = Some(rig.now);
+            (2..12).for_each(|e| drop(delta(&mut rig, EndpointEntry { started_at: started, ..listing(e) })));
+        }
+    }
+    let (warm, cold) = (to[..2].iter().sum::<u32>(), to[2..].iter().sum::<u32>());
+    // Ten at 0.4 to 0.8 of their capacity.
+    assert!(2 * cold > 5 * warm, "{to:?}");
+}
+
+// What fails all that it is sent serves nothing: cold endpoints are no smaller for it.
+#[test]
+fn a_cold_endpoint_is_measured_by_those_that_serve() {
+    let mut rig = Rig::new(settings(), 6, 1);
+    let mut to_cold = 0;
+    for step in 0..200 {
+        if step == 100 {
+            let now = rig.now;
+            delta(&mut rig, EndpointEntry { started_at: Some(now), ..listing(5) });
+        }
+        (0..4).for_each(|_| drop(rig.request(SAFE)));
+        rig.wait(20 * MS);
+        for ((id, n), out) in rig.out.clone() {
+            to_cold += usize::from(out.endpoint == 5 && step >= 100);
+            let how = if (1..5).contains(&out.endpoint) { Outcome::Error } else { Outcome::Ok };
+            rig.end(id, n, how);
+        }
+        rig.wait(10 * MS);
+    }
+    assert!(to_cold >= 75, "{to_cold} of 400");
+}
+
+// What cold ones serve follows from what they are let serve: measured by it, a process that begins when most are cold
+// takes seconds to find out what they can do.
+#[test]
+fn where_most_are_cold_from_the_start_what_warm_ones_serve_is_soon_the_measure() {
+    let mut rig = Rig::new(settings(), 10, 1);
+    let started = Some(rig.now);
+    (1..10).for_each(|e| drop(delta(&mut rig, EndpointEntry { started_at: started, ..listing(e) })));
+    let mut to = [0; 10];
+    // Twice the time in which an endpoint tips.
+    for _ in 0..100 {
+        (0..20).for_each(|_| sent(&rig.request(SAFE).1).into_iter().for_each(|e| to[e] += 1));
+        rig.serve(20 * MS);
+        rig.wait(10 * MS);
+    }
+    // Nine at 0.3 to 0.5 of their capacity.
+    assert!(2 * to[1..].iter().sum::<u32>() > 5 * to[0], "{to:?}");
+}
+
+// Slow ones are warm, and yet no measure of what another can do.
+#[test]
+fn a_cold_endpoint_is_not_measured_by_slow_ones() {
+    let mut rig = Rig::new(settings(), 5, 1);
+    let mut to_cold = 0;
+    for step in 0..300 {
+        if step == 100 {
+            let now = rig.now;
+            delta(&mut rig, EndpointEntry { started_at: Some(now), ..listing(4) });
+        }
+        (0..4).for_each(|_| drop(rig.request(SAFE)));
+        rig.wait(20 * MS);
+        for ((id, n), out) in rig.out.clone() {
+            let slow = (1..4).contains(&out.endpoint);
+            if !slow || rig.now - out.sent >= 400 * MS {
+                to_cold += usize::from(out.endpoint == 4 && step >= 100);
+                rig.end(id, n, Outcome::Ok);
+            }
+        }
+    }
+    assert!(to_cold >= 150, "{to_cold} of 800");
+}
+
+/// What a cold endpoint is sent beside a warm one in a second, with more asked than both can take and answers of both
+/// that take so long.
+fn sent_to_a_cold_one(time: Micros) -> usize {
+    let mut rig = Rig::new(settings(), 2, 1);
+    let mut to_cold = 0;
+    for step in 0..160 {
+        if step == 60 {
+            let now = rig.now;
+            delta(&mut rig, EndpointEntry { started_at: Some(now), ..listing(1) });
+        }
+        (0..8).for_each(|_| drop(rig.request(SAFE)));
+        rig.wait(10 * MS);
+        for ((id, n), out) in rig.out.clone() {
+            if rig.now - out.sent >= time {
+                to_cold += usize::from(out.endpoint == 1 && step >= 60);
+                rig.end(id, n, Outcome::Ok);
+            }
+        }
+    }
+    to_cold
+}
+
+// The rules tell the least that a cold one can do, and most can do more: while requests wait it is sent more, as long
+// as its answers come in time.
+#[test]
+fn a_cold_endpoint_that_answers_in_time_is_sent_more_while_requests_wait() {
+    let (in_time, late) = (sent_to_a_cold_one(50 * MS), sent_to_a_cold_one(400 * MS));
+    assert!(in_time >= 125 && late <= 6, "{in_time} {late}");
+}
+
+#[test]
+fn many_sidecars_that_see_little_do_not_push_a_cold_endpoint_over_together() {
+    let mut to_cold = 0;
+    for index in 0..200 {
+        let set = Settings { instances: 200, index, ..settings() };
+        let mut rig = Rig::new(set, 4, u64::from(index));
+        used(&mut rig, 8);
+        let now = rig.now;
+        delta(&mut rig, EndpointEntry { started_at: Some(now), ..listing(3) });
+        rig.wait(50 * MS);
+        to_cold += used(&mut rig, 4).iter().filter(|e| **e == 3).count();
+    }
+    assert!(to_cold <= 20, "{to_cold} of 800 requests to one that started a moment ago");
+}
+
+#[test]
+fn a_fleet_that_is_all_cold_is_tried_a_little_and_fully_used_once_warm() {
+    let mut rig = Rig::new(Settings { instances: 200, ..settings() }, 0, 3);
+    let cold = |endpoint| EndpointEntry { started_at: Some(START), ..listing(endpoint) };
+    rig.event(Event::EndpointList(EndpointListUpdate::Full((0..50).map(cold).collect())));
+    let served = |rig: &mut Rig, until: Micros| {
+        let before = rig.sends.len();
+        let mut asked = 0;
+        while rig.now < until {
+            rig.request(SAFE);
+            rig.serve(20 * MS);
+            rig.wait(80 * MS);
+            asked += 1;
+        }
+        (rig.sends.len() - before, asked)
+    };
+    let (cold, _) = served(&mut rig, START + 8000 * MS);
+    assert!((1..=45).contains(&cold), "{cold}");
+    let (warm, asked) = {
+        rig.wait(1500 * MS);
+        let until = rig.now + 2000 * MS;
+        served(&mut rig, until)
+    };
+    assert_eq!(warm, asked);
+}
+
+#[test]
+fn what_comes_back_after_lost_connections_is_cold_before_the_list_says_so() {
+    let mut rig = Rig::new(settings(), 4, 1);
+    for _ in 0..40 {
+        let (id, actions) = rig.request(SAFE);
+        let died = sent(&actions)[0] == 2;
+        rig.wait(10 * MS);
+        rig.end(id, 0, if died { Outcome::ConnectFailed } else { Outcome::Ok });
+        rig.serve(20 * MS);
+    }
+    rig.wait(9000 * MS);
+    let back = used(&mut rig, 60).iter().filter(|e| **e == 2).count();
+    assert!((1..=8).contains(&back), "{back}");
+}
+
+// Of what a cold endpoint can do, those few sidecars that go round it have to send all.
+#[test]
+fn sidecars_that_go_round_a_part_of_the_fleet_send_cold_endpoints_their_whole_part() {
+    let to: Vec<_> = gone_round(32).concat();
+    let cold = to.iter().filter(|e| **e < 32).count();
+    // At about half of their capacity they have a third of the whole.
+    assert!(4 * cold > to.len() && 2 * cold < to.len(), "{cold} of {}", to.len());
+}
+
+// A sidecar that has just started, in an upgrade say, may find most of its endpoints cold: what it serves in its first
+// moments is no small part of what they can do.
+#[test]
+fn a_new_sidecar_sends_a_cold_endpoint_its_part_from_the_start() {
+    let to_cold: usize = (1..=10)
+        .map(|seed| {
+            let mut rig = Rig::new(settings(), 4, seed);
+            let cold = EndpointEntry { started_at: Some(rig.now), ..listing(0) };
+            rig.event(Event::EndpointList(EndpointListUpdate::Delta(vec![cold])));
+            let mut to_cold = 0;
+            // A third of the time over which work served is summed up.
+            for _ in 0..10 {
+                let sends: Vec<_> = (0..4).flat_map(|_| sent(&rig.request(SAFE).1)).collect();
+                to_cold += sends.iter().filter(|e| **e == 0).count();
+                rig.serve(100 * MS);
+            }
+            to_cold
+        })
+        .sum();
+    assert!(to_cold >= 15, "{to_cold} of 400");
+}
