--- a/crates/balancer/src/interner/tests.rs
+++ b/crates/balancer/src/interner/tests.rs
@@ -2,7 +2,7 @@
 
 // A fleet that replaces its machines for months would else grow every table that is kept by number.
 #[test]
-fn a_number_is_given_out_again_once_its_name_is_forgotten() {
+fn reuses_number_of_released_name() {
     let mut names = Interner::default();
     let (a, b) = (names.intern("a"), names.intern("b"));
     names.release(a);
--- a/crates/balancer/tests/circuit_breaker.rs
+++ b/crates/balancer/tests/circuit_breaker.rs
@@ -6,7 +6,7 @@
 
 // One event of the network breaks all kept connections at once, and each tells of it only when it is used.
 #[test]
-fn kept_connections_that_break_neither_open_a_circuit_nor_keep_one_open() {
+fn broken_idle_connections_neither_open_circuit_nor_keep_it_open() {
     let mut rig = Rig::new(settings(), 1, 1);
     used(&mut rig, 20);
     for _ in 0..4 {
@@ -29,7 +29,7 @@
 }
 
 #[test]
-fn others_slow_requests_do_not_make_an_endpoint_silent() {
+fn slow_requests_of_others_do_not_open_circuit() {
     let mut rig = Rig::new(settings(), 4, 1);
     used(&mut rig, 40);
     let (_, actions) = rig.request(SAFE);
@@ -39,7 +39,7 @@
 }
 
 #[test]
-fn one_heavy_request_does_not_open_a_circuit() {
+fn one_heavy_request_does_not_open_circuit() {
     let mut rig = Rig::new(Settings { instances: 1000, ..settings() }, 4, 1);
     used(&mut rig, 40);
     let (id, actions) = rig.request(UNSAFE);
@@ -50,7 +50,7 @@
 }
 
 #[test]
-fn trials_of_many_open_circuits_are_a_small_part_of_requests() {
+fn trials_of_many_open_circuits_are_a_small_share_of_requests() {
     let mut rig = Rig::new(Settings { instances: 1000, ..settings() }, 8, 3);
     let sick = |e: EndpointId| e >= 3;
     let (mut trials, mut all) = (0, 0);
@@ -67,7 +67,7 @@
 }
 
 #[test]
-fn an_outcome_long_after_the_last_counts_more() {
+fn outcome_long_after_the_last_weighs_more() {
     for (pause, opens) in [(100 * MS, false), (10_000 * MS, true)] {
         let mut rig = Rig::new(settings(), 1, 1);
         used(&mut rig, 5);
@@ -81,7 +81,7 @@
 // A sidecar with thin traffic comes by a server every few seconds: with three errors in a row it would learn that
 // the server fails long after every client has given up.
 #[test]
-fn where_turns_are_further_apart_than_deadlines_one_error_opens_a_circuit() {
+fn one_error_opens_circuit_when_turns_are_further_apart_than_deadlines() {
     for (deadline, opens) in [(4000 * MS, false), (1000 * MS, true)] {
         let mut set = settings();
         set.classes.iter_mut().for_each(|c| (c.latency_objective, c.deadline) = (deadline / 4, deadline));
@@ -97,7 +97,7 @@
 // Between the others' successes the endpoint's own circuit stays closed, and a class that it alone turns away would
 // go on to have its turns there.
 #[test]
-fn a_class_that_one_endpoint_fails_goes_elsewhere_until_it_is_served_there_again() {
+fn class_that_endpoint_fails_goes_elsewhere_until_it_is_served_again() {
     let mut rig = Rig::new(settings(), 3, 1);
     let mut round = |fails: bool, bad: Outcome| {
         let mut sends = [0; 2];
@@ -128,7 +128,7 @@
 }
 
 #[test]
-fn the_log_says_what_the_on_call_page_quotes() {
+fn logs_what_the_on_call_page_quotes() {
     let page = include_str!("../../../README.md");
     let mut rig = Rig::new(settings(), 1, 1);
     used(&mut rig, 5);
@@ -151,7 +151,7 @@
 }
 
 #[test]
-fn a_circuit_opens_tries_one_and_closes() {
+fn open_circuit_admits_one_trial_and_closes() {
     let mut rig = Rig::new(settings(), 2, 4);
     let mut opened = false;
     for _ in 0..12 {
@@ -176,7 +176,7 @@
 }
 
 #[test]
-fn a_failed_trial_opens_the_circuit_again() {
+fn failed_trial_opens_circuit_again() {
     let mut rig = Rig::new(settings(), 2, 4);
     for _ in 0..60 {
         let (id, actions) = rig.request(SAFE);
@@ -196,7 +196,7 @@
 }
 
 #[test]
-fn one_bad_request_does_not_open_a_circuit() {
+fn one_bad_request_does_not_open_circuit() {
     let mut rig = Rig::new(settings(), 3, 4);
     for _ in 0..9 {
         rig.request(SAFE);
@@ -213,7 +213,7 @@
 }
 
 #[test]
-fn every_circuit_open_is_a_failed_try_that_backs_off_and_ends_in_a_refusal() {
+fn backs_off_then_rejects_when_every_circuit_is_open() {
     let mut rig = Rig::new(settings(), 2, 4);
     for _ in 0..14 {
         let (id, actions) = rig.request(SAFE);
--- a/crates/balancer/tests/concurrency_limit.rs
+++ b/crates/balancer/tests/concurrency_limit.rs
@@ -22,20 +22,20 @@
 
 // Nine caps that can't be filled, as their endpoints are cold, are no sign that the tenth has room enough.
 #[test]
-fn a_cap_that_is_full_grows_while_requests_wait_whatever_room_others_have() {
+fn full_limit_grows_while_requests_wait_whatever_others_have_left() {
     let to_warm = at_once_to_the_warm_one(100);
     assert!(to_warm >= 6, "{to_warm}");
 }
 
 // The fair part of what is in flight is a small one where most of it belongs to endpoints that get nothing now.
 #[test]
-fn the_part_of_cold_endpoints_that_have_had_their_due_is_left_to_the_others() {
+fn fair_share_of_endpoints_without_slow_start_budget_goes_to_others() {
     let to_warm = at_once_to_the_warm_one(0);
     assert!(to_warm >= 2, "{to_warm}");
 }
 
 #[test]
-fn tenants_far_above_their_share_wait_behind_the_others() {
+fn tenants_over_quota_queue_behind_others() {
     let mut set = settings();
     set.tenants = vec![Tenant { quota_per_s: 10.0, capacity_share: 0.5 }; 2];
     let mut rig = Rig::new(set, 1, 1);
@@ -48,7 +48,7 @@
 }
 
 #[test]
-fn a_retry_waits_for_room_from_when_it_comes() {
+fn queue_timeout_of_retry_begins_with_the_retry() {
     let mut rig = Rig::new(settings(), 1, 1);
     let ids: Vec<_> = (0..2).map(|_| rig.request(SAFE).0).collect();
     rig.wait(200 * MS);
@@ -61,7 +61,7 @@
 }
 
 #[test]
-fn the_end_of_a_first_wait_does_not_end_a_second_one() {
+fn first_queue_timeout_does_not_end_second_wait() {
     let mut rig = Rig::new(settings(), 1, 1);
     let first: Vec<_> = (0..2).map(|_| rig.request(SAFE).0).collect();
     let (id, _) = rig.request(SAFE);
@@ -76,7 +76,7 @@
 }
 
 #[test]
-fn repeats_wait_behind_first_tries() {
+fn client_retries_queue_behind_first_attempts() {
     let mut rig = Rig::new(settings(), 1, 1);
     let first = rig.request(SAFE).0;
     rig.request(SAFE);
@@ -101,7 +101,7 @@
 }
 
 #[test]
-fn short_aims_do_not_starve_behind_long_ones_in_the_queue() {
+fn short_objectives_do_not_starve_behind_long_ones_in_queue() {
     let mut set = settings();
     set.classes[KEYED].latency_objective = 300 * MS;
     let mut rig = Rig::new(set, 1, 1);
@@ -113,7 +113,7 @@
 }
 
 #[test]
-fn tiny_requests_do_not_make_the_fleet_look_crowded() {
+fn tiny_requests_do_not_make_fleet_look_crowded() {
     let mut rig = Rig::new(settings(), 2, 1);
     for n in 0..400 {
         (0..6).for_each(|i| {
@@ -127,7 +127,7 @@
 }
 
 #[test]
-fn caps_rise_by_even_steps_from_the_smallest() {
+fn limits_rise_by_even_steps_from_the_smallest() {
     // Steps in proportion to the cap would keep sidecars apart for good once one has fallen behind; and a
     // cap under two must not pass for unused while the one call it allows is out.
     let mut rig = Rig::new(Settings { instances: 4, ..settings() }, 1, 1);
@@ -142,7 +142,7 @@
 }
 
 #[test]
-fn caps_fall_while_calls_take_half_of_their_aim() {
+fn limits_fall_while_calls_take_half_of_their_objective() {
     // Their mean is inside the aim, but in a queue's spread one in seven of them is late.
     let mut rig = Rig::new(settings(), 4, 1);
     (0..80).for_each(|_| {
@@ -158,14 +158,14 @@
 }
 
 #[test]
-fn many_sidecars_begin_with_caps_over_the_root_of_their_number() {
+fn initial_limits_are_divided_by_root_of_number_of_sidecars() {
     let mut rig = Rig::new(Settings { instances: 16, ..settings() }, 4, 1);
     let sent: usize = (0..12).map(|_| sent(&rig.request(SAFE).1).len()).sum();
     assert_eq!(sent, 4, "half a request each is one at a time, where one sidecar alone has two");
 }
 
 #[test]
-fn a_quiet_sidecar_among_many_is_not_refused_what_comes_in_threes() {
+fn quiet_sidecar_among_many_is_not_rejected_bursts_of_three() {
     let mut rig = Rig::new(Settings { instances: 150, ..settings() }, 10, 1);
     used(&mut rig, 30);
     for _ in 0..20 {
@@ -176,7 +176,7 @@
 }
 
 #[test]
-fn requests_wait_only_while_all_are_capped_and_go_when_one_is_free() {
+fn queues_requests_only_while_all_endpoints_are_at_their_limits() {
     let mut rig = Rig::new(settings(), 2, 4);
     let ids: Vec<_> = (0..5).map(|_| rig.request(SAFE)).collect();
     let waiting: Vec<_> = ids.iter().filter(|(_, a)| sent(a).is_empty()).map(|(id, _)| *id).collect();
@@ -188,14 +188,14 @@
 }
 
 #[test]
-fn a_request_that_waits_too_long_is_refused() {
+fn rejects_request_that_is_queued_too_long() {
     let mut rig = Rig::new(settings(), 2, 4);
     let last = (0..9).map(|_| rig.request(UNSAFE).0).last().expect("nine requests");
     assert!(refused(&rig.wait(450 * MS), last));
 }
 
 #[test]
-fn caps_grow_with_answers_in_time_and_shrink_with_late_ones() {
+fn limits_grow_with_answers_in_time_and_shrink_with_late_ones() {
     let most = |time: Micros| {
         let mut rig = Rig::new(settings(), 2, 4);
         for _ in 0..30 {
@@ -212,7 +212,7 @@
 
 // Slow clients would else fill every bulkhead while the endpoints wait for them, and all others be refused.
 #[test]
-fn a_request_whose_body_still_comes_holds_no_place() {
+fn request_with_incomplete_body_takes_no_capacity() {
     let mut rig = Rig::new(settings(), 2, 1);
     let ask = |rig: &mut Rig, coming| {
         let id = rig.next;
--- a/crates/balancer/tests/endpoint_list.rs
+++ b/crates/balancer/tests/endpoint_list.rs
@@ -5,7 +5,7 @@
 use lotusmoor_balancer::*;
 
 #[test]
-fn draining_and_gone_endpoints_get_nothing_at_once() {
+fn sends_nothing_to_draining_or_removed_endpoints() {
     for status in [EndpointStatus::Draining, EndpointStatus::Removed] {
         let mut rig = Rig::new(settings(), 3, 1);
         delta(&mut rig, EndpointEntry { status, ..listing(1) });
@@ -17,7 +17,7 @@
 
 // Its number may be another endpoint's next, which must not be held for what the last one did.
 #[test]
-fn nothing_is_known_of_an_endpoint_whose_number_was_released() {
+fn forgets_endpoint_when_its_number_is_released() {
     for released in [false, true] {
         let mut rig = Rig::new(settings(), 1, 1);
         for _ in 0..6 {
@@ -38,14 +38,14 @@
 }
 
 #[test]
-fn what_a_full_list_leaves_out_is_gone() {
+fn removes_endpoints_missing_from_full_list() {
     let mut rig = Rig::new(settings(), 3, 1);
     rig.event(Event::EndpointList(EndpointListUpdate::Full(vec![listing(0), listing(2)])));
     assert!(!used(&mut rig, 12).contains(&1));
 }
 
 #[test]
-fn with_no_endpoint_at_all_requests_are_refused_at_once() {
+fn rejects_at_once_without_endpoints() {
     let mut rig = Rig::new(settings(), 1, 1);
     rig.event(Event::EndpointList(EndpointListUpdate::Full(Vec::new())));
     let (id, actions) = rig.request(UNSAFE);
@@ -53,7 +53,7 @@
 }
 
 #[test]
-fn a_waiting_request_does_not_go_to_an_endpoint_that_began_to_drain() {
+fn does_not_send_queued_request_to_draining_endpoint() {
     let mut rig = Rig::new(settings(), 1, 1);
     (0..5).for_each(|_| drop(rig.request(SAFE)));
     delta(&mut rig, EndpointEntry { status: EndpointStatus::Draining, ..listing(0) });
@@ -62,7 +62,7 @@
 }
 
 #[test]
-fn discovery_is_asked_at_start_and_again_after_failures_with_waits() {
+fn subscribes_at_start_and_after_failures_with_backoff() {
     let mut set = settings();
     set.discovery = DiscoveryMode::Polled;
     let mut balancer = Balancer::new(set.clone(), 1).expect("usable settings");
@@ -86,14 +86,14 @@
 }
 
 #[test]
-fn an_endpoint_number_out_of_all_bounds_is_ignored() {
+fn ignores_out_of_range_endpoint_number() {
     let mut rig = Rig::new(settings(), 2, 1);
     delta(&mut rig, listing(EndpointId::MAX));
     assert!(used(&mut rig, 8).iter().all(|e| *e < 2));
 }
 
 #[test]
-fn a_cordoned_endpoint_gets_nothing_whatever_the_list_says() {
+fn sends_nothing_to_cordoned_endpoint_whatever_the_list_says() {
     let mut rig = Rig::new(settings(), 2, 1);
     rig.event(Event::Cordoned(0));
     rig.event(Event::Cordoned(0));
@@ -118,7 +118,7 @@
 }
 
 #[test]
-fn with_all_endpoints_cordoned_a_request_is_refused_at_once() {
+fn rejects_at_once_when_all_endpoints_are_cordoned() {
     let mut rig = Rig::new(settings(), 2, 1);
     let (out, _) = rig.request(SAFE);
     let waits = rig.out[&(out, 0)].endpoint;
@@ -134,7 +134,7 @@
 
 // Given back, it was restarted: a new process that is used again soon, and may not be sent much.
 #[test]
-fn an_endpoint_that_operators_give_back_is_used_at_once_and_within_its_cold_cap() {
+fn uses_uncordoned_endpoint_at_once_within_its_slow_start_budget() {
     let mut rig = Rig::new(settings(), 4, 1);
     let serve = |rig: &mut Rig, requests: usize| {
         let mut to = [0; 4];
--- a/crates/balancer/tests/latency.rs
+++ b/crates/balancer/tests/latency.rs
@@ -5,7 +5,7 @@
 use lotusmoor_balancer::*;
 
 #[test]
-fn a_slow_endpoint_without_errors_loses_its_turns() {
+fn slow_endpoint_without_errors_loses_its_turns() {
     let mut rig = Rig::new(settings(), 4, 1);
     used(&mut rig, 80);
     let (mut slow, mut all) = (0, 0);
@@ -26,7 +26,7 @@
 }
 
 #[test]
-fn a_lasting_new_pace_passes_for_the_usual_one_in_the_end() {
+fn lasting_change_of_latency_becomes_the_unloaded_latency() {
     // A fleet that has become eight times slower for good, still well inside the aim, is not refused for good.
     let mut rig = Rig::new(Settings { instances: 4, ..settings() }, 2, 1);
     let ask = |rig: &mut Rig| drop(rig.request_for(SAFE, 3000 * MS, None, Some(10 * MS)));
@@ -47,7 +47,7 @@
 }
 
 #[test]
-fn slower_endpoints_have_fewer_turns_even_with_no_crowd() {
+fn slower_endpoints_have_fewer_turns_without_load() {
     let mut rig = Rig::new(settings(), 4, 1);
     let mut slow = 0;
     for _ in 0..200 {
@@ -59,7 +59,7 @@
 }
 
 #[test]
-fn a_fleet_slower_than_hints_say_from_the_first_answer_is_no_crowd() {
+fn fleet_slower_than_work_hints_is_not_taken_for_crowded() {
     let mut rig = Rig::new(settings(), 4, 1);
     for _ in 0..150 {
         (0..3).for_each(|_| drop(rig.request_for(SAFE, 3000 * MS, None, Some(60 * MS))));
@@ -70,7 +70,7 @@
 }
 
 #[test]
-fn a_jam_does_not_pass_for_the_usual_pace() {
+fn overload_does_not_become_the_unloaded_latency() {
     let mut rig = Rig::new(settings(), 4, 1);
     used(&mut rig, 300);
     for _ in 0..60 {
@@ -82,7 +82,7 @@
 }
 
 #[test]
-fn a_long_stream_is_neither_silence_nor_slowness_and_outlives_its_copies() {
+fn long_stream_is_neither_silence_nor_slowness_and_cancels_other_attempts() {
     let mut rig = Rig::new(settings(), 2, 1);
     let (id, actions) = rig.request(SAFE);
     rig.wait(800 * MS);
@@ -136,7 +136,7 @@
 }
 
 #[test]
-fn what_one_endpoint_shows_of_its_kind_holds_for_those_not_yet_met() {
+fn latency_of_machine_type_holds_for_unknown_endpoints() {
     let mut slow = 0;
     for seed in 0..20 {
         let mut rig = Rig::new(Settings { instances: 1000, ..settings() }, 0, seed);
@@ -150,7 +150,7 @@
 
 // Where clients wait a second, a sidecar that has just begun can't take four to learn which kind is slow.
 #[test]
-fn the_pace_of_a_kind_is_learnt_within_deadlines() {
+fn learns_latency_of_machine_type_within_deadlines() {
     let mut slow = 0;
     for seed in 0..20 {
         let mut set = Settings { instances: 1000, ..settings() };
--- a/crates/balancer/tests/load_shedding.rs
+++ b/crates/balancer/tests/load_shedding.rs
@@ -7,7 +7,7 @@
 // A process that has just started, in an upgrade say, knows of no open circuit yet. What it sends to endpoints that fail
 // is all that it has seen: it must not pass for an overload in which nearly all are turned away at once.
 #[test]
-fn a_new_sidecar_does_not_take_its_first_failures_for_an_overload() {
+fn new_sidecar_does_not_take_first_errors_for_overload() {
     let mut turned_away = 0;
     for seed in 1..=10 {
         let mut rig = Rig::new(settings(), 4, seed);
@@ -41,7 +41,7 @@
 }
 
 #[test]
-fn what_comes_back_late_is_shed_in_good_part_but_never_wholly_and_recovers() {
+fn sheds_most_late_work_but_not_all_and_recovers() {
     let mut rig = Rig::new(Settings { instances: 1000, ..settings() }, 12, 1);
     assert_eq!(taken(&mut rig, 40, 500 * MS), 40);
     taken(&mut rig, 40, 1500 * MS);
@@ -54,7 +54,7 @@
 
 // Clients that wait a second are turned away for what went wrong ten of their deadlines ago, else.
 #[test]
-fn shedding_looks_back_by_what_clients_wait() {
+fn shedding_window_follows_deadlines() {
     let mut set = Settings { instances: 1000, ..settings() };
     set.classes.iter_mut().for_each(|c| (c.latency_objective, c.deadline) = (250 * MS, 1000 * MS));
     let mut rig = Rig::new(set, 12, 1);
--- a/crates/balancer/tests/request.rs
+++ b/crates/balancer/tests/request.rs
@@ -20,7 +20,7 @@
 }
 
 #[test]
-fn a_request_that_comes_too_late_is_refused_unsent() {
+fn rejects_request_past_its_deadline_unsent() {
     for left in [0, -5, 1, 10] {
         let mut rig = Rig::new(settings(), 2, 1);
         let (id, actions) = rig.request_for(UNSAFE, left * MS, None, None);
@@ -29,7 +29,7 @@
 }
 
 #[test]
-fn a_started_stream_has_no_deadline_and_its_interruption_ends_the_request() {
+fn started_stream_has_no_deadline_and_its_interruption_ends_request() {
     let mut rig = Rig::new(settings(), 2, 1);
     let (id, _) = rig.request_for(SAFE, 500 * MS, None, None);
     rig.event(Event::StreamStarted { request: id, attempt: 0 });
@@ -89,7 +89,7 @@
 }
 
 #[test]
-fn a_client_that_left_ends_the_request_and_its_attempt() {
+fn abandoned_request_cancels_its_attempt() {
     let mut rig = Rig::new(settings(), 2, 1);
     let (id, _) = rig.request(SAFE);
     assert_eq!(rig.event(Event::RequestAbandoned(id)), [Action::Cancel { request: id, attempt: 0 }]);
--- a/crates/balancer/tests/retry.rs
+++ b/crates/balancer/tests/retry.rs
@@ -6,7 +6,7 @@
 
 // Told nothing, clients come back at once, all of them and several times.
 #[test]
-fn a_refusal_says_when_to_come_back_where_that_is_allowed() {
+fn rejection_carries_retry_after_where_allowed() {
     for allowed in [false, true] {
         let mut set = settings();
         set.limits.sends_retry_after = allowed;
@@ -31,7 +31,7 @@
 }
 
 #[test]
-fn retries_are_rationed() {
+fn retry_budget_bounds_retries() {
     let mut rig = Rig::new(settings(), 12, 1);
     used(&mut rig, 20);
     let before: AttemptNumber = rig.sends.values().sum();
@@ -52,7 +52,7 @@
 
 // A connection may come up long after the send was decided, and endpoints drop repeats up to a time that then is over.
 #[test]
-fn a_repeat_of_what_may_have_run_says_how_long_it_may_wait_to_be_written() {
+fn retry_with_key_carries_its_idempotency_window() {
     let windows = |actions: &[Action]| -> Vec<_> {
         let of = |a: &Action| {
             if let Action::Send { idempotency_window: window, .. } = a { Some(*window) } else { None }
@@ -86,7 +86,7 @@
 }
 
 #[test]
-fn waits_grow_between_base_and_most_delay_and_are_jittered() {
+fn backoff_grows_between_bounds_and_is_jittered() {
     let mut waits = [Vec::new(), Vec::new()];
     for seed in 0..40 {
         let mut set = settings();
@@ -109,7 +109,7 @@
 }
 
 #[test]
-fn time_outs_and_waits_fit_the_time_left() {
+fn time_outs_and_backoffs_fit_the_time_left() {
     for left in [200, 700, 2000, 3500] {
         let mut rig = Rig::new(settings(), 4, 3);
         let (id, _) = rig.request_for(SAFE, left * MS, None, Some(20 * MS));
@@ -125,7 +125,7 @@
 }
 
 #[test]
-fn retries_prefer_an_endpoint_not_yet_tried() {
+fn retries_prefer_endpoint_not_yet_tried() {
     for seed in 0..20 {
         let mut rig = Rig::new(settings(), 3, seed);
         let (id, first) = rig.request(SAFE);
@@ -141,7 +141,7 @@
 
 /// Every row of filter x class x outcome: what follows a first attempt that ended so.
 #[test]
-fn the_retry_filter_by_class_and_outcome() {
+fn filters_retries_by_class_and_outcome() {
     use Outcome::*;
     for outcome in
         [Error, Rejected, TimedOut, ConnectFailed, Reset, ReusedConnectionReset, Cancelled, NotSent]
@@ -166,7 +166,7 @@
 }
 
 #[test]
-fn keyed_retries_end_with_the_dedup_time() {
+fn retries_with_key_end_with_the_deduplication_time() {
     let mut set = settings();
     set.classes[KEYED].late_value_share = 0.5;
     let mut rig = Rig::new(set, 1, 5);
@@ -180,7 +180,7 @@
 
 // A client that is told that a further try is harmless comes back at the time named, if not later.
 #[test]
-fn what_may_have_run_is_refused_only_while_its_repeat_is_dropped() {
+fn rejects_possible_execution_only_while_its_key_is_deduplicated() {
     for (ttl, harmless) in [(1200, true), (810, false), (500, false)] {
         let mut set = settings();
         set.classes[KEYED].idempotency = Idempotency::WithKey { scope: DedupScope::All, ttl: ttl * MS };
@@ -207,7 +207,7 @@
 }
 
 #[test]
-fn what_cannot_be_sent_again_is_finished_at_once() {
+fn answers_at_once_when_body_is_consumed() {
     for (outcome, refuses) in [(Outcome::ConnectFailed, true), (Outcome::Reset, false)] {
         let mut rig = Rig::new(settings(), 2, 1);
         let (request, actions) = rig.request(UNSAFE);
--- a/crates/balancer/tests/rules.rs
+++ b/crates/balancer/tests/rules.rs
@@ -282,14 +282,14 @@
 }
 
 #[test]
-fn the_rules_hold_over_random_sequences() {
+fn protocol_rules_hold_over_random_sequences() {
     for seed in 0..300 {
         assert!(!play(seed, 400).is_empty());
     }
 }
 
 #[test]
-fn the_same_events_give_the_same_actions() {
+fn same_events_give_same_actions() {
     for seed in 0..20 {
         assert_eq!(play(seed, 200), play(seed, 200));
     }
--- a/crates/balancer/tests/selection.rs
+++ b/crates/balancer/tests/selection.rs
@@ -5,7 +5,7 @@
 use lotusmoor_balancer::*;
 
 #[test]
-fn sick_endpoints_do_not_lead_on_to_the_whole_fleet() {
+fn failing_endpoints_do_not_extend_subset_to_whole_fleet() {
     let mut rig = Rig::new(Settings { instances: 1000, ..settings() }, 64, 5);
     let mut met = std::collections::BTreeSet::new();
     for _ in 0..200 {
@@ -22,7 +22,7 @@
 // A sidecar that goes round the whole fleet meets each endpoint once in seconds: it learns of none before it has
 // lost a request to it, and holds a connection to each.
 #[test]
-fn a_sidecar_goes_round_as_many_endpoints_as_its_traffic_can_learn_of() {
+fn subset_is_as_large_as_traffic_can_learn_of() {
     for mut to in gone_round(0) {
         to.sort_unstable();
         to.dedup();
@@ -57,7 +57,7 @@
 }
 
 #[test]
-fn little_traffic_goes_round_few_endpoints_and_more_goes_round_more() {
+fn subset_grows_with_traffic() {
     for (pause, range) in [(500 * MS, 8..=24), (25 * MS, 60..=64)] {
         let mut rig = Rig::new(settings(), 64, 1);
         let mut used = std::collections::BTreeMap::new();
@@ -72,7 +72,7 @@
 }
 
 #[test]
-fn an_endpoint_lost_from_the_few_is_replaced() {
+fn replaces_lost_endpoint_of_subset() {
     let mut rig = Rig::new(settings(), 64, 1);
     let mut first = None;
     for _ in 0..40 {
@@ -91,7 +91,7 @@
 }
 
 #[test]
-fn instances_start_their_turns_apart() {
+fn sidecars_start_their_turns_at_different_endpoints() {
     let first = |seed| sent(&Rig::new(settings(), 8, seed).request(SAFE).1)[0];
     let firsts: std::collections::BTreeSet<_> = (0..20).map(first).collect();
     assert!(firsts.len() > 2, "{firsts:?}");
--- a/crates/balancer/tests/settings.rs
+++ b/crates/balancer/tests/settings.rs
@@ -71,7 +71,7 @@
 }
 
 #[test]
-fn unusable_settings_are_an_error() {
+fn rejects_unusable_settings() {
     let spoil = |f: fn(&mut Settings)| {
         let mut set = settings();
         f(&mut set);
@@ -86,7 +86,7 @@
 }
 
 #[test]
-fn an_error_of_settings_names_the_setting() {
+fn settings_error_names_the_setting() {
     type Spoil = fn(&mut Settings);
     let spoilt: [(Spoil, &str); 8] = [
         (|s| s.classes.clear(), "classes"),
--- a/crates/balancer/tests/slow_start.rs
+++ b/crates/balancer/tests/slow_start.rs
@@ -27,7 +27,7 @@
 // not be made: an endpoint taken for a cold new one gets next to nothing for seconds. Several that can't be made
 // and no answer since tell of a restart.
 #[test]
-fn broken_connections_alone_do_not_make_an_endpoint_pass_for_cold() {
+fn broken_connections_alone_do_not_begin_slow_start() {
     use Outcome::{ConnectFailed, Reset};
     let cold = sent_after(&[ConnectFailed; 3]);
     for ends in [[Reset; 3], [Reset, ConnectFailed, Reset], [Reset, Reset, ConnectFailed]] {
@@ -38,7 +38,7 @@
 
 // Whatever broke the connections, the process that answers a request it had before is no new one.
 #[test]
-fn an_answer_to_what_was_sent_before_connections_failed_proves_that_the_process_lives() {
+fn answer_to_earlier_attempt_proves_that_process_did_not_restart() {
     for lives in [false, true] {
         let mut rig = Rig::new(settings(), 1, 1);
         used(&mut rig, 100);
@@ -62,7 +62,7 @@
 }
 
 #[test]
-fn a_cold_endpoint_gets_a_small_part_that_grows() {
+fn endpoint_in_slow_start_gets_a_small_share_that_grows() {
     let mut rig = Rig::new(settings(), 4, 1);
     used(&mut rig, 200);
     let now = rig.now;
@@ -78,7 +78,7 @@
 }
 
 #[test]
-fn a_cold_endpoint_left_alone_is_not_pushed_over_by_a_burst() {
+fn burst_does_not_overload_only_endpoint_in_slow_start() {
     let mut rig = Rig::new(settings(), 4, 1);
     used(&mut rig, 60);
     for _ in 0..12 {
@@ -96,7 +96,7 @@
 // After a release most of the fleet is cold. What the warm ones serve is the measure of what a cold one can do: parted
 // among cold ones as well, it leaves them idle while the warm ones are overrun.
 #[test]
-fn among_many_cold_endpoints_each_gets_what_it_can_do() {
+fn many_endpoints_in_slow_start_each_get_their_capacity() {
     let mut rig = Rig::new(settings(), 12, 1);
     let mut to = [0; 12];
     for step in 0..80 {
@@ -117,7 +117,7 @@
 
 // What fails all that it is sent serves nothing: cold endpoints are no smaller for it.
 #[test]
-fn a_cold_endpoint_is_measured_by_those_that_serve() {
+fn slow_start_budget_follows_endpoints_that_serve() {
     let mut rig = Rig::new(settings(), 6, 1);
     let mut to_cold = 0;
     for step in 0..200 {
@@ -140,7 +140,7 @@
 // What cold ones serve follows from what they are let serve: measured by it, a process that begins when most are cold
 // takes seconds to find out what they can do.
 #[test]
-fn where_most_are_cold_from_the_start_what_warm_ones_serve_is_soon_the_measure() {
+fn slow_start_budget_soon_follows_warm_endpoints_when_most_are_in_slow_start() {
     let mut rig = Rig::new(settings(), 10, 1);
     let started = Some(rig.now);
     (1..10).for_each(|e| drop(delta(&mut rig, EndpointEntry { started_at: started, ..listing(e) })));
@@ -157,7 +157,7 @@
 
 // Slow ones are warm, and yet no measure of what another can do.
 #[test]
-fn a_cold_endpoint_is_not_measured_by_slow_ones() {
+fn slow_start_budget_does_not_follow_slow_endpoints() {
     let mut rig = Rig::new(settings(), 5, 1);
     let mut to_cold = 0;
     for step in 0..300 {
@@ -203,13 +203,13 @@
 // The rules tell the least that a cold one can do, and most can do more: while requests wait it is sent more, as long
 // as its answers come in time.
 #[test]
-fn a_cold_endpoint_that_answers_in_time_is_sent_more_while_requests_wait() {
+fn endpoint_in_slow_start_that_answers_in_time_gets_more_while_requests_wait() {
     let (in_time, late) = (sent_to_a_cold_one(50 * MS), sent_to_a_cold_one(400 * MS));
     assert!(in_time >= 125 && late <= 6, "{in_time} {late}");
 }
 
 #[test]
-fn many_sidecars_that_see_little_do_not_push_a_cold_endpoint_over_together() {
+fn many_quiet_sidecars_do_not_overload_endpoint_in_slow_start() {
     let mut to_cold = 0;
     for index in 0..200 {
         let set = Settings { instances: 200, index, ..settings() };
@@ -224,7 +224,7 @@
 }
 
 #[test]
-fn a_fleet_that_is_all_cold_is_tried_a_little_and_fully_used_once_warm() {
+fn fleet_in_slow_start_gets_little_and_is_fully_used_once_warm() {
     let mut rig = Rig::new(Settings { instances: 200, ..settings() }, 0, 3);
     let cold = |endpoint| EndpointEntry { started_at: Some(START), ..listing(endpoint) };
     rig.event(Event::EndpointList(EndpointListUpdate::Full((0..50).map(cold).collect())));
@@ -250,7 +250,7 @@
 }
 
 #[test]
-fn what_comes_back_after_lost_connections_is_cold_before_the_list_says_so() {
+fn endpoint_back_after_lost_connections_begins_slow_start_before_it_is_listed() {
     let mut rig = Rig::new(settings(), 4, 1);
     for _ in 0..40 {
         let (id, actions) = rig.request(SAFE);
@@ -266,7 +266,7 @@
 
 // Of what a cold endpoint can do, those few sidecars that go round it have to send all.
 #[test]
-fn sidecars_that_go_round_a_part_of_the_fleet_send_cold_endpoints_their_whole_part() {
+fn sidecars_with_subsets_send_endpoints_in_slow_start_their_full_share() {
     let to: Vec<_> = gone_round(32).concat();
     let cold = to.iter().filter(|e| **e < 32).count();
     // At about half of their capacity they have a third of the whole.
@@ -276,7 +276,7 @@
 // A sidecar that has just started, in an upgrade say, may find most of its endpoints cold: what it serves in its first
 // moments is no small part of what they can do.
 #[test]
-fn a_new_sidecar_sends_a_cold_endpoint_its_part_from_the_start() {
+fn new_sidecar_sends_endpoint_in_slow_start_its_share_from_the_start() {
     let to_cold: usize = (1..=10)
         .map(|seed| {
             let mut rig = Rig::new(settings(), 4, seed);
--- a/crates/simulator-adapter/tests/wire.rs
+++ b/crates/simulator-adapter/tests/wire.rs
@@ -41,7 +41,7 @@
 }
 
 #[test]
-fn empty_batches_get_their_number_back_and_blank_lines_between_them_are_nothing() {
+fn answers_empty_batches_and_ignores_blank_lines_between_them() {
     assert_eq!(
         run("mark WallUs=1 batch=1\ngo\n\nmark batch=7 WallUs=5\ngo\n").as_deref(),
         Ok("next batch=1\nnext batch=7\n")
@@ -50,7 +50,7 @@
 }
 
 #[test]
-fn a_demand_is_handed_off_and_an_answer_ends_it() {
+fn sends_request_and_ends_it_with_the_answer() {
     let input = batch(1, &(start(0) + &demand(0, 593372770898372)));
     let reply = run(&input).expect("readable");
     assert!(reply.contains("hand_off I=0 Ticket=593372770898372 Endpoint=10.0.0."), "{reply}");
@@ -64,7 +64,7 @@
 }
 
 #[test]
-fn every_event_is_read() {
+fn decodes_every_event() {
     let events = start(0)
         + &demand(0, 1)
         + "under_way I=0 Ticket=1 Go=0 Endpoint=10.0.0.1:80 TookUs=5\n\
@@ -78,7 +78,7 @@
 }
 
 #[test]
-fn every_disposition_is_read() {
+fn decodes_every_outcome() {
     for word in [
         "OK",
         "INTERNAL",
@@ -95,7 +95,7 @@
 }
 
 #[test]
-fn a_reused_catalog_number_means_the_latest_list_before_the_event() {
+fn reused_catalog_number_means_latest_list_before_the_event() {
     let list = |host: &str| format!("catalog RosterId=0 Hosts=1\nm Endpoint={host} Status=1 Group=0\n");
     let both = format!(
         "start I=0 RandomSeed=1 Conf={0}\nstart I=1 RandomSeed=1 Conf={0}\n{1}endpoints I=0 Epoch=1 Kind=2 RosterId=0\n\
@@ -125,7 +125,7 @@
 }
 
 #[test]
-fn an_instance_acts_alike_alone_and_beside_others() {
+fn instance_acts_the_same_alone_and_beside_others() {
     let play = |others: bool| {
         let mut input = String::new();
         for n in 1..60 {
@@ -149,7 +149,7 @@
 }
 
 #[test]
-fn what_cannot_be_read_is_named_with_its_line() {
+fn error_names_line_and_field() {
     let good = start(0);
     for (events, line, word) in [
         ("demand I=0 Profile=look DueUs=9\n", 7, "Ticket"),
@@ -189,7 +189,7 @@
 }
 
 #[test]
-fn hostile_lines_never_panic() {
+fn malformed_lines_never_panic() {
     let mut rng = fastrand::Rng::with_seed(11);
     let numbers =
         ["0", "-1", "1", "9223372036854775807", "-9223372036854775808", "4503599627370495", "NaN", "", "1e9"];
@@ -275,14 +275,14 @@
 }
 
 #[test]
-fn input_that_is_not_text_is_told() {
+fn reports_input_that_is_not_utf8() {
     let error =
         serve(&b"mark WallUs=1 batch=1\n\xff\xfe\n"[..], Vec::new()).expect_err("not text").to_string();
     assert_eq!(error, "line 2: not UTF-8");
 }
 
 #[test]
-fn megabyte_batches_are_served() {
+fn serves_megabyte_batches() {
     let mut events = start(0);
     (0..12_000).for_each(|t| events += &demand(0, t));
     assert!(events.len() > 1_000_000);
