--- a/crates/balancer/tests/common/mod.rs
+++ b/crates/balancer/tests/common/mod.rs
@@ -1,12 +1,12 @@
-//! A sidecar in miniature: it keeps the clock, fires timers and remembers what is out.
+//! A test harness: a sidecar in miniature that holds the clock, fires timers and records attempts in flight.
 #![allow(dead_code)]
 
 use lotusmoor_balancer::*;
 use std::collections::BTreeMap;
 
-pub const SAFE: ClassId = 0;
-pub const KEYED: ClassId = 1;
-pub const UNSAFE: ClassId = 2;
+pub const IDEMPOTENT: ClassId = 0;
+pub const WITH_KEY: ClassId = 1;
+pub const NON_IDEMPOTENT: ClassId = 2;
 pub const MS: Micros = 1000;
 pub const START: Micros = 50_000 * MS;
 
@@ -58,7 +58,7 @@
 }
 
 /// Two endpoints to a cell and to a zone.
-pub fn listing(endpoint: EndpointId) -> EndpointEntry {
+pub fn ready_entry(endpoint: EndpointId) -> EndpointEntry {
     let (zone, cell) = (Some(endpoint / 2), endpoint as u64 / 2);
     EndpointEntry {
         endpoint,
@@ -72,39 +72,49 @@
 }
 
 #[derive(Clone, Copy, Debug)]
-pub struct Out {
+pub struct SentAttempt {
     pub endpoint: EndpointId,
-    pub sent: Micros,
+    pub sent_at: Micros,
     pub timeout: Micros,
 }
 
-pub struct Rig {
+pub struct Harness {
     pub balancer: Balancer,
     pub now: Micros,
-    pub set: Settings,
+    pub settings: Settings,
     pub timers: Vec<(Micros, u64)>,
-    pub out: BTreeMap<(RequestId, AttemptNumber), Out>,
-    pub sends: BTreeMap<RequestId, AttemptNumber>,
-    pub next: RequestId,
+    pub in_flight: BTreeMap<(RequestId, AttemptNumber), SentAttempt>,
+    pub attempts_sent: BTreeMap<RequestId, AttemptNumber>,
+    pub next_request: RequestId,
 }
 
-impl Rig {
-    pub fn new(set: Settings, endpoints: usize, seed: u64) -> Self {
-        let balancer = Balancer::new(set.clone(), seed).expect("usable settings");
-        let (timers, out, sends) = (Vec::new(), BTreeMap::new(), BTreeMap::new());
-        let mut rig = Self { balancer, now: START, set, timers, out, sends, next: 1 };
-        rig.event(Event::EndpointList(EndpointListUpdate::Cached((0..endpoints).map(listing).collect())));
-        rig
+impl Harness {
+    pub fn new(settings: Settings, endpoints: usize, seed: u64) -> Self {
+        let balancer = Balancer::new(settings.clone(), seed).expect("usable settings");
+        let mut harness = Self {
+            balancer,
+            now: START,
+            settings,
+            timers: Vec::new(),
+            in_flight: BTreeMap::new(),
+            attempts_sent: BTreeMap::new(),
+            next_request: 1,
+        };
+        harness.handle(Event::EndpointList(EndpointListUpdate::Cached(
+            (0..endpoints).map(ready_entry).collect(),
+        )));
+        harness
     }
 
-    pub fn event(&mut self, event: Event) -> Vec<Action> {
+    pub fn handle(&mut self, event: Event) -> Vec<Action> {
         let mut actions = Vec::new();
         self.balancer.handle(self.now, event, &mut actions);
         for action in &actions {
             match *action {
                 Action::Send { request, endpoint, timeout, .. } => {
-                    let n = self.sends.entry(request).or_default();
-                    self.out.insert((request, *n), Out { endpoint, sent: self.now, timeout });
+                    let n = self.attempts_sent.entry(request).or_default();
+                    self.in_flight
+                        .insert((request, *n), SentAttempt { endpoint, sent_at: self.now, timeout });
                     *n += 1;
                 }
                 Action::SetTimer { after, token } => self.timers.push((self.now + after, token)),
@@ -115,19 +125,19 @@
     }
 
     /// Moves the clock, and fires the timers and time-outs that are due on the way.
-    pub fn until(&mut self, to: Micros) -> Vec<Action> {
+    pub fn advance_to(&mut self, to: Micros) -> Vec<Action> {
         let mut actions = Vec::new();
         loop {
             let timer = (0..self.timers.len()).min_by_key(|i| self.timers[*i].0);
             let timer = timer.map(|i| (self.timers[i].0, i)).filter(|(at, _)| *at <= to);
-            let over = self.out.iter().map(|(key, o)| (o.sent + o.timeout, *key)).min();
+            let over = self.in_flight.iter().map(|(key, o)| (o.sent_at + o.timeout, *key)).min();
             if let Some((at, (id, n))) = over.filter(|(at, _)| *at <= timer.map_or(to, |t| t.0)) {
                 self.now = self.now.max(at);
-                actions.extend(self.end(id, n, Outcome::TimedOut));
+                actions.extend(self.end_attempt(id, n, Outcome::TimedOut));
             } else if let Some((at, i)) = timer {
                 self.now = self.now.max(at);
                 let (_, token) = self.timers.swap_remove(i);
-                actions.extend(self.event(Event::Timer(token)));
+                actions.extend(self.handle(Event::Timer(token)));
             } else {
                 self.now = to;
                 return actions;
@@ -135,23 +145,23 @@
         }
     }
 
-    pub fn wait(&mut self, time: Micros) -> Vec<Action> {
-        self.until(self.now + time)
+    pub fn advance(&mut self, time: Micros) -> Vec<Action> {
+        self.advance_to(self.now + time)
     }
 
     pub fn request(&mut self, class: ClassId) -> (RequestId, Vec<Action>) {
-        self.request_for(class, 3000 * MS, None, None)
+        self.request_with(class, 3000 * MS, None, None)
     }
 
-    pub fn request_for(
+    pub fn request_with(
         &mut self,
         class: ClassId,
         left: Micros,
         tenant: Option<TenantId>,
         work: Option<Micros>,
     ) -> (RequestId, Vec<Action>) {
-        let id = self.next;
-        self.next += 1;
+        let id = self.next_request;
+        self.next_request += 1;
         let due = self.now + left;
         let new = NewRequest {
             id,
@@ -163,17 +173,22 @@
             is_client_retry: false,
             body_incomplete: false,
         };
-        (id, self.event(Event::RequestReceived(new)))
+        (id, self.handle(Event::RequestReceived(new)))
     }
 
-    pub fn end(&mut self, request: RequestId, attempt: AttemptNumber, outcome: Outcome) -> Vec<Action> {
-        let out = self.out.remove(&(request, attempt)).expect("an attempt that is out");
-        self.event(Event::AttemptEnded(AttemptEnd {
+    pub fn end_attempt(
+        &mut self,
+        request: RequestId,
+        attempt: AttemptNumber,
+        outcome: Outcome,
+    ) -> Vec<Action> {
+        let out = self.in_flight.remove(&(request, attempt)).expect("an attempt in flight");
+        self.handle(Event::AttemptEnded(AttemptEnd {
             request,
             attempt,
             endpoint: out.endpoint,
             outcome,
-            duration: self.now - out.sent,
+            duration: self.now - out.sent_at,
             request_completed: outcome == Outcome::Ok,
             body_consumed: false,
             load_report: LoadReport::default(),
@@ -181,60 +196,60 @@
     }
 
     /// Answers everything that is out, and what follows from it, after `time` each.
-    pub fn serve(&mut self, time: Micros) {
-        while !self.out.is_empty() {
-            self.wait(time);
-            for (request, attempt) in self.out.keys().copied().collect::<Vec<_>>() {
-                self.end(request, attempt, Outcome::Ok);
+    pub fn answer_all(&mut self, time: Micros) {
+        while !self.in_flight.is_empty() {
+            self.advance(time);
+            for (request, attempt) in self.in_flight.keys().copied().collect::<Vec<_>>() {
+                self.end_attempt(request, attempt, Outcome::Ok);
             }
         }
     }
 }
 
-pub fn sent(actions: &[Action]) -> Vec<EndpointId> {
+pub fn targets(actions: &[Action]) -> Vec<EndpointId> {
     let to = |a: &Action| if let Action::Send { endpoint, .. } = a { Some(*endpoint) } else { None };
     actions.iter().filter_map(to).collect()
 }
 
-pub fn refused(actions: &[Action], id: RequestId) -> bool {
+pub fn is_rejected(actions: &[Action], id: RequestId) -> bool {
     actions.iter().any(|a| matches!(a, Action::Reject { request, .. } if *request == id))
 }
 
-pub fn failed(actions: &[Action], id: RequestId) -> bool {
+pub fn is_failed(actions: &[Action], id: RequestId) -> bool {
     actions.contains(&Action::Fail(id))
 }
 
-pub fn delta(rig: &mut Rig, entry: EndpointEntry) -> Vec<Action> {
-    rig.event(Event::EndpointList(EndpointListUpdate::Delta(vec![entry])))
+pub fn update_entry(harness: &mut Harness, entry: EndpointEntry) -> Vec<Action> {
+    harness.handle(Event::EndpointList(EndpointListUpdate::Delta(vec![entry])))
 }
 
-pub fn used(rig: &mut Rig, requests: usize) -> Vec<EndpointId> {
+pub fn serve_requests(harness: &mut Harness, requests: usize) -> Vec<EndpointId> {
     let mut all = Vec::new();
     for _ in 0..requests {
-        all.extend(sent(&rig.request(SAFE).1));
-        rig.serve(20 * MS);
+        all.extend(targets(&harness.request(IDEMPOTENT).1));
+        harness.answer_all(20 * MS);
     }
     all
 }
 
 /// Endpoints that each of some sidecars sends to in the last of five seconds at 16 requests a second, 64 endpoints and
 /// deadlines of a second, with the first of these cold from the third second on.
-pub fn gone_round(cold: usize) -> Vec<Vec<EndpointId>> {
+pub fn targets_of_many_sidecars(cold: usize) -> Vec<Vec<EndpointId>> {
     let sidecar = |seed| {
         let mut set = Settings { instances: 100, ..settings() };
         set.classes.iter_mut().for_each(|c| (c.latency_objective, c.deadline) = (250 * MS, 1000 * MS));
-        let mut rig = Rig::new(set, 64, seed);
+        let mut harness = Harness::new(set, 64, seed);
         let mut to = Vec::new();
         for n in 0..80 {
             if n == 32 {
-                let started = Some(rig.now);
-                let cold = (0..cold).map(|e| EndpointEntry { started_at: started, ..listing(e) });
-                rig.event(Event::EndpointList(EndpointListUpdate::Delta(cold.collect())));
+                let started = Some(harness.now);
+                let cold = (0..cold).map(|e| EndpointEntry { started_at: started, ..ready_entry(e) });
+                harness.handle(Event::EndpointList(EndpointListUpdate::Delta(cold.collect())));
             }
-            let (_, actions) = rig.request_for(SAFE, 800 * MS, None, None);
-            to.extend(sent(&actions).into_iter().filter(|_| n >= 64));
-            rig.serve(20 * MS);
-            rig.wait(42 * MS);
+            let (_, actions) = harness.request_with(IDEMPOTENT, 800 * MS, None, None);
+            to.extend(targets(&actions).into_iter().filter(|_| n >= 64));
+            harness.answer_all(20 * MS);
+            harness.advance(42 * MS);
         }
         to
     };
--- a/crates/balancer/tests/concurrency_limit.rs
+++ b/crates/balancer/tests/concurrency_limit.rs
@@ -6,16 +6,18 @@
 
 /// One warm endpoint among nine that have just started: what it is sent at once of eight requests, once each has been
 /// answered within 20 ms for a while.
-fn at_once_to_the_warm_one(rounds: usize) -> usize {
-    let mut rig = Rig::new(settings(), 10, 1);
+fn concurrent_attempts_at_warm_endpoint(rounds: usize) -> usize {
+    let mut harness = Harness::new(settings(), 10, 1);
     let mut to_warm = 0;
     for round in 0..=rounds {
-        let started = Some(rig.now);
-        (1..10).for_each(|e| drop(delta(&mut rig, EndpointEntry { started_at: started, ..listing(e) })));
-        let sends = (0..8).flat_map(|_| sent(&rig.request(SAFE).1));
+        let started = Some(harness.now);
+        (1..10).for_each(|e| {
+            drop(update_entry(&mut harness, EndpointEntry { started_at: started, ..ready_entry(e) }))
+        });
+        let sends = (0..8).flat_map(|_| targets(&harness.request(IDEMPOTENT).1));
         to_warm = sends.filter(|e| *e == 0 && round == rounds).count();
-        rig.serve(20 * MS);
-        rig.wait(50 * MS);
+        harness.answer_all(20 * MS);
+        harness.advance(50 * MS);
     }
     to_warm
 }
@@ -23,14 +25,14 @@
 // Nine caps that can't be filled, as their endpoints are cold, are no sign that the tenth has room enough.
 #[test]
 fn full_limit_grows_while_requests_wait_whatever_others_have_left() {
-    let to_warm = at_once_to_the_warm_one(100);
+    let to_warm = concurrent_attempts_at_warm_endpoint(100);
     assert!(to_warm >= 6, "{to_warm}");
 }
 
 // The fair part of what is in flight is a small one where most of it belongs to endpoints that get nothing now.
 #[test]
 fn fair_share_of_endpoints_without_slow_start_budget_goes_to_others() {
-    let to_warm = at_once_to_the_warm_one(0);
+    let to_warm = concurrent_attempts_at_warm_endpoint(0);
     assert!(to_warm >= 2, "{to_warm}");
 }
 
@@ -38,50 +40,51 @@
 fn tenants_over_quota_queue_behind_others() {
     let mut set = settings();
     set.tenants = vec![Tenant { quota_per_s: 10.0, capacity_share: 0.5 }; 2];
-    let mut rig = Rig::new(set, 1, 1);
-    let request = |rig: &mut Rig, tenant| rig.request_for(SAFE, 3000 * MS, Some(tenant), None).0;
-    let burst: Vec<_> = (0..12).map(|_| request(&mut rig, 0)).collect();
-    let other = request(&mut rig, 1);
-    rig.wait(50 * MS);
-    rig.end(burst[0], 0, Outcome::Ok);
-    assert!(rig.out.contains_key(&(other, 0)), "it came last and goes first");
+    let mut harness = Harness::new(set, 1, 1);
+    let request =
+        |harness: &mut Harness, tenant| harness.request_with(IDEMPOTENT, 3000 * MS, Some(tenant), None).0;
+    let burst: Vec<_> = (0..12).map(|_| request(&mut harness, 0)).collect();
+    let other = request(&mut harness, 1);
+    harness.advance(50 * MS);
+    harness.end_attempt(burst[0], 0, Outcome::Ok);
+    assert!(harness.in_flight.contains_key(&(other, 0)), "it came last and goes first");
 }
 
 #[test]
 fn queue_timeout_of_retry_begins_with_the_retry() {
-    let mut rig = Rig::new(settings(), 1, 1);
-    let ids: Vec<_> = (0..2).map(|_| rig.request(SAFE).0).collect();
-    rig.wait(200 * MS);
-    rig.end(ids[0], 0, Outcome::Error);
-    rig.request(SAFE);
-    let early = rig.wait(100 * MS);
-    assert!(!refused(&early, ids[0]), "its first wait is long over, this one is not");
-    rig.end(ids[1], 0, Outcome::Ok);
-    assert!(rig.out.contains_key(&(ids[0], 1)));
+    let mut harness = Harness::new(settings(), 1, 1);
+    let ids: Vec<_> = (0..2).map(|_| harness.request(IDEMPOTENT).0).collect();
+    harness.advance(200 * MS);
+    harness.end_attempt(ids[0], 0, Outcome::Error);
+    harness.request(IDEMPOTENT);
+    let early = harness.advance(100 * MS);
+    assert!(!is_rejected(&early, ids[0]), "its first wait is long over, this one is not");
+    harness.end_attempt(ids[1], 0, Outcome::Ok);
+    assert!(harness.in_flight.contains_key(&(ids[0], 1)));
 }
 
 #[test]
 fn first_queue_timeout_does_not_end_second_wait() {
-    let mut rig = Rig::new(settings(), 1, 1);
-    let first: Vec<_> = (0..2).map(|_| rig.request(SAFE).0).collect();
-    let (id, _) = rig.request(SAFE);
-    rig.wait(90 * MS);
-    rig.end(first[0], 0, Outcome::Ok);
-    rig.request(SAFE);
-    rig.end(id, 0, Outcome::Error);
-    let seen = rig.wait(100 * MS);
-    assert!(!refused(&seen, id), "its second wait began less than 0.15 of the aim ago");
-    rig.end(first[1], 0, Outcome::Ok);
-    assert!(rig.out.contains_key(&(id, 1)));
+    let mut harness = Harness::new(settings(), 1, 1);
+    let first: Vec<_> = (0..2).map(|_| harness.request(IDEMPOTENT).0).collect();
+    let (id, _) = harness.request(IDEMPOTENT);
+    harness.advance(90 * MS);
+    harness.end_attempt(first[0], 0, Outcome::Ok);
+    harness.request(IDEMPOTENT);
+    harness.end_attempt(id, 0, Outcome::Error);
+    let seen = harness.advance(100 * MS);
+    assert!(!is_rejected(&seen, id), "its second wait began less than 0.15 of the aim ago");
+    harness.end_attempt(first[1], 0, Outcome::Ok);
+    assert!(harness.in_flight.contains_key(&(id, 1)));
 }
 
 #[test]
 fn client_retries_queue_behind_first_attempts() {
-    let mut rig = Rig::new(settings(), 1, 1);
-    let first = rig.request(SAFE).0;
-    rig.request(SAFE);
-    let due = rig.now + 3000 * MS;
-    let (id, class, repeat, coming) = (0, SAFE, true, false);
+    let mut harness = Harness::new(settings(), 1, 1);
+    let first = harness.request(IDEMPOTENT).0;
+    harness.request(IDEMPOTENT);
+    let due = harness.now + 3000 * MS;
+    let (id, class, repeat, coming) = (0, IDEMPOTENT, true, false);
     let repeat = NewRequest {
         id,
         class,
@@ -92,10 +95,10 @@
         is_client_retry: repeat,
         body_incomplete: coming,
     };
-    rig.event(Event::RequestReceived(repeat));
-    let fresh = rig.request(SAFE).0;
-    rig.wait(50 * MS);
-    let actions = rig.end(first, 0, Outcome::Ok);
+    harness.handle(Event::RequestReceived(repeat));
+    let fresh = harness.request(IDEMPOTENT).0;
+    harness.advance(50 * MS);
+    let actions = harness.end_attempt(first, 0, Outcome::Ok);
     let of = |a: &Action| if let Action::Send { request, .. } = a { Some(*request) } else { None };
     assert_eq!(actions.iter().find_map(of), Some(fresh), "it came last and goes first");
 }
@@ -103,40 +106,40 @@
 #[test]
 fn short_objectives_do_not_starve_behind_long_ones_in_queue() {
     let mut set = settings();
-    set.classes[KEYED].latency_objective = 300 * MS;
-    let mut rig = Rig::new(set, 1, 1);
-    let first: Vec<_> = (0..8).map(|_| rig.request(SAFE).0).collect();
-    let urgent = rig.request(KEYED).0;
-    rig.wait(30 * MS);
-    rig.end(first[0], 0, Outcome::Ok);
-    assert!(rig.out.contains_key(&(urgent, 0)));
+    set.classes[WITH_KEY].latency_objective = 300 * MS;
+    let mut harness = Harness::new(set, 1, 1);
+    let first: Vec<_> = (0..8).map(|_| harness.request(IDEMPOTENT).0).collect();
+    let urgent = harness.request(WITH_KEY).0;
+    harness.advance(30 * MS);
+    harness.end_attempt(first[0], 0, Outcome::Ok);
+    assert!(harness.in_flight.contains_key(&(urgent, 0)));
 }
 
 #[test]
 fn tiny_requests_do_not_make_fleet_look_crowded() {
-    let mut rig = Rig::new(settings(), 2, 1);
+    let mut harness = Harness::new(settings(), 2, 1);
     for n in 0..400 {
         (0..6).for_each(|i| {
             let work = if (n + i) % 2 == 0 { 200 } else { 60 * MS };
-            rig.request_for(SAFE, 3000 * MS, None, Some(work));
+            harness.request_with(IDEMPOTENT, 3000 * MS, None, Some(work));
         });
-        rig.serve(60 * MS);
+        harness.answer_all(60 * MS);
     }
-    (0..8).for_each(|_| drop(rig.request(SAFE)));
-    assert!(rig.out.len() >= 6, "{}", rig.out.len());
+    (0..8).for_each(|_| drop(harness.request(IDEMPOTENT)));
+    assert!(harness.in_flight.len() >= 6, "{}", harness.in_flight.len());
 }
 
 #[test]
 fn limits_rise_by_even_steps_from_the_smallest() {
     // Steps in proportion to the cap would keep sidecars apart for good once one has fallen behind; and a
     // cap under two must not pass for unused while the one call it allows is out.
-    let mut rig = Rig::new(Settings { instances: 4, ..settings() }, 1, 1);
-    used(&mut rig, 60);
+    let mut harness = Harness::new(Settings { instances: 4, ..settings() }, 1, 1);
+    serve_requests(&mut harness, 60);
     let mut held = Vec::new();
     for _ in 0..12 {
-        (0..100).for_each(|_| drop(rig.request(SAFE)));
-        held.push(rig.out.len());
-        rig.serve(20 * MS);
+        (0..100).for_each(|_| drop(harness.request(IDEMPOTENT)));
+        held.push(harness.in_flight.len());
+        harness.answer_all(20 * MS);
     }
     assert!(held[11] > 20 && held[11] < 90, "{held:?}");
 }
@@ -144,67 +147,67 @@
 #[test]
 fn limits_fall_while_calls_take_half_of_their_objective() {
     // Their mean is inside the aim, but in a queue's spread one in seven of them is late.
-    let mut rig = Rig::new(settings(), 4, 1);
+    let mut harness = Harness::new(settings(), 4, 1);
     (0..80).for_each(|_| {
-        rig.request(SAFE);
-        rig.serve(180 * MS);
+        harness.request(IDEMPOTENT);
+        harness.answer_all(180 * MS);
     });
     for _ in 0..40 {
-        (0..12).for_each(|_| drop(rig.request(SAFE)));
-        rig.serve(500 * MS);
+        (0..12).for_each(|_| drop(harness.request(IDEMPOTENT)));
+        harness.answer_all(500 * MS);
     }
-    (0..40).for_each(|_| drop(rig.request(SAFE)));
-    assert!(rig.out.len() <= 6, "{}", rig.out.len());
+    (0..40).for_each(|_| drop(harness.request(IDEMPOTENT)));
+    assert!(harness.in_flight.len() <= 6, "{}", harness.in_flight.len());
 }
 
 #[test]
 fn initial_limits_are_divided_by_root_of_number_of_sidecars() {
-    let mut rig = Rig::new(Settings { instances: 16, ..settings() }, 4, 1);
-    let sent: usize = (0..12).map(|_| sent(&rig.request(SAFE).1).len()).sum();
+    let mut harness = Harness::new(Settings { instances: 16, ..settings() }, 4, 1);
+    let sent: usize = (0..12).map(|_| targets(&harness.request(IDEMPOTENT).1).len()).sum();
     assert_eq!(sent, 4, "half a request each is one at a time, where one sidecar alone has two");
 }
 
 #[test]
 fn quiet_sidecar_among_many_is_not_rejected_bursts_of_three() {
-    let mut rig = Rig::new(Settings { instances: 150, ..settings() }, 10, 1);
-    used(&mut rig, 30);
+    let mut harness = Harness::new(Settings { instances: 150, ..settings() }, 10, 1);
+    serve_requests(&mut harness, 30);
     for _ in 0..20 {
-        (0..3).for_each(|_| assert_eq!(sent(&rig.request(UNSAFE).1).len(), 1));
-        rig.serve(300 * MS);
-        rig.wait(1000 * MS);
+        (0..3).for_each(|_| assert_eq!(targets(&harness.request(NON_IDEMPOTENT).1).len(), 1));
+        harness.answer_all(300 * MS);
+        harness.advance(1000 * MS);
     }
 }
 
 #[test]
 fn queues_requests_only_while_all_endpoints_are_at_their_limits() {
-    let mut rig = Rig::new(settings(), 2, 4);
-    let ids: Vec<_> = (0..5).map(|_| rig.request(SAFE)).collect();
-    let waiting: Vec<_> = ids.iter().filter(|(_, a)| sent(a).is_empty()).map(|(id, _)| *id).collect();
+    let mut harness = Harness::new(settings(), 2, 4);
+    let ids: Vec<_> = (0..5).map(|_| harness.request(IDEMPOTENT)).collect();
+    let waiting: Vec<_> = ids.iter().filter(|(_, a)| targets(a).is_empty()).map(|(id, _)| *id).collect();
     assert_eq!(waiting.len(), 1, "caps of two at two endpoints");
-    rig.wait(50 * MS);
-    let after = rig.end(ids[0].0, 0, Outcome::Ok);
-    assert_eq!(sent(&after).len(), 1);
-    assert!(rig.out.contains_key(&(waiting[0], 0)));
+    harness.advance(50 * MS);
+    let after = harness.end_attempt(ids[0].0, 0, Outcome::Ok);
+    assert_eq!(targets(&after).len(), 1);
+    assert!(harness.in_flight.contains_key(&(waiting[0], 0)));
 }
 
 #[test]
 fn rejects_request_that_is_queued_too_long() {
-    let mut rig = Rig::new(settings(), 2, 4);
-    let last = (0..9).map(|_| rig.request(UNSAFE).0).last().expect("nine requests");
-    assert!(refused(&rig.wait(450 * MS), last));
+    let mut harness = Harness::new(settings(), 2, 4);
+    let last = (0..9).map(|_| harness.request(NON_IDEMPOTENT).0).last().expect("nine requests");
+    assert!(is_rejected(&harness.advance(450 * MS), last));
 }
 
 #[test]
 fn limits_grow_with_answers_in_time_and_shrink_with_late_ones() {
     let most = |time: Micros| {
-        let mut rig = Rig::new(settings(), 2, 4);
+        let mut harness = Harness::new(settings(), 2, 4);
         for _ in 0..30 {
-            (0..12).for_each(|_| drop(rig.request(SAFE)));
-            rig.serve(time);
-            rig.wait(500 * MS);
+            (0..12).for_each(|_| drop(harness.request(IDEMPOTENT)));
+            harness.answer_all(time);
+            harness.advance(500 * MS);
         }
-        (0..40).for_each(|_| drop(rig.request(SAFE)));
-        rig.out.len()
+        (0..40).for_each(|_| drop(harness.request(IDEMPOTENT)));
+        harness.in_flight.len()
     };
     let (quick, slow) = (most(30 * MS), most(900 * MS));
     assert!(quick > 8 && slow < 8, "{quick} {slow}");
@@ -213,11 +216,12 @@
 // Slow clients would else fill every bulkhead while the endpoints wait for them, and all others be refused.
 #[test]
 fn request_with_incomplete_body_takes_no_capacity() {
-    let mut rig = Rig::new(settings(), 2, 1);
-    let ask = |rig: &mut Rig, coming| {
-        let id = rig.next;
-        rig.next += 1;
-        let (class, due, tenant, key, work, repeat) = (KEYED, rig.now + 60_000 * MS, None, None, None, false);
+    let mut harness = Harness::new(settings(), 2, 1);
+    let ask = |harness: &mut Harness, coming| {
+        let id = harness.next_request;
+        harness.next_request += 1;
+        let (class, due, tenant, key, work, repeat) =
+            (WITH_KEY, harness.now + 60_000 * MS, None, None, None, false);
         let new = NewRequest {
             id,
             class,
@@ -228,23 +232,23 @@
             is_client_retry: repeat,
             body_incomplete: coming,
         };
-        (id, sent(&rig.event(Event::RequestReceived(new))).len())
+        (id, targets(&harness.handle(Event::RequestReceived(new))).len())
     };
-    let slow: Vec<_> = (0..60).map(|_| ask(&mut rig, true)).collect();
+    let slow: Vec<_> = (0..60).map(|_| ask(&mut harness, true)).collect();
     assert!(slow.iter().all(|(_, sent)| *sent == 1));
-    assert_eq!(ask(&mut rig, false).1, 1);
-    rig.serve(50 * MS);
+    assert_eq!(ask(&mut harness, false).1, 1);
+    harness.answer_all(50 * MS);
     // Its aim counts from its end, and so does its time.
-    let (id, _) = ask(&mut rig, true);
-    rig.wait(3000 * MS);
-    let due = rig.now + 4000 * MS;
-    rig.event(Event::BodyReceived { request: id, deadline: due });
-    assert!(!failed(&rig.wait(3900 * MS), id));
-    assert!(failed(&rig.wait(200 * MS), id) || !rig.out.contains_key(&(id, 0)));
+    let (id, _) = ask(&mut harness, true);
+    harness.advance(3000 * MS);
+    let due = harness.now + 4000 * MS;
+    harness.handle(Event::BodyReceived { request: id, deadline: due });
+    assert!(!is_failed(&harness.advance(3900 * MS), id));
+    assert!(is_failed(&harness.advance(200 * MS), id) || !harness.in_flight.contains_key(&(id, 0)));
     // Once they are there they count.
-    let slow: Vec<_> = (0..60).map(|_| ask(&mut rig, true)).collect();
+    let slow: Vec<_> = (0..60).map(|_| ask(&mut harness, true)).collect();
     for (request, _) in slow {
-        rig.event(Event::BodyReceived { request, deadline: rig.now + 4000 * MS });
+        harness.handle(Event::BodyReceived { request, deadline: harness.now + 4000 * MS });
     }
-    assert_eq!(ask(&mut rig, false).1, 0);
+    assert_eq!(ask(&mut harness, false).1, 0);
 }
--- a/crates/balancer/tests/load_shedding.rs
+++ b/crates/balancer/tests/load_shedding.rs
@@ -10,15 +10,15 @@
 fn new_sidecar_does_not_take_first_errors_for_overload() {
     let mut turned_away = 0;
     for seed in 1..=10 {
-        let mut rig = Rig::new(settings(), 4, seed);
+        let mut harness = Harness::new(settings(), 4, seed);
         for _ in 0..40 {
             for _ in 0..4 {
-                let (id, actions) = rig.request(UNSAFE);
-                turned_away += usize::from(refused(&actions, id));
+                let (id, actions) = harness.request(NON_IDEMPOTENT);
+                turned_away += usize::from(is_rejected(&actions, id));
             }
-            rig.wait(10 * MS);
-            for ((id, n), out) in rig.out.clone() {
-                rig.end(id, n, if out.endpoint < 3 { Outcome::Error } else { Outcome::Ok });
+            harness.advance(10 * MS);
+            for ((id, n), out) in harness.in_flight.clone() {
+                harness.end_attempt(id, n, if out.endpoint < 3 { Outcome::Error } else { Outcome::Ok });
             }
         }
     }
@@ -26,29 +26,29 @@
 }
 
 /// Sends of so many requests, each answered after `time`.
-fn taken(rig: &mut Rig, requests: usize, time: Micros) -> usize {
-    let before = rig.sends.len();
+fn admitted(harness: &mut Harness, requests: usize, time: Micros) -> usize {
+    let before = harness.attempts_sent.len();
     for _ in 0..requests {
-        rig.request(UNSAFE);
-        rig.wait(500 * MS);
-        for ((id, n), out) in rig.out.clone() {
-            if rig.now - out.sent >= time {
-                rig.end(id, n, Outcome::Ok);
+        harness.request(NON_IDEMPOTENT);
+        harness.advance(500 * MS);
+        for ((id, n), out) in harness.in_flight.clone() {
+            if harness.now - out.sent_at >= time {
+                harness.end_attempt(id, n, Outcome::Ok);
             }
         }
     }
-    rig.sends.len() - before
+    harness.attempts_sent.len() - before
 }
 
 #[test]
 fn sheds_most_late_work_but_not_all_and_recovers() {
-    let mut rig = Rig::new(Settings { instances: 1000, ..settings() }, 12, 1);
-    assert_eq!(taken(&mut rig, 40, 500 * MS), 40);
-    taken(&mut rig, 40, 1500 * MS);
-    let late = taken(&mut rig, 60, 1500 * MS);
+    let mut harness = Harness::new(Settings { instances: 1000, ..settings() }, 12, 1);
+    assert_eq!(admitted(&mut harness, 40, 500 * MS), 40);
+    admitted(&mut harness, 40, 1500 * MS);
+    let late = admitted(&mut harness, 60, 1500 * MS);
     assert!((6..=40).contains(&late), "{late} of 60 taken while all come late");
-    taken(&mut rig, 60, 500 * MS);
-    let well = taken(&mut rig, 40, 500 * MS);
+    admitted(&mut harness, 60, 500 * MS);
+    let well = admitted(&mut harness, 40, 500 * MS);
     assert_eq!(well, 40, "taken once all come in time again");
 }
 
@@ -57,18 +57,18 @@
 fn shedding_window_follows_deadlines() {
     let mut set = Settings { instances: 1000, ..settings() };
     set.classes.iter_mut().for_each(|c| (c.latency_objective, c.deadline) = (250 * MS, 1000 * MS));
-    let mut rig = Rig::new(set, 12, 1);
-    let mut taken = |requests: usize, time: Micros| {
-        let before = rig.sends.len();
+    let mut harness = Harness::new(set, 12, 1);
+    let mut admitted = |requests: usize, time: Micros| {
+        let before = harness.attempts_sent.len();
         for _ in 0..requests {
-            rig.request_for(UNSAFE, 750 * MS, None, None);
-            rig.serve(time);
-            rig.wait(125 * MS - time % (125 * MS));
+            harness.request_with(NON_IDEMPOTENT, 750 * MS, None, None);
+            harness.answer_all(time);
+            harness.advance(125 * MS - time % (125 * MS));
         }
-        rig.sends.len() - before
+        harness.attempts_sent.len() - before
     };
-    taken(40, 50 * MS);
-    assert!(taken(80, 300 * MS) < 60, "all come late");
-    taken(16, 50 * MS);
-    assert_eq!(taken(24, 50 * MS), 24, "two deadlines after all came in time again");
+    admitted(40, 50 * MS);
+    assert!(admitted(80, 300 * MS) < 60, "all come late");
+    admitted(16, 50 * MS);
+    assert_eq!(admitted(24, 50 * MS), 24, "two deadlines after all came in time again");
 }
--- a/crates/balancer/tests/request.rs
+++ b/crates/balancer/tests/request.rs
@@ -6,35 +6,35 @@
 
 #[test]
 fn every_request_is_answered_before_its_deadline() {
-    for class in [SAFE, KEYED, UNSAFE] {
-        let mut rig = Rig::new(settings(), 2, 1);
-        let (id, _) = rig.request_for(class, 700 * MS, None, None);
+    for class in [IDEMPOTENT, WITH_KEY, NON_IDEMPOTENT] {
+        let mut harness = Harness::new(settings(), 2, 1);
+        let (id, _) = harness.request_with(class, 700 * MS, None, None);
         let due = START + 700 * MS;
         let mut actions = Vec::new();
-        while rig.now < due {
-            actions.extend(rig.wait(5 * MS));
+        while harness.now < due {
+            actions.extend(harness.advance(5 * MS));
         }
-        assert!(refused(&actions, id) || failed(&actions, id), "class {class}");
-        assert!(sent(&rig.wait(3000 * MS)).is_empty());
+        assert!(is_rejected(&actions, id) || is_failed(&actions, id), "class {class}");
+        assert!(targets(&harness.advance(3000 * MS)).is_empty());
     }
 }
 
 #[test]
 fn rejects_request_past_its_deadline_unsent() {
     for left in [0, -5, 1, 10] {
-        let mut rig = Rig::new(settings(), 2, 1);
-        let (id, actions) = rig.request_for(UNSAFE, left * MS, None, None);
-        assert!(refused(&actions, id) && sent(&actions).is_empty(), "{left} ms left");
+        let mut harness = Harness::new(settings(), 2, 1);
+        let (id, actions) = harness.request_with(NON_IDEMPOTENT, left * MS, None, None);
+        assert!(is_rejected(&actions, id) && targets(&actions).is_empty(), "{left} ms left");
     }
 }
 
 #[test]
 fn started_stream_has_no_deadline_and_its_interruption_ends_request() {
-    let mut rig = Rig::new(settings(), 2, 1);
-    let (id, _) = rig.request_for(SAFE, 500 * MS, None, None);
-    rig.event(Event::StreamStarted { request: id, attempt: 0 });
-    let out = rig.out.remove(&(id, 0)).expect("sent");
-    assert!(!rig.wait(5000 * MS).iter().any(|a| matches!(a, Action::Reject { .. } | Action::Fail(_))));
+    let mut harness = Harness::new(settings(), 2, 1);
+    let (id, _) = harness.request_with(IDEMPOTENT, 500 * MS, None, None);
+    harness.handle(Event::StreamStarted { request: id, attempt: 0 });
+    let out = harness.in_flight.remove(&(id, 0)).expect("sent");
+    assert!(!harness.advance(5000 * MS).iter().any(|a| matches!(a, Action::Reject { .. } | Action::Fail(_))));
     let end = AttemptEnd {
         request: id,
         attempt: 0,
@@ -46,7 +46,8 @@
         load_report: LoadReport::default(),
     };
     assert!(
-        !rig.event(Event::AttemptEnded(end))
+        !harness
+            .handle(Event::AttemptEnded(end))
             .iter()
             .any(|a| matches!(a, Action::Reject { .. } | Action::Fail(_)))
     );
@@ -54,12 +55,12 @@
 
 #[test]
 fn unknown_and_repeated_events_change_nothing() {
-    let mut rig = Rig::new(settings(), 2, 1);
-    let (id, _) = rig.request(SAFE);
+    let mut harness = Harness::new(settings(), 2, 1);
+    let (id, _) = harness.request(IDEMPOTENT);
     let end = AttemptEnd {
         request: id,
         attempt: 0,
-        endpoint: rig.out[&(id, 0)].endpoint,
+        endpoint: harness.in_flight[&(id, 0)].endpoint,
         outcome: Outcome::Error,
         duration: 1,
         request_completed: false,
@@ -82,16 +83,16 @@
         Event::PeerMessage { from: 3, bytes: vec![1, 2] },
     ] {
         let text = format!("{odd:?}");
-        assert!(rig.event(odd).is_empty(), "{text}");
+        assert!(harness.handle(odd).is_empty(), "{text}");
     }
-    rig.event(Event::AttemptEnded(end));
-    assert!(rig.event(Event::AttemptEnded(end)).is_empty());
+    harness.handle(Event::AttemptEnded(end));
+    assert!(harness.handle(Event::AttemptEnded(end)).is_empty());
 }
 
 #[test]
 fn abandoned_request_cancels_its_attempt() {
-    let mut rig = Rig::new(settings(), 2, 1);
-    let (id, _) = rig.request(SAFE);
-    assert_eq!(rig.event(Event::RequestAbandoned(id)), [Action::Cancel { request: id, attempt: 0 }]);
-    assert!(rig.end(id, 0, Outcome::Cancelled).is_empty());
+    let mut harness = Harness::new(settings(), 2, 1);
+    let (id, _) = harness.request(IDEMPOTENT);
+    assert_eq!(harness.handle(Event::RequestAbandoned(id)), [Action::Cancel { request: id, attempt: 0 }]);
+    assert!(harness.end_attempt(id, 0, Outcome::Cancelled).is_empty());
 }
--- a/crates/balancer/tests/rules.rs
+++ b/crates/balancer/tests/rules.rs
@@ -20,7 +20,7 @@
 }
 
 /// What the rules allow, kept apart from the module under test.
-struct Judge {
+struct RuleChecker {
     set: Settings,
     open: BTreeMap<RequestId, Open>,
     ended: BTreeSet<RequestId>,
@@ -29,12 +29,12 @@
     answered: usize,
 }
 
-impl Judge {
+impl RuleChecker {
     fn ran(open: &Open) -> impl Iterator<Item = &Sent> {
         open.attempts.iter().filter(|a| a.outcome.is_none_or(|o| !o.was_never_executed()))
     }
 
-    fn look(&mut self, now: Micros, actions: &[Action]) {
+    fn check(&mut self, now: Micros, actions: &[Action]) {
         for action in actions {
             match *action {
                 Action::Send { request, endpoint, timeout, .. } => {
@@ -98,9 +98,9 @@
 fn random_settings(rng: &mut fastrand::Rng) -> Settings {
     let mut set = settings();
     let scopes = [DedupScope::All, DedupScope::Zone, DedupScope::Cell];
-    set.classes[KEYED].idempotency =
+    set.classes[WITH_KEY].idempotency =
         Idempotency::WithKey { scope: *rng.choice(&scopes).expect("three"), ttl: rng.i64(50..2000) * MS };
-    set.classes[SAFE].streaming = rng.bool();
+    set.classes[IDEMPOTENT].streaming = rng.bool();
     set.classes.iter_mut().for_each(|c| c.latency_objective = rng.i64(100..1500) * MS);
     set.classes.iter_mut().for_each(|c| c.late_value_share = if rng.bool() { 0.3 } else { 0.0 });
     set.limits.may_hedge = rng.bool();
@@ -117,10 +117,10 @@
     let mut rng = fastrand::Rng::with_seed(seed);
     let set = random_settings(&mut rng);
     let endpoints = rng.usize(1..9);
-    let mut rig = Rig::new(set.clone(), endpoints, seed);
-    let status = (0..endpoints).map(listing).collect();
+    let mut harness = Harness::new(set.clone(), endpoints, seed);
+    let status = (0..endpoints).map(ready_entry).collect();
     let (open, ended, cordoned) = Default::default();
-    let mut judge = Judge { set: set.clone(), open, ended, status, cordoned, answered: 0 };
+    let mut checker = RuleChecker { set: set.clone(), open, ended, status, cordoned, answered: 0 };
     let mut log = Vec::new();
     let outcomes = [
         Outcome::Ok,
@@ -140,38 +140,38 @@
                 let left = rng.i64(-20..2500) * MS;
                 let tenant = (!set.tenants.is_empty()).then(|| rng.usize(0..set.tenants.len()));
                 let work = rng.bool().then(|| rng.i64(0..400) * MS);
-                let id = rig.next;
-                let due = rig.now + left.max(0);
-                judge.open.insert(id, Open { class, due, attempts: Vec::new(), streaming: None });
+                let id = harness.next_request;
+                let due = harness.now + left.max(0);
+                checker.open.insert(id, Open { class, due, attempts: Vec::new(), streaming: None });
                 asked += 1;
-                let (_, actions) = rig.request_for(class, left.max(0), tenant, work);
-                judge.look(rig.now, &actions);
+                let (_, actions) = harness.request_with(class, left.max(0), tenant, work);
+                checker.check(harness.now, &actions);
                 log.push(format!("{actions:?}"));
             }
             40..70 => {
-                let keys: Vec<_> = rig.out.keys().copied().collect();
+                let keys: Vec<_> = harness.in_flight.keys().copied().collect();
                 let Some(&(id, n)) = rng.choice(&keys) else { continue };
-                finish(&mut rig, &mut judge, &mut log, (id, n), *rng.choice(&outcomes).expect("some"));
+                finish(&mut harness, &mut checker, &mut log, (id, n), *rng.choice(&outcomes).expect("some"));
             }
             70..72 => {
-                let keys: Vec<_> = rig.out.keys().copied().collect();
+                let keys: Vec<_> = harness.in_flight.keys().copied().collect();
                 let Some(&(id, n)) = rng.choice(&keys) else { continue };
-                let Some(open) = judge.open.get_mut(&id).filter(|o| set.classes[o.class].streaming) else {
+                let Some(open) = checker.open.get_mut(&id).filter(|o| set.classes[o.class].streaming) else {
                     continue;
                 };
                 if open.streaming.is_none() {
                     open.streaming = Some(n);
-                    let actions = rig.event(Event::StreamStarted { request: id, attempt: n });
-                    judge.look(rig.now, &actions);
+                    let actions = harness.handle(Event::StreamStarted { request: id, attempt: n });
+                    checker.check(harness.now, &actions);
                 }
             }
             72..74 => {
-                let keys: Vec<_> = judge.open.keys().copied().collect();
+                let keys: Vec<_> = checker.open.keys().copied().collect();
                 let Some(&id) = rng.choice(&keys) else { continue };
-                judge.open.remove(&id);
-                judge.close(id);
-                let actions = rig.event(Event::RequestAbandoned(id));
-                judge.look(rig.now, &actions);
+                checker.open.remove(&id);
+                checker.close(id);
+                let actions = harness.handle(Event::RequestAbandoned(id));
+                checker.check(harness.now, &actions);
             }
             74..80 => {
                 let one = rng.usize(0..endpoints);
@@ -181,69 +181,71 @@
                     EndpointStatus::Draining,
                     EndpointStatus::Removed,
                 ];
-                judge.status[one].status = *rng.choice(&states).expect("some");
-                judge.status[one].started_at = rng.bool().then_some(rig.now - rng.i64(0..8000) * MS);
+                checker.status[one].status = *rng.choice(&states).expect("some");
+                checker.status[one].started_at = rng.bool().then_some(harness.now - rng.i64(0..8000) * MS);
                 let list = if rng.bool() {
-                    EndpointListUpdate::Delta(vec![judge.status[one].clone()])
+                    EndpointListUpdate::Delta(vec![checker.status[one].clone()])
                 } else {
-                    let listed = judge.status.iter().filter(|l| l.status != EndpointStatus::Removed);
+                    let listed = checker.status.iter().filter(|l| l.status != EndpointStatus::Removed);
                     EndpointListUpdate::Full(listed.cloned().collect())
                 };
-                let actions = rig.event(Event::EndpointList(list));
-                judge.look(rig.now, &actions);
+                let actions = harness.handle(Event::EndpointList(list));
+                checker.check(harness.now, &actions);
             }
             80 => {
-                let actions = rig.event(Event::EndpointList(EndpointListUpdate::Failed));
-                judge.look(rig.now, &actions);
+                let actions = harness.handle(Event::EndpointList(EndpointListUpdate::Failed));
+                checker.check(harness.now, &actions);
             }
             81..84 => {
                 let one = rng.usize(0..endpoints);
                 let event = if rng.bool() {
-                    judge.cordoned.insert(one);
+                    checker.cordoned.insert(one);
                     Event::Cordoned(one)
                 } else {
-                    judge.cordoned.remove(&one);
+                    checker.cordoned.remove(&one);
                     Event::Uncordoned(one)
                 };
-                let actions = rig.event(event);
-                judge.look(rig.now, &actions);
+                let actions = harness.handle(event);
+                checker.check(harness.now, &actions);
             }
-            _ => pass(&mut rig, &mut judge, &mut log, rng.i64(1..120) * MS),
+            _ => pass(&mut harness, &mut checker, &mut log, rng.i64(1..120) * MS),
         }
     }
     for _ in 0..80 {
-        pass(&mut rig, &mut judge, &mut log, 50 * MS);
+        pass(&mut harness, &mut checker, &mut log, 50 * MS);
         let streams: Vec<_> =
-            judge.open.iter().filter(|(_, o)| o.streaming.is_some()).map(|(id, _)| *id).collect();
-        for (id, n) in rig.out.keys().copied().filter(|k| streams.contains(&k.0)).collect::<Vec<_>>() {
-            finish(&mut rig, &mut judge, &mut log, (id, n), Outcome::Ok);
+            checker.open.iter().filter(|(_, o)| o.streaming.is_some()).map(|(id, _)| *id).collect();
+        for (id, n) in
+            harness.in_flight.keys().copied().filter(|k| streams.contains(&k.0)).collect::<Vec<_>>()
+        {
+            finish(&mut harness, &mut checker, &mut log, (id, n), Outcome::Ok);
         }
     }
-    assert!(judge.open.is_empty(), "every request is answered");
-    assert_eq!(judge.answered, asked);
+    assert!(checker.open.is_empty(), "every request is answered");
+    assert_eq!(checker.answered, asked);
     log
 }
 
 /// Ends an attempt as the world would: the first OK settles its request, as does a broken stream.
 fn finish(
-    rig: &mut Rig,
-    judge: &mut Judge,
+    harness: &mut Harness,
+    checker: &mut RuleChecker,
     log: &mut Vec<String>,
     key: (RequestId, AttemptNumber),
     outcome: Outcome,
 ) {
-    let out = rig.out.remove(&key).expect("an attempt that is out");
+    let out = harness.in_flight.remove(&key).expect("an attempt in flight");
     let (request, attempt) = key;
     let mut settled = true;
-    if let Some(open) = judge.open.get_mut(&request) {
+    if let Some(open) = checker.open.get_mut(&request) {
         open.attempts[attempt as usize].outcome = Some(outcome);
         settled = outcome == Outcome::Ok || open.streaming == Some(attempt);
         if settled {
-            judge.open.remove(&request);
-            judge.close(request);
+            checker.open.remove(&request);
+            checker.close(request);
         }
     }
-    let (endpoint, took) = (out.endpoint, rig.now - out.sent);
+    let (endpoint, took) = (out.endpoint, harness.now - out.sent_at);
     let load = LoadReport::default();
     let end = AttemptEnd {
         request,
@@ -255,29 +257,32 @@
         body_consumed: false,
         load_report: load,
     };
-    let actions = rig.event(Event::AttemptEnded(end));
-    judge.look(rig.now, &actions);
+    let actions = harness.handle(Event::AttemptEnded(end));
+    checker.check(harness.now, &actions);
     log.push(format!("{actions:?}"));
 }
 
 /// Lets time pass a tick at a time, with timers and time-outs as they come.
-fn pass(rig: &mut Rig, judge: &mut Judge, log: &mut Vec<String>, time: Micros) {
-    let to = rig.now + time;
-    while rig.now < to {
-        rig.now += 5 * MS;
-        let streaming = |id| judge.open.get(id).is_some_and(|o: &Open| o.streaming.is_some());
-        let over = rig.out.iter().filter(|(k, o)| o.sent + o.timeout <= rig.now && !streaming(&k.0));
+fn pass(harness: &mut Harness, checker: &mut RuleChecker, log: &mut Vec<String>, time: Micros) {
+    let to = harness.now + time;
+    while harness.now < to {
+        harness.now += 5 * MS;
+        let streaming = |id| checker.open.get(id).is_some_and(|o: &Open| o.streaming.is_some());
+        let over = harness
+            .in_flight
+            .iter()
+            .filter(|(k, o)| o.sent_at + o.timeout <= harness.now && !streaming(&k.0));
         for key in over.map(|(k, _)| *k).collect::<Vec<_>>() {
-            finish(rig, judge, log, key, Outcome::TimedOut);
+            finish(harness, checker, log, key, Outcome::TimedOut);
         }
-        let due: Vec<_> = rig.timers.iter().filter(|t| t.0 <= rig.now).copied().collect();
-        rig.timers.retain(|t| t.0 > rig.now);
+        let due: Vec<_> = harness.timers.iter().filter(|t| t.0 <= harness.now).copied().collect();
+        harness.timers.retain(|t| t.0 > harness.now);
         for (_, token) in due {
-            let actions = rig.event(Event::Timer(token));
-            judge.look(rig.now, &actions);
+            let actions = harness.handle(Event::Timer(token));
+            checker.check(harness.now, &actions);
             log.push(format!("{actions:?}"));
         }
-        judge.look(rig.now, &[]);
+        checker.check(harness.now, &[]);
     }
 }
 
--- a/crates/balancer/tests/selection.rs
+++ b/crates/balancer/tests/selection.rs
@@ -6,15 +6,15 @@
 
 #[test]
 fn failing_endpoints_do_not_extend_subset_to_whole_fleet() {
-    let mut rig = Rig::new(Settings { instances: 1000, ..settings() }, 64, 5);
+    let mut harness = Harness::new(Settings { instances: 1000, ..settings() }, 64, 5);
     let mut met = std::collections::BTreeSet::new();
     for _ in 0..200 {
-        rig.request(UNSAFE);
-        for ((id, attempt), out) in rig.out.clone() {
+        harness.request(NON_IDEMPOTENT);
+        for ((id, attempt), out) in harness.in_flight.clone() {
             met.insert(out.endpoint);
-            rig.end(id, attempt, if out.endpoint % 4 > 0 { Outcome::Error } else { Outcome::Ok });
+            harness.end_attempt(id, attempt, if out.endpoint % 4 > 0 { Outcome::Error } else { Outcome::Ok });
         }
-        rig.wait(500 * MS);
+        harness.advance(500 * MS);
     }
     assert!(met.len() <= 32, "{} of 64 tried with three in four sick", met.len());
 }
@@ -23,7 +23,7 @@
 // lost a request to it, and holds a connection to each.
 #[test]
 fn subset_is_as_large_as_traffic_can_learn_of() {
-    for mut to in gone_round(0) {
+    for mut to in targets_of_many_sidecars(0) {
         to.sort_unstable();
         to.dedup();
         assert!((6..=10).contains(&to.len()), "{to:?}");
@@ -32,26 +32,26 @@
 
 #[test]
 fn turns_go_round_all_endpoints() {
-    let mut rig = Rig::new(settings(), 4, 1);
+    let mut harness = Harness::new(settings(), 4, 1);
     let mut counts = [0; 4];
     for _ in 0..40 {
-        counts[sent(&rig.request(SAFE).1)[0]] += 1;
-        rig.serve(20 * MS);
+        counts[targets(&harness.request(IDEMPOTENT).1)[0]] += 1;
+        harness.answer_all(20 * MS);
     }
     assert!(counts.iter().all(|c| (9..=11).contains(c)), "{counts:?}");
 }
 
 #[test]
 fn turns_follow_listed_sizes() {
-    let mut rig = Rig::new(settings(), 2, 1);
-    rig.event(Event::EndpointList(EndpointListUpdate::Delta(vec![EndpointEntry {
+    let mut harness = Harness::new(settings(), 2, 1);
+    harness.handle(Event::EndpointList(EndpointListUpdate::Delta(vec![EndpointEntry {
         size: 3.0,
-        ..listing(1)
+        ..ready_entry(1)
     }])));
     let mut counts = [0; 2];
     for _ in 0..80 {
-        counts[sent(&rig.request(SAFE).1)[0]] += 1;
-        rig.serve(20 * MS);
+        counts[targets(&harness.request(IDEMPOTENT).1)[0]] += 1;
+        harness.answer_all(20 * MS);
     }
     assert!((55..=65).contains(&counts[1]), "{counts:?}");
 }
@@ -59,13 +59,13 @@
 #[test]
 fn subset_grows_with_traffic() {
     for (pause, range) in [(500 * MS, 8..=24), (25 * MS, 60..=64)] {
-        let mut rig = Rig::new(settings(), 64, 1);
+        let mut harness = Harness::new(settings(), 64, 1);
         let mut used = std::collections::BTreeMap::new();
         for _ in 0..400 {
-            let (_, actions) = rig.request(SAFE);
-            sent(&actions).iter().for_each(|e| *used.entry(*e).or_insert(0) += 1);
-            rig.serve(20 * MS);
-            rig.wait(pause - 20 * MS);
+            let (_, actions) = harness.request(IDEMPOTENT);
+            targets(&actions).iter().for_each(|e| *used.entry(*e).or_insert(0) += 1);
+            harness.answer_all(20 * MS);
+            harness.advance(pause - 20 * MS);
         }
         assert!(range.contains(&used.len()), "{} endpoints", used.len());
     }
@@ -73,26 +73,26 @@
 
 #[test]
 fn replaces_lost_endpoint_of_subset() {
-    let mut rig = Rig::new(settings(), 64, 1);
+    let mut harness = Harness::new(settings(), 64, 1);
     let mut first = None;
     for _ in 0..40 {
-        let (_, actions) = rig.request(SAFE);
-        first = first.or(sent(&actions).first().copied());
-        rig.serve(20 * MS);
-        rig.wait(480 * MS);
+        let (_, actions) = harness.request(IDEMPOTENT);
+        first = first.or(targets(&actions).first().copied());
+        harness.answer_all(20 * MS);
+        harness.advance(480 * MS);
     }
-    let gone = EndpointEntry { status: EndpointStatus::Removed, ..listing(first.expect("a pick")) };
-    rig.event(Event::EndpointList(EndpointListUpdate::Delta(vec![gone])));
+    let gone = EndpointEntry { status: EndpointStatus::Removed, ..ready_entry(first.expect("a pick")) };
+    harness.handle(Event::EndpointList(EndpointListUpdate::Delta(vec![gone])));
     for _ in 0..40 {
-        let (_, actions) = rig.request(SAFE);
-        assert!(sent(&actions).len() == 1 && sent(&actions).first() != first.as_ref());
-        rig.serve(20 * MS);
+        let (_, actions) = harness.request(IDEMPOTENT);
+        assert!(targets(&actions).len() == 1 && targets(&actions).first() != first.as_ref());
+        harness.answer_all(20 * MS);
     }
 }
 
 #[test]
 fn sidecars_start_their_turns_at_different_endpoints() {
-    let first = |seed| sent(&Rig::new(settings(), 8, seed).request(SAFE).1)[0];
+    let first = |seed| targets(&Harness::new(settings(), 8, seed).request(IDEMPOTENT).1)[0];
     let firsts: std::collections::BTreeSet<_> = (0..20).map(first).collect();
     assert!(firsts.len() > 2, "{firsts:?}");
 }
