--- a/crates/balancer/tests/circuit_breaker.rs
+++ b/crates/balancer/tests/circuit_breaker.rs
@@ -4,7 +4,7 @@
 use common::*;
 use lotusmoor_balancer::*;
 
-// One event of the network breaks all kept connections at once, and each tells of it only when it is used.
+// A network fault breaks all idle connections at once, and each shows it only when it is used.
 #[test]
 fn broken_idle_connections_neither_open_circuit_nor_keep_it_open() {
     let mut harness = Harness::new(settings(), 1, 1);
@@ -12,14 +12,14 @@
     for _ in 0..4 {
         let (id, _) = harness.request(NON_IDEMPOTENT);
         let actions = harness.end_attempt(id, 0, Outcome::ReusedConnectionReset);
-        assert!(is_failed(&actions, id), "it may have run, so it is neither sent again nor refused");
+        assert!(is_failed(&actions, id), "it may have run, so it is neither retried nor rejected");
         assert!(!actions.iter().any(|a| matches!(a, Action::Log(_))), "a circuit opened");
     }
     for _ in 0..3 {
         let (id, _) = harness.request(NON_IDEMPOTENT);
         harness.end_attempt(id, 0, Outcome::Reset);
     }
-    // Its circuit is open now. A trial that tells nothing is followed by another at once.
+    // The circuit is open now. A trial without a result is followed by another at once.
     harness.advance(1500 * MS);
     let (id, actions) = harness.request(IDEMPOTENT);
     assert_eq!(targets(&actions), [0]);
@@ -35,7 +35,7 @@
     let (_, actions) = harness.request(IDEMPOTENT);
     let held = targets(&actions)[0];
     let logs = harness.advance(450 * MS);
-    assert!(!logs.iter().any(|a| matches!(a, Action::Log(_))), "{held} answers within half the aim");
+    assert!(!logs.iter().any(|a| matches!(a, Action::Log(_))), "{held} answers within half of the objective");
 }
 
 #[test]
@@ -78,8 +78,8 @@
     }
 }
 
-// A sidecar with thin traffic comes by a server every few seconds: with three errors in a row it would learn that
-// the server fails long after every client has given up.
+// A sidecar with little traffic has a turn for an endpoint every few seconds: with three errors in a row it
+// would learn that the endpoint fails long after every client has given up.
 #[test]
 fn one_error_opens_circuit_when_turns_are_further_apart_than_deadlines() {
     for (deadline, opens) in [(4000 * MS, false), (1000 * MS, true)] {
@@ -94,8 +94,8 @@
     }
 }
 
-// Between the others' successes the endpoint's own circuit stays closed, and a class that it alone turns away would
-// go on to have its turns there.
+// Between the successes of others the endpoint's own circuit stays closed, and a class that it alone rejects
+// would go on to have its turns there.
 #[test]
 fn class_that_endpoint_fails_goes_elsewhere_until_it_is_served_again() {
     let mut harness = Harness::new(settings(), 3, 1);
--- a/crates/balancer/tests/common/mod.rs
+++ b/crates/balancer/tests/common/mod.rs
@@ -57,7 +57,7 @@
     }
 }
 
-/// Two endpoints to a cell and to a zone.
+/// An entry that is ready; two endpoints to a cell and to a zone.
 pub fn ready_entry(endpoint: EndpointId) -> EndpointEntry {
     let (zone, cell) = (Some(endpoint / 2), endpoint as u64 / 2);
     EndpointEntry {
@@ -124,7 +124,7 @@
         actions
     }
 
-    /// Moves the clock, and fires the timers and time-outs that are due on the way.
+    /// Moves the clock, and fires the timers and time-outs on the way.
     pub fn advance_to(&mut self, to: Micros) -> Vec<Action> {
         let mut actions = Vec::new();
         loop {
@@ -195,7 +195,7 @@
         }))
     }
 
-    /// Answers everything that is out, and what follows from it, after `time` each.
+    /// Answers all attempts in flight, and those that follow from it, after `time` each.
     pub fn answer_all(&mut self, time: Micros) {
         while !self.in_flight.is_empty() {
             self.advance(time);
@@ -232,8 +232,8 @@
     all
 }
 
-/// Endpoints that each of some sidecars sends to in the last of five seconds at 16 requests a second, 64 endpoints and
-/// deadlines of a second, with the first of these cold from the third second on.
+/// Targets of each of 100 sidecars in the last of five seconds at 16 requests a second, with 64 endpoints and
+/// deadlines of a second; the first `cold` endpoints are in slow start from the third second on.
 pub fn targets_of_many_sidecars(cold: usize) -> Vec<Vec<EndpointId>> {
     let sidecar = |seed| {
         let mut set = Settings { instances: 100, ..settings() };
--- a/crates/balancer/tests/concurrency_limit.rs
+++ b/crates/balancer/tests/concurrency_limit.rs
@@ -4,8 +4,8 @@
 use common::*;
 use lotusmoor_balancer::*;
 
-/// One warm endpoint among nine that have just started: what it is sent at once of eight requests, once each has been
-/// answered within 20 ms for a while.
+/// One warm endpoint among nine in slow start: how many of eight requests it is sent at once, after each
+/// request was answered within 20 ms for a while.
 fn concurrent_attempts_at_warm_endpoint(rounds: usize) -> usize {
     let mut harness = Harness::new(settings(), 10, 1);
     let mut to_warm = 0;
@@ -22,14 +22,15 @@
     to_warm
 }
 
-// Nine caps that can't be filled, as their endpoints are cold, are no sign that the tenth has room enough.
+// Nine limits that can't be reached, as their endpoints are in slow start, don't mean that the tenth is high
+// enough.
 #[test]
 fn full_limit_grows_while_requests_wait_whatever_others_have_left() {
     let to_warm = concurrent_attempts_at_warm_endpoint(100);
     assert!(to_warm >= 6, "{to_warm}");
 }
 
-// The fair part of what is in flight is a small one where most of it belongs to endpoints that get nothing now.
+// The fair share of what is in flight is small if most of it belongs to endpoints that get nothing now.
 #[test]
 fn fair_share_of_endpoints_without_slow_start_budget_goes_to_others() {
     let to_warm = concurrent_attempts_at_warm_endpoint(0);
@@ -73,7 +74,7 @@
     harness.request(IDEMPOTENT);
     harness.end_attempt(id, 0, Outcome::Error);
     let seen = harness.advance(100 * MS);
-    assert!(!is_rejected(&seen, id), "its second wait began less than 0.15 of the aim ago");
+    assert!(!is_rejected(&seen, id), "its second wait began less than 0.15 of the objective ago");
     harness.end_attempt(first[1], 0, Outcome::Ok);
     assert!(harness.in_flight.contains_key(&(id, 1)));
 }
@@ -131,8 +132,8 @@
 
 #[test]
 fn limits_rise_by_even_steps_from_the_smallest() {
-    // Steps in proportion to the cap would keep sidecars apart for good once one has fallen behind; and a
-    // cap under two must not pass for unused while the one call it allows is out.
+    // Steps in proportion to the limit would keep sidecars apart once one has fallen behind; and a limit
+    // under two must not count as unused while the one attempt that it allows is in flight.
     let mut harness = Harness::new(Settings { instances: 4, ..settings() }, 1, 1);
     serve_requests(&mut harness, 60);
     let mut held = Vec::new();
@@ -146,7 +147,7 @@
 
 #[test]
 fn limits_fall_while_calls_take_half_of_their_objective() {
-    // Their mean is inside the aim, but in a queue's spread one in seven of them is late.
+    // The mean is inside the objective, but latencies spread as in a queue, and one in seven is late.
     let mut harness = Harness::new(settings(), 4, 1);
     (0..80).for_each(|_| {
         harness.request(IDEMPOTENT);
@@ -183,7 +184,7 @@
     let mut harness = Harness::new(settings(), 2, 4);
     let ids: Vec<_> = (0..5).map(|_| harness.request(IDEMPOTENT)).collect();
     let waiting: Vec<_> = ids.iter().filter(|(_, a)| targets(a).is_empty()).map(|(id, _)| *id).collect();
-    assert_eq!(waiting.len(), 1, "caps of two at two endpoints");
+    assert_eq!(waiting.len(), 1, "limits of two at two endpoints");
     harness.advance(50 * MS);
     let after = harness.end_attempt(ids[0].0, 0, Outcome::Ok);
     assert_eq!(targets(&after).len(), 1);
@@ -213,11 +214,11 @@
     assert!(quick > 8 && slow < 8, "{quick} {slow}");
 }
 
-// Slow clients would else fill every bulkhead while the endpoints wait for them, and all others be refused.
+// Slow clients would else fill every limit while the endpoints wait for them, and all others be rejected.
 #[test]
 fn request_with_incomplete_body_takes_no_capacity() {
     let mut harness = Harness::new(settings(), 2, 1);
-    let ask = |harness: &mut Harness, coming| {
+    let request = |harness: &mut Harness, coming| {
         let id = harness.next_request;
         harness.next_request += 1;
         let (class, due, tenant, key, work, repeat) =
@@ -234,21 +235,21 @@
         };
         (id, targets(&harness.handle(Event::RequestReceived(new))).len())
     };
-    let slow: Vec<_> = (0..60).map(|_| ask(&mut harness, true)).collect();
+    let slow: Vec<_> = (0..60).map(|_| request(&mut harness, true)).collect();
     assert!(slow.iter().all(|(_, sent)| *sent == 1));
-    assert_eq!(ask(&mut harness, false).1, 1);
+    assert_eq!(request(&mut harness, false).1, 1);
     harness.answer_all(50 * MS);
-    // Its aim counts from its end, and so does its time.
-    let (id, _) = ask(&mut harness, true);
+    // Its objective counts from the end of its body, and so does its duration.
+    let (id, _) = request(&mut harness, true);
     harness.advance(3000 * MS);
     let due = harness.now + 4000 * MS;
     harness.handle(Event::BodyReceived { request: id, deadline: due });
     assert!(!is_failed(&harness.advance(3900 * MS), id));
     assert!(is_failed(&harness.advance(200 * MS), id) || !harness.in_flight.contains_key(&(id, 0)));
-    // Once they are there they count.
-    let slow: Vec<_> = (0..60).map(|_| ask(&mut harness, true)).collect();
+    // Complete requests count.
+    let slow: Vec<_> = (0..60).map(|_| request(&mut harness, true)).collect();
     for (request, _) in slow {
         harness.handle(Event::BodyReceived { request, deadline: harness.now + 4000 * MS });
     }
-    assert_eq!(ask(&mut harness, false).1, 0);
+    assert_eq!(request(&mut harness, false).1, 0);
 }
--- a/crates/balancer/tests/endpoint_list.rs
+++ b/crates/balancer/tests/endpoint_list.rs
@@ -15,7 +15,7 @@
     }
 }
 
-// Its number may be another endpoint's next, which must not be held for what the last one did.
+// The number may be given to another endpoint, to which what the last one did must not count.
 #[test]
 fn forgets_endpoint_when_its_number_is_released() {
     for released in [false, true] {
@@ -31,7 +31,7 @@
             harness.handle(Event::EndpointReleased(0));
         }
         update_entry(&mut harness, ready_entry(0));
-        // Some requests are shed after so many failures, whatever is known of endpoints.
+        // Some requests are shed after so many errors, whatever is known of endpoints.
         let went = (0..50).any(|_| !targets(&harness.request(IDEMPOTENT).1).is_empty());
         assert_eq!(went, released);
     }
@@ -134,13 +134,13 @@
     harness.handle(Event::Cordoned(waits));
     let (id, actions) = harness.request(NON_IDEMPOTENT);
     assert!(is_rejected(&actions, id) && targets(&actions).is_empty());
-    // What is out may finish.
+    // Attempts in flight may finish.
     assert!(harness.in_flight.contains_key(&(out, 0)));
     let actions = harness.end_attempt(out, 0, Outcome::Error);
     assert!(is_rejected(&actions, out), "{actions:?}");
 }
 
-// Given back, it was restarted: a new process that is used again soon, and may not be sent much.
+// An uncordoned endpoint was restarted: it is used again soon, and within its slow-start budget.
 #[test]
 fn uses_uncordoned_endpoint_at_once_within_its_slow_start_budget() {
     let mut harness = Harness::new(settings(), 4, 1);
@@ -154,7 +154,7 @@
         to
     };
     assert!(serve(&mut harness, 40)[0] > 5);
-    // Its circuit opens before it is taken out.
+    // Its circuit opens before it is cordoned.
     for _ in 0..40 {
         let (id, actions) = harness.request(NON_IDEMPOTENT);
         let outcome = if targets(&actions) == [0] { Outcome::ConnectFailed } else { Outcome::Ok };
--- a/crates/balancer/tests/latency.rs
+++ b/crates/balancer/tests/latency.rs
@@ -27,19 +27,20 @@
 
 #[test]
 fn lasting_change_of_latency_becomes_the_unloaded_latency() {
-    // A fleet that has become eight times slower for good, still well inside the aim, is not refused for good.
+    // A fleet that has become eight times slower, still well inside the objective, is not rejected for good.
     let mut harness = Harness::new(Settings { instances: 4, ..settings() }, 2, 1);
-    let ask = |harness: &mut Harness| drop(harness.request_with(IDEMPOTENT, 3000 * MS, None, Some(10 * MS)));
+    let request =
+        |harness: &mut Harness| drop(harness.request_with(IDEMPOTENT, 3000 * MS, None, Some(10 * MS)));
     (0..80).for_each(|_| {
-        ask(&mut harness);
+        request(&mut harness);
         harness.answer_all(10 * MS);
     });
     let held = |harness: &mut Harness, rounds: usize| {
         for _ in 0..rounds {
-            (0..12).for_each(|_| ask(harness));
+            (0..12).for_each(|_| request(harness));
             harness.answer_all(80 * MS);
         }
-        (0..12).for_each(|_| ask(harness));
+        (0..12).for_each(|_| request(harness));
         harness.in_flight.len()
     };
     let (soon, late) = (held(&mut harness, 30), held(&mut harness, 15_000));
@@ -78,7 +79,7 @@
         harness.answer_all(400 * MS);
     }
     (0..40).for_each(|_| drop(harness.request(IDEMPOTENT)));
-    assert!(harness.in_flight.len() <= 8, "caps fell and stay down: {}", harness.in_flight.len());
+    assert!(harness.in_flight.len() <= 8, "limits fell and stay down: {}", harness.in_flight.len());
 }
 
 #[test]
@@ -111,8 +112,8 @@
     assert!(serve_requests(&mut harness, 8).contains(&at));
 }
 
-/// Sidecar traffic of two requests a second over eight seconds, each answered by its endpoint's own time;
-/// returns what each endpoint got in the second half.
+/// Two requests a second, each answered after its endpoint's own time; returns the targets of the second
+/// half.
 fn targets_of_sparse_traffic(
     harness: &mut Harness,
     requests: usize,
@@ -154,7 +155,7 @@
     assert!(slow <= 160, "{slow} of 480 to the slow kind");
 }
 
-// Where clients wait a second, a sidecar that has just begun can't take four to learn which kind is slow.
+// With deadlines of a second, a new sidecar can't take four to learn which machine type is slow.
 #[test]
 fn learns_latency_of_machine_type_within_deadlines() {
     let mut slow = 0;
--- a/crates/balancer/tests/load_shedding.rs
+++ b/crates/balancer/tests/load_shedding.rs
@@ -4,8 +4,8 @@
 use common::*;
 use lotusmoor_balancer::*;
 
-// A process that has just started, in an upgrade say, knows of no open circuit yet. What it sends to endpoints that fail
-// is all that it has seen: it must not pass for an overload in which nearly all are turned away at once.
+// A new process knows of no open circuit. What it sends to failing endpoints is all that it has seen: it must
+// not count as an overload in which nearly all is shed.
 #[test]
 fn new_sidecar_does_not_take_first_errors_for_overload() {
     let mut turned_away = 0;
@@ -25,7 +25,7 @@
     assert!(turned_away <= 40, "{turned_away} of 1600");
 }
 
-/// Sends of so many requests, each answered after `time`.
+/// Attempts sent for so many requests, each answered after `time`.
 fn admitted(harness: &mut Harness, requests: usize, time: Micros) -> usize {
     let before = harness.attempts_sent.len();
     for _ in 0..requests {
@@ -52,7 +52,7 @@
     assert_eq!(well, 40, "taken once all come in time again");
 }
 
-// Clients that wait a second are turned away for what went wrong ten of their deadlines ago, else.
+// Else clients with deadlines of a second are rejected for what went wrong ten deadlines ago.
 #[test]
 fn shedding_window_follows_deadlines() {
     let mut set = Settings { instances: 1000, ..settings() };
--- a/crates/balancer/tests/retry.rs
+++ b/crates/balancer/tests/retry.rs
@@ -4,7 +4,7 @@
 use common::*;
 use lotusmoor_balancer::*;
 
-// Told nothing, clients come back at once, all of them and several times.
+// Without `Retry-After` all clients come back at once, and several times.
 #[test]
 fn rejection_carries_retry_after_where_allowed() {
     for allowed in [false, true] {
@@ -50,7 +50,8 @@
     assert!((15..=37).contains(&all), "{all} attempts for 30 requests");
 }
 
-// A connection may come up long after the send was decided, and endpoints drop repeats up to a time that then is over.
+// A connection may be established long after the send was decided, when endpoints deduplicate the key no
+// more.
 #[test]
 fn retry_with_key_carries_its_idempotency_window() {
     let windows = |actions: &[Action]| -> Vec<_> {
@@ -60,7 +61,7 @@
         actions.iter().filter_map(of).collect()
     };
     for class in [IDEMPOTENT, WITH_KEY, NON_IDEMPOTENT] {
-        // One cell, whose endpoints share what they drop.
+        // One cell, whose endpoints share their keys.
         let mut harness = Harness::new(settings(), 2, 7);
         let (id, actions) = harness.request(class);
         assert_eq!(windows(&actions), [None], "nothing has run");
@@ -74,7 +75,7 @@
         let repeats = windows(&harness.advance(200 * MS));
         match class {
             WITH_KEY => {
-                // From the send of the one that may have run, which came after one that did not.
+                // From the attempt that may have run; the one before it did not.
                 let left = sent + 1200 * MS - harness.settings.tick - harness.in_flight[&(id, 2)].sent_at;
                 assert!(sent > began && left > 0);
                 assert_eq!(repeats, [Some(left)]);
@@ -143,7 +144,7 @@
     }
 }
 
-/// Every row of filter x class x outcome: what follows a first attempt that ended so.
+/// Each combination of filter, class and outcome: what follows a first attempt that ended so.
 #[test]
 fn filters_retries_by_class_and_outcome() {
     use Outcome::*;
@@ -179,10 +180,10 @@
     let mut after = harness.end_attempt(id, 0, Outcome::Error);
     after.extend(harness.advance(1500 * MS));
     assert!(targets(&after).is_empty());
-    assert!(is_failed(&after, id), "it may have run, so it cannot be refused");
+    assert!(is_failed(&after, id), "it may have run, so it cannot be rejected");
 }
 
-// A client that is told that a further try is harmless comes back at the time named, if not later.
+// A client that is told that a retry is harmless comes back at the time named, if not later.
 #[test]
 fn rejects_possible_execution_only_while_its_key_is_deduplicated() {
     for (ttl, harmless) in [(1200, true), (810, false), (500, false)] {
--- a/crates/balancer/tests/rules.rs
+++ b/crates/balancer/tests/rules.rs
@@ -1,4 +1,4 @@
-//! Rules 1 to 3 over random event sequences with fixed seeds, judged by a model of their own.
+//! The protocol's rules 1 to 3 over random event sequences with fixed seeds, checked by an implementation apart.
 
 mod common;
 use common::*;
@@ -19,7 +19,7 @@
     streaming: Option<AttemptNumber>,
 }
 
-/// What the rules allow, kept apart from the module under test.
+/// What the protocol's rules allow, implemented apart from the crate under test.
 struct RuleChecker {
     set: Settings,
     open: BTreeMap<RequestId, Open>,
@@ -40,8 +40,8 @@
                 Action::Send { request, endpoint, timeout, .. } => {
                     let open = self.open.get_mut(&request).expect("a send for an open request");
                     let to = &self.status[endpoint];
-                    assert_eq!(to.status, EndpointStatus::Ready, "drains are kept");
-                    assert!(!self.cordoned.contains(&endpoint), "cordons are kept");
+                    assert_eq!(to.status, EndpointStatus::Ready, "no attempt at a draining endpoint");
+                    assert!(!self.cordoned.contains(&endpoint), "no attempt at a cordoned endpoint");
                     assert!(timeout > 0 && now < open.due && open.streaming.is_none());
                     assert!((open.attempts.len() as u32) < self.set.limits.max_attempts);
                     let live = open.attempts.iter().filter(|a| a.outcome.is_none()).count();
@@ -49,7 +49,9 @@
                     for earlier in Self::ran(open) {
                         match self.set.classes[open.class].idempotency {
                             Idempotency::Idempotent => {}
-                            Idempotency::NonIdempotent => panic!("an unsafe request sent twice"),
+                            Idempotency::NonIdempotent => {
+                                panic!("a request that is not idempotent sent twice")
+                            }
                             Idempotency::WithKey { scope, ttl } => {
                                 let from = &self.status[earlier.endpoint];
                                 let same = match scope {
@@ -69,7 +71,7 @@
                         Idempotency::Idempotent | Idempotency::WithKey { scope: DedupScope::All, .. } => true,
                         _ => Self::ran(&open).next().is_none(),
                     };
-                    assert!(harmless, "refused though it may have run");
+                    assert!(harmless, "rejected though it may have run");
                     self.close(request);
                 }
                 Action::Fail(request) => {
@@ -112,177 +114,207 @@
     set
 }
 
-/// Plays a random sequence and returns all that the module did.
+/// How attempts end; most succeed.
+const OUTCOMES: [Outcome; 8] = [
+    Outcome::Ok,
+    Outcome::Ok,
+    Outcome::Ok,
+    Outcome::Error,
+    Outcome::Rejected,
+    Outcome::ConnectFailed,
+    Outcome::Reset,
+    Outcome::NotSent,
+];
+const STATUSES: [EndpointStatus; 4] =
+    [EndpointStatus::Ready, EndpointStatus::Ready, EndpointStatus::Draining, EndpointStatus::Removed];
+
+/// Plays a random sequence and returns all actions.
 fn play(seed: u64, steps: usize) -> Vec<String> {
-    let mut rng = fastrand::Rng::with_seed(seed);
-    let set = random_settings(&mut rng);
-    let endpoints = rng.usize(1..9);
-    let mut harness = Harness::new(set.clone(), endpoints, seed);
-    let status = (0..endpoints).map(ready_entry).collect();
-    let (open, ended, cordoned) = Default::default();
-    let mut checker = RuleChecker { set: set.clone(), open, ended, status, cordoned, answered: 0 };
-    let mut log = Vec::new();
-    let outcomes = [
-        Outcome::Ok,
-        Outcome::Ok,
-        Outcome::Ok,
-        Outcome::Error,
-        Outcome::Rejected,
-        Outcome::ConnectFailed,
-        Outcome::Reset,
-        Outcome::NotSent,
-    ];
-    let mut asked = 0;
+    let mut play = RandomPlay::new(seed);
     for _ in 0..steps {
-        match rng.u32(0..100) {
-            0..40 => {
-                let class = rng.usize(0..3);
-                let left = rng.i64(-20..2500) * MS;
-                let tenant = (!set.tenants.is_empty()).then(|| rng.usize(0..set.tenants.len()));
-                let work = rng.bool().then(|| rng.i64(0..400) * MS);
-                let id = harness.next_request;
-                let due = harness.now + left.max(0);
-                checker.open.insert(id, Open { class, due, attempts: Vec::new(), streaming: None });
-                asked += 1;
-                let (_, actions) = harness.request_with(class, left.max(0), tenant, work);
-                checker.check(harness.now, &actions);
-                log.push(format!("{actions:?}"));
-            }
-            40..70 => {
-                let keys: Vec<_> = harness.in_flight.keys().copied().collect();
-                let Some(&(id, n)) = rng.choice(&keys) else { continue };
-                finish(&mut harness, &mut checker, &mut log, (id, n), *rng.choice(&outcomes).expect("some"));
-            }
-            70..72 => {
-                let keys: Vec<_> = harness.in_flight.keys().copied().collect();
-                let Some(&(id, n)) = rng.choice(&keys) else { continue };
-                let Some(open) = checker.open.get_mut(&id).filter(|o| set.classes[o.class].streaming) else {
-                    continue;
-                };
-                if open.streaming.is_none() {
-                    open.streaming = Some(n);
-                    let actions = harness.handle(Event::StreamStarted { request: id, attempt: n });
-                    checker.check(harness.now, &actions);
-                }
-            }
-            72..74 => {
-                let keys: Vec<_> = checker.open.keys().copied().collect();
-                let Some(&id) = rng.choice(&keys) else { continue };
-                checker.open.remove(&id);
-                checker.close(id);
-                let actions = harness.handle(Event::RequestAbandoned(id));
-                checker.check(harness.now, &actions);
-            }
-            74..80 => {
-                let one = rng.usize(0..endpoints);
-                let states = [
-                    EndpointStatus::Ready,
-                    EndpointStatus::Ready,
-                    EndpointStatus::Draining,
-                    EndpointStatus::Removed,
-                ];
-                checker.status[one].status = *rng.choice(&states).expect("some");
-                checker.status[one].started_at = rng.bool().then_some(harness.now - rng.i64(0..8000) * MS);
-                let list = if rng.bool() {
-                    EndpointListUpdate::Delta(vec![checker.status[one].clone()])
-                } else {
-                    let listed = checker.status.iter().filter(|l| l.status != EndpointStatus::Removed);
-                    EndpointListUpdate::Full(listed.cloned().collect())
-                };
-                let actions = harness.handle(Event::EndpointList(list));
-                checker.check(harness.now, &actions);
-            }
-            80 => {
-                let actions = harness.handle(Event::EndpointList(EndpointListUpdate::Failed));
-                checker.check(harness.now, &actions);
-            }
-            81..84 => {
-                let one = rng.usize(0..endpoints);
-                let event = if rng.bool() {
-                    checker.cordoned.insert(one);
-                    Event::Cordoned(one)
-                } else {
-                    checker.cordoned.remove(&one);
-                    Event::Uncordoned(one)
-                };
-                let actions = harness.handle(event);
-                checker.check(harness.now, &actions);
+        play.step();
+    }
+    play.answer_everything();
+    assert!(play.checker.open.is_empty(), "every request is answered");
+    assert_eq!(play.checker.answered, play.requests);
+    play.log
+}
+
+struct RandomPlay {
+    rng: fastrand::Rng,
+    settings: Settings,
+    harness: Harness,
+    checker: RuleChecker,
+    endpoints: usize,
+    requests: usize,
+    log: Vec<String>,
+}
+
+impl RandomPlay {
+    fn new(seed: u64) -> Self {
+        let mut rng = fastrand::Rng::with_seed(seed);
+        let settings = random_settings(&mut rng);
+        let endpoints = rng.usize(1..9);
+        let harness = Harness::new(settings.clone(), endpoints, seed);
+        let status = (0..endpoints).map(ready_entry).collect();
+        let (open, ended, cordoned) = Default::default();
+        let checker = RuleChecker { set: settings.clone(), open, ended, status, cordoned, answered: 0 };
+        Self { rng, settings, harness, checker, endpoints, requests: 0, log: Vec::new() }
+    }
+
+    fn step(&mut self) {
+        match self.rng.u32(0..100) {
+            0..40 => self.request(),
+            40..70 => self.end_any_attempt(),
+            70..72 => self.start_stream(),
+            72..74 => self.abandon(),
+            74..80 => self.update_list(),
+            80 => self.handle(Event::EndpointList(EndpointListUpdate::Failed)),
+            81..84 => self.cordon(),
+            _ => {
+                let time = self.rng.i64(1..120) * MS;
+                self.pass(time);
             }
-            _ => pass(&mut harness, &mut checker, &mut log, rng.i64(1..120) * MS),
         }
     }
-    for _ in 0..80 {
-        pass(&mut harness, &mut checker, &mut log, 50 * MS);
-        let streams: Vec<_> =
-            checker.open.iter().filter(|(_, o)| o.streaming.is_some()).map(|(id, _)| *id).collect();
-        for (id, n) in
-            harness.in_flight.keys().copied().filter(|k| streams.contains(&k.0)).collect::<Vec<_>>()
-        {
-            finish(&mut harness, &mut checker, &mut log, (id, n), Outcome::Ok);
+
+    fn handle(&mut self, event: Event) {
+        let actions = self.harness.handle(event);
+        self.checker.check(self.harness.now, &actions);
+    }
+
+    fn request(&mut self) {
+        let rng = &mut self.rng;
+        let class = rng.usize(0..3);
+        let left = rng.i64(-20..2500) * MS;
+        let tenants = self.settings.tenants.len();
+        let tenant = (tenants > 0).then(|| rng.usize(0..tenants));
+        let work = rng.bool().then(|| rng.i64(0..400) * MS);
+        let id = self.harness.next_request;
+        let due = self.harness.now + left.max(0);
+        self.checker.open.insert(id, Open { class, due, attempts: Vec::new(), streaming: None });
+        self.requests += 1;
+        let (_, actions) = self.harness.request_with(class, left.max(0), tenant, work);
+        self.checker.check(self.harness.now, &actions);
+        self.log.push(format!("{actions:?}"));
+    }
+
+    fn any_attempt(&mut self) -> Option<(RequestId, AttemptNumber)> {
+        let keys: Vec<_> = self.harness.in_flight.keys().copied().collect();
+        self.rng.choice(&keys).copied()
+    }
+
+    fn end_any_attempt(&mut self) {
+        let Some(key) = self.any_attempt() else { return };
+        let outcome = *self.rng.choice(&OUTCOMES).expect("some");
+        self.end_attempt(key, outcome);
+    }
+
+    fn start_stream(&mut self) {
+        let Some((id, attempt)) = self.any_attempt() else { return };
+        let Some(open) = self.checker.open.get_mut(&id) else { return };
+        if self.settings.classes[open.class].streaming && open.streaming.is_none() {
+            open.streaming = Some(attempt);
+            self.handle(Event::StreamStarted { request: id, attempt });
+        }
+    }
+
+    fn abandon(&mut self) {
+        let keys: Vec<_> = self.checker.open.keys().copied().collect();
+        let Some(&id) = self.rng.choice(&keys) else { return };
+        self.checker.open.remove(&id);
+        self.checker.close(id);
+        self.handle(Event::RequestAbandoned(id));
+    }
+
+    fn update_list(&mut self) {
+        let entry = &mut self.checker.status[self.rng.usize(0..self.endpoints)];
+        entry.status = *self.rng.choice(&STATUSES).expect("some");
+        entry.started_at = self.rng.bool().then_some(self.harness.now - self.rng.i64(0..8000) * MS);
+        let list = if self.rng.bool() {
+            EndpointListUpdate::Delta(vec![entry.clone()])
+        } else {
+            let listed = self.checker.status.iter().filter(|l| l.status != EndpointStatus::Removed);
+            EndpointListUpdate::Full(listed.cloned().collect())
+        };
+        self.handle(Event::EndpointList(list));
+    }
+
+    fn cordon(&mut self) {
+        let endpoint = self.rng.usize(0..self.endpoints);
+        if self.rng.bool() {
+            self.checker.cordoned.insert(endpoint);
+            self.handle(Event::Cordoned(endpoint));
+        } else {
+            self.checker.cordoned.remove(&endpoint);
+            self.handle(Event::Uncordoned(endpoint));
         }
     }
-    assert!(checker.open.is_empty(), "every request is answered");
-    assert_eq!(checker.answered, asked);
-    log
-}
 
-/// Ends an attempt as the world would: the first OK settles its request, as does a broken stream.
-fn finish(
-    harness: &mut Harness,
-    checker: &mut RuleChecker,
-    log: &mut Vec<String>,
-    key: (RequestId, AttemptNumber),
-    outcome: Outcome,
-) {
-    let out = harness.in_flight.remove(&key).expect("an attempt in flight");
-    let (request, attempt) = key;
-    let mut settled = true;
-    if let Some(open) = checker.open.get_mut(&request) {
-        open.attempts[attempt as usize].outcome = Some(outcome);
-        settled = outcome == Outcome::Ok || open.streaming == Some(attempt);
-        if settled {
-            checker.open.remove(&request);
-            checker.close(request);
+    /// Lets time pass until every request has its answer, and ends streams.
+    fn answer_everything(&mut self) {
+        for _ in 0..80 {
+            self.pass(50 * MS);
+            let streams: Vec<_> =
+                self.checker.open.iter().filter(|(_, o)| o.streaming.is_some()).map(|(id, _)| *id).collect();
+            let attempts = self.harness.in_flight.keys().copied().filter(|key| streams.contains(&key.0));
+            for key in attempts.collect::<Vec<_>>() {
+                self.end_attempt(key, Outcome::Ok);
+            }
         }
     }
-    let (endpoint, took) = (out.endpoint, harness.now - out.sent_at);
-    let load = LoadReport::default();
-    let end = AttemptEnd {
-        request,
-        attempt,
-        endpoint,
-        outcome,
-        duration: took,
-        request_completed: settled,
-        body_consumed: false,
-        load_report: load,
-    };
-    let actions = harness.handle(Event::AttemptEnded(end));
-    checker.check(harness.now, &actions);
-    log.push(format!("{actions:?}"));
-}
 
-/// Lets time pass a tick at a time, with timers and time-outs as they come.
-fn pass(harness: &mut Harness, checker: &mut RuleChecker, log: &mut Vec<String>, time: Micros) {
-    let to = harness.now + time;
-    while harness.now < to {
-        harness.now += 5 * MS;
-        let streaming = |id| checker.open.get(id).is_some_and(|o: &Open| o.streaming.is_some());
-        let over = harness
-            .in_flight
-            .iter()
-            .filter(|(k, o)| o.sent_at + o.timeout <= harness.now && !streaming(&k.0));
-        for key in over.map(|(k, _)| *k).collect::<Vec<_>>() {
-            finish(harness, checker, log, key, Outcome::TimedOut);
+    /// Ends an attempt as the simulator would: the first OK completes its request, as does a broken stream.
+    fn end_attempt(&mut self, key: (RequestId, AttemptNumber), outcome: Outcome) {
+        let sent = self.harness.in_flight.remove(&key).expect("an attempt in flight");
+        let (request, attempt) = key;
+        let mut request_completed = true;
+        if let Some(open) = self.checker.open.get_mut(&request) {
+            open.attempts[attempt as usize].outcome = Some(outcome);
+            request_completed = outcome == Outcome::Ok || open.streaming == Some(attempt);
+            if request_completed {
+                self.checker.open.remove(&request);
+                self.checker.close(request);
+            }
         }
-        let due: Vec<_> = harness.timers.iter().filter(|t| t.0 <= harness.now).copied().collect();
-        harness.timers.retain(|t| t.0 > harness.now);
-        for (_, token) in due {
-            let actions = harness.handle(Event::Timer(token));
-            checker.check(harness.now, &actions);
-            log.push(format!("{actions:?}"));
+        let actions = self.harness.handle(Event::AttemptEnded(AttemptEnd {
+            request,
+            attempt,
+            endpoint: sent.endpoint,
+            outcome,
+            duration: self.harness.now - sent.sent_at,
+            request_completed,
+            body_consumed: false,
+            load_report: LoadReport::default(),
+        }));
+        self.checker.check(self.harness.now, &actions);
+        self.log.push(format!("{actions:?}"));
+    }
+
+    /// Lets time pass a tick at a time, with timers and time-outs as they come.
+    fn pass(&mut self, time: Micros) {
+        let to = self.harness.now + time;
+        while self.harness.now < to {
+            self.harness.now += 5 * MS;
+            let now = self.harness.now;
+            let streaming = |id| self.checker.open.get(id).is_some_and(|o: &Open| o.streaming.is_some());
+            let over = self
+                .harness
+                .in_flight
+                .iter()
+                .filter(|(k, o)| o.sent_at + o.timeout <= now && !streaming(&k.0));
+            for key in over.map(|(k, _)| *k).collect::<Vec<_>>() {
+                self.end_attempt(key, Outcome::TimedOut);
+            }
+            let due: Vec<_> = self.harness.timers.iter().filter(|t| t.0 <= now).copied().collect();
+            self.harness.timers.retain(|t| t.0 > now);
+            for (_, token) in due {
+                let actions = self.harness.handle(Event::Timer(token));
+                self.checker.check(now, &actions);
+                self.log.push(format!("{actions:?}"));
+            }
+            self.checker.check(now, &[]);
         }
-        checker.check(harness.now, &[]);
     }
 }
 
--- a/crates/balancer/tests/selection.rs
+++ b/crates/balancer/tests/selection.rs
@@ -19,8 +19,8 @@
     assert!(met.len() <= 32, "{} of 64 tried with three in four sick", met.len());
 }
 
-// A sidecar that goes round the whole fleet meets each endpoint once in seconds: it learns of none before it has
-// lost a request to it, and holds a connection to each.
+// A sidecar that used the whole fleet would meet each endpoint once in seconds: it would learn that one fails
+// only by losing a request, and hold a connection to each.
 #[test]
 fn subset_is_as_large_as_traffic_can_learn_of() {
     for mut to in targets_of_many_sidecars(0) {
--- a/crates/balancer/tests/slow_start.rs
+++ b/crates/balancer/tests/slow_start.rs
@@ -4,7 +4,7 @@
 use common::*;
 use lotusmoor_balancer::*;
 
-/// What endpoint 0 is sent over 4 s of traffic for two, once its attempts have ended in these ways.
+/// Attempts at one of two endpoints over 4 s of traffic, after its attempts have ended in these ways.
 fn attempts_after(ends: &[Outcome]) -> usize {
     let mut harness = Harness::new(settings(), 2, 1);
     serve_requests(&mut harness, 100);
@@ -23,9 +23,9 @@
     count
 }
 
-// A network that resets connections says nothing of the process behind them, nor does one connection that could
-// not be made: an endpoint taken for a cold new one gets next to nothing for seconds. Several that can't be made
-// and no answer since tell of a restart.
+// Connections that a network resets say nothing about the process behind them, nor does one that could not be
+// made: slow start in error sends an endpoint next to nothing for seconds. Several failed connections without
+// an answer indicate a restart.
 #[test]
 fn broken_connections_alone_do_not_begin_slow_start() {
     use Outcome::{ConnectFailed, Reset};
@@ -36,7 +36,7 @@
     }
 }
 
-// Whatever broke the connections, the process that answers a request it had before is no new one.
+// Whatever broke the connections, a process that answers an earlier request was not restarted.
 #[test]
 fn answer_to_earlier_attempt_proves_that_process_did_not_restart() {
     for lives in [false, true] {
@@ -93,8 +93,8 @@
     assert!(burst <= 2, "{burst}");
 }
 
-// After a release most of the fleet is cold. What the warm ones serve is the measure of what a cold one can do: parted
-// among cold ones as well, it leaves them idle while the warm ones are overrun.
+// After a release most of the fleet is in slow start. What warm endpoints serve is the measure for the
+// others: divided among those in slow start as well, it leaves them idle while the warm ones are overloaded.
 #[test]
 fn many_endpoints_in_slow_start_each_get_their_capacity() {
     let mut harness = Harness::new(settings(), 12, 1);
@@ -119,7 +119,7 @@
     assert!(2 * cold > 5 * warm, "{to:?}");
 }
 
-// What fails all that it is sent serves nothing: cold endpoints are no smaller for it.
+// An endpoint that fails all its attempts serves nothing: it is no measure for those in slow start.
 #[test]
 fn slow_start_budget_follows_endpoints_that_serve() {
     let mut harness = Harness::new(settings(), 6, 1);
@@ -141,8 +141,8 @@
     assert!(to_cold >= 75, "{to_cold} of 400");
 }
 
-// What cold ones serve follows from what they are let serve: measured by it, a process that begins when most are cold
-// takes seconds to find out what they can do.
+// What endpoints in slow start serve follows from their budgets: measured by it, a process that starts when
+// most are in slow start takes seconds to find out what they can do.
 #[test]
 fn slow_start_budget_soon_follows_warm_endpoints_when_most_are_in_slow_start() {
     let mut harness = Harness::new(settings(), 10, 1);
@@ -151,7 +151,7 @@
         drop(update_entry(&mut harness, EndpointEntry { started_at: started, ..ready_entry(e) }))
     });
     let mut to = [0; 10];
-    // Twice the time in which an endpoint tips.
+    // Twice the time in which an endpoint collapses under overload.
     for _ in 0..100 {
         (0..20).for_each(|_| targets(&harness.request(IDEMPOTENT).1).into_iter().for_each(|e| to[e] += 1));
         harness.answer_all(20 * MS);
@@ -161,7 +161,7 @@
     assert!(2 * to[1..].iter().sum::<u32>() > 5 * to[0], "{to:?}");
 }
 
-// Slow ones are warm, and yet no measure of what another can do.
+// Slow endpoints are warm, and yet no measure of what another can do.
 #[test]
 fn slow_start_budget_does_not_follow_slow_endpoints() {
     let mut harness = Harness::new(settings(), 5, 1);
@@ -184,8 +184,8 @@
     assert!(to_cold >= 150, "{to_cold} of 800");
 }
 
-/// What a cold endpoint is sent beside a warm one in a second, with more asked than both can take and answers of both
-/// that take so long.
+/// Attempts at an endpoint in slow start beside a warm one in a second, with more requests than both can
+/// serve and answers that take `time`.
 fn attempts_at_endpoint_in_slow_start(time: Micros) -> usize {
     let mut harness = Harness::new(settings(), 2, 1);
     let mut to_cold = 0;
@@ -206,8 +206,8 @@
     to_cold
 }
 
-// The rules tell the least that a cold one can do, and most can do more: while requests wait it is sent more, as long
-// as its answers come in time.
+// The rules state the least that an endpoint in slow start can do, and most can do more: while requests wait
+// it is sent more, as long as its answers come in time.
 #[test]
 fn endpoint_in_slow_start_that_answers_in_time_gets_more_while_requests_wait() {
     let (in_time, late) =
@@ -271,7 +271,7 @@
     assert!((1..=8).contains(&back), "{back}");
 }
 
-// Of what a cold endpoint can do, those few sidecars that go round it have to send all.
+// The few sidecars whose subsets hold an endpoint in slow start have to send it all that it can do.
 #[test]
 fn sidecars_with_subsets_send_endpoints_in_slow_start_their_full_share() {
     let to: Vec<_> = targets_of_many_sidecars(32).concat();
@@ -280,7 +280,7 @@
     assert!(4 * cold > to.len() && 2 * cold < to.len(), "{cold} of {}", to.len());
 }
 
-// A sidecar that has just started, in an upgrade say, may find most of its endpoints cold: what it serves in its first
+// A sidecar that has just started may find most of its endpoints in slow start: what it serves in its first
 // moments is no small part of what they can do.
 #[test]
 fn new_sidecar_sends_endpoint_in_slow_start_its_share_from_the_start() {
@@ -290,7 +290,7 @@
             let cold = EndpointEntry { started_at: Some(harness.now), ..ready_entry(0) };
             harness.handle(Event::EndpointList(EndpointListUpdate::Delta(vec![cold])));
             let mut to_cold = 0;
-            // A third of the time over which work served is summed up.
+            // A third of the time over which throughput is summed up.
             for _ in 0..10 {
                 let sends: Vec<_> = (0..4).flat_map(|_| targets(&harness.request(IDEMPOTENT).1)).collect();
                 to_cold += sends.iter().filter(|e| **e == 0).count();
--- a/crates/simulator-adapter/tests/wire.rs
+++ b/crates/simulator-adapter/tests/wire.rs
@@ -188,90 +188,100 @@
     assert!(error.contains("no request classes"), "{error}");
 }
 
+/// Values of fields for malformed input.
+const NUMBERS: [&str; 9] =
+    ["0", "-1", "1", "9223372036854775807", "-9223372036854775808", "4503599627370495", "NaN", "", "1e9"];
+const WORDS: [&str; 8] = ["OK", "UNAVAILABLE", "look", "book", "pay", "10.0.0.1:80", "nobody:1", "one"];
+const MESSAGES: [&str; 10] = [
+    "demand",
+    "returned",
+    "alarm",
+    "withdrawn",
+    "endpoints",
+    "under_way",
+    "catalog",
+    "m",
+    "start",
+    "peer_data",
+];
+const FIELDS: [&str; 12] = [
+    "I",
+    "Ticket",
+    "Go",
+    "TookUs",
+    "DueUs",
+    "Ctx",
+    "Kind",
+    "RosterId",
+    "Hosts",
+    "WorkHintUs",
+    "Flags",
+    "Size",
+];
+
+/// One of the integers, often 0.
+fn integer(rng: &mut fastrand::Rng) -> &'static str {
+    if rng.bool() { NUMBERS[rng.usize(..4)] } else { "0" }
+}
+
+fn random_fields(rng: &mut fastrand::Rng) -> String {
+    let mut line = (*rng.choice(&MESSAGES).expect("some")).to_owned();
+    for _ in 0..rng.usize(0..7) {
+        let value = if rng.bool() { NUMBERS[rng.usize(..9)] } else { WORDS[rng.usize(..8)] };
+        line += &format!(" {}={value}", rng.choice(&FIELDS).expect("some"));
+    }
+    line + "\n"
+}
+
+fn random_demand(rng: &mut fastrand::Rng) -> String {
+    let (ticket, due, hint) = (rng.u32(0..5), integer(rng), integer(rng));
+    let class = WORDS[rng.usize(2..5)];
+    format!("demand I=0 Ticket={ticket} Profile={class} DueUs={due} WorkHintUs={hint} Flags=1\n")
+}
+
+fn random_attempt_end(rng: &mut fastrand::Rng) -> String {
+    let (ticket, took) = (rng.u32(0..5), integer(rng));
+    let (word, host) = (WORDS[rng.usize(..2)], rng.u32(1..3));
+    format!("returned I=0 Ticket={ticket} Disposition={word} Endpoint=10.0.0.{host}:80 TookUs={took} Go=0\n")
+}
+
+fn random_list(rng: &mut fastrand::Rng) -> String {
+    let (size, at, kind) = (NUMBERS[rng.usize(..9)], integer(rng), rng.u32(1..4));
+    let size = if size.is_empty() { "0" } else { size };
+    format!(
+        "catalog RosterId=0 Hosts=1\nm Endpoint=10.0.0.1:80 Status=1 Size={size} ReadyAtUs={at}\n\
+         endpoints I=0 Epoch=1 Kind={kind} RosterId=0\n"
+    )
+}
+
 #[test]
 fn malformed_lines_never_panic() {
     let mut rng = fastrand::Rng::with_seed(11);
-    let numbers =
-        ["0", "-1", "1", "9223372036854775807", "-9223372036854775808", "4503599627370495", "NaN", "", "1e9"];
-    let words = ["OK", "UNAVAILABLE", "look", "book", "pay", "10.0.0.1:80", "nobody:1", "one"];
-    let names = [
-        "demand",
-        "returned",
-        "alarm",
-        "withdrawn",
-        "endpoints",
-        "under_way",
-        "catalog",
-        "m",
-        "start",
-        "peer_data",
-    ];
-    let fields = [
-        "I",
-        "Ticket",
-        "Go",
-        "TookUs",
-        "DueUs",
-        "Ctx",
-        "Kind",
-        "RosterId",
-        "Hosts",
-        "WorkHintUs",
-        "Flags",
-        "Size",
-    ];
-    let (mut read, mut told) = (0, 0);
+    let (mut served, mut failed) = (0, 0);
     for _ in 0..3000 {
-        let mut input = format!("mark WallUs={} batch=1\n", rng.choice(&numbers[..4]).expect("some"));
+        let mut input = format!("mark WallUs={} batch=1\n", rng.choice(&NUMBERS[..4]).expect("some"));
         input += &start(0);
         for _ in 0..rng.usize(1..8) {
-            let pick = |rng: &mut fastrand::Rng| if rng.bool() { numbers[rng.usize(..4)] } else { "0" };
-            match rng.u32(0..4) {
-                0 => {
-                    input += rng.choice(&names).expect("some");
-                    for _ in 0..rng.usize(0..7) {
-                        let value = if rng.bool() { numbers[rng.usize(..9)] } else { words[rng.usize(..8)] };
-                        input += &format!(" {}={value}", rng.choice(&fields).expect("some"));
-                    }
-                    input += "\n";
-                }
-                1 => {
-                    let (ticket, due, hint) = (rng.u32(0..5), pick(&mut rng), pick(&mut rng));
-                    let class = words[rng.usize(2..5)];
-                    input += &format!(
-                        "demand I=0 Ticket={ticket} Profile={class} DueUs={due} WorkHintUs={hint} Flags=1\n"
-                    );
-                }
-                2 => {
-                    let (ticket, took) = (rng.u32(0..5), pick(&mut rng));
-                    let (word, host) = (words[rng.usize(..2)], rng.u32(1..3));
-                    input += &format!(
-                        "returned I=0 Ticket={ticket} Disposition={word} Endpoint=10.0.0.{host}:80 TookUs={took} Go=0\n"
-                    );
-                }
-                _ => {
-                    let (size, at, kind) = (numbers[rng.usize(..9)], pick(&mut rng), rng.u32(1..4));
-                    let size = if size.is_empty() { "0" } else { size };
-                    input += &format!(
-                        "catalog RosterId=0 Hosts=1\nm Endpoint=10.0.0.1:80 Status=1 Size={size} ReadyAtUs={at}\n\
-                         endpoints I=0 Epoch=1 Kind={kind} RosterId=0\n"
-                    );
-                }
-            }
+            input += &match rng.u32(0..4) {
+                0 => random_fields(&mut rng),
+                1 => random_demand(&mut rng),
+                2 => random_attempt_end(&mut rng),
+                _ => random_list(&mut rng),
+            };
         }
         input += "go\nmark WallUs=9000000000000 batch=2\nalarm I=0 Ctx=0\nwithdrawn I=0 Ticket=0\ngo\n";
         if rng.u32(0..10) == 0 {
             input.truncate(rng.usize(..input.len()));
         }
         match run(&input) {
-            Ok(_) => read += 1,
+            Ok(_) => served += 1,
             Err(error) => {
-                told += 1;
+                failed += 1;
                 assert!(error.starts_with("line ") && error.lines().count() == 1, "{error}");
             }
         }
     }
-    assert!(read > 100 && told > 100, "{read} read, {told} told");
+    assert!(served > 100 && failed > 100, "{served} served, {failed} failed");
 }
 
 #[test]
