--- a/crates/balancer/src/balancer/circuit_breaker.rs
+++ b/crates/balancer/src/balancer/circuit_breaker.rs
@@ -13,13 +13,13 @@
 
 impl Balancer {
     /// Whether the circuit that a request of that class meets there keeps it out.
-    pub(super) fn circuit_blocks(&self, e: &Endpoint, class: ClassId) -> bool {
-        let circuit = e.circuit_for(class);
+    pub(super) fn circuit_blocks(&self, endpoint: &Endpoint, class: ClassId) -> bool {
+        let circuit = endpoint.circuit_for(class);
         // Many open circuits must not make a trial of every other request.
         let others_serve = || self.endpoints.iter().any(|e| e.serves(class));
         let over_budget = || self.trial_budget < MAX_TRIAL_BUDGET && others_serve();
         circuit != Circuit::Closed
-            && (circuit.is_open(self.now) || e.has_trial_in_flight(class) || over_budget())
+            && (circuit.is_open(self.now) || endpoint.has_trial_in_flight(class) || over_budget())
     }
 
     /// Opens the circuit of an endpoint, or of one class there: longer with each opening, and jittered.
--- a/crates/balancer/src/balancer/concurrency_limit.rs
+++ b/crates/balancer/src/balancer/concurrency_limit.rs
@@ -40,11 +40,12 @@
         }
     }
 
-    pub(super) fn is_at_limit(&self, e: &Endpoint, request: &Request, fleet: &FleetLoad) -> bool {
+    pub(super) fn is_at_limit(&self, endpoint: &Endpoint, request: &Request, fleet: &FleetLoad) -> bool {
         // The fair share does not hold up retries, which may be bound to few endpoints.
         let slack = if request.attempts.is_empty() { FAIR_SHARE_SLACK } else { f64::INFINITY };
-        let share = slack * fleet.in_flight * self.weight(e) / (fleet.total_weight * fleet.subset_share);
-        fleet.all_full || e.in_flight.load() + 1.0 > share.min(e.concurrency_limit).ceil()
+        let weight = self.weight(endpoint);
+        let share = slack * fleet.in_flight * weight / (fleet.total_weight * fleet.subset_share);
+        fleet.all_full || endpoint.in_flight.load() + 1.0 > share.min(endpoint.concurrency_limit).ceil()
     }
 
     /// First limit, and the unit in which limits rise. Sidecars seldom fill all at once: hence the root.
@@ -57,18 +58,20 @@
         let requests_wait = !self.queue.is_empty();
         let (in_flight, limits) = load_and_limits(&self.endpoints);
         let initial_limit = self.initial_limit();
-        let e = &mut self.endpoints[i];
-        let step = (1.0 - e.latency_per_work / target_latency).clamp(-MAX_STEPS_DOWN, 1.0) * LIMIT_STEP;
+        let endpoint = &mut self.endpoints[i];
+        let spare = 1.0 - endpoint.latency_per_work / target_latency;
+        let step = spare.clamp(-MAX_STEPS_DOWN, 1.0) * LIMIT_STEP;
         // It bears what it is sent: it may well be warmer than the least that is certain.
-        let most = if requests_wait || step < 0.0 { 1.0 } else { e.proven_capacity };
-        e.proven_capacity = (e.proven_capacity + step).clamp(0.0, most);
+        let most = if requests_wait || step < 0.0 { 1.0 } else { endpoint.proven_capacity };
+        endpoint.proven_capacity = (endpoint.proven_capacity + step).clamp(0.0, most);
         // Limits left at endpoints that can't be used are of no use: what waits here needs this one's.
         let in_use = in_flight + 1.0 > GROWTH_UTILIZATION * limits
-            || requests_wait && e.in_flight.load() + 1.0 >= e.concurrency_limit;
+            || requests_wait && endpoint.in_flight.load() + 1.0 >= endpoint.concurrency_limit;
         if step < 0.0 || in_use {
             // Additive increase, multiplicative decrease: sidecars that crowd each other even out.
-            let unit = if step > 0.0 { initial_limit } else { e.concurrency_limit };
-            e.concurrency_limit = (e.concurrency_limit + step * unit).clamp(MIN_LIMIT, MAX_LIMIT);
+            let unit = if step > 0.0 { initial_limit } else { endpoint.concurrency_limit };
+            let limit = endpoint.concurrency_limit + step * unit;
+            endpoint.concurrency_limit = limit.clamp(MIN_LIMIT, MAX_LIMIT);
         }
     }
 }
--- a/crates/balancer/src/balancer/endpoint_list.rs
+++ b/crates/balancer/src/balancer/endpoint_list.rs
@@ -63,11 +63,11 @@
         let was_cordoned = std::mem::replace(&mut self.endpoints[i].cordoned, cordoned);
         if was_cordoned && !cordoned {
             self.begin_slow_start(i, self.now);
-            let e = &mut self.endpoints[i];
-            e.forget_process(self.latency.per_work);
-            e.health = Health::unknown(e.health.last_outcome_at);
-            e.next_turn = self.round_robin.virtual_time;
-            e.slow_start_budget = UNCORDONED_BUDGET_REQUESTS * self.latency.mean_work;
+            let endpoint = &mut self.endpoints[i];
+            endpoint.forget_process(self.latency.per_work);
+            endpoint.health = Health::unknown(endpoint.health.last_outcome_at);
+            endpoint.next_turn = self.round_robin.virtual_time;
+            endpoint.slow_start_budget = UNCORDONED_BUDGET_REQUESTS * self.latency.mean_work;
         }
     }
 
--- a/crates/balancer/src/balancer/selection.rs
+++ b/crates/balancer/src/balancer/selection.rs
@@ -64,7 +64,8 @@
     }
 
     /// An endpoint's share of the turns: its size, less in slow start or if it is slower than the fleet.
-    pub(super) fn weight(&self, e: &Endpoint) -> f64 {
-        e.size * e.warmth(self.now, &self.settings.rules) * self.latency.weight(self.now, e)
+    pub(super) fn weight(&self, endpoint: &Endpoint) -> f64 {
+        let warmth = endpoint.warmth(self.now, &self.settings.rules);
+        endpoint.size * warmth * self.latency.weight(self.now, endpoint)
     }
 }
--- a/crates/balancer/src/balancer/slow_start.rs
+++ b/crates/balancer/src/balancer/slow_start.rs
@@ -19,20 +19,20 @@
 
 impl Balancer {
     /// Work that the endpoint may still be sent; unbounded once it is warm.
-    pub(super) fn slow_start_budget(&self, e: &Endpoint, warm_throughput: f64) -> f64 {
+    pub(super) fn slow_start_budget(&self, endpoint: &Endpoint, warm_throughput: f64) -> f64 {
         let rules = &self.settings.rules;
-        let warmth = e.warmth(self.now, rules);
+        let warmth = endpoint.warmth(self.now, rules);
         if warmth >= 1.0 {
             return f64::INFINITY;
         }
         let collapse_after = (rules.overload_collapse_after as f64).max(1.0);
         // One request each of a thousand sidecars makes it collapse: the least is divided among all.
         let min_rate = self.latency.mean_work / (collapse_after * f64::from(self.settings.instances.max(1)));
-        let share = OVERLOAD_SHARE * (1.0 + e.proven_capacity);
-        let rate = (warm_throughput * e.size * rules.overload_factor * share * warmth).max(min_rate);
-        let gained = rate * self.now.saturating_sub(e.budget_updated_at).max(0) as f64;
+        let share = OVERLOAD_SHARE * (1.0 + endpoint.proven_capacity);
+        let rate = (warm_throughput * endpoint.size * rules.overload_factor * share * warmth).max(min_rate);
+        let gained = rate * self.now.saturating_sub(endpoint.budget_updated_at).max(0) as f64;
         let max_budget = rate * collapse_after / MAX_BUDGET_COLLAPSE_TIME_DIVISOR;
-        (e.slow_start_budget + gained).min(max_budget.max(self.latency.mean_work))
+        (endpoint.slow_start_budget + gained).min(max_budget.max(self.latency.mean_work))
     }
 
     /// Work per microsecond that an endpoint of size 1 is seen to serve when warm; slow ones count as little
@@ -63,10 +63,10 @@
     /// A process has just started. The budget begins at a random part of a request, to spread sidecars.
     pub(super) fn begin_slow_start(&mut self, i: EndpointId, started_at: Micros) {
         let budget = self.rng.f64() * self.latency.mean_work;
-        let e = &mut self.endpoints[i];
-        e.started_at = e.started_at.max(Some(started_at));
-        e.slow_start_budget = budget;
-        e.budget_updated_at = self.now;
-        e.proven_capacity = 0.0;
+        let endpoint = &mut self.endpoints[i];
+        endpoint.started_at = endpoint.started_at.max(Some(started_at));
+        endpoint.slow_start_budget = budget;
+        endpoint.budget_updated_at = self.now;
+        endpoint.proven_capacity = 0.0;
     }
 }
--- a/crates/balancer/src/latency.rs
+++ b/crates/balancer/src/latency.rs
@@ -69,20 +69,20 @@
     }
 
     /// Latency of an endpoint; as its answers grow old (with many sidecars they are few), of its type.
-    pub(crate) fn of(&self, now: Micros, e: &Endpoint) -> f64 {
-        let machine_type = self.by_machine_type.get(&e.machine_type).map_or(self.per_work, |t| t.0);
-        machine_type
-            + (e.latency_per_work - machine_type) * decay(now, e.health.last_outcome_at, self.stale_after)
+    pub(crate) fn of(&self, now: Micros, endpoint: &Endpoint) -> f64 {
+        let machine_type = self.by_machine_type.get(&endpoint.machine_type).map_or(self.per_work, |t| t.0);
+        let known = decay(now, endpoint.health.last_outcome_at, self.stale_after);
+        machine_type + (endpoint.latency_per_work - machine_type) * known
     }
 
     /// 1 for an endpoint as fast as the fleet.
-    pub(crate) fn weight(&self, now: Micros, e: &Endpoint) -> f64 {
-        (self.per_work / self.of(now, e)).clamp(MIN_WEIGHT_FACTOR, MAX_WEIGHT_FACTOR)
+    pub(crate) fn weight(&self, now: Micros, endpoint: &Endpoint) -> f64 {
+        (self.per_work / self.of(now, endpoint)).clamp(MIN_WEIGHT_FACTOR, MAX_WEIGHT_FACTOR)
     }
 
     /// The mean latency up to which concurrency limits grow.
-    pub(crate) fn target(&self, e: &Endpoint) -> f64 {
-        let unloaded = self.unloaded.max(e.unloaded_latency);
+    pub(crate) fn target(&self, endpoint: &Endpoint) -> f64 {
+        let unloaded = self.unloaded.max(endpoint.unloaded_latency);
         (TARGET_OBJECTIVE_SHARE / self.objective_share).min(TARGET_STRETCH * unloaded)
     }
 
@@ -90,10 +90,10 @@
         (duration / work.max(1.0)).min(MAX_FLEET_STRETCH * self.per_work)
     }
 
-    pub(crate) fn record_sample(&mut self, now: Micros, e: &mut Endpoint, sample: f64) {
-        let latency = self.of(now, e);
-        e.latency_per_work = latency + ENDPOINT_GAIN * (sample - latency);
-        let known = self.by_machine_type.entry(e.machine_type).or_insert((self.per_work, now));
+    pub(crate) fn record_sample(&mut self, now: Micros, endpoint: &mut Endpoint, sample: f64) {
+        let latency = self.of(now, endpoint);
+        endpoint.latency_per_work = latency + ENDPOINT_GAIN * (sample - latency);
+        let known = self.by_machine_type.entry(endpoint.machine_type).or_insert((self.per_work, now));
         let gain = (1.0 - decay(now, known.1, self.stale_after)).max(FLEET_GAIN);
         let sample = sample.min(MAX_MACHINE_TYPE_STRETCH * known.0);
         *known = (known.0 + gain * (sample - known.0), now);
