--- a/crates/fleet/src/harness/rosters.rs
+++ b/crates/fleet/src/harness/rosters.rs
@@ -15,6 +15,15 @@
 use std::time::Duration;
 use tokio::runtime::Handle;
 
+/// The program of a replica. Versions differ in the command that serves.
+#[derive(Clone, Debug)]
+pub struct RegistryProgram {
+    /// The command line.
+    pub path: PathBuf,
+    /// Its subcommand for the registry.
+    pub subcommand: String,
+}
+
 /// A replica.
 struct Replica {
     id: u64,
@@ -22,6 +31,7 @@
     folder: PathBuf,
     log: PathBuf,
     process: Mutex<Option<Process>>,
+    program: Mutex<RegistryProgram>,
     /// Its way to each other replica, by number.
     ways: BTreeMap<u64, Relay>,
     /// What it is started with beside that.
@@ -88,6 +98,13 @@
 
     /// Starts a further one, with a number that no other had.
     pub fn add(&mut self, arguments: &[&str]) -> io::Result<usize> {
+        let program =
+            RegistryProgram { path: self.programs.lotusmoor.clone(), subcommand: "registry".to_owned() };
+        self.add_running(program, arguments)
+    }
+
+    /// The same with a program of the caller's.
+    pub fn add_running(&mut self, program: RegistryProgram, arguments: &[&str]) -> io::Result<usize> {
         let (at, id) = (self.replicas.len(), self.replicas.len() as u64 + 1);
         let listen = unused_address();
         let mut ways = BTreeMap::new();
@@ -97,8 +114,8 @@
         let folder = self.folder.join(format!("roster-{id}"));
         let log = self.folder.join(format!("roster-{id}.log"));
         let arguments = Mutex::new(arguments.iter().map(|a| (*a).to_owned()).collect());
-        let (process, faults) = (Mutex::default(), Mutex::default());
-        self.replicas.push(Replica { id, listen, folder, log, process, ways, arguments, faults });
+        let (process, program, faults) = (Mutex::default(), Mutex::new(program), Mutex::default());
+        self.replicas.push(Replica { id, listen, folder, log, process, program, ways, arguments, faults });
         // Those who were there before learn the way to it at their next start; until then they go straight there.
         self.go(at)?;
         let up = until(|| self.call(at, "GET", "/up", "").is_ok_and(|a| a.status == 200));
@@ -138,8 +155,10 @@
         let first = at == 0;
         let r = &self.replicas[at];
         self.timeline.note(format!("replica {} starts", r.id));
-        let mut command = Command::new(&self.programs.lotusmoor);
-        command.args(["--log", "info,openraft=error", "roster", "serve", "--id", &r.id.to_string()]);
+        let program = lock(&r.program).clone();
+        let mut command = Command::new(&program.path);
+        command.args(["--log", "info,openraft=error", &program.subcommand, "serve"]);
+        command.args(["--id", &r.id.to_string()]);
         command.args(["--listen", &r.listen.to_string(), "--folder"]).arg(&r.folder);
         for (id, relay) in &r.ways {
             command.args(["--via", &format!("{id}={}", relay.address)]);
@@ -157,6 +176,11 @@
         Ok(())
     }
 
+    /// Which program one runs from its next start on.
+    pub fn set_program(&self, at: usize, program: RegistryProgram) {
+        *lock(&self.replicas[at].program) = program;
+    }
+
     /// What one is started with from its next start on.
     pub fn set_arguments(&self, at: usize, arguments: &[&str]) {
         *lock(&self.replicas[at].arguments) = arguments.iter().map(|a| (*a).to_owned()).collect();
--- /dev/null
+++ b/crates/lotusmoor/tests/versions_side_by_side/stage.rs
@@ -0,0 +1,60 @@
+//! The programs of both builds.
+
+use lotusmoor_fleet::harness::Programs;
+use lotusmoor_fleet::harness::reaper::Reaper;
+use lotusmoor_fleet::harness::rosters::RegistryProgram;
+use serde_json::Value;
+use std::path::PathBuf;
+
+/// Names the folder of the earlier build's programs.
+const EARLIER_BUILD: &str = "EARLIER_BUILD";
+
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+pub enum Build {
+    Earlier,
+    Present,
+}
+
+/// The programs of both builds, and a folder for what they write.
+pub struct Stage {
+    pub programs: Programs,
+    earlier: PathBuf,
+    pub folder: tempfile::TempDir,
+    pub reaper: Reaper,
+}
+
+impl Stage {
+    pub fn new() -> Self {
+        let earlier =
+            std::env::var_os(EARLIER_BUILD).expect("EARLIER_BUILD names the earlier programs' folder");
+        let programs = Programs::find().expect("the programs are built");
+        let reaper = Reaper::start(&programs.lotusmoor).expect("a reaper");
+        Self { programs, earlier: earlier.into(), folder: tempfile::tempdir().expect("a folder"), reaper }
+    }
+
+    /// Earlier builds have the sidecar under the name of their time.
+    pub fn sidecar_program(&self, build: Build) -> PathBuf {
+        match build {
+            Build::Earlier => ["tinflow", "lotusmoor-sidecar"]
+                .map(|name| self.earlier.join(name))
+                .into_iter()
+                .find(|path| path.is_file())
+                .expect("the earlier sidecar is built"),
+            Build::Present => self.programs.sidecar.clone(),
+        }
+    }
+
+    pub fn registry_program(&self, build: Build) -> RegistryProgram {
+        let (path, subcommand) = match build {
+            Build::Earlier => (self.earlier.join("lotusmoor"), "roster"),
+            Build::Present => (self.programs.lotusmoor.clone(), "registry"),
+        };
+        RegistryProgram { path, subcommand: subcommand.to_owned() }
+    }
+
+    pub fn write_config(&self, name: &str, config: &Value) -> PathBuf {
+        let path = self.folder.path().join(name);
+        std::fs::write(&path, config.to_string()).expect("it is written");
+        path
+    }
+}
