--- a/crates/registry-client/src/watcher.rs
+++ b/crates/registry-client/src/watcher.rs
@@ -256,7 +256,8 @@
 
     /// Whether a list that removes too many servers confirms the one that is withheld.
     fn confirm(&mut self, now: Micros, replica: usize, version: Version, actions: &mut Vec<Action>) -> bool {
-        let confirms = |held: &mut WithheldList| held.is_confirmed_by(replica, version, now, &self.settings);
+        let settings = &self.settings;
+        let confirms = |list: &mut WithheldList| list.is_confirmed_by(replica, version, now, settings);
         let is_confirmed = self.withheld.take_if(confirms).is_some();
         if is_confirmed {
             actions.push(Action::Report(Report::Confirmed(replica)));
--- a/crates/sidecar/src/registry_watch.rs
+++ b/crates/sidecar/src/registry_watch.rs
@@ -5,6 +5,7 @@
 mod list_status;
 mod poll;
 mod report;
+mod watcher;
 
 pub use config::RegistryConfig;
 pub use list_status::ListStatus;
@@ -15,40 +16,14 @@
 use lotusmoor_registry_client::{
     Action, EndpointList, Entry, Event, Micros, RegistryWatcher, Status, Version, cache_file,
 };
-use poll::KeptConnection;
+use poll::IdleConnection;
 use report::ReportLog;
-use std::cell::RefCell;
 use std::collections::{BTreeSet, HashMap};
 use std::rc::Rc;
-use std::time::Duration;
 use tokio::sync::{mpsc, watch};
 use tokio::task::{AbortHandle, spawn_local};
-use tokio::time::{Instant, sleep_until};
-
-/// A watcher with the clock that it runs on.
-#[derive(Clone)]
-struct Watcher {
-    state: Rc<RefCell<RegistryWatcher>>,
-    started: Instant,
-}
-
-impl Watcher {
-    fn now(&self) -> Micros {
-        Micros::try_from(self.started.elapsed().as_micros()).unwrap_or(Micros::MAX)
-    }
-
-    /// When its next timer is due.
-    fn next_timer(&self) -> Option<Instant> {
-        let at = self.state.borrow().next_timer()?;
-        Some(self.started + Duration::from_micros(at.max(0).unsigned_abs()))
-    }
-
-    fn handle(&self, event: Event) -> Vec<Action> {
-        let mut actions = Vec::new();
-        self.state.borrow_mut().handle(self.now(), event, &mut actions);
-        actions
-    }
-}
+use tokio::time::sleep_until;
+use watcher::Watcher;
 
 /// Drives a [`RegistryWatcher`] on the sidecar's sockets and clock, and passes its list on.
 pub struct RegistryWatch {
@@ -56,7 +31,7 @@
     watcher: Watcher,
     inputs: Inputs,
     /// By replica.
-    connections: Vec<KeptConnection>,
+    connections: Vec<IdleConnection>,
     polls_in_flight: HashMap<u64, AbortHandle>,
     poll_events: mpsc::UnboundedSender<Event>,
     poll_results: mpsc::UnboundedReceiver<Event>,
@@ -67,8 +42,7 @@
 impl RegistryWatch {
     /// A watch that has not started, and its status. Its lists go to `inputs`.
     pub fn new(config: RegistryConfig, seed: u64, inputs: Inputs) -> (Self, ListStatus) {
-        let state = Rc::new(RefCell::new(RegistryWatcher::new(config.settings(), seed)));
-        let watcher = Watcher { state, started: Instant::now() };
+        let watcher = Watcher::new(RegistryWatcher::new(config.settings(), seed));
         let (services_sender, services) = watch::channel(config.services.clone());
         let status = ListStatus::new(watcher.clone(), services_sender);
         let (poll_events, poll_results) = mpsc::unbounded_channel();
@@ -141,7 +115,7 @@
     }
 
     fn send_poll(&mut self, poll: u64, replica: usize, after: Option<Version>, wait: Micros) {
-        let path = self.watcher.state.borrow().poll_path(after, wait);
+        let path = self.watcher.state().poll_path(after, wait);
         let (address, connection) = (self.config.addresses[replica], Rc::clone(&self.connections[replica]));
         let events = self.poll_events.clone();
         let task = spawn_local(async move {
@@ -169,7 +143,7 @@
 
     /// Writes the cache file on a thread of its own, as a disk may take its time.
     fn save(&self) {
-        let list = self.watcher.state.borrow().list().cloned();
+        let list = self.watcher.state().list().cloned();
         let (Some(path), Some(list)) = (self.config.file.clone(), list) else { return };
         tokio::task::spawn_blocking(move || {
             if let Err(error) = cache_file::save(&path, &list) {
--- a/crates/sidecar/src/registry_watch/list_status.rs
+++ b/crates/sidecar/src/registry_watch/list_status.rs
@@ -1,6 +1,6 @@
 //! The status of the list for operators, and a reload of the services that are watched.
 
-use super::Watcher;
+use super::watcher::Watcher;
 use crate::log::log_line;
 use lotusmoor_registry_client::Micros;
 use std::collections::BTreeSet;
@@ -36,7 +36,7 @@
     /// One line: version, age, number of servers, whether a list is withheld, and the number of watched services, where
     /// not all servers are watched.
     pub fn summary(&self) -> String {
-        let watcher = self.watcher.state.borrow();
+        let watcher = self.watcher.state();
         let (version, servers) = match watcher.list() {
             Some(list) => (list.version.to_string(), list.entries.len()),
             None => ("none".to_owned(), 0),
--- a/crates/sidecar/src/registry_watch/poll.rs
+++ b/crates/sidecar/src/registry_watch/poll.rs
@@ -13,16 +13,16 @@
 const MAX_RETRY_AFTER_SECONDS: f64 = 60.0;
 const MICROS_PER_SECOND: f64 = 1e6;
 
-/// A connection that is kept for the next poll of the same replica.
-pub(super) type KeptConnection = Rc<RefCell<Option<Connection>>>;
+/// An open connection for the next poll of the same replica, if there is one.
+pub(super) type IdleConnection = Rc<RefCell<Option<Connection>>>;
 
-/// Sends a poll, and makes an event of its response. The other poll of a hedged pair may use the kept connection at the
+/// Sends a poll, and makes an event of its response. The other poll of a hedged pair may use the idle connection at the
 /// same time; then this one opens its own.
-pub(super) async fn send(poll: u64, address: SocketAddr, kept: KeptConnection, path: &str) -> Event {
-    let mut connection = kept.borrow_mut().take();
+pub(super) async fn send(poll: u64, address: SocketAddr, idle: IdleConnection, path: &str) -> Event {
+    let mut connection = idle.borrow_mut().take();
     let result = fetch::get(address, &mut connection, path).await;
     if connection.is_some() {
-        *kept.borrow_mut() = connection;
+        *idle.borrow_mut() = connection;
     }
     let (status, headers, body) = match result {
         Ok(response) => response,
--- /dev/null
+++ b/crates/sidecar/src/registry_watch/watcher.rs
@@ -0,0 +1,41 @@
+//! A watcher on the clock of the process.
+
+use lotusmoor_registry_client::{Action, Event, Micros, RegistryWatcher};
+use std::cell::{Ref, RefCell};
+use std::rc::Rc;
+use std::time::Duration;
+use tokio::time::Instant;
+
+/// A [`RegistryWatcher`] that its driver and its status share.
+#[derive(Clone)]
+pub(super) struct Watcher {
+    state: Rc<RefCell<RegistryWatcher>>,
+    started: Instant,
+}
+
+impl Watcher {
+    pub(super) fn new(state: RegistryWatcher) -> Self {
+        Self { state: Rc::new(RefCell::new(state)), started: Instant::now() }
+    }
+
+    pub(super) fn state(&self) -> Ref<'_, RegistryWatcher> {
+        self.state.borrow()
+    }
+
+    /// The present time on its clock.
+    pub(super) fn now(&self) -> Micros {
+        Micros::try_from(self.started.elapsed().as_micros()).unwrap_or(Micros::MAX)
+    }
+
+    /// When its next timer is due.
+    pub(super) fn next_timer(&self) -> Option<Instant> {
+        let at = self.state.borrow().next_timer()?;
+        Some(self.started + Duration::from_micros(at.max(0).unsigned_abs()))
+    }
+
+    pub(super) fn handle(&self, event: Event) -> Vec<Action> {
+        let mut actions = Vec::new();
+        self.state.borrow_mut().handle(self.now(), event, &mut actions);
+        actions
+    }
+}
