--- a/crates/registry/src/config.rs
+++ b/crates/registry/src/config.rs
@@ -242,15 +242,19 @@
         let micros = |s: f64| (s * SECOND as f64) as i64;
         let ms = Duration::from_millis;
         let mut settings = Settings::new(self.id, self.own_address());
-        settings.heartbeat = ms(self.timing.heartbeat_ms);
-        settings.election = (ms(self.timing.election_ms[0]), ms(self.timing.election_ms[1]));
-        settings.refresh = ms(self.timing.refresh_ms);
-        settings.patience = ms(self.timing.patience_ms);
+        let [election_timeout_min, election_timeout_max] = self.timing.election_ms.map(ms);
+        settings.heartbeat_interval = ms(self.timing.heartbeat_ms);
+        settings.election_timeout_min = election_timeout_min;
+        settings.election_timeout_max = election_timeout_max;
+        settings.read_index_interval = ms(self.timing.refresh_ms);
+        settings.request_timeout = ms(self.timing.patience_ms);
         settings.leases.window = micros(self.leases.window_s);
         settings.leases.share = self.leases.share;
         settings.leases.leaving_for = micros(self.leases.leaving_s);
-        settings.ages = (micros(self.ages.mark_s), micros(self.ages.refuse_s));
-        (settings.snapshot_every, settings.keep) = (self.log.snapshot_every, self.log.keep);
+        settings.stale_after = micros(self.ages.mark_s);
+        settings.refuse_after = micros(self.ages.refuse_s);
+        settings.snapshot_every = self.log.snapshot_every;
+        settings.retained_log_entries = self.log.keep;
         settings
     }
 
--- a/crates/registry/src/explore/readers.rs
+++ b/crates/registry/src/explore/readers.rs
@@ -121,7 +121,7 @@
     ) -> Option<Told> {
         let before = self.known.version;
         let after = (before.epoch > 0).then_some(before.index);
-        let read = node.read_of(after, &self.services);
+        let read = node.read_services(after, &self.services);
         let list = &node.shared().state().list;
         if read.reading == Reading::Refused || read.update.version.epoch == 0 {
             return None;
--- a/crates/registry/src/explore/schedule.rs
+++ b/crates/registry/src/explore/schedule.rs
@@ -153,7 +153,7 @@
     fn settings(id: u64) -> Settings {
         let mut settings = Settings::new(id, format!("replica-{id}"));
         // Snapshots come often, so that they are part of what is explored.
-        (settings.snapshot_every, settings.keep) = (20, 5);
+        (settings.snapshot_every, settings.retained_log_entries) = (20, 5);
         settings
     }
 
@@ -226,10 +226,11 @@
             let (node, others) = (node.clone(), [2, 3].map(|id| (id, self.own(id))));
             let done = Arc::clone(&done);
             runtime.spawn(async move {
-                let mut result = node.found(EPOCH, None).await.map(drop).map_err(|e| e.to_string());
+                let mut result =
+                    node.bootstrap_cluster(EPOCH, None).await.map(drop).map_err(|e| e.to_string());
                 for (id, replica) in others {
                     if result.is_ok() {
-                        result = node.take_in(id, replica).await;
+                        result = node.add_member(id, replica).await.map_err(|e| e.to_string());
                     }
                 }
                 *done.lock().unwrap_or_else(PoisonError::into_inner) = Some(result);
@@ -259,7 +260,8 @@
                     };
                     let (node, net) = (node.clone(), self.net.clone());
                     runtime.spawn(async move {
-                        let answer = node.serve(call.rpc, &call.body).await.map_err(CallError::TurnedDown);
+                        let answer = node.handle_peer_call(call.rpc, &call.body).await;
+                        let answer = answer.map_err(|e| CallError::TurnedDown(e.to_string()));
                         let back = Answered { from: call.to, to: call.from, answer, reply: call.reply };
                         net.send(back.from, back.to, Arrives::Answer(back));
                     });
@@ -579,13 +581,13 @@
                 Ok(Outcome::Done { version, changed }) => Done::Wrote { version, changed },
                 Ok(Outcome::Refused(Refusal::Expected { found, .. })) => Done::Expected(found),
                 Ok(Outcome::Refused(Refusal::Unknown(_))) => Done::Absent,
-                Err(WriteError::Unknown(_)) if wrong == Some(Wrong::AcknowledgedEarly) => {
+                Err(WriteError::OutcomeUnknown(_)) if wrong == Some(Wrong::AcknowledgedEarly) => {
                     let mut version = node.shared().state().list.version();
                     version.index += 1;
                     Done::Wrote { version, changed: true }
                 }
-                Err(WriteError::Unknown(_) | WriteError::Stopped(_)) => Done::Unknown,
-                Ok(_) | Err(WriteError::NoLeader | WriteError::TooOften(_)) => Done::Failed,
+                Err(WriteError::OutcomeUnknown(_) | WriteError::Stopped(_)) => Done::Unknown,
+                Ok(_) | Err(WriteError::NoLeader | WriteError::RateLimited(_)) => Done::Failed,
             }
         }
         Op::ReadLatest if wrong == Some(Wrong::ReadsAreLocal) => {
--- a/crates/registry/src/http/answer.rs
+++ b/crates/registry/src/http/answer.rs
@@ -55,13 +55,15 @@
     fn from(error: WriteError) -> Self {
         let what = error.to_string();
         match error {
-            WriteError::TooOften(after) => Self {
+            WriteError::RateLimited(after) => Self {
                 status: StatusCode::TOO_MANY_REQUESTS,
                 what,
                 retry_after: Some(after),
                 more: json!({}),
             },
-            WriteError::Unknown(_) => Self { more: json!({"unknown": true}), ..Self::later(what, ELECTION) },
+            WriteError::OutcomeUnknown(_) => {
+                Self { more: json!({"unknown": true}), ..Self::later(what, ELECTION) }
+            }
             WriteError::NoLeader | WriteError::Stopped(_) => Self::later(what, ELECTION),
         }
     }
--- a/crates/registry/src/http/discovery.rs
+++ b/crates/registry/src/http/discovery.rs
@@ -71,7 +71,7 @@
             () = state.closing() => return Err(Refused::later("this replica ends", 0)),
         }
     }
-    let age = match state.node.read_age() {
+    let age = match state.node.reading() {
         Reading::Plain(age) | Reading::Marked(age) => age,
         Reading::Refused => {
             state.metrics.refused_stale.inc();
@@ -128,7 +128,7 @@
 ) -> Result<Response, Refused> {
     let services = services(&state, &asked)?;
     if asked.consistent {
-        let update = state.node.read_latest_of(services.as_deref()).await?;
+        let update = state.node.read_latest_services(services.as_deref()).await?;
         let body = serde_json::to_vec(&update);
         let body = body.map_err(|e| Refused::bad(StatusCode::INTERNAL_SERVER_ERROR, e.to_string()))?;
         return Ok(text(body));
@@ -138,7 +138,7 @@
     let same = asked.epoch.is_none_or(|e| e == known);
     let after = asked.after.filter(|_| same);
     let Told { rendered: r, age, waited } = told(&state, after, asked.wait_ms, services.as_ref()).await?;
-    let stale = matches!(state.node.read_age(), Reading::Marked(_));
+    let stale = matches!(state.node.reading(), Reading::Marked(_));
     let head = format!(
         "{{\"epoch\":{},\"index\":{},\"snapshot\":{},\"digest\":{},\"replica\":{},\"age_ms\":{},\"waited_ms\":{},\
          \"stale\":{stale},{}\"endpoints\":",
--- a/crates/registry/src/http/metrics.rs
+++ b/crates/registry/src/http/metrics.rs
@@ -91,8 +91,8 @@
         set(&self.leads, u64::from(metrics.current_leader == Some(node.settings().id)));
         self.age_ms.set(node.age().map_or(-1, |a| a / 1000));
         set(&self.watchers, watchers as u64);
-        set(&self.store_reopened, node.settings().reopened);
-        set(&self.waiting, node.waiting_to_expire() as u64);
+        set(&self.store_reopened, node.settings().store_reopen_count);
+        set(&self.waiting, node.pending_expirations() as u64);
         let snapshot = metrics.snapshot.map_or(0, |l| l.index);
         set(&self.log_entries, metrics.last_log_index.unwrap_or(0).saturating_sub(snapshot));
         let mut text = String::new();
--- a/crates/registry/src/http/operators.rs
+++ b/crates/registry/src/http/operators.rs
@@ -4,7 +4,7 @@
 use super::serve::State;
 use crate::core::lease::Renewal;
 use crate::core::list::{Command, Registration, check};
-use crate::node::unix_ms;
+use crate::node::{MembershipError, unix_ms};
 use crate::raft::{Replica, Transport};
 use axum::Json;
 use axum::body::Bytes;
@@ -204,7 +204,7 @@
         "digest": shared.list.digest(),
         "servers": shared.list.entries().len(),
         "active": shared.list.active(),
-        "waiting_to_expire": node.waiting_to_expire(),
+        "waiting_to_expire": node.pending_expirations(),
         "applied": shared.applied.map(|l| l.index),
         "last_log": metrics.last_log_index,
         "snapshot": metrics.snapshot.map(|l| l.index),
@@ -232,18 +232,18 @@
 
 pub(super) async fn take_in<T: Transport>(Held(state): Held<Arc<State<T>>>, body: Bytes) -> Answer {
     let Newcomer { id, address, identity } = read(&body)?;
-    let taken = state.node.take_in(id, Replica { address, identity }).await;
-    taken.map_err(|what| at_leader(&state, what))?;
+    let taken = state.node.add_member(id, Replica { address, identity }).await;
+    taken.map_err(|error| at_leader(&state, &error))?;
     Ok(Json(json!({"votes": true})).into_response())
 }
 
 pub(super) async fn put_out<T: Transport>(Held(state): Held<Arc<State<T>>>, Path(id): Path<u64>) -> Answer {
-    state.node.put_out(id).await.map_err(|what| at_leader(&state, what))?;
+    state.node.remove_member(id).await.map_err(|error| at_leader(&state, &error))?;
     Ok(Json(json!({"votes": false})).into_response())
 }
 
 /// Who belongs is for the leader to change; others name it.
-fn at_leader<T: Transport>(state: &State<T>, what: String) -> Refused {
+fn at_leader<T: Transport>(state: &State<T>, error: &MembershipError) -> Refused {
     let leader = state.node.leader();
     if leader.is_some() && leader != Some(state.node.settings().id) {
         let metrics = state.node.raft().metrics();
@@ -255,5 +255,5 @@
             format!("ask the leader, replica {} at {}", leader.unwrap_or(0), address.unwrap_or_default()),
         );
     }
-    Refused::bad(StatusCode::CONFLICT, what)
+    Refused::bad(StatusCode::CONFLICT, error.to_string())
 }
--- a/crates/registry/src/http/peers.rs
+++ b/crates/registry/src/http/peers.rs
@@ -16,6 +16,8 @@
 ) -> Result<Response, Refused> {
     let rpc = Rpc::ALL.into_iter().find(|rpc| rpc.name() == name);
     let rpc = rpc.ok_or_else(|| Refused::bad(StatusCode::NOT_FOUND, "no such call"))?;
-    let answer = state.node.serve(rpc, &body).await;
-    answer.map(IntoResponse::into_response).map_err(|what| Refused::bad(StatusCode::CONFLICT, what))
+    let answer = state.node.handle_peer_call(rpc, &body).await;
+    answer
+        .map(IntoResponse::into_response)
+        .map_err(|error| Refused::bad(StatusCode::CONFLICT, error.to_string()))
 }
--- a/crates/registry/src/http/serve.rs
+++ b/crates/registry/src/http/serve.rs
@@ -222,7 +222,7 @@
 /// Tells whether the replica has lost touch, for as long as it is served.
 async fn look<T: Transport>(node: Node<T>, losing: watch::Sender<bool>) {
     loop {
-        let lost = node.read_age() == Reading::Refused;
+        let lost = node.reading() == Reading::Refused;
         losing.send_if_modified(|known| std::mem::replace(known, lost) != lost);
         tokio::time::sleep(LOOK).await;
     }
--- /dev/null
+++ b/crates/registry/src/node/leases.rs
@@ -0,0 +1,94 @@
+//! Leases: the leader renews them in memory and proposes the expiry of those that ran out.
+
+use super::{Node, WriteError, lock, unix_ms};
+use crate::core::lease::{Leases, Renewal};
+use crate::core::list::{Command, Due};
+use crate::raft::{CallError, Rpc, Transport};
+use openraft::ServerState;
+
+/// What a replica tracks while it leads.
+pub(super) struct LeaderState {
+    pub(super) leases: Leases,
+    /// The term in which this replica leads; `None` while it follows.
+    term: Option<u64>,
+    /// Index of the list up to which changes were passed to the leases.
+    observed_index: u64,
+}
+
+impl LeaderState {
+    pub(super) fn new(leases: Leases) -> Self {
+        Self { leases, term: None, observed_index: 0 }
+    }
+}
+
+impl<T: Transport> Node<T> {
+    /// Servers whose lease ran out and that stay listed, as too many others expire at once.
+    pub fn pending_expirations(&self) -> usize {
+        lock(&self.inner.leader_state).leases.waiting()
+    }
+
+    /// Brings the leases up to date with the list and proposes to expire those that ran out.
+    pub(super) async fn check_leases(&self) {
+        let Some(due) = self.expired_leases() else { return };
+        self.finish_membership_change().await;
+        if !due.is_empty() {
+            tracing::info!("{} leases have run out", due.len());
+            // An expiry that is not committed is proposed again at a later check.
+            let _ = self.write_as_leader(Command::Expire { due, at_ms: unix_ms() }).await;
+        }
+    }
+
+    /// The leases that ran out; `None` while this replica follows.
+    fn expired_leases(&self) -> Option<Vec<Due>> {
+        let (server_state, term, leader) = {
+            let metrics = self.inner.raft.metrics();
+            let metrics = metrics.borrow();
+            (metrics.state, metrics.current_term, metrics.current_leader)
+        };
+        let leads = server_state == ServerState::Leader && leader == Some(self.inner.settings.id);
+        let now = self.now();
+        let state = self.inner.shared.state();
+        let mut leader_state = lock(&self.inner.leader_state);
+        if !leads {
+            if leader_state.term.take().is_some() {
+                leader_state.leases.follow();
+            }
+            return None;
+        }
+        if leader_state.term != Some(term) {
+            leader_state.term = Some(term);
+            leader_state.leases.lead(now, state.list.entries().values());
+        } else {
+            let (changed, removed) = state.list.changed_after(leader_state.observed_index);
+            let removed: Vec<String> = removed.map(str::to_owned).collect();
+            changed.for_each(|entry| leader_state.leases.changed(now, entry));
+            removed.iter().for_each(|name| leader_state.leases.gone(name));
+        }
+        leader_state.observed_index = state.list.version().index;
+        Some(leader_state.leases.due(now, state.list.active()))
+    }
+
+    /// Renews the lease of a server, at the leader.
+    pub async fn renew(&self, name: &str) -> Result<Renewal, WriteError> {
+        let leader = self.leader_target().ok_or(WriteError::NoLeader)?;
+        if leader.id == self.inner.settings.id {
+            return self.renew_as_leader(name);
+        }
+        let answer: Result<Result<bool, WriteError>, CallError> =
+            self.inner.peers.call(&leader, Rpc::Renew, name, self.inner.settings.request_timeout).await;
+        let renewed = answer.map_err(|e| WriteError::OutcomeUnknown(e.to_string()))??;
+        Ok(if renewed { Renewal::Held } else { Renewal::Unknown })
+    }
+
+    pub(super) fn renew_as_leader(&self, name: &str) -> Result<Renewal, WriteError> {
+        // Lock order: the list before the leases.
+        let is_permanent =
+            self.inner.shared.state().list.entries().get(name).is_some_and(|entry| entry.lease_ms == 0);
+        let mut leader_state = lock(&self.inner.leader_state);
+        if leader_state.term.is_none() {
+            return Err(WriteError::NoLeader);
+        }
+        let renewal = leader_state.leases.renew(self.now(), name);
+        Ok(if is_permanent { Renewal::Held } else { renewal })
+    }
+}
--- /dev/null
+++ b/crates/registry/src/node/reads.rs
@@ -0,0 +1,112 @@
+//! Reads: from the local list with a bound on its age, or linearizable by way of the leader's read index.
+
+use super::{Node, WriteError, lock};
+use crate::core::Micros;
+use crate::core::freshness::Reading;
+use crate::raft::{CallError, Rpc, Transport};
+use lotusmoor_registry_client::ListUpdate;
+use openraft::error::{CheckIsLeaderError, RaftError};
+use tokio::time::timeout;
+
+/// Microseconds in a millisecond.
+const MICROS_PER_MILLI: Micros = 1000;
+
+/// What a replica gives to a reader.
+pub struct Read {
+    /// Whether and how it may be used.
+    pub reading: Reading,
+    /// The list, or changes.
+    pub update: ListUpdate,
+}
+
+impl<T: Transport> Node<T> {
+    /// The list of this replica, or its changes after an index, with its age.
+    pub fn read(&self, after: Option<u64>) -> Read {
+        // The age is determined first: entries applied in between only make the list newer.
+        let reading = self.reading();
+        let update = self.inner.shared.state().list.update(after);
+        self.with_age(reading, update)
+    }
+
+    /// Like [`Self::read`], of some services alone, which must be sorted by name.
+    pub fn read_services(&self, after: Option<u64>, services: &[String]) -> Read {
+        let reading = self.reading();
+        let update = self.inner.shared.state().list.update_of(after, services);
+        self.with_age(reading, update)
+    }
+
+    fn with_age(&self, reading: Reading, mut update: ListUpdate) -> Read {
+        update.replica = self.inner.settings.id;
+        if let Reading::Plain(age) | Reading::Marked(age) = reading {
+            update.age_ms = millis(age);
+        }
+        Read { reading, update }
+    }
+
+    /// Whether and how the list may be used now.
+    pub fn reading(&self) -> Reading {
+        lock(&self.inner.freshness).reading(self.now())
+    }
+
+    /// Upper bound of the list's age; `None` before the first answer of a leader was applied.
+    pub fn age(&self) -> Option<Micros> {
+        lock(&self.inner.freshness).age(self.now())
+    }
+
+    /// The list with everything that was acknowledged before this call.
+    pub async fn read_latest(&self) -> Result<ListUpdate, WriteError> {
+        self.read_latest_services(None).await
+    }
+
+    /// Like [`Self::read_latest`], of some services alone, which must be sorted by name.
+    pub async fn read_latest_services(&self, services: Option<&[String]>) -> Result<ListUpdate, WriteError> {
+        let requested_at = self.now();
+        let index = self.read_index().await?;
+        let mut applied = self.inner.shared.applied();
+        let caught_up = applied.wait_for(|applied| *applied >= index);
+        if !matches!(timeout(self.inner.settings.request_timeout, caught_up).await, Ok(Ok(_))) {
+            return Err(WriteError::NoLeader);
+        }
+        lock(&self.inner.freshness).committed(requested_at, index);
+        let mut update = {
+            let list = &self.inner.shared.state().list;
+            services.map_or_else(|| list.update(None), |services| list.update_of(None, services))
+        };
+        update.replica = self.inner.settings.id;
+        update.age_ms = millis(self.now() - requested_at);
+        Ok(update)
+    }
+
+    /// The committed index of a leader that has confirmed its lead with a quorum.
+    async fn read_index(&self) -> Result<u64, WriteError> {
+        let leader = self.leader_target().ok_or(WriteError::NoLeader)?;
+        if leader.id == self.inner.settings.id {
+            return self.read_index_as_leader().await;
+        }
+        let answer: Result<Result<u64, WriteError>, CallError> =
+            self.inner.peers.call(&leader, Rpc::Committed, (), self.inner.settings.request_timeout).await;
+        answer.map_err(|_| WriteError::NoLeader)?
+    }
+
+    pub(super) async fn read_index_as_leader(&self) -> Result<u64, WriteError> {
+        let log_id = self.inner.raft.get_read_log_id();
+        match timeout(self.inner.settings.request_timeout, log_id).await {
+            Ok(Ok((read, _))) => Ok(read.map_or(0, |log_id| log_id.index)),
+            Ok(Err(RaftError::APIError(CheckIsLeaderError::ForwardToLeader(_)))) => Err(WriteError::NoLeader),
+            Ok(Err(RaftError::Fatal(fatal))) => Err(WriteError::Stopped(fatal.to_string())),
+            Ok(Err(_)) | Err(_) => Err(WriteError::NoLeader),
+        }
+    }
+
+    /// Asks for the read index, which bounds the age of the list once it is applied.
+    pub(super) async fn refresh_freshness(&self) {
+        let requested_at = self.now();
+        if let Ok(index) = self.read_index().await {
+            lock(&self.inner.freshness).committed(requested_at, index);
+        }
+    }
+}
+
+fn millis(age: Micros) -> u64 {
+    u64::try_from(age / MICROS_PER_MILLI).unwrap_or(0)
+}
--- a/crates/registry/src/process.rs
+++ b/crates/registry/src/process.rs
@@ -205,12 +205,14 @@
         store.probe().map_err(in_file)?;
     }
     let drawn = rand::rng().random::<u64>() >> 11;
-    let settings = Settings { reopened, ..config.settings() };
+    let settings = Settings { store_reopen_count: reopened, ..config.settings() };
     match Node::start(settings, store, Http::by(config.ways()), drawn).await {
         Ok(node) => Ok(node),
         Err(NodeError::Store(source)) => Err(in_file(source).into()),
         // The log's library says of its store's failures as much as of its own.
-        Err(NodeError::Stopped(what)) if reopened > 0 => Err(Ended::StoreFailed(ProcessError::Stopped(what))),
+        Err(NodeError::Raft(error)) if reopened > 0 => {
+            Err(Ended::StoreFailed(ProcessError::Stopped(error.to_string())))
+        }
         Err(other) => Err(ProcessError::Node(other).into()),
     }
 }
@@ -236,14 +238,14 @@
     node: &Node<Http>,
     from: &mut Option<List>,
 ) -> Result<std::convert::Infallible, ProcessError> {
-    let belongs = node.belongs().await;
+    let belongs = node.is_initialized().await;
     // Its disk may have failed, or its process have ended, when it was a member and its list not founded yet.
-    let founds = if belongs { node.votes_alone() } else { config.join.is_empty() };
+    let founds = if belongs { node.is_sole_voter() } else { config.join.is_empty() };
     if !belongs || founds || from.is_some() {
         if founds || config.join.is_empty() {
             let epoch = unix_ms() / 1000;
             let epoch = epoch.max(from.as_ref().map_or(0, |l| l.version().epoch + 1));
-            let founded = node.found(epoch, from.clone().map(Box::new)).await?;
+            let founded = node.bootstrap_cluster(epoch, from.clone().map(Box::new)).await?;
             *from = None;
             if founded {
                 tracing::info!("founded epoch {epoch}");
--- a/crates/registry/tests/stored_forms/calls_made.rs
+++ b/crates/registry/tests/stored_forms/calls_made.rs
@@ -26,7 +26,7 @@
         raft_calls::follow(&node).await;
         let of_service = samples::put(vec![samples::of_service("w3", "web")]);
         assert_eq!(node.write(of_service).await.err(), Some(WriteError::NoLeader));
-        assert!(matches!(node.renew("a").await, Err(WriteError::Unknown(_))));
+        assert!(matches!(node.renew("a").await, Err(WriteError::OutcomeUnknown(_))));
         assert_eq!(node.read_latest().await.err(), Some(WriteError::NoLeader));
         node.stop().await;
         [Rpc::Write, Rpc::Renew, Rpc::Committed].map(|rpc| first(&recorder, rpc))
--- a/crates/registry/tests/stored_forms/database.rs
+++ b/crates/registry/tests/stored_forms/database.rs
@@ -33,7 +33,7 @@
 /// Makes a replica with all that it can store, in that folder.
 async fn make(folder: &Path) {
     let node = samples::start(1, folder).await;
-    assert!(node.found(samples::EPOCH, None).await.expect("the list is founded"));
+    assert!(node.bootstrap_cluster(samples::EPOCH, None).await.expect("the list is founded"));
     for (i, command) in samples::commands().into_iter().enumerate().skip(1) {
         let outcome = node.write(command).await.expect("it is written");
         assert!(matches!(outcome, Outcome::Done { changed: true, .. }), "{outcome:?}");
--- a/crates/registry/tests/stored_forms/http_answers.rs
+++ b/crates/registry/tests/stored_forms/http_answers.rs
@@ -230,7 +230,7 @@
     let restored = raft_calls::runtime().block_on(async {
         let folder = tempfile::tempdir().expect("a folder");
         let node = samples::start(1, folder.path()).await;
-        assert!(node.found(EPOCH + 1, Some(Box::new(read))).await.expect("the list is founded"));
+        assert!(node.bootstrap_cluster(EPOCH + 1, Some(Box::new(read))).await.expect("the list is founded"));
         let list = node.shared().state().list.clone();
         node.stop().await;
         list
--- a/crates/registry/tests/stored_forms/raft_calls.rs
+++ b/crates/registry/tests/stored_forms/raft_calls.rs
@@ -115,7 +115,7 @@
 /// Makes a replica a follower of replica 1, with a list.
 pub async fn follow(node: &Node<Recorder>) {
     for (rpc, body) in calls_to_follower().await.into_iter().take(2) {
-        node.serve(rpc, &body).await.expect("it is answered");
+        node.handle_peer_call(rpc, &body).await.expect("it is answered");
     }
 }
 
@@ -127,7 +127,7 @@
             // The leader knows of the leases of what was written from its next look on.
             tokio::time::sleep(Duration::from_secs(1)).await;
         }
-        let answer = node.serve(rpc, &body).await.expect("it is answered");
+        let answer = node.handle_peer_call(rpc, &body).await.expect("it is answered");
         let text = |bytes| String::from_utf8(bytes).expect("it is JSON");
         lines.extend([rpc.name().to_owned(), text(body), text(answer)]);
     }
@@ -147,7 +147,7 @@
     let folder = tempfile::tempdir().expect("a folder");
     runtime().block_on(async {
         let node = samples::start(1, folder.path()).await;
-        assert!(node.found(samples::EPOCH, None).await.expect("the list is founded"));
+        assert!(node.bootstrap_cluster(samples::EPOCH, None).await.expect("the list is founded"));
         played(&node, calls_to_leader().await).await
     })
 }
--- a/crates/registry/tests/stored_forms/samples.rs
+++ b/crates/registry/tests/stored_forms/samples.rs
@@ -56,8 +56,9 @@
 pub async fn start_over(id: u64, folder: &Path, recorder: Recorder) -> Node<Recorder> {
     let store = Store::open(folder, Format::NEWEST).expect("the store opens");
     let mut settings = Settings::new(id, address(id));
-    settings.heartbeat = HOUR / 4;
-    settings.election = (HOUR, 2 * HOUR);
+    settings.heartbeat_interval = HOUR / 4;
+    settings.election_timeout_min = HOUR;
+    settings.election_timeout_max = 2 * HOUR;
     settings.leases.leaving_for = 3600 * SECOND;
     Node::start(settings, store, recorder, replica(id).identity).await.expect("the replica starts")
 }
@@ -174,8 +175,8 @@
         refused(Refusal::Invalid("a: weight must be above 0".into())),
         refused(Refusal::Epoch(EPOCH)),
         Err(WriteError::NoLeader),
-        Err(WriteError::Unknown("not at a majority in time".into())),
-        Err(WriteError::TooOften(1_999_999)),
+        Err(WriteError::OutcomeUnknown("not at a majority in time".into())),
+        Err(WriteError::RateLimited(1_999_999)),
         Err(WriteError::Stopped("the disk failed".into())),
     ]
 }
