--- a/crates/fleet/src/model/run/roster.rs
+++ b/crates/fleet/src/model/run/roster.rs
@@ -3,9 +3,9 @@
 
 use super::*;
 use crate::model::world::RosterSpec;
-use lotusmoor_registry::core::admission::{Admission, Admit};
-use lotusmoor_registry::core::lease::{self, Leases, Renewal};
-use lotusmoor_registry::core::list::{Command, List, Outcome as Written, Registration};
+use lotusmoor_registry::core::admission::{Admission, AdmissionDecision};
+use lotusmoor_registry::core::lease::{self, LeaseTracker, Renewal};
+use lotusmoor_registry::core::{Command, List, Outcome as Written, Registration};
 use lotusmoor_registry_client as client;
 use lotusmoor_registry_client::{EndpointList, ListUpdate, RegistryWatcher, Version};
 
@@ -74,7 +74,7 @@
 pub(super) struct Roster {
     spec: RosterSpec,
     list: List,
-    leases: Leases,
+    leases: LeaseTracker,
     replicas: Vec<Replica>,
     leader: usize,
     /// Nobody leads until then.
@@ -101,7 +101,7 @@
         };
         Self {
             list: List::default(),
-            leases: Leases::new(lease::Settings::default()),
+            leases: LeaseTracker::new(lease::Settings::default()),
             replicas: (0..spec.replicas).map(replica).collect(),
             leader: 0,
             leaderless_until: 0,
@@ -159,11 +159,11 @@
     pub(super) fn start_roster(&mut self) {
         let Some(spec) = self.world.roster.clone() else { return };
         let mut roster = Roster::new(spec, self.world.zones.len(), self.world.seed);
-        roster.list.apply(&Command::Found { epoch: 1000, from: None });
+        roster.list.apply(&Command::Bootstrap { epoch: 1000, backup: None });
         let first = (0..self.servers.len()).filter(|s| !self.servers[*s].spec.later);
         let servers: Vec<Registration> = first.map(|s| self.registration(s, &roster.spec)).collect();
-        roster.list.apply(&Command::Put { servers, expect: None, at_ms: 0 });
-        roster.leases.lead(0, roster.list.entries().values());
+        roster.list.apply(&Command::Register { servers, expect: None, at_ms: 0 });
+        roster.leases.start_leading(0, roster.list.entries().values());
         self.starts.fill(0);
         self.roster = Some(Box::new(roster));
         for s in 0..self.servers.len() {
@@ -204,7 +204,7 @@
         let command = match status {
             EndpointStatus::Ready => {
                 let server = self.registration(server, &roster.spec);
-                Command::Put { servers: vec![server], expect: None, at_ms: 0 }
+                Command::Register { servers: vec![server], expect: None, at_ms: 0 }
             }
             EndpointStatus::Draining => Command::Drain { name, expect: None, at_ms: 0 },
             EndpointStatus::Removed => Command::Remove { name, expect: None, at_ms: 0 },
@@ -301,12 +301,12 @@
             return;
         }
         if std::mem::take(&mut roster.leads_anew) {
-            roster.leases.lead(now, roster.list.entries().values());
+            roster.leases.start_leading(now, roster.list.entries().values());
         }
-        let due = roster.leases.due(now, roster.list.active());
+        let due = roster.leases.take_expired(now, roster.list.active());
         if !due.is_empty() {
             let fell_silent = now - Micros::try_from(roster.spec.lease_ms * 1000).unwrap_or(0);
-            self.write_to_roster(now, Command::Expire { due, at_ms: 0 }, fell_silent);
+            self.write_to_roster(now, Command::Expire { leases: due, at_ms: 0 }, fell_silent);
         }
     }
 
@@ -314,12 +314,12 @@
         let Some(roster) = &mut self.roster else { return };
         let (command, since) = &roster.writes[write as usize];
         let (before, since) = (roster.list.version().index, *since);
-        let Written::Done { version, changed: true } = roster.list.apply(command) else { return };
+        let Written::Applied { version, changed: true } = roster.list.apply(command) else { return };
         let (changed, left) = roster.list.changed_after(before);
-        changed.for_each(|kept| roster.leases.changed(now, kept));
-        left.for_each(|name| roster.leases.gone(name));
+        changed.for_each(|kept| roster.leases.update(now, kept));
+        left.for_each(|name| roster.leases.remove(name));
         roster.acknowledged.push(Acknowledged { index: version.index, at: now, since, last_told: 0 });
-        if let Command::Put { servers, .. } = command {
+        if let Command::Register { servers, .. } = command {
             for server in servers.iter().filter_map(|s| number_of(&s.entry.name)) {
                 self.starts[server] = version.index as usize;
             }
@@ -347,7 +347,7 @@
         let version = roster.list.version();
         let whole = roster.list.update(after.map(|a| a.index)).snapshot;
         if whole {
-            if let Admit::Later(wait) = roster.replicas[replica].admission.ask(now) {
+            if let AdmissionDecision::RetryAfter(wait) = roster.replicas[replica].admission.admit(now) {
                 self.gauge.turned_away += 1;
                 return self.send_reply(now, ask, Err(Some(wait)));
             }
--- a/crates/lotusmoor/src/registry.rs
+++ b/crates/lotusmoor/src/registry.rs
@@ -3,7 +3,7 @@
 use crate::Failure;
 use hyper::{Method, StatusCode};
 use lotusmoor_registry::config::Config;
-use lotusmoor_registry::core::services::parse;
+use lotusmoor_registry::core::parse_services;
 use lotusmoor_registry::explore::{explore, play};
 use lotusmoor_registry::http::Client;
 use lotusmoor_registry::node::unix_ms;
@@ -247,7 +247,8 @@
         Command::List { at, consistent, service } => {
             let mut path = format!("/v1/list?consistent={consistent}");
             if !service.is_empty() {
-                let services = parse(&service.join(",")).map_err(Failure::Said)?;
+                let services =
+                    parse_services(&service.join(",")).map_err(|e| Failure::Said(e.to_string()))?;
                 path.push_str(&format!("&services={}", services.join(",")));
             }
             let list = at.ask(Method::GET, &path, &none).await?;
--- a/crates/registry/src/config.rs
+++ b/crates/registry/src/config.rs
@@ -247,8 +247,8 @@
         settings.refresh = ms(self.timing.refresh_ms);
         settings.patience = ms(self.timing.patience_ms);
         settings.leases.window = micros(self.leases.window_s);
-        settings.leases.share = self.leases.share;
-        settings.leases.leaving_for = micros(self.leases.leaving_s);
+        settings.leases.max_expiring_share = self.leases.share;
+        settings.leases.draining_time = micros(self.leases.leaving_s);
         settings.ages = (micros(self.ages.mark_s), micros(self.ages.refuse_s));
         (settings.snapshot_every, settings.keep) = (self.log.snapshot_every, self.log.keep);
         settings
--- a/crates/registry/src/core/freshness.rs
+++ b/crates/registry/src/core/freshness.rs
@@ -1,109 +1,91 @@
-//! How old a replica's list can be. A replica asks the leader which index is committed; once it has applied that, its
-//! list lacks nothing that was acknowledged before the instant at which it asked. All on its own monotonic clock.
+//! The age of a replica's list. A replica asks the leader for the committed index. Once it has applied the log up to
+//! there, its list includes everything that was acknowledged before the request was sent. All times are of the
+//! replica's own monotonic clock.
 
 use super::{Micros, SECOND};
 
-/// What a reader is given.
+/// The default age from which a list is marked as stale.
+const DEFAULT_STALE_AFTER: Micros = 3 * SECOND;
+/// The default age from which a list is not served.
+const DEFAULT_REFUSE_AFTER: Micros = 30 * SECOND;
+
+/// How consistent a read is at this replica.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Reading {
-    /// The list, that old.
-    Plain(Micros),
-    /// The list, that old, which is told as stale.
-    Marked(Micros),
-    /// Nothing: it could be too old.
-    Refused,
+pub enum ReadConsistency {
+    /// The list is at most this old.
+    Fresh(Micros),
+    /// The list is at most this old and marked as stale.
+    Stale(Micros),
+    /// The list may be too old to be served.
+    Unavailable,
 }
 
-/// The age of a replica's list.
+/// Tracks the age of a replica's list.
 pub struct Freshness {
-    mark_after: Micros,
+    stale_after: Micros,
     refuse_after: Micros,
-    true_at: Option<Micros>,
-    /// What the leader said and this replica has not applied yet: when it was asked, and the index of the log.
-    ahead: Option<(Micros, u64)>,
-    applied: u64,
+    /// The latest time as of which the list is known to be complete.
+    complete_as_of: Option<Micros>,
+    pending_confirmation: Option<Confirmation>,
+    applied_index: u64,
+}
+
+/// The leader's answer that this replica has not caught up with.
+struct Confirmation {
+    requested_at: Micros,
+    committed_index: u64,
 }
 
 impl Default for Freshness {
     fn default() -> Self {
-        Self::new(3 * SECOND, 30 * SECOND)
+        Self::new(DEFAULT_STALE_AFTER, DEFAULT_REFUSE_AFTER)
     }
 }
 
 impl Freshness {
-    /// Lists older than the first bound are marked, older than the second refused.
-    pub fn new(mark_after: Micros, refuse_after: Micros) -> Self {
-        Self { mark_after, refuse_after, true_at: None, ahead: None, applied: 0 }
+    /// Lists older than the first bound are marked as stale, older than the second are not served.
+    pub fn new(stale_after: Micros, refuse_after: Micros) -> Self {
+        Self { stale_after, refuse_after, complete_as_of: None, pending_confirmation: None, applied_index: 0 }
     }
 
-    /// This replica has applied the log up to there.
-    pub fn applied(&mut self, index: u64) {
-        self.applied = self.applied.max(index);
-        if let Some((asked, _)) = self.ahead.take_if(|(_, index)| *index <= self.applied) {
-            self.holds(asked);
+    /// Notes that this replica has applied the log up to an index.
+    pub fn record_applied(&mut self, index: u64) {
+        self.applied_index = self.applied_index.max(index);
+        let reached = self.pending_confirmation.take_if(|c| c.committed_index <= self.applied_index);
+        if let Some(confirmation) = reached {
+            self.confirm(confirmation.requested_at);
         }
     }
 
-    /// The leader, asked at that instant, has said that it leads and that the log is committed up to there.
-    pub fn committed(&mut self, asked: Micros, index: u64) {
-        if index <= self.applied {
-            self.holds(asked);
-        } else if self.ahead.is_none() {
-            // An earlier one is reached first, and a replica that never catches up must not be put off for ever.
-            self.ahead = Some((asked, index));
+    /// Notes the leader's answer to a request that was sent at that time: it still leads, and this is the committed
+    /// index.
+    pub fn record_committed(&mut self, requested_at: Micros, committed_index: u64) {
+        if committed_index <= self.applied_index {
+            self.confirm(requested_at);
+        } else if self.pending_confirmation.is_none() {
+            // A later confirmation must not replace an earlier one, or a replica that always lags never gets one.
+            self.pending_confirmation = Some(Confirmation { requested_at, committed_index });
         }
     }
 
-    fn holds(&mut self, asked: Micros) {
-        self.true_at = Some(self.true_at.map_or(asked, |at| at.max(asked)));
+    fn confirm(&mut self, requested_at: Micros) {
+        self.complete_as_of = Some(self.complete_as_of.map_or(requested_at, |at| at.max(requested_at)));
     }
 
-    /// How old the list can be; `None` where nothing is known.
+    /// The list's maximum age; `None` if nothing is known.
     pub fn age(&self, now: Micros) -> Option<Micros> {
-        self.true_at.map(|at| now - at)
+        self.complete_as_of.map(|at| now - at)
     }
 
-    /// What a reader is given now.
-    pub fn reading(&self, now: Micros) -> Reading {
+    /// The consistency of a read now.
+    pub fn consistency(&self, now: Micros) -> ReadConsistency {
         match self.age(now) {
-            Some(age) if age <= self.mark_after => Reading::Plain(age),
-            Some(age) if age <= self.refuse_after => Reading::Marked(age),
-            _ => Reading::Refused,
+            Some(age) if age <= self.stale_after => ReadConsistency::Fresh(age),
+            Some(age) if age <= self.refuse_after => ReadConsistency::Stale(age),
+            _ => ReadConsistency::Unavailable,
         }
     }
 }
 
 #[cfg(test)]
-mod tests {
-    use super::*;
-
-    #[test]
-    fn the_age_counts_from_the_question_and_only_once_the_answer_is_applied() {
-        let mut f = Freshness::default();
-        assert_eq!(f.reading(0), Reading::Refused);
-        f.applied(10);
-        f.committed(5 * SECOND, 12);
-        assert_eq!(f.age(6 * SECOND), None);
-        f.applied(11);
-        assert_eq!(f.age(6 * SECOND), None);
-        f.applied(12);
-        assert_eq!(f.reading(6 * SECOND), Reading::Plain(SECOND));
-        // An answer to an earlier question changes nothing.
-        f.committed(4 * SECOND, 12);
-        assert_eq!(f.age(6 * SECOND), Some(SECOND));
-        assert_eq!(f.reading(9 * SECOND), Reading::Marked(4 * SECOND));
-        assert_eq!(f.reading(36 * SECOND), Reading::Refused);
-    }
-
-    #[test]
-    fn a_replica_that_lags_behind_for_ever_still_learns_how_old_it_is() {
-        let mut f = Freshness::default();
-        for second in 1..20 {
-            f.committed(second * SECOND, 10 * second as u64);
-            // It is 25 entries behind.
-            f.applied((10 * second as u64).saturating_sub(25));
-        }
-        let age = f.age(20 * SECOND).expect("it is known");
-        assert!((3 * SECOND..=8 * SECOND).contains(&age), "{age}");
-    }
-}
+mod tests;
--- /dev/null
+++ b/crates/registry/src/core/list/tests.rs
@@ -0,0 +1,227 @@
+//! The list as a state machine.
+
+use super::*;
+use crate::core::{Command, ExpiredLease, MAX_ENTRIES, Outcome, Refusal, Registration};
+use lotusmoor_registry_client::{EndpointList, StatusReason};
+use proptest::prelude::*;
+
+fn entry(name: &str, since_ms: i64) -> Entry {
+    let text = format!(r#"{{"name":"{name}","address":"127.0.0.1:80","since_ms":{since_ms}}}"#);
+    serde_json::from_str(&text).expect("it is read")
+}
+
+fn register(name: &str, since_ms: i64) -> Command {
+    let servers = vec![Registration { entry: entry(name, since_ms), lease_ms: 5000 }];
+    Command::Register { servers, expect: None, at_ms: 0 }
+}
+
+fn bootstrapped() -> List {
+    let mut list = List::default();
+    assert_eq!(list.apply(&register("a", 0)), Outcome::Refused(Refusal::StaleEpoch(0)));
+    assert!(matches!(list.apply(&Command::Bootstrap { epoch: 100, backup: None }), Outcome::Applied { .. }));
+    list
+}
+
+fn drain(name: &str, expect: Option<u64>) -> Command {
+    Command::Drain { name: name.into(), expect, at_ms: 0 }
+}
+
+fn remove(name: &str) -> Command {
+    Command::Remove { name: name.into(), expect: None, at_ms: 0 }
+}
+
+#[test]
+fn what_changes_nothing_keeps_the_version_and_what_does_raises_it_by_one() {
+    let mut list = bootstrapped();
+    let first = list.version().index;
+    assert_eq!(first, 100 << EPOCH_SHIFT);
+    list.apply(&register("a", 1));
+    list.apply(&register("a", 1));
+    assert_eq!(list.version().index, first + 1);
+    list.apply(&drain("a", None));
+    list.apply(&drain("a", None));
+    assert_eq!(list.version().index, first + 2);
+    assert_eq!(list.apply(&drain("b", None)), Outcome::Refused(Refusal::UnknownEndpoint("b".into())));
+}
+
+#[test]
+fn compare_and_set_is_refused_with_what_was_found() {
+    let mut list = bootstrapped();
+    list.apply(&register("a", 1));
+    let changed = list.entries()["a"].changed_index;
+    let refused = Outcome::Refused(Refusal::IndexMismatch { name: "a".into(), found: changed });
+    assert_eq!(list.apply(&drain("a", Some(changed - 1))), refused);
+    let Command::Register { servers, .. } = register("a", 2) else { unreachable!() };
+    let only_new = Command::Register { servers, expect: Some(0), at_ms: 0 };
+    assert_eq!(list.apply(&only_new), refused);
+    assert!(matches!(list.apply(&drain("a", Some(changed))), Outcome::Applied { changed: true, .. }));
+}
+
+#[test]
+fn a_drain_outlives_registrations_of_the_same_process_and_not_a_new_one() {
+    let mut list = bootstrapped();
+    list.apply(&register("a", 5));
+    list.apply(&drain("a", None));
+    list.apply(&register("a", 5));
+    assert_eq!(list.entries()["a"].entry.status, Status::Draining);
+    list.apply(&register("a", 6));
+    assert_eq!(list.entries()["a"].entry.status, Status::Active);
+}
+
+#[test]
+fn register_and_expiry_race_and_a_lease_of_an_earlier_registration_takes_nothing() {
+    let mut list = bootstrapped();
+    list.apply(&register("a", 5));
+    let registered = list.entries()["a"].registered_index;
+    let expire = |registered, left| Command::Expire {
+        leases: vec![ExpiredLease { name: "a".into(), registered_index: registered, remove: left }],
+        at_ms: 0,
+    };
+    list.apply(&register("a", 6));
+    let before = list.clone();
+    assert!(matches!(list.apply(&expire(registered, false)), Outcome::Applied { changed: false, .. }));
+    assert_eq!(list, before);
+    let registered = list.entries()["a"].registered_index;
+    list.apply(&expire(registered, false));
+    assert_eq!(
+        (list.entries()["a"].entry.status, list.entries()["a"].entry.status_reason),
+        (Status::Draining, StatusReason::Expired)
+    );
+    // It is heard of again before it is gone.
+    list.apply(&register("a", 6));
+    assert_eq!(list.entries()["a"].entry.status, Status::Active);
+}
+
+#[test]
+fn a_batch_with_one_wrong_server_changes_nothing() {
+    let mut list = bootstrapped();
+    let good = Registration { entry: entry("a", 0), lease_ms: 5000 };
+    let bad = |change: fn(&mut Registration)| {
+        let mut server = Registration { entry: entry("b", 0), lease_ms: 5000 };
+        change(&mut server);
+        server
+    };
+    let wrong: [fn(&mut Registration); 7] = [
+        |s| s.entry.name = "x".repeat(129),
+        |s| s.entry.name = "a b".into(),
+        |s| s.entry.name = String::new(),
+        |s| s.entry.weight = f64::NAN,
+        |s| s.entry.zone = Some("z".repeat(65)),
+        |s| s.lease_ms = 10,
+        |s| s.entry.name = "a".into(),
+    ];
+    for change in wrong {
+        let servers = vec![good.clone(), bad(change)];
+        let before = list.clone();
+        let outcome = list.apply(&Command::Register { servers, expect: None, at_ms: 0 });
+        assert!(matches!(outcome, Outcome::Refused(Refusal::Invalid(_))), "{outcome:?}");
+        assert_eq!(list, before);
+    }
+    let many = (0..=MAX_ENTRIES).map(|i| Registration { entry: entry(&format!("s{i}"), 0), lease_ms: 0 });
+    let all = Command::Register { servers: many.collect(), expect: None, at_ms: 0 };
+    assert_eq!(list.apply(&all), Outcome::Refused(Refusal::ListFull));
+    // In neither form.
+    let Command::Register { mut servers, .. } = all else { unreachable!() };
+    servers[0].entry.service = Some("a".into());
+    let all = Command::Register { servers, expect: None, at_ms: 0 }.into_log_form();
+    assert_eq!(list.apply(&all), Outcome::Refused(Refusal::ListFull));
+    assert!(list.entries().is_empty());
+}
+
+#[test]
+fn an_epoch_only_goes_forward_and_so_does_the_index() {
+    let mut list = bootstrapped();
+    list.apply(&register("a", 0));
+    let before = list.version();
+    assert_eq!(
+        list.apply(&Command::Bootstrap { epoch: 100, backup: None }),
+        Outcome::Refused(Refusal::StaleEpoch(100))
+    );
+    list.apply(&Command::Bootstrap { epoch: 101, backup: None });
+    assert!(list.version() > before && list.version().index > before.index);
+    // A reader of the epoch before gets the whole list.
+    assert!(list.update(Some(before.index)).snapshot);
+}
+
+#[test]
+fn a_list_of_an_old_backup_begins_an_epoch_that_all_readers_follow() {
+    let mut list = bootstrapped();
+    list.apply(&register("a", 0));
+    let backup = list.clone();
+    list.apply(&register("b", 0));
+    list.apply(&remove("a"));
+    let reader = EndpointList::default().updated(&list.update(None), None).expect("the whole");
+    let mut restored = List::default();
+    let from = Some(Box::new(backup.clone()));
+    assert_eq!(
+        restored.apply(&Command::Bootstrap { epoch: 100, backup: from.clone() }),
+        Outcome::Refused(Refusal::StaleEpoch(100))
+    );
+    restored.apply(&Command::Bootstrap { epoch: 200, backup: from });
+    assert_eq!(restored.entries().keys().collect::<Vec<_>>(), ["a"]);
+    let update = restored.update(Some(reader.version.index));
+    assert!(
+        update.snapshot && update.version > reader.version && update.version.index > reader.version.index
+    );
+}
+
+#[test]
+fn a_reader_ahead_of_the_list_or_too_far_behind_gets_the_whole() {
+    let mut list = bootstrapped();
+    let first = list.version().index;
+    for i in 0..MAX_TOMBSTONES + 10 {
+        let name = format!("s{i}");
+        list.apply(&register(&name, 0));
+        list.apply(&remove(&name));
+    }
+    assert!(list.tombstone_count <= MAX_TOMBSTONES && list.history.len() <= MAX_HISTORY);
+    assert!(list.update(Some(first)).snapshot);
+    assert!(list.update(Some(list.version().index + 1)).snapshot);
+    let update = list.update(Some(list.version().index - 1));
+    assert!(!update.snapshot && update.endpoints.len() == 1);
+}
+
+fn commands() -> impl Strategy<Value = Vec<Command>> {
+    let name = (0..6u8).prop_map(|i| format!("s{i}"));
+    let one = (name, 0..6u8, 0..3i64, any::<bool>()).prop_map(|(name, what, since, left)| match what {
+        0 | 1 => register(&name, since),
+        2 => drain(&name, None),
+        3 => remove(&name),
+        4 => Command::Resume { name, expect: None, at_ms: 0 },
+        _ => Command::Expire {
+            leases: vec![ExpiredLease { name, registered_index: (100 << EPOCH_SHIFT) + 1, remove: left }],
+            at_ms: 0,
+        },
+    });
+    prop::collection::vec(one, 0..60)
+}
+
+proptest! {
+    // Changes after any version bring a reader of that version to the very list that the whole would.
+    #[test]
+    fn changes_and_the_whole_list_agree(commands in commands(), at in 0usize..60) {
+        let mut list = bootstrapped();
+        let mut reader = EndpointList::default();
+        for (i, command) in commands.iter().enumerate() {
+            if i == at {
+                reader = reader.updated(&list.update(None), None).expect("the whole");
+            }
+            list.apply(command);
+        }
+        let after = (reader.version.epoch > 0).then_some(reader.version.index);
+        let changes = list.update(after);
+        let known = reader.updated(&changes, Some(reader.version)).expect("they fit");
+        let whole = EndpointList::default().updated(&list.update(None), None).expect("the whole");
+        prop_assert_eq!(known, whole);
+    }
+
+    // A snapshot holds all of it.
+    #[test]
+    fn a_snapshot_is_read_as_it_was(commands in commands()) {
+        let mut list = bootstrapped();
+        commands.iter().for_each(|c| drop(list.apply(c)));
+        let text = serde_json::to_string(&list).expect("it is written");
+        let read: List = serde_json::from_str(&text).expect("it is read");
+        prop_assert_eq!(read, list);
+    }
+}
--- a/crates/registry/src/core/mod.rs
+++ b/crates/registry/src/core/mod.rs
@@ -1,15 +1,33 @@
-//! What is decided, without I/O: the replicated list, and what the leader and each replica decide beside it. The
-//! process, the model of a fleet and the explorer run this very code.
+//! Decisions without I/O: the replicated endpoint list, and what the leader and each replica decide beside it. The
+//! process, the fleet simulation and the explorer all run this code.
+//!
+//! [`List`] is a state machine that [`Command`]s change. [`lease`], [`flap`], [`admission`] and [`freshness`] are local
+//! to a replica and not replicated.
 
 pub mod admission;
+mod apply;
+mod command;
+mod digest;
 pub mod flap;
 pub mod freshness;
 pub mod lease;
-pub mod list;
-pub mod services;
+mod list;
+mod outcome;
+mod record;
+mod service_index;
+mod validation;
 
-/// Microseconds on a monotonic clock, from any origin.
+pub use command::{Command, ExpiredLease, Registration};
+pub use list::{EPOCH_SHIFT, List};
+pub use outcome::{Outcome, Refusal};
+pub use record::{Change, EndpointRecord};
+pub use validation::{
+    InvalidCommand, InvalidServices, MAX_ENTRIES, MAX_LABEL_BYTES, MAX_NAME_BYTES, MAX_SERVICES_PER_QUERY,
+    check_registration, parse_services,
+};
+
+/// Microseconds on a monotonic clock of any origin.
 pub type Micros = i64;
 
-/// A second.
+/// One second in microseconds.
 pub const SECOND: Micros = 1_000_000;
--- a/crates/registry/src/core/services/tests.rs
+++ b/crates/registry/src/core/service_index/tests.rs
@@ -1,7 +1,10 @@
 //! Lists by service, as readers of them see them.
 
 use super::*;
-use crate::core::list::{Command, Due, EPOCH_SHIFT, List, Outcome, Refusal, Registration};
+use crate::core::{
+    Command, EPOCH_SHIFT, ExpiredLease, List, MAX_LABEL_BYTES, MAX_SERVICES_PER_QUERY, Outcome, Refusal,
+    Registration, parse_services,
+};
 use lotusmoor_registry_client::{EndpointList, ListUpdate};
 use proptest::prelude::*;
 
@@ -10,35 +13,35 @@
     Entry { service: service.map(str::to_owned), ..serde_json::from_str(&text).expect("it is read") }
 }
 
-fn put(servers: &[(&str, &str)]) -> Command {
+fn register(servers: &[(&str, &str)]) -> Command {
     let one = |(name, service): &(&str, &str)| {
         let service = Some(*service).filter(|s| !s.is_empty());
         Registration { entry: entry(name, service), lease_ms: 5000 }
     };
-    Command::Put { servers: servers.iter().map(one).collect(), expect: None, at_ms: 0 }.in_form()
+    Command::Register { servers: servers.iter().map(one).collect(), expect: None, at_ms: 0 }.into_log_form()
 }
 
 fn remove(name: &str) -> Command {
     Command::Remove { name: name.into(), expect: None, at_ms: 0 }
 }
 
-fn found(epoch: u64, from: Option<&List>) -> Command {
-    Command::Found { epoch, from: from.cloned().map(Box::new) }.in_form()
+fn bootstrap(epoch: u64, backup: Option<&List>) -> Command {
+    Command::Bootstrap { epoch, backup: backup.cloned().map(Box::new) }.into_log_form()
 }
 
 fn done(list: &mut List, command: &Command) {
     let outcome = list.apply(command);
-    assert!(matches!(outcome, Outcome::Done { .. }), "{outcome:?}");
+    assert!(matches!(outcome, Outcome::Applied { .. }), "{outcome:?}");
 }
 
-fn founded() -> List {
+fn bootstrapped() -> List {
     let mut list = List::default();
-    done(&mut list, &found(100, None));
+    done(&mut list, &bootstrap(100, None));
     list
 }
 
 fn set(names: &str) -> Vec<String> {
-    parse(names).expect("services")
+    parse_services(names).expect("services")
 }
 
 /// A reader of a set of services.
@@ -58,10 +61,13 @@
     fn goes_on(&mut self, list: &List) -> ListUpdate {
         let before = self.known.version;
         let after = (before.epoch == list.version().epoch && before.epoch > 0).then_some(before.index);
-        let update = list.update_of(after, &self.services);
+        let update = list.update_for_services(after, &self.services);
         assert_eq!((update.version, update.services.as_ref()), (list.version(), Some(&self.services)));
         // Those that lack the same are told the same.
-        assert_eq!(list.update_of(list.alike(after, &self.services), &self.services), update);
+        assert_eq!(
+            list.update_for_services(list.equivalent_index(after, &self.services), &self.services),
+            update
+        );
         self.known = self.known.updated(&update, Some(before)).expect("it fits");
         assert_eq!(self.known.entries, told(list, &self.services), "{update:?}");
         update
@@ -85,16 +91,19 @@
 
 #[test]
 fn a_service_that_does_not_exist_is_an_empty_list_with_a_version_and_comes_to_be() {
-    let mut list = founded();
+    let mut list = bootstrapped();
     let mut reader = Reader::of("a", &list);
     let first = list.version().index;
-    assert_eq!((reader.names(), list.changed_of(&set("a"))), (vec![], first));
-    done(&mut list, &put(&[("s1", "b"), ("s2", "")]));
-    assert_eq!((list.changed_of(&set("a")), list.changed_of(&set("b"))), (first, first + 1));
+    assert_eq!((reader.names(), list.services_changed_index(&set("a"))), (vec![], first));
+    done(&mut list, &register(&[("s1", "b"), ("s2", "")]));
+    assert_eq!(
+        (list.services_changed_index(&set("a")), list.services_changed_index(&set("b"))),
+        (first, first + 1)
+    );
     assert_eq!(reader.goes_on(&list).endpoints, []);
-    assert_eq!(list.digest_of(&set("a")), founded().digest_of(&set("a")));
-    done(&mut list, &put(&[("s3", "a")]));
-    assert_eq!(list.changed_of(&set("a")), first + 2);
+    assert_eq!(list.services_digest(&set("a")), bootstrapped().services_digest(&set("a")));
+    done(&mut list, &register(&[("s3", "a")]));
+    assert_eq!(list.services_changed_index(&set("a")), first + 2);
     let update = reader.goes_on(&list);
     assert!(!update.snapshot, "nothing was forgotten");
     assert_eq!(reader.names(), ["s3"]);
@@ -102,8 +111,8 @@
 
 #[test]
 fn a_service_that_is_emptied_is_told_by_tombstones_and_may_come_back() {
-    let mut list = founded();
-    done(&mut list, &put(&[("s1", "a"), ("s2", "a"), ("s3", "b")]));
+    let mut list = bootstrapped();
+    done(&mut list, &register(&[("s1", "a"), ("s2", "a"), ("s3", "b")]));
     let (mut a, mut b) = (Reader::of("a", &list), Reader::of("b", &list));
     done(&mut list, &remove("s1"));
     done(&mut list, &remove("s2"));
@@ -113,7 +122,7 @@
         [("s1", Status::Removed, StatusReason::Removed), ("s2", Status::Removed, StatusReason::Removed)]
     );
     assert_eq!(b.goes_on(&list).endpoints, []);
-    done(&mut list, &put(&[("s1", "a")]));
+    done(&mut list, &register(&[("s1", "a")]));
     let update = a.goes_on(&list);
     assert!(!update.snapshot);
     assert_eq!(lines(&update), [("s1", Status::Active, StatusReason::Registered)]);
@@ -121,8 +130,8 @@
 
 #[test]
 fn a_drain_keeps_the_service() {
-    let mut list = founded();
-    done(&mut list, &put(&[("s1", "a")]));
+    let mut list = bootstrapped();
+    done(&mut list, &register(&[("s1", "a")]));
     let mut a = Reader::of("a", &list);
     done(&mut list, &Command::Drain { name: "s1".into(), expect: None, at_ms: 0 });
     assert_eq!(lines(&a.goes_on(&list)), [("s1", Status::Draining, StatusReason::Drained)]);
@@ -131,12 +140,12 @@
 
 #[test]
 fn a_server_that_is_handed_over_in_one_write_is_never_in_both_and_never_in_neither() {
-    let mut list = founded();
-    done(&mut list, &put(&[("s1", "a"), ("s2", "a"), ("s3", "b"), ("s4", "c")]));
+    let mut list = bootstrapped();
+    done(&mut list, &register(&[("s1", "a"), ("s2", "a"), ("s3", "b"), ("s4", "c")]));
     let mut readers = ["a", "b", "a,b", "c", "a,c"].map(|names| Reader::of(names, &list));
     let before = list.version().index;
     // Two go over at once, one of them to where the other came from.
-    done(&mut list, &put(&[("s1", "b"), ("s3", "a")]));
+    done(&mut list, &register(&[("s1", "b"), ("s3", "a")]));
     assert_eq!(list.version().index, before + 1);
     let updates = readers.each_mut().map(|r| r.goes_on(&list));
     let (left, active) =
@@ -149,7 +158,7 @@
     assert_eq!(lines(&updates[4]), [line("s3", active), line("s1", left)]);
     assert_eq!(readers[2].names(), ["s1", "s2", "s3"]);
     // Out of all services, which old forms of command can do as well.
-    done(&mut list, &put(&[("s1", "")]));
+    done(&mut list, &register(&[("s1", "")]));
     readers.iter_mut().for_each(|r| drop(r.goes_on(&list)));
     assert_eq!((readers[1].names(), readers[2].names()), (vec![], vec!["s2", "s3"]));
     // The whole list is told of it as a change of an entry, as ever.
@@ -159,27 +168,27 @@
 
 #[test]
 fn of_a_server_that_went_over_and_then_left_a_reader_of_both_hears_the_last() {
-    let mut list = founded();
-    done(&mut list, &put(&[("s1", "a")]));
+    let mut list = bootstrapped();
+    done(&mut list, &register(&[("s1", "a")]));
     let (mut both, mut a) = (Reader::of("a,b", &list), Reader::of("a", &list));
-    done(&mut list, &put(&[("s1", "b")]));
-    let registered = list.entries()["s1"].registered;
-    let due = vec![Due { name: "s1".into(), registered, left: true }];
-    done(&mut list, &Command::Expire { due, at_ms: 0 });
+    done(&mut list, &register(&[("s1", "b")]));
+    let registered = list.entries()["s1"].registered_index;
+    let due = vec![ExpiredLease { name: "s1".into(), registered_index: registered, remove: true }];
+    done(&mut list, &Command::Expire { leases: due, at_ms: 0 });
     assert_eq!(lines(&both.goes_on(&list)), [("s1", Status::Removed, StatusReason::Expired)]);
     assert_eq!(lines(&a.goes_on(&list)), [("s1", Status::Removed, StatusReason::Removed)]);
 }
 
 #[test]
 fn what_was_forgotten_of_other_services_makes_nobody_ask_for_the_whole() {
-    let mut list = founded();
-    done(&mut list, &put(&[("s1", "a"), ("s2", "b"), ("s3", "")]));
+    let mut list = bootstrapped();
+    done(&mut list, &register(&[("s1", "a"), ("s2", "b"), ("s3", "")]));
     let (mut a, mut late) = (Reader::of("a", &list), Reader::of("never", &list));
     let (mut b, mut both) = (Reader::of("b", &list), Reader::of("a,b", &list));
     let all = list.version().index;
-    for i in 0..MOST_LEFT + 10 {
+    for i in 0..MAX_TOMBSTONES + 10 {
         let name = format!("x{i}");
-        done(&mut list, &put(&[(&name, "b")]));
+        done(&mut list, &register(&[(&name, "b")]));
         done(&mut list, &remove(&name));
     }
     assert!(list.update(Some(all)).snapshot);
@@ -188,28 +197,31 @@
     // A snapshot that is read has forgotten no more, and no less.
     let read: List = serde_json::from_str(&serde_json::to_string(&list).expect("written")).expect("read");
     assert_eq!(read, list);
-    assert!(!read.update_of(Some(all), &set("a")).snapshot && read.update_of(Some(all), &set("b")).snapshot);
+    assert!(
+        !read.update_for_services(Some(all), &set("a")).snapshot
+            && read.update_for_services(Some(all), &set("b")).snapshot
+    );
 }
 
 #[test]
 fn services_that_are_made_up_and_emptied_take_bounded_memory_and_their_readers_are_told_the_whole() {
-    let mut list = founded();
-    done(&mut list, &put(&[("s1", "a"), ("s2", "b")]));
+    let mut list = bootstrapped();
+    done(&mut list, &register(&[("s1", "a"), ("s2", "b")]));
     done(&mut list, &remove("s2"));
     let (mut a, mut b) = (Reader::of("a", &list), Reader::of("b", &list));
-    let (digest, never) = (list.digest_of(&set("b")), list.digest_of(&set("never")));
-    for i in 0..MOST_EMPTY + 10 {
-        done(&mut list, &put(&[("x", &format!("made-up-{i}"))]));
+    let (digest, never) = (list.services_digest(&set("b")), list.services_digest(&set("never")));
+    for i in 0..MAX_EMPTY_SERVICES + 10 {
+        done(&mut list, &register(&[("x", &format!("made-up-{i}"))]));
     }
-    assert_eq!(list.services_changed_after(0).count(), MOST_EMPTY + 2);
-    assert!(list.services_forgotten() > b.known.version.index);
+    assert_eq!(list.services_changed_after(0).count(), MAX_EMPTY_SERVICES + 2);
+    assert!(list.services_dropped_index() > b.known.version.index);
     assert!(!a.goes_on(&list).snapshot);
     assert!(b.goes_on(&list).snapshot, "what b was is forgotten");
-    assert_ne!(list.digest_of(&set("b")), digest);
-    assert_eq!(list.digest_of(&set("never")), never);
+    assert_ne!(list.services_digest(&set("b")), digest);
+    assert_eq!(list.services_digest(&set("never")), never);
     // What comes back begins where it was forgotten.
     let before = b.known.version.index;
-    done(&mut list, &put(&[("s2", "b")]));
+    done(&mut list, &register(&[("s2", "b")]));
     assert!(!b.goes_on(&list).snapshot && before < b.known.version.index);
     let read: List = serde_json::from_str(&serde_json::to_string(&list).expect("written")).expect("read");
     assert_eq!(read, list);
@@ -218,70 +230,72 @@
 #[test]
 fn a_digest_differs_for_the_one_service_whose_history_does() {
     let list = |service| {
-        let mut list = founded();
-        done(&mut list, &put(&[("s1", "a"), ("s2", "b"), ("s3", "c")]));
-        done(&mut list, &put(&[("s1", service)]));
-        done(&mut list, &put(&[("s2", "b2")]));
+        let mut list = bootstrapped();
+        done(&mut list, &register(&[("s1", "a"), ("s2", "b"), ("s3", "c")]));
+        done(&mut list, &register(&[("s1", service)]));
+        done(&mut list, &register(&[("s2", "b2")]));
         list
     };
     let (one, other) = (list("a1"), list("a2"));
     assert_eq!(one.version(), other.version());
     for (names, equal) in [("b", true), ("b,b2,c", true), ("a1", false), ("a1,c", false), ("a", false)] {
-        assert_eq!(one.digest_of(&set(names)) == other.digest_of(&set(names)), equal, "{names}");
+        assert_eq!(one.services_digest(&set(names)) == other.services_digest(&set(names)), equal, "{names}");
     }
     // Sets are told apart by name where their services are alike.
-    assert_ne!(one.digest_of(&set("never")), one.digest_of(&set("neither")));
+    assert_ne!(one.services_digest(&set("never")), one.services_digest(&set("neither")));
 }
 
 #[test]
 fn a_list_restored_with_a_new_epoch_gives_the_whole_of_what_was_asked() {
-    let mut list = founded();
-    done(&mut list, &put(&[("s1", "a"), ("s2", "b")]));
+    let mut list = bootstrapped();
+    done(&mut list, &register(&[("s1", "a"), ("s2", "b")]));
     let backup = list.clone();
-    done(&mut list, &put(&[("s1", "b"), ("s3", "a")]));
+    done(&mut list, &register(&[("s1", "b"), ("s3", "a")]));
     let mut reader = Reader::of("a", &list);
     assert_eq!(reader.names(), ["s3"]);
     let mut restored = List::default();
-    done(&mut restored, &found(200, Some(&backup)));
+    done(&mut restored, &bootstrap(200, Some(&backup)));
     let update = reader.goes_on(&restored);
     assert!(update.snapshot);
     assert_eq!(reader.names(), ["s1"]);
     // Also one that knows no epochs, and whose index is of the list before or ahead of this one.
     for index in [list.version().index, backup.version().index, restored.version().index + 1] {
-        assert!(restored.update_of(Some(index), &set("a")).snapshot);
+        assert!(restored.update_for_services(Some(index), &set("a")).snapshot);
     }
-    assert!(restored.changed_of(&set("a")) > list.version().index, "whoever waits is woken");
-    assert!(restored.changed_of(&set("never")) > list.version().index);
-    done(&mut restored, &put(&[("s4", "a")]));
+    assert!(restored.services_changed_index(&set("a")) > list.version().index, "whoever waits is woken");
+    assert!(restored.services_changed_index(&set("never")) > list.version().index);
+    done(&mut restored, &register(&[("s4", "a")]));
     assert!(!reader.goes_on(&restored).snapshot);
 }
 
 #[test]
 fn a_snapshot_of_a_list_without_services_is_as_the_version_before_wrote_it() {
-    let mut list = founded();
-    done(&mut list, &put(&[("s1", "")]));
+    let mut list = bootstrapped();
+    done(&mut list, &register(&[("s1", "")]));
     let text = serde_json::to_string(&list).expect("it is written");
     assert!(!text.contains("service"), "{text}");
     let read: List = serde_json::from_str(&text).expect("it is read");
     assert_eq!(read, list);
-    assert!(!read.update_of(Some(read.version().index), &set("a")).snapshot);
+    assert!(!read.update_for_services(Some(read.version().index), &set("a")).snapshot);
 }
 
 #[test]
 fn services_are_asked_for_by_plain_names_of_which_there_are_not_too_many() {
-    assert_eq!(parse("b,a,b"), Ok(vec!["a".to_owned(), "b".to_owned()]));
+    assert_eq!(parse_services("b,a,b"), Ok(vec!["a".to_owned(), "b".to_owned()]));
     let names = |count: usize| (0..count).map(|i| format!("s{i}")).collect::<Vec<_>>().join(",");
-    assert_eq!(parse(&names(MOST_ASKED)).map(|s| s.len()), Ok(MOST_ASKED));
-    let longest = "x".repeat(LONGEST_SERVICE);
-    assert!(parse(&longest).is_ok());
-    for wrong in ["", ",", "a,", "a b", "a/b", "é", &format!("{longest}x"), &names(MOST_ASKED + 1)] {
-        assert!(parse(wrong).is_err_and(|e| e.starts_with("services: ")), "{wrong:?}");
+    assert_eq!(parse_services(&names(MAX_SERVICES_PER_QUERY)).map(|s| s.len()), Ok(MAX_SERVICES_PER_QUERY));
+    let longest = "x".repeat(MAX_LABEL_BYTES);
+    assert!(parse_services(&longest).is_ok());
+    for wrong in
+        ["", ",", "a,", "a b", "a/b", "é", &format!("{longest}x"), &names(MAX_SERVICES_PER_QUERY + 1)]
+    {
+        assert!(parse_services(wrong).is_err_and(|e| e.to_string().starts_with("services: ")), "{wrong:?}");
     }
     for wrong in ["", "a b", &format!("{longest}x")] {
         let server =
             Registration { entry: Entry { service: Some(wrong.into()), ..entry("s", None) }, lease_ms: 0 };
-        let put = Command::Put { servers: vec![server], expect: None, at_ms: 0 }.in_form();
-        let outcome = founded().apply(&put);
+        let put = Command::Register { servers: vec![server], expect: None, at_ms: 0 }.into_log_form();
+        let outcome = bootstrapped().apply(&put);
         assert!(
             matches!(&outcome, Outcome::Refused(Refusal::Invalid(what)) if what.contains("service")),
             "{outcome:?}"
@@ -291,22 +305,22 @@
 
 #[test]
 fn services_in_a_command_of_the_form_before_are_refused_and_limits_go_by_form() {
-    let mut list = founded();
-    let Command::Services(bare) = put(&[("s1", "a")]) else { unreachable!() };
+    let mut list = bootstrapped();
+    let Command::WithServices(bare) = register(&[("s1", "a")]) else { unreachable!() };
     assert!(matches!(list.apply(&bare), Outcome::Refused(Refusal::Invalid(_))));
-    let nested = Command::Services(Box::new(Command::Services(bare)));
+    let nested = Command::WithServices(Box::new(Command::WithServices(bare)));
     assert!(matches!(list.apply(&nested), Outcome::Refused(Refusal::Invalid(_))));
     let many = |from: usize, to: usize, service: Option<&str>| {
         let one = |i| Registration { entry: entry(&format!("s{i}"), service), lease_ms: 0 };
-        Command::Put { servers: (from..to).map(one).collect(), expect: None, at_ms: 0 }.in_form()
+        Command::Register { servers: (from..to).map(one).collect(), expect: None, at_ms: 0 }.into_log_form()
     };
     done(&mut list, &many(0, 20_000, None));
-    assert_eq!(list.apply(&many(20_000, 20_001, None)), Outcome::Refused(Refusal::Full));
+    assert_eq!(list.apply(&many(20_000, 20_001, None)), Outcome::Refused(Refusal::ListFull));
     done(&mut list, &many(20_000, 25_000, Some("a")));
-    assert_eq!(list.apply(&many(25_000, 25_001, Some("a"))), Outcome::Refused(Refusal::Full));
+    assert_eq!(list.apply(&many(25_000, 25_001, Some("a"))), Outcome::Refused(Refusal::ListFull));
     // What is listed already takes no room.
-    done(&mut list, &put(&[("s7", "b")]));
-    done(&mut list, &put(&[("s24999", "")]));
+    done(&mut list, &register(&[("s7", "b")]));
+    done(&mut list, &register(&[("s24999", "")]));
 }
 
 fn commands() -> impl Strategy<Value = Vec<Command>> {
@@ -316,14 +330,14 @@
     let one = prop_oneof![
         4 => batch.prop_map(move |b| {
             let servers: Vec<_> = b.iter().map(|(i, s)| (name(*i), SERVICES[*s])).collect();
-            put(&servers.iter().map(|(n, s)| (n.as_str(), *s)).collect::<Vec<_>>())
+            register(&servers.iter().map(|(n, s)| (n.as_str(), *s)).collect::<Vec<_>>())
         }),
         1 => (0..8u8).prop_map(move |i| Command::Drain { name: name(i), expect: None, at_ms: 0 }),
         1 => (0..8u8).prop_map(move |i| Command::Resume { name: name(i), expect: None, at_ms: 0 }),
         2 => (0..8u8).prop_map(move |i| remove(&name(i))),
         1 => (0..8u8, 1..20u64, any::<bool>()).prop_map(move |(i, n, left)| {
-            let due = vec![Due { name: name(i), registered: (100 << EPOCH_SHIFT) + n, left }];
-            Command::Expire { due, at_ms: 0 }
+            let due = vec![ExpiredLease { name: name(i), registered_index: (100 << EPOCH_SHIFT) + n, remove: left }];
+            Command::Expire { leases: due, at_ms: 0 }
         }),
     ];
     prop::collection::vec(one, 0..50)
@@ -340,19 +354,19 @@
         every in 1usize..8,
     ) {
         let names = names.into_iter().collect::<Vec<_>>().join(",");
-        let mut list = founded();
+        let mut list = bootstrapped();
         let mut reader = None;
         for (i, command) in commands.iter().enumerate() {
             if i == at {
                 reader = Some(Reader::of(&names, &list));
             }
-            let (before, digest) = (list.changed_of(&set(&names)), list.digest_of(&set(&names)));
+            let (before, digest) = (list.services_changed_index(&set(&names)), list.services_digest(&set(&names)));
             let (had, version) = (told(&list, &set(&names)), list.version());
             list.apply(command);
             // It changes for whom it concerns.
-            let concerned = list.changed_of(&set(&names)) > before;
-            prop_assert!(!concerned || list.changed_of(&set(&names)) == list.version().index);
-            prop_assert_eq!(list.digest_of(&set(&names)) != digest, concerned);
+            let concerned = list.services_changed_index(&set(&names)) > before;
+            prop_assert!(!concerned || list.services_changed_index(&set(&names)) == list.version().index);
+            prop_assert_eq!(list.services_digest(&set(&names)) != digest, concerned);
             prop_assert_eq!(told(&list, &set(&names)) != had, concerned, "{:?} after {}", command, version);
             if let Some(reader) = &mut reader
                 && i % every == 0
--- a/crates/registry/src/explore/readers.rs
+++ b/crates/registry/src/explore/readers.rs
@@ -4,8 +4,8 @@
 use super::check::Told;
 use super::net::Step;
 use super::schedule::{STEP, Wrong};
-use crate::core::freshness::Reading;
-use crate::core::list::List;
+use crate::core::List;
+use crate::core::freshness::ReadConsistency;
 use crate::node::Node;
 use crate::raft::Transport;
 use lotusmoor_registry_client::{EndpointList, Entry, ListUpdate, Status};
@@ -123,7 +123,7 @@
         let after = (before.epoch > 0).then_some(before.index);
         let read = node.read_of(after, &self.services);
         let list = &node.shared().state().list;
-        if read.reading == Reading::Refused || read.update.version.epoch == 0 {
+        if read.reading == ReadConsistency::Unavailable || read.update.version.epoch == 0 {
             return None;
         }
         let update = spoilt(read.update, list, after, wrong);
--- a/crates/registry/src/explore/schedule.rs
+++ b/crates/registry/src/explore/schedule.rs
@@ -4,8 +4,8 @@
 use super::disk::Disk;
 use super::net::{Answered, Arrives, Net, Sim, Step};
 use super::readers::Readers;
-use crate::core::freshness::Reading;
-use crate::core::list::{Command, Outcome, Refusal, Registration};
+use crate::core::freshness::ReadConsistency;
+use crate::core::{Command, Outcome, Refusal, Registration};
 use crate::node::{Node, Settings, WriteError};
 use crate::raft::{CallError, runtime};
 use crate::store::{Format, Store};
@@ -209,7 +209,7 @@
             let result = done.lock().unwrap_or_else(PoisonError::into_inner).take();
             match result {
                 Some(Ok(())) => {
-                    self.history.founded = EPOCH << crate::core::list::EPOCH_SHIFT;
+                    self.history.founded = EPOCH << crate::core::EPOCH_SHIFT;
                     return;
                 }
                 Some(Err(what)) => return self.broken.push(Broken::Stuck(format!("not founded: {what}"))),
@@ -428,7 +428,7 @@
         let known = |s: &Self| {
             let place = s.places.get(&id).and_then(|p| p.up.as_ref());
             place
-                .and_then(|(_, n)| n.shared().state().list.entries().get(&name).map(|k| k.changed))
+                .and_then(|(_, n)| n.shared().state().list.entries().get(&name).map(|k| k.changed_index))
                 .unwrap_or(0)
         };
         let expect = match self.rng.random_range(0..4) {
@@ -527,11 +527,11 @@
             let state = node.shared().state();
             last.push((*id, state.list.version(), state.list.digest()));
             if self.history.changes.is_empty() {
-                let changed = |c: &crate::core::list::Change| Changed {
+                let changed = |c: &crate::core::Change| Changed {
                     index: c.index,
                     name: c.name.clone(),
                     status: c.status,
-                    expired: c.why == StatusReason::Expired,
+                    expired: c.reason == StatusReason::Expired,
                 };
                 self.history.changes = state.list.history(0).map(changed).collect();
             }
@@ -570,15 +570,15 @@
                         started_ms: since_ms,
                         status_reason: StatusReason::Registered,
                     };
-                    Command::Put { servers: vec![Registration { entry, lease_ms: 0 }], expect, at_ms: 0 }
+                    Command::Register { servers: vec![Registration { entry, lease_ms: 0 }], expect, at_ms: 0 }
                 }
                 Status::Draining => Command::Drain { name, expect, at_ms: 0 },
                 Status::Removed => Command::Remove { name, expect, at_ms: 0 },
             };
             match node.write(command).await {
-                Ok(Outcome::Done { version, changed }) => Done::Wrote { version, changed },
-                Ok(Outcome::Refused(Refusal::Expected { found, .. })) => Done::Expected(found),
-                Ok(Outcome::Refused(Refusal::Unknown(_))) => Done::Absent,
+                Ok(Outcome::Applied { version, changed }) => Done::Wrote { version, changed },
+                Ok(Outcome::Refused(Refusal::IndexMismatch { found, .. })) => Done::Expected(found),
+                Ok(Outcome::Refused(Refusal::UnknownEndpoint(_))) => Done::Absent,
                 Err(WriteError::Unknown(_)) if wrong == Some(Wrong::AcknowledgedEarly) => {
                     let mut version = node.shared().state().list.version();
                     version.index += 1;
@@ -600,12 +600,12 @@
             let read = node.read(None);
             let step = STEP.as_micros() as i64;
             match read.reading {
-                Reading::Plain(age) | Reading::Marked(age) => {
+                ReadConsistency::Fresh(age) | ReadConsistency::Stale(age) => {
                     let age = if wrong == Some(Wrong::AgesLie) { 0 } else { age };
                     let age = u64::try_from((age + step - 1) / step).unwrap_or(0);
                     Done::Saw { version: read.update.version, digest: read.update.digest, age }
                 }
-                Reading::Refused => Done::Failed,
+                ReadConsistency::Unavailable => Done::Failed,
             }
         }
     }
--- a/crates/registry/src/http/answer.rs
+++ b/crates/registry/src/http/answer.rs
@@ -1,7 +1,7 @@
 //! Answers that are not lists: errors in one form, with the status that fits and when to come again.
 
 use crate::core::Micros;
-use crate::core::list::{Outcome, Refusal};
+use crate::core::{Outcome, Refusal};
 use crate::node::WriteError;
 use axum::Json;
 use axum::http::{HeaderValue, StatusCode, header};
@@ -70,16 +70,16 @@
 /// What became of a command, as an answer.
 pub fn of_outcome(outcome: Outcome) -> Result<Response, Refused> {
     match outcome {
-        Outcome::Nothing => Err(Refused::later("nothing was written", ELECTION)),
-        Outcome::Done { version, changed } => {
+        Outcome::NoCommand => Err(Refused::later("nothing was written", ELECTION)),
+        Outcome::Applied { version, changed } => {
             let body = json!({"epoch": version.epoch, "index": version.index, "changed": changed});
             Ok(Json(body).into_response())
         }
         Outcome::Refused(refusal) => {
             let (status, more) = match &refusal {
-                Refusal::Expected { found, .. } => (StatusCode::CONFLICT, json!({"found": found})),
-                Refusal::Unknown(_) => (StatusCode::NOT_FOUND, json!({})),
-                Refusal::Full | Refusal::Invalid(_) | Refusal::Epoch(_) => {
+                Refusal::IndexMismatch { found, .. } => (StatusCode::CONFLICT, json!({"found": found})),
+                Refusal::UnknownEndpoint(_) => (StatusCode::NOT_FOUND, json!({})),
+                Refusal::ListFull | Refusal::Invalid(_) | Refusal::StaleEpoch(_) => {
                     (StatusCode::UNPROCESSABLE_ENTITY, json!({}))
                 }
             };
--- a/crates/registry/src/http/discovery.rs
+++ b/crates/registry/src/http/discovery.rs
@@ -3,9 +3,9 @@
 use super::answer::Refused;
 use super::rendered::Rendered;
 use super::serve::State;
-use crate::core::admission::Admit;
-use crate::core::freshness::Reading;
-use crate::core::services::parse;
+use crate::core::admission::AdmissionDecision;
+use crate::core::freshness::ReadConsistency;
+use crate::core::parse_services;
 use crate::core::{Micros, SECOND};
 use crate::raft::Transport;
 use axum::extract::{Query, State as Held};
@@ -34,8 +34,8 @@
 /// The services that a call asks for. A replica whose format has none does not hear it, as in the version before.
 fn services<T: Transport>(state: &State<T>, asked: &Asked) -> Result<Option<Arc<[String]>>, Refused> {
     let asked = asked.services.as_ref().filter(|_| state.node.store().format().has_services());
-    let services = asked.map(|text| parse(text)).transpose();
-    let services = services.map_err(|what| Refused::bad(StatusCode::BAD_REQUEST, what))?;
+    let services = asked.map(|text| parse_services(text)).transpose();
+    let services = services.map_err(|what| Refused::bad(StatusCode::BAD_REQUEST, what.to_string()))?;
     Ok(services.map(Arc::from))
 }
 
@@ -72,8 +72,8 @@
         }
     }
     let age = match state.node.read_age() {
-        Reading::Plain(age) | Reading::Marked(age) => age,
-        Reading::Refused => {
+        ReadConsistency::Fresh(age) | ReadConsistency::Stale(age) => age,
+        ReadConsistency::Unavailable => {
             state.metrics.refused_stale.inc();
             return Err(Refused::later("this replica can't tell how old its list is", SECOND));
         }
@@ -86,7 +86,7 @@
         return Err(Refused::later("there is no list yet", SECOND));
     }
     if rendered.snapshot {
-        if let Admit::Later(wait) = state.admit() {
+        if let AdmissionDecision::RetryAfter(wait) = state.admit() {
             state.metrics.turned_away.inc();
             return Err(Refused::later("too many whole lists at once", wait));
         }
@@ -138,7 +138,7 @@
     let same = asked.epoch.is_none_or(|e| e == known);
     let after = asked.after.filter(|_| same);
     let Told { rendered: r, age, waited } = told(&state, after, asked.wait_ms, services.as_ref()).await?;
-    let stale = matches!(state.node.read_age(), Reading::Marked(_));
+    let stale = matches!(state.node.read_age(), ReadConsistency::Stale(_));
     let head = format!(
         "{{\"epoch\":{},\"index\":{},\"snapshot\":{},\"digest\":{},\"replica\":{},\"age_ms\":{},\"waited_ms\":{},\
          \"stale\":{stale},{}\"endpoints\":",
--- a/crates/registry/src/http/operators.rs
+++ b/crates/registry/src/http/operators.rs
@@ -3,7 +3,7 @@
 use super::answer::{Refused, of_outcome};
 use super::serve::State;
 use crate::core::lease::Renewal;
-use crate::core::list::{Command, Registration, check};
+use crate::core::{Command, Registration, check_registration};
 use crate::node::unix_ms;
 use crate::raft::{Replica, Transport};
 use axum::Json;
@@ -82,9 +82,10 @@
 async fn put<T: Transport>(state: &State<T>, servers: Vec<Registration>, expect: Option<u64>) -> Answer {
     // Looked at here as well, so that what can't be meant costs the log nothing.
     for server in &servers {
-        check(server).map_err(|e| Refused::bad(StatusCode::UNPROCESSABLE_ENTITY, e.to_string()))?;
+        check_registration(server)
+            .map_err(|e| Refused::bad(StatusCode::UNPROCESSABLE_ENTITY, e.to_string()))?;
     }
-    let command = Command::Put { servers, expect, at_ms: unix_ms() };
+    let command = Command::Register { servers, expect, at_ms: unix_ms() };
     of_outcome(state.node.write(command).await?)
 }
 
@@ -120,7 +121,7 @@
     Path(name): Path<String>,
 ) -> Answer {
     match state.node.renew(&name).await? {
-        Renewal::Held => Ok(Json(json!({"held": true})).into_response()),
+        Renewal::Renewed => Ok(Json(json!({"held": true})).into_response()),
         Renewal::Unknown => Err(Refused::bad(
             StatusCode::NOT_FOUND,
             format!("{name}: not listed, or its lease ran out: register"),
--- a/crates/registry/src/http/rendered.rs
+++ b/crates/registry/src/http/rendered.rs
@@ -139,10 +139,10 @@
     ) -> Arc<Rendered> {
         let (version, alike) = {
             let list = &node.shared().state().list;
-            let (version, alike) = (list.version(), list.alike(after, services));
-            if alike.is_some_and(|alike| alike >= list.changed_of(services)) {
+            let (version, alike) = (list.version(), list.equivalent_index(after, services));
+            if alike.is_some_and(|alike| alike >= list.services_changed_index(services)) {
                 // Nothing is new: most waits end so, and readers are of many services.
-                return Arc::new(Rendered::nothing(version, list.digest_of(services)));
+                return Arc::new(Rendered::nothing(version, list.services_digest(services)));
             }
             (version, alike)
         };
@@ -157,7 +157,7 @@
             }
         }
         // Not under the lock: others need not wait for it. Two that are alike may be made twice.
-        let update = node.shared().state().list.update_of(alike, services);
+        let update = node.shared().state().list.update_for_services(alike, services);
         let rendered = Arc::new(Rendered::own(&update));
         let mut kept = kept();
         if kept.version < rendered.version || kept.bytes > MOST_BYTES {
--- a/crates/registry/src/http/serve.rs
+++ b/crates/registry/src/http/serve.rs
@@ -5,8 +5,8 @@
 use super::stall::Stall;
 use super::{discovery, operators, peers};
 use crate::core::SECOND;
-use crate::core::admission::{Admission, Admit};
-use crate::core::freshness::Reading;
+use crate::core::admission::{Admission, AdmissionDecision};
+use crate::core::freshness::ReadConsistency;
 use crate::node::Node;
 use crate::raft::Transport;
 use axum::Router;
@@ -72,8 +72,8 @@
 const LOOK: Duration = Duration::from_millis(250);
 
 impl<T: Transport> State<T> {
-    pub(super) fn admit(&self) -> Admit {
-        self.admission.lock().unwrap_or_else(PoisonError::into_inner).ask(self.node.now())
+    pub(super) fn admit(&self) -> AdmissionDecision {
+        self.admission.lock().unwrap_or_else(PoisonError::into_inner).admit(self.node.now())
     }
 
     pub(super) async fn closing(&self) {
@@ -222,7 +222,7 @@
 /// Tells whether the replica has lost touch, for as long as it is served.
 async fn look<T: Transport>(node: Node<T>, losing: watch::Sender<bool>) {
     loop {
-        let lost = node.read_age() == Reading::Refused;
+        let lost = node.read_age() == ReadConsistency::Unavailable;
         losing.send_if_modified(|known| std::mem::replace(known, lost) != lost);
         tokio::time::sleep(LOOK).await;
     }
--- a/crates/registry/src/node.rs
+++ b/crates/registry/src/node.rs
@@ -1,10 +1,10 @@
 //! A replica: the log, the list, the leader's leases and what it knows of its own age, put together. It is driven by
 //! tokio's clock, so that the explorer can run it on a paused one, and calls others through a [`Transport`].
 
-use crate::core::flap::Flaps;
-use crate::core::freshness::{Freshness, Reading};
-use crate::core::lease::{self, Leases, Renewal};
-use crate::core::list::{Command, Outcome, Refusal};
+use crate::core::flap::FlapDamping;
+use crate::core::freshness::{Freshness, ReadConsistency};
+use crate::core::lease::{self, LeaseTracker, Renewal};
+use crate::core::{Command, Outcome, Refusal};
 use crate::core::{Micros, SECOND};
 use crate::raft::transport::Envelope;
 use crate::raft::{CallError, LogEntry, Peers, Raft, Replica, Rpc, Target, Transport, Types};
@@ -104,14 +104,14 @@
 /// What a replica gives to a reader.
 pub struct Read {
     /// Whether and how it may be used.
-    pub reading: Reading,
+    pub reading: ReadConsistency,
     /// The list, or changes.
     pub update: ListUpdate,
 }
 
 /// The leases, and for which term and up to which version they are kept.
 struct Leading {
-    leases: Leases,
+    leases: LeaseTracker,
     term: Option<u64>,
     seen: u64,
 }
@@ -124,7 +124,7 @@
     shared: Arc<Shared>,
     peers: Peers<T>,
     leading: Mutex<Leading>,
-    flaps: Mutex<Flaps>,
+    flaps: Mutex<FlapDamping>,
     freshness: Mutex<Freshness>,
     began: Instant,
     /// Held by whoever changes who belongs.
@@ -174,7 +174,7 @@
         let peers = Peers { transport, id: settings.id, own: own.clone() };
         let raft = Raft::new(settings.id, Arc::new(config), peers.clone(), store.clone(), machine);
         let raft = raft.await.map_err(|e| NodeError::Stopped(e.to_string()))?;
-        let leading = Leading { leases: Leases::new(settings.leases.clone()), term: None, seen: 0 };
+        let leading = Leading { leases: LeaseTracker::new(settings.leases.clone()), term: None, seen: 0 };
         let inner = Inner {
             freshness: Mutex::new(Freshness::new(settings.ages.0, settings.ages.1)),
             settings,
@@ -201,7 +201,7 @@
         tasks.spawn(async move {
             loop {
                 let index = *applied.borrow_and_update();
-                lock(&node.0.freshness).applied(index);
+                lock(&node.0.freshness).record_applied(index);
                 if applied.changed().await.is_err() {
                     return;
                 }
@@ -275,7 +275,7 @@
 
     /// Servers whose lease ran out, and that stay as too many others go.
     pub fn waiting_to_expire(&self) -> usize {
-        lock(&self.0.leading).leases.waiting()
+        lock(&self.0.leading).leases.deferred()
     }
 
     /// The leader, as far as is known here.
@@ -306,27 +306,27 @@
             let mut leading = lock(&self.0.leading);
             if !leads {
                 if leading.term.take().is_some() {
-                    leading.leases.follow();
+                    leading.leases.stop_leading();
                 }
                 return;
             }
             if leading.term != Some(term) {
                 leading.term = Some(term);
-                leading.leases.lead(now, state.list.entries().values());
+                leading.leases.start_leading(now, state.list.entries().values());
             } else {
                 let (changed, left) = state.list.changed_after(leading.seen);
                 let left: Vec<String> = left.map(str::to_owned).collect();
-                changed.for_each(|kept| leading.leases.changed(now, kept));
-                left.iter().for_each(|name| leading.leases.gone(name));
+                changed.for_each(|kept| leading.leases.update(now, kept));
+                left.iter().for_each(|name| leading.leases.remove(name));
             }
             leading.seen = state.list.version().index;
-            leading.leases.due(now, state.list.active())
+            leading.leases.take_expired(now, state.list.active())
         };
         self.finish_change().await;
         if !due.is_empty() {
             tracing::info!("{} leases have run out", due.len());
             // One that is not written is proposed again later.
-            let _ = self.write_here(Command::Expire { due, at_ms: unix_ms() }).await;
+            let _ = self.write_here(Command::Expire { leases: due, at_ms: unix_ms() }).await;
         }
     }
 
@@ -355,7 +355,7 @@
         let answer: Result<Result<bool, WriteError>, CallError> =
             self.0.peers.call(&leader, Rpc::Renew, name, self.0.settings.patience).await;
         let held = answer.map_err(|e| WriteError::Unknown(e.to_string()))??;
-        Ok(if held { Renewal::Held } else { Renewal::Unknown })
+        Ok(if held { Renewal::Renewed } else { Renewal::Unknown })
     }
 
     fn renew_here(&self, name: &str) -> Result<Renewal, WriteError> {
@@ -366,14 +366,14 @@
             return Err(WriteError::NoLeader);
         }
         let renewal = leading.leases.renew(self.now(), name);
-        Ok(if for_good { Renewal::Held } else { renewal })
+        Ok(if for_good { Renewal::Renewed } else { renewal })
     }
 
     // ---- Writes ----
 
     /// Carries a command out: at the leader, wherever that is.
     pub async fn write(&self, command: Command) -> Result<Outcome, WriteError> {
-        let command = command.in_form();
+        let command = command.into_log_form();
         let leader = self.leader_target().ok_or(WriteError::NoLeader)?;
         if leader.id == self.0.settings.id {
             return self.write_here(command).await;
@@ -388,29 +388,29 @@
     }
 
     async fn write_here(&self, command: Command) -> Result<Outcome, WriteError> {
-        let command = command.in_form();
+        let command = command.into_log_form();
         if command.has_services() && !self.0.store.format().has_services() {
             let what = "services can't be written with this format: start all replicas without it first";
             return Ok(Outcome::Refused(Refusal::Invalid(what.into())));
         }
-        let named = match command.plain() {
+        let named = match command.unwrapped() {
             Command::Drain { name, .. } | Command::Resume { name, .. } | Command::Remove { name, .. } => {
                 Some(name)
             }
-            Command::Put { servers, .. } if servers.len() == 1 => servers.first().map(|s| &s.entry.name),
+            Command::Register { servers, .. } if servers.len() == 1 => servers.first().map(|s| &s.entry.name),
             _ => None,
         };
         if let Some(name) = named {
-            lock(&self.0.flaps).ask(self.now(), name).map_err(WriteError::TooOften)?;
+            lock(&self.0.flaps).try_change(self.now(), name).map_err(WriteError::TooOften)?;
         }
-        let put: Vec<String> = match command.plain() {
-            Command::Put { servers, .. } => servers.iter().map(|s| s.entry.name.clone()).collect(),
+        let put: Vec<String> = match command.unwrapped() {
+            Command::Register { servers, .. } => servers.iter().map(|s| s.entry.name.clone()).collect(),
             _ => Vec::new(),
         };
         let written = timeout(self.0.settings.patience, self.0.raft.client_write(command)).await;
         match written {
             Ok(Ok(response)) => {
-                if matches!(response.data, Outcome::Done { .. }) {
+                if matches!(response.data, Outcome::Applied { .. }) {
                     let (mut leading, now) = (lock(&self.0.leading), self.now());
                     for name in put {
                         leading.leases.renew(now, &name);
@@ -433,14 +433,14 @@
     /// The list as this replica has it, or what changed since, with its age.
     pub fn read(&self, after: Option<u64>) -> Read {
         // The age first: what is applied meanwhile only makes the list newer.
-        let reading = lock(&self.0.freshness).reading(self.now());
+        let reading = lock(&self.0.freshness).consistency(self.now());
         let update = self.0.shared.state().list.update(after);
         self.with_age(reading, update)
     }
 
-    fn with_age(&self, reading: Reading, mut update: ListUpdate) -> Read {
+    fn with_age(&self, reading: ReadConsistency, mut update: ListUpdate) -> Read {
         update.replica = self.0.settings.id;
-        if let Reading::Plain(age) | Reading::Marked(age) = reading {
+        if let ReadConsistency::Fresh(age) | ReadConsistency::Stale(age) = reading {
             update.age_ms = u64::try_from(age / 1000).unwrap_or(0);
         }
         Read { reading, update }
@@ -448,14 +448,14 @@
 
     /// The same of these services alone, which stand in order of their names.
     pub fn read_of(&self, after: Option<u64>, services: &[String]) -> Read {
-        let reading = lock(&self.0.freshness).reading(self.now());
-        let update = self.0.shared.state().list.update_of(after, services);
+        let reading = lock(&self.0.freshness).consistency(self.now());
+        let update = self.0.shared.state().list.update_for_services(after, services);
         self.with_age(reading, update)
     }
 
     /// Whether and how the list may be used now.
-    pub fn read_age(&self) -> Reading {
-        lock(&self.0.freshness).reading(self.now())
+    pub fn read_age(&self) -> ReadConsistency {
+        lock(&self.0.freshness).consistency(self.now())
     }
 
     /// How old the list can be.
@@ -477,10 +477,10 @@
         if !matches!(caught_up, Ok(Ok(_))) {
             return Err(WriteError::NoLeader);
         }
-        lock(&self.0.freshness).committed(asked, index);
+        lock(&self.0.freshness).record_committed(asked, index);
         let mut update = {
             let list = &self.0.shared.state().list;
-            services.map_or_else(|| list.update(None), |s| list.update_of(None, s))
+            services.map_or_else(|| list.update(None), |s| list.update_for_services(None, s))
         };
         update.replica = self.0.settings.id;
         update.age_ms = u64::try_from((self.now() - asked) / 1000).unwrap_or(0);
@@ -510,7 +510,7 @@
     async fn refresh(&self) {
         let asked = self.now();
         if let Ok(index) = self.committed().await {
-            lock(&self.0.freshness).committed(asked, index);
+            lock(&self.0.freshness).record_committed(asked, index);
         }
     }
 
@@ -546,7 +546,7 @@
             }
             Rpc::Renew => {
                 let name: String = self.open(bytes, true)?;
-                serde_json::to_vec(&self.renew_here(&name).map(|r| r == Renewal::Held))
+                serde_json::to_vec(&self.renew_here(&name).map(|r| r == Renewal::Renewed))
             }
         };
         answer.map_err(|e| e.to_string())
@@ -582,11 +582,7 @@
 
     /// Founds a list with this replica alone, of an epoch that is new, where it is not founded yet; with the list of a
     /// backup where one is given. Whether it has.
-    pub async fn found(
-        &self,
-        epoch: u64,
-        from: Option<Box<crate::core::list::List>>,
-    ) -> Result<bool, NodeError> {
+    pub async fn found(&self, epoch: u64, from: Option<Box<crate::core::List>>) -> Result<bool, NodeError> {
         let stopped = |e: String| NodeError::Stopped(e);
         let only = BTreeMap::from([(self.0.settings.id, self.0.own.clone())]);
         match self.0.raft.initialize(only).await {
@@ -600,8 +596,8 @@
         if self.0.shared.state().list.version().epoch > 0 {
             return Ok(false);
         }
-        match self.write_here(Command::Found { epoch, from }).await {
-            Ok(Outcome::Done { .. }) => Ok(true),
+        match self.write_here(Command::Bootstrap { epoch, backup: from }).await {
+            Ok(Outcome::Applied { .. }) => Ok(true),
             other => Err(stopped(format!("the list could not be founded: {other:?}"))),
         }
     }
--- a/crates/registry/src/process.rs
+++ b/crates/registry/src/process.rs
@@ -1,7 +1,7 @@
 //! A replica as a process: its folder, its place among the replicas, and its end.
 
 use crate::config::Config;
-use crate::core::list::List;
+use crate::core::List;
 use crate::http::{Client, Http, serve, unavailable};
 use crate::node::{Node, NodeError, Settings, unix_ms};
 use crate::store::{Format, FormatError, Snapshot, Store, StoreError};
--- a/crates/registry/src/raft/mod.rs
+++ b/crates/registry/src/raft/mod.rs
@@ -8,7 +8,7 @@
 pub use network::Peers;
 pub use transport::{CallError, Rpc, Target, Transport};
 
-use crate::core::list::{Command, Outcome};
+use crate::core::{Command, Outcome};
 use serde::{Deserialize, Serialize};
 use std::io::Cursor;
 
--- a/crates/registry/src/store/machine.rs
+++ b/crates/registry/src/store/machine.rs
@@ -3,7 +3,7 @@
 use super::log::{read_failed, write_failed};
 use super::waiting::Waiting;
 use super::{FormatError, SNAPSHOT, Store, StoreError, format};
-use crate::core::list::{List, Outcome};
+use crate::core::{List, Outcome};
 use crate::raft::{LogEntry, LogId, Membership, Replica, StorageError, Types};
 use openraft::storage::RaftStateMachine;
 use openraft::{EntryPayload, OptionalSend, RaftSnapshotBuilder, SnapshotMeta};
@@ -64,7 +64,7 @@
     pub async fn changed_of(&self, after: u64, services: &Arc<[String]>) {
         // First it is known that somebody waits, then it is looked whether there is a need to: nothing falls between.
         let waiter = self.waiting.wait(after, services);
-        if self.state().list.changed_of(services) <= after {
+        if self.state().list.services_changed_index(services) <= after {
             waiter.woken().await;
         }
     }
@@ -149,11 +149,11 @@
         for entry in entries {
             state.applied = Some(entry.log_id);
             outcomes.push(match entry.payload {
-                EntryPayload::Blank => Outcome::Nothing,
+                EntryPayload::Blank => Outcome::NoCommand,
                 EntryPayload::Normal(command) => state.list.apply(&command),
                 EntryPayload::Membership(membership) => {
                     state.membership = Membership::new(Some(entry.log_id), membership);
-                    Outcome::Nothing
+                    Outcome::NoCommand
                 }
             });
         }
--- a/crates/registry/src/store/waiting.rs
+++ b/crates/registry/src/store/waiting.rs
@@ -1,6 +1,6 @@
 //! Readers that wait for changes of services, by service: a change costs those that it concerns, and not all.
 
-use crate::core::list::List;
+use crate::core::List;
 use std::collections::{HashMap, HashSet};
 use std::sync::{Arc, Mutex, MutexGuard, PoisonError};
 use tokio::sync::Notify;
@@ -56,9 +56,9 @@
     /// The list has gone on: whoever waits for what has changed is woken.
     pub(super) fn tell(&self, list: &List) {
         let readers = &mut *self.readers();
-        let now = (list.version().index, list.services_forgotten());
+        let now = (list.version().index, list.services_dropped_index());
         let (told, forgotten) = std::mem::replace(&mut readers.told, now);
-        let news = |reader: &Reader| list.changed_of(&reader.services) > reader.after;
+        let news = |reader: &Reader| list.services_changed_index(&reader.services) > reader.after;
         if forgotten != now.1 {
             // Of services that are not remembered it is not known who waits: an epoch has begun, or thousands were
             // emptied before.
--- a/crates/registry/src/store/waiting/tests.rs
+++ b/crates/registry/src/store/waiting/tests.rs
@@ -1,8 +1,8 @@
 //! Who is woken by what.
 
 use super::*;
-use crate::core::list::{Command, Registration};
-use crate::core::services::parse;
+use crate::core::parse_services;
+use crate::core::{Command, Registration};
 use std::future::Future;
 use std::pin::pin;
 use std::task::{Context, Poll, Waker};
@@ -10,11 +10,12 @@
 fn put(name: &str, service: &str) -> Command {
     let text = format!(r#"{{"name":"{name}","address":"127.0.0.1:80","service":"{service}"}}"#);
     let entry = serde_json::from_str(&text).expect("it is read");
-    Command::Put { servers: vec![Registration { entry, lease_ms: 0 }], expect: None, at_ms: 0 }.in_form()
+    Command::Register { servers: vec![Registration { entry, lease_ms: 0 }], expect: None, at_ms: 0 }
+        .into_log_form()
 }
 
 fn set(names: &str) -> Arc<[String]> {
-    parse(names).expect("services").into()
+    parse_services(names).expect("services").into()
 }
 
 fn woken(waiter: &Waiter) -> bool {
@@ -24,7 +25,7 @@
 
 fn founded() -> List {
     let mut list = List::default();
-    list.apply(&Command::Found { epoch: 100, from: None });
+    list.apply(&Command::Bootstrap { epoch: 100, backup: None });
     list
 }
 
@@ -65,7 +66,7 @@
     list.apply(&put("s1", "a"));
     waiting.tell(&list);
     let readers = ["a", "never"].map(|names| waiting.wait(list.version().index, &set(names)));
-    list.apply(&Command::Found { epoch: 200, from: None });
+    list.apply(&Command::Bootstrap { epoch: 200, backup: None });
     waiting.tell(&list);
     assert_eq!(readers.each_ref().map(woken), [true, true]);
 }
--- a/crates/registry/tests/forms.rs
+++ b/crates/registry/tests/forms.rs
@@ -1,6 +1,6 @@
 //! What the version before makes of services: it turns them down, and misreads none.
 
-use lotusmoor_registry::core::list::{Command, Due, List, Outcome, Registration};
+use lotusmoor_registry::core::{Command, ExpiredLease, List, Outcome, Registration};
 use lotusmoor_registry::store::{Format, Snapshot, Store, StoreError};
 use serde::Deserialize;
 use serde_json::json;
@@ -14,7 +14,7 @@
     Drain { name: String, expect: Option<u64>, at_ms: u64 },
     Resume { name: String, expect: Option<u64>, at_ms: u64 },
     Remove { name: String, expect: Option<u64>, at_ms: u64 },
-    Expire { due: Vec<Due>, at_ms: u64 },
+    Expire { due: Vec<ExpiredLease>, at_ms: u64 },
 }
 
 /// A server as the version before had it: what it did not know it passed over.
@@ -39,13 +39,13 @@
     }
     let entry = serde_json::from_value(entry).expect("it is read");
     let servers = vec![Registration { entry, lease_ms: 0 }];
-    Command::Put { servers, expect: None, at_ms: 0 }.in_form()
+    Command::Register { servers, expect: None, at_ms: 0 }.into_log_form()
 }
 
 fn list(service: Option<&str>) -> List {
     let mut list = List::default();
-    for command in [Command::Found { epoch: 100, from: None }, put("a", service)] {
-        assert!(matches!(list.apply(&command), Outcome::Done { changed: true, .. }));
+    for command in [Command::Bootstrap { epoch: 100, backup: None }, put("a", service)] {
+        assert!(matches!(list.apply(&command), Outcome::Applied { changed: true, .. }));
     }
     list
 }
@@ -58,23 +58,27 @@
 fn commands_with_services_are_turned_down_by_the_version_before_and_others_are_read() {
     for plain in [
         put("a", None),
-        Command::Found { epoch: 100, from: None },
-        Command::Found { epoch: 101, from: Some(Box::new(list(None))) }.in_form(),
+        Command::Bootstrap { epoch: 100, backup: None },
+        Command::Bootstrap { epoch: 101, backup: Some(Box::new(list(None))) }.into_log_form(),
         Command::Drain { name: "a".into(), expect: None, at_ms: 0 },
         Command::Resume { name: "a".into(), expect: None, at_ms: 0 },
         Command::Remove { name: "a".into(), expect: Some(1), at_ms: 0 },
-        Command::Expire { due: vec![Due { name: "a".into(), registered: 1, left: false }], at_ms: 0 },
+        Command::Expire {
+            leases: vec![ExpiredLease { name: "a".into(), registered_index: 1, remove: false }],
+            at_ms: 0,
+        },
     ] {
         let read = before(&plain);
         assert!(read.is_ok(), "{plain:?}: {read:?}");
     }
-    for newer in
-        [put("a", Some("s")), Command::Found { epoch: 101, from: Some(Box::new(list(Some("s")))) }.in_form()]
-    {
+    for newer in [
+        put("a", Some("s")),
+        Command::Bootstrap { epoch: 101, backup: Some(Box::new(list(Some("s")))) }.into_log_form(),
+    ] {
         let error = before(&newer).expect_err("it is turned down").to_string();
         assert!(error.contains("unknown variant `Services`"), "{error}");
         // Not in its form it would have been read, without the services.
-        assert!(before(newer.plain()).is_ok());
+        assert!(before(newer.unwrapped()).is_ok());
     }
 }
 
--- a/crates/registry/tests/stored_forms/database.rs
+++ b/crates/registry/tests/stored_forms/database.rs
@@ -2,7 +2,7 @@
 
 use crate::samples::{self, Recorder};
 use crate::{fixtures, raft_calls};
-use lotusmoor_registry::core::list::{List, Outcome};
+use lotusmoor_registry::core::{List, Outcome};
 use lotusmoor_registry::node::Node;
 use lotusmoor_registry::raft::{LogEntry, LogId, Replica};
 use lotusmoor_registry::store::{Format, Snapshot, Store, StoreError};
@@ -36,7 +36,7 @@
     assert!(node.found(samples::EPOCH, None).await.expect("the list is founded"));
     for (i, command) in samples::commands().into_iter().enumerate().skip(1) {
         let outcome = node.write(command).await.expect("it is written");
-        assert!(matches!(outcome, Outcome::Done { changed: true, .. }), "{outcome:?}");
+        assert!(matches!(outcome, Outcome::Applied { changed: true, .. }), "{outcome:?}");
         if i == IN_SNAPSHOT {
             keep_snapshot(&node).await;
         }
--- a/crates/registry/tests/stored_forms/http_answers.rs
+++ b/crates/registry/tests/stored_forms/http_answers.rs
@@ -6,7 +6,7 @@
 use crate::http_calls::{BUSY, FOLLOWER, LAST, LEADER, NEW, SCENES, STORE_FAILED, TOO_OFTEN, calls, request};
 use crate::samples::{self, EPOCH, FIRST, LEASE_MS};
 use crate::{database, fixtures, raft_calls};
-use lotusmoor_registry::core::list::Kept;
+use lotusmoor_registry::core::EndpointRecord;
 use lotusmoor_registry::http::{Limits, serve, unavailable};
 use lotusmoor_registry::store::Snapshot;
 use lotusmoor_registry_client::ListUpdate;
@@ -212,8 +212,8 @@
 #[test]
 fn a_server_that_is_shown_is_decoded_and_encoded_as_it_was() {
     let shown = body("16-show");
-    let kept: Kept = serde_json::from_slice(&shown).expect("it is read");
-    assert_eq!((kept.entry.name.as_str(), kept.registered, kept.lease_ms), ("m", FIRST + 8, LEASE_MS));
+    let kept: EndpointRecord = serde_json::from_slice(&shown).expect("it is read");
+    assert_eq!((kept.entry.name.as_str(), kept.registered_index, kept.lease_ms), ("m", FIRST + 8, LEASE_MS));
     assert_eq!(serde_json::to_vec(&kept).expect("it is encoded"), shown);
 }
 
--- a/crates/registry/tests/stored_forms/messages.rs
+++ b/crates/registry/tests/stored_forms/messages.rs
@@ -1,7 +1,7 @@
 //! Values by themselves: encoded and decoded, to the letter.
 
 use crate::{fixtures, samples};
-use lotusmoor_registry::core::list::{Command, List, Outcome};
+use lotusmoor_registry::core::{Command, List, Outcome};
 use lotusmoor_registry::node::WriteError;
 use lotusmoor_registry::raft::{LogEntry, Membership, Rpc, Vote};
 use lotusmoor_registry::store::{Format, Snapshot};
--- a/crates/registry/tests/stored_forms/raft_calls.rs
+++ b/crates/registry/tests/stored_forms/raft_calls.rs
@@ -2,7 +2,7 @@
 
 use crate::fixtures;
 use crate::samples::{self, Recorder, Sent, replica};
-use lotusmoor_registry::core::list::{Command, Outcome};
+use lotusmoor_registry::core::{Command, Outcome};
 use lotusmoor_registry::node::{Node, WriteError};
 use lotusmoor_registry::raft::transport::Envelope;
 use lotusmoor_registry::raft::{CallError, Membership, Peers, Rpc, Target, Types, Vote};
--- a/crates/registry/tests/stored_forms/samples.rs
+++ b/crates/registry/tests/stored_forms/samples.rs
@@ -1,7 +1,7 @@
 //! Values of which the fixtures were written, and replicas to try them on.
 
 use lotusmoor_registry::core::SECOND;
-use lotusmoor_registry::core::list::{Command, Due, List, Outcome, Refusal, Registration};
+use lotusmoor_registry::core::{Command, ExpiredLease, List, Outcome, Refusal, Registration};
 use lotusmoor_registry::node::{Node, Settings, WriteError};
 use lotusmoor_registry::raft::{CallError, LogEntry, LogId, Replica, Rpc, Target, Transport};
 use lotusmoor_registry::store::{Format, Store};
@@ -58,7 +58,7 @@
     let mut settings = Settings::new(id, address(id));
     settings.heartbeat = HOUR / 4;
     settings.election = (HOUR, 2 * HOUR);
-    settings.leases.leaving_for = 3600 * SECOND;
+    settings.leases.draining_time = 3600 * SECOND;
     Node::start(settings, store, recorder, replica(id).identity).await.expect("the replica starts")
 }
 
@@ -104,7 +104,7 @@
 
 /// Registers servers.
 pub fn put(servers: Vec<Registration>) -> Command {
-    Command::Put { servers, expect: None, at_ms: AT_MS }.in_form()
+    Command::Register { servers, expect: None, at_ms: AT_MS }.into_log_form()
 }
 
 /// Drains a server.
@@ -119,12 +119,12 @@
 
 /// Commands of a list without services; with an open drain, a lease that ran out, and one that left.
 pub fn commands_without_services() -> Vec<Command> {
-    let leaving = Due { name: "c".into(), registered: FIRST + 1, left: false };
-    let left = Due { name: "d".into(), registered: FIRST + 1, left: true };
+    let leaving = ExpiredLease { name: "c".into(), registered_index: FIRST + 1, remove: false };
+    let left = ExpiredLease { name: "d".into(), registered_index: FIRST + 1, remove: true };
     vec![
-        Command::Found { epoch: EPOCH, from: None },
+        Command::Bootstrap { epoch: EPOCH, backup: None },
         put(vec![plain("a"), full("b"), full("c"), full("d"), plain("e")]),
-        Command::Expire { due: vec![leaving, left], at_ms: AT_MS },
+        Command::Expire { leases: vec![leaving, left], at_ms: AT_MS },
         Command::Drain { name: "a".into(), expect: Some(FIRST + 1), at_ms: AT_MS },
         Command::Drain { name: "b".into(), expect: None, at_ms: AT_MS },
         Command::Resume { name: "a".into(), expect: Some(FIRST + 3), at_ms: AT_MS },
@@ -148,31 +148,31 @@
     let mut list = List::default();
     for command in commands {
         let outcome = list.apply(command);
-        assert!(matches!(outcome, Outcome::Done { changed: true, .. }), "{command:?}: {outcome:?}");
+        assert!(matches!(outcome, Outcome::Applied { changed: true, .. }), "{command:?}: {outcome:?}");
     }
     list
 }
 
 /// Every kind of command.
 pub fn every_command() -> Vec<Command> {
-    let from = |list| Command::Found { epoch: EPOCH + 1, from: Some(Box::new(list)) }.in_form();
+    let from = |list| Command::Bootstrap { epoch: EPOCH + 1, backup: Some(Box::new(list)) }.into_log_form();
     let restored = [from(list(&commands_without_services())), from(list(&commands()))];
     commands().into_iter().chain(restored).collect()
 }
 
 /// Every kind of answer to a command, as one replica gives it to another.
 pub fn every_outcome() -> Vec<Result<Outcome, WriteError>> {
-    let done = |changed| Outcome::Done { version: Version { epoch: EPOCH, index: FIRST + 2 }, changed };
+    let done = |changed| Outcome::Applied { version: Version { epoch: EPOCH, index: FIRST + 2 }, changed };
     let refused = |refusal| Ok(Outcome::Refused(refusal));
     vec![
-        Ok(Outcome::Nothing),
+        Ok(Outcome::NoCommand),
         Ok(done(true)),
         Ok(done(false)),
-        refused(Refusal::Expected { name: "a".into(), found: FIRST }),
-        refused(Refusal::Unknown("a".into())),
-        refused(Refusal::Full),
+        refused(Refusal::IndexMismatch { name: "a".into(), found: FIRST }),
+        refused(Refusal::UnknownEndpoint("a".into())),
+        refused(Refusal::ListFull),
         refused(Refusal::Invalid("a: weight must be above 0".into())),
-        refused(Refusal::Epoch(EPOCH)),
+        refused(Refusal::StaleEpoch(EPOCH)),
         Err(WriteError::NoLeader),
         Err(WriteError::Unknown("not at a majority in time".into())),
         Err(WriteError::TooOften(1_999_999)),
