--- a/crates/registry/src/config.rs
+++ b/crates/registry/src/config.rs
@@ -249,8 +249,8 @@
         settings.read_index_interval = ms(self.timing.refresh_ms);
         settings.request_timeout = ms(self.timing.patience_ms);
         settings.leases.window = micros(self.leases.window_s);
-        settings.leases.share = self.leases.share;
-        settings.leases.leaving_for = micros(self.leases.leaving_s);
+        settings.leases.max_expiring_share = self.leases.share;
+        settings.leases.draining_time = micros(self.leases.leaving_s);
         settings.stale_after = micros(self.ages.mark_s);
         settings.refuse_after = micros(self.ages.refuse_s);
         settings.snapshot_every = self.log.snapshot_every;
--- a/crates/registry/src/node.rs
+++ b/crates/registry/src/node.rs
@@ -16,9 +16,9 @@
 pub use settings::Settings;
 
 use crate::core::Micros;
-use crate::core::flap::Flaps;
+use crate::core::flap::FlapDamping;
 use crate::core::freshness::Freshness;
-use crate::core::lease::Leases;
+use crate::core::lease::LeaseTracker;
 use crate::raft::{Peers, Raft, Replica, Target, Transport};
 use crate::store::{Machine, Shared, Store};
 use leases::LeaderState;
@@ -46,7 +46,7 @@
     shared: Arc<Shared>,
     peers: Peers<T>,
     leader_state: Mutex<LeaderState>,
-    flaps: Mutex<Flaps>,
+    flaps: Mutex<FlapDamping>,
     freshness: Mutex<Freshness>,
     started_at: Instant,
     /// Serializes membership changes that this replica makes.
@@ -104,7 +104,7 @@
         let raft = raft.await.map_err(NodeError::raft)?;
         let inner = Inner {
             freshness: Mutex::new(Freshness::new(settings.stale_after, settings.refuse_after)),
-            leader_state: Mutex::new(LeaderState::new(Leases::new(settings.leases.clone()))),
+            leader_state: Mutex::new(LeaderState::new(LeaseTracker::new(settings.leases.clone()))),
             settings,
             own,
             raft,
@@ -134,7 +134,7 @@
         let mut applied = self.inner.shared.applied();
         loop {
             let index = *applied.borrow_and_update();
-            lock(&self.inner.freshness).applied(index);
+            lock(&self.inner.freshness).record_applied(index);
             if applied.changed().await.is_err() {
                 return;
             }
--- a/crates/registry/src/node/error.rs
+++ b/crates/registry/src/node/error.rs
@@ -1,7 +1,7 @@
 //! Errors of a replica.
 
 use crate::core::Micros;
-use crate::core::list::Outcome;
+use crate::core::Outcome;
 use crate::raft::Replica;
 use crate::store::StoreError;
 use openraft::ConfigError;
--- a/crates/registry/src/node/leases.rs
+++ b/crates/registry/src/node/leases.rs
@@ -1,14 +1,14 @@
 //! Leases: the leader renews them in memory and proposes the expiry of those that ran out.
 
 use super::{Node, WriteError, lock, unix_ms};
-use crate::core::lease::{Leases, Renewal};
-use crate::core::list::{Command, Due};
+use crate::core::lease::{LeaseTracker, Renewal};
+use crate::core::{Command, ExpiredLease};
 use crate::raft::{CallError, Rpc, Transport};
 use openraft::ServerState;
 
 /// What a replica tracks while it leads.
 pub(super) struct LeaderState {
-    pub(super) leases: Leases,
+    pub(super) leases: LeaseTracker,
     /// The term in which this replica leads; `None` while it follows.
     term: Option<u64>,
     /// Index of the list up to which changes were passed to the leases.
@@ -16,7 +16,7 @@
 }
 
 impl LeaderState {
-    pub(super) fn new(leases: Leases) -> Self {
+    pub(super) fn new(leases: LeaseTracker) -> Self {
         Self { leases, term: None, observed_index: 0 }
     }
 }
@@ -24,7 +24,7 @@
 impl<T: Transport> Node<T> {
     /// Servers whose lease ran out and that stay listed, as too many others expire at once.
     pub fn pending_expirations(&self) -> usize {
-        lock(&self.inner.leader_state).leases.waiting()
+        lock(&self.inner.leader_state).leases.deferred()
     }
 
     /// Brings the leases up to date with the list and proposes to expire those that ran out.
@@ -34,12 +34,12 @@
         if !due.is_empty() {
             tracing::info!("{} leases have run out", due.len());
             // An expiry that is not committed is proposed again at a later check.
-            let _ = self.write_as_leader(Command::Expire { due, at_ms: unix_ms() }).await;
+            let _ = self.write_as_leader(Command::Expire { leases: due, at_ms: unix_ms() }).await;
         }
     }
 
     /// The leases that ran out; `None` while this replica follows.
-    fn expired_leases(&self) -> Option<Vec<Due>> {
+    fn expired_leases(&self) -> Option<Vec<ExpiredLease>> {
         let (server_state, term, leader) = {
             let metrics = self.inner.raft.metrics();
             let metrics = metrics.borrow();
@@ -51,21 +51,21 @@
         let mut leader_state = lock(&self.inner.leader_state);
         if !leads {
             if leader_state.term.take().is_some() {
-                leader_state.leases.follow();
+                leader_state.leases.stop_leading();
             }
             return None;
         }
         if leader_state.term != Some(term) {
             leader_state.term = Some(term);
-            leader_state.leases.lead(now, state.list.entries().values());
+            leader_state.leases.start_leading(now, state.list.entries().values());
         } else {
             let (changed, removed) = state.list.changed_after(leader_state.observed_index);
             let removed: Vec<String> = removed.map(str::to_owned).collect();
-            changed.for_each(|entry| leader_state.leases.changed(now, entry));
-            removed.iter().for_each(|name| leader_state.leases.gone(name));
+            changed.for_each(|entry| leader_state.leases.update(now, entry));
+            removed.iter().for_each(|name| leader_state.leases.remove(name));
         }
         leader_state.observed_index = state.list.version().index;
-        Some(leader_state.leases.due(now, state.list.active()))
+        Some(leader_state.leases.take_expired(now, state.list.active()))
     }
 
     /// Renews the lease of a server, at the leader.
@@ -77,7 +77,7 @@
         let answer: Result<Result<bool, WriteError>, CallError> =
             self.inner.peers.call(&leader, Rpc::Renew, name, self.inner.settings.request_timeout).await;
         let renewed = answer.map_err(|e| WriteError::OutcomeUnknown(e.to_string()))??;
-        Ok(if renewed { Renewal::Held } else { Renewal::Unknown })
+        Ok(if renewed { Renewal::Renewed } else { Renewal::Unknown })
     }
 
     pub(super) fn renew_as_leader(&self, name: &str) -> Result<Renewal, WriteError> {
@@ -89,6 +89,6 @@
             return Err(WriteError::NoLeader);
         }
         let renewal = leader_state.leases.renew(self.now(), name);
-        Ok(if is_permanent { Renewal::Held } else { renewal })
+        Ok(if is_permanent { Renewal::Renewed } else { renewal })
     }
 }
--- a/crates/registry/src/node/membership.rs
+++ b/crates/registry/src/node/membership.rs
@@ -1,7 +1,7 @@
 //! Membership: bootstrap of a cluster, and the addition and removal of replicas.
 
 use super::{MembershipError, Node, NodeError};
-use crate::core::list::{Command, List, Outcome};
+use crate::core::{Command, List, Outcome};
 use crate::raft::{Replica, Transport};
 use openraft::error::{InitializeError, RaftError};
 use openraft::{ChangeMembers, ServerState};
@@ -30,8 +30,8 @@
         if self.inner.shared.state().list.version().epoch > 0 {
             return Ok(false);
         }
-        match self.write_as_leader(Command::Found { epoch, from }).await {
-            Ok(Outcome::Done { .. }) => Ok(true),
+        match self.write_as_leader(Command::Bootstrap { epoch, backup: from }).await {
+            Ok(Outcome::Applied { .. }) => Ok(true),
             other => Err(NodeError::Bootstrap(other)),
         }
     }
--- a/crates/registry/src/node/peer_calls.rs
+++ b/crates/registry/src/node/peer_calls.rs
@@ -1,8 +1,8 @@
 //! The receiving side of calls between replicas.
 
 use super::{Node, PeerCallError};
+use crate::core::Command;
 use crate::core::lease::Renewal;
-use crate::core::list::Command;
 use crate::raft::transport::Envelope;
 use crate::raft::{LogEntry, Replica, Rpc, Transport, Types};
 use openraft::EntryPayload;
@@ -45,7 +45,7 @@
             }
             Rpc::Renew => {
                 let name: String = self.open_envelope(bytes, Callers::Members)?;
-                serde_json::to_vec(&self.renew_as_leader(&name).map(|renewal| renewal == Renewal::Held))
+                serde_json::to_vec(&self.renew_as_leader(&name).map(|renewal| renewal == Renewal::Renewed))
             }
         };
         Ok(answer?)
--- a/crates/registry/src/node/reads.rs
+++ b/crates/registry/src/node/reads.rs
@@ -2,7 +2,7 @@
 
 use super::{Node, WriteError, lock};
 use crate::core::Micros;
-use crate::core::freshness::Reading;
+use crate::core::freshness::ReadConsistency;
 use crate::raft::{CallError, Rpc, Transport};
 use lotusmoor_registry_client::ListUpdate;
 use openraft::error::{CheckIsLeaderError, RaftError};
@@ -14,7 +14,7 @@
 /// What a replica gives to a reader.
 pub struct Read {
     /// Whether and how it may be used.
-    pub reading: Reading,
+    pub reading: ReadConsistency,
     /// The list, or changes.
     pub update: ListUpdate,
 }
@@ -31,21 +31,21 @@
     /// Like [`Self::read`], of some services alone, which must be sorted by name.
     pub fn read_services(&self, after: Option<u64>, services: &[String]) -> Read {
         let reading = self.reading();
-        let update = self.inner.shared.state().list.update_of(after, services);
+        let update = self.inner.shared.state().list.update_for_services(after, services);
         self.with_age(reading, update)
     }
 
-    fn with_age(&self, reading: Reading, mut update: ListUpdate) -> Read {
+    fn with_age(&self, reading: ReadConsistency, mut update: ListUpdate) -> Read {
         update.replica = self.inner.settings.id;
-        if let Reading::Plain(age) | Reading::Marked(age) = reading {
+        if let ReadConsistency::Fresh(age) | ReadConsistency::Stale(age) = reading {
             update.age_ms = millis(age);
         }
         Read { reading, update }
     }
 
     /// Whether and how the list may be used now.
-    pub fn reading(&self) -> Reading {
-        lock(&self.inner.freshness).reading(self.now())
+    pub fn reading(&self) -> ReadConsistency {
+        lock(&self.inner.freshness).consistency(self.now())
     }
 
     /// Upper bound of the list's age; `None` before the first answer of a leader was applied.
@@ -67,10 +67,10 @@
         if !matches!(timeout(self.inner.settings.request_timeout, caught_up).await, Ok(Ok(_))) {
             return Err(WriteError::NoLeader);
         }
-        lock(&self.inner.freshness).committed(requested_at, index);
+        lock(&self.inner.freshness).record_committed(requested_at, index);
         let mut update = {
             let list = &self.inner.shared.state().list;
-            services.map_or_else(|| list.update(None), |services| list.update_of(None, services))
+            services.map_or_else(|| list.update(None), |services| list.update_for_services(None, services))
         };
         update.replica = self.inner.settings.id;
         update.age_ms = millis(self.now() - requested_at);
@@ -102,7 +102,7 @@
     pub(super) async fn refresh_freshness(&self) {
         let requested_at = self.now();
         if let Ok(index) = self.read_index().await {
-            lock(&self.inner.freshness).committed(requested_at, index);
+            lock(&self.inner.freshness).record_committed(requested_at, index);
         }
     }
 }
--- a/crates/registry/src/node/writes.rs
+++ b/crates/registry/src/node/writes.rs
@@ -1,7 +1,7 @@
 //! Writes: commands are forwarded to the leader, which appends them to the log.
 
 use super::{Node, WriteError, lock};
-use crate::core::list::{Command, Outcome, Refusal};
+use crate::core::{Command, Outcome, Refusal};
 use crate::raft::{CallError, Replica, Rpc, Transport};
 use openraft::error::{ClientWriteError, RaftError};
 use tokio::time::timeout;
@@ -11,7 +11,7 @@
 impl<T: Transport> Node<T> {
     /// Carries a command out at the leader.
     pub async fn write(&self, command: Command) -> Result<Outcome, WriteError> {
-        let command = command.in_form();
+        let command = command.into_log_form();
         let leader = self.leader_target().ok_or(WriteError::NoLeader)?;
         if leader.id == self.inner.settings.id {
             return self.write_as_leader(command).await;
@@ -28,19 +28,19 @@
     }
 
     pub(super) async fn write_as_leader(&self, command: Command) -> Result<Outcome, WriteError> {
-        let command = command.in_form();
+        let command = command.into_log_form();
         if command.has_services() && !self.inner.store.format().has_services() {
             let reason = "services can't be written with this format: start all replicas without it first";
             return Ok(Outcome::Refused(Refusal::Invalid(reason.into())));
         }
         if let Some(name) = single_server(&command) {
-            lock(&self.inner.flaps).ask(self.now(), name).map_err(WriteError::RateLimited)?;
+            lock(&self.inner.flaps).try_change(self.now(), name).map_err(WriteError::RateLimited)?;
         }
         let registered = registered_servers(&command);
         let write = self.inner.raft.client_write(command);
         match timeout(self.inner.settings.request_timeout, write).await {
             Ok(Ok(response)) => {
-                if matches!(response.data, Outcome::Done { .. }) {
+                if matches!(response.data, Outcome::Applied { .. }) {
                     self.renew_registered(&registered);
                 }
                 Ok(response.data)
@@ -62,18 +62,20 @@
 
 /// The server that a command changes, where it changes a single one: such changes are rate-limited.
 fn single_server(command: &Command) -> Option<&str> {
-    match command.plain() {
+    match command.unwrapped() {
         Command::Drain { name, .. } | Command::Resume { name, .. } | Command::Remove { name, .. } => {
             Some(name)
         }
-        Command::Put { servers, .. } if servers.len() == 1 => servers.first().map(|s| s.entry.name.as_str()),
+        Command::Register { servers, .. } if servers.len() == 1 => {
+            servers.first().map(|s| s.entry.name.as_str())
+        }
         _ => None,
     }
 }
 
 fn registered_servers(command: &Command) -> Vec<String> {
-    match command.plain() {
-        Command::Put { servers, .. } => servers.iter().map(|s| s.entry.name.clone()).collect(),
+    match command.unwrapped() {
+        Command::Register { servers, .. } => servers.iter().map(|s| s.entry.name.clone()).collect(),
         _ => Vec::new(),
     }
 }
