--- a/crates/lotusmoor/src/registry.rs
+++ b/crates/lotusmoor/src/registry.rs
@@ -238,7 +238,7 @@
             if !join.is_empty() {
                 c.join = join;
             }
-            c.via.extend(via);
+            c.address_overrides.extend(via);
             c.check(Path::new(&path))?;
             process::run(c, restore).await?;
         }
--- a/crates/registry/src/config.rs
+++ b/crates/registry/src/config.rs
@@ -1,4 +1,4 @@
-//! A replica's configuration, as its file has it. All keys have a default; one that is not known is refused.
+//! A replica's configuration file. Every key has a default; unknown keys are errors.
 
 use crate::core::SECOND;
 use crate::http::Limits;
@@ -10,7 +10,10 @@
 use std::path::{Path, PathBuf};
 use std::time::Duration;
 
-/// Why a file can't be used; the text has file, line and key.
+/// Upper bound of every number of seconds and of rates, far beyond sensible ones.
+const MAX_VALUE: f64 = 1e6;
+
+/// Why a configuration file can't be used; the text names file, line and key.
 #[derive(Debug, thiserror::Error)]
 pub enum ConfigError {
     /// It can't be read.
@@ -18,54 +21,55 @@
     Read {
         /// The file.
         path: PathBuf,
-        /// What the system says.
+        /// The system's error.
         source: std::io::Error,
     },
-    /// It is not of the form.
+    /// It is no TOML, or has an unknown key or a value of the wrong type.
     #[error("{}: {source}", path.display())]
     Form {
         /// The file.
         path: PathBuf,
-        /// Where and what.
+        /// The parser's error, with the line.
         source: Box<toml::de::Error>,
     },
-    /// A value can't be meant.
-    #[error("{}: {key}: {what}", path.display())]
+    /// A value is out of range.
+    #[error("{}: {key}: {reason}", path.display())]
     Value {
         /// The file.
         path: PathBuf,
         /// The key.
         key: &'static str,
-        /// What is wrong.
-        what: &'static str,
+        /// What is wrong with the value.
+        reason: &'static str,
     },
 }
 
-/// A replica's configuration.
+/// A replica's configuration. Serde's names of keys and tables are those of the file, which its errors quote.
 #[derive(Clone, Debug, Deserialize)]
 #[serde(deny_unknown_fields, default)]
 pub struct Config {
-    /// Its number: each replica that ever belonged has one of its own.
+    /// The replica's number, which no other member has or had.
     pub id: u64,
-    /// Where it listens.
+    /// The address on which it listens.
     pub listen: SocketAddr,
-    /// Where other replicas reach it; absent: where it listens.
+    /// The address at which other replicas reach it, where that is another.
     pub address: Option<String>,
-    /// Where its file lies.
+    /// The folder of its store.
     pub folder: PathBuf,
-    /// Replicas of the list that it belongs to, or is to be taken into. Absent: it founds a list where it has none.
+    /// Members of the cluster that it joins. Without any, it bootstraps a cluster.
     pub join: Vec<String>,
-    /// Where this replica reaches others, by number, where that is not the address that they give.
-    pub via: BTreeMap<String, String>,
-    /// How its file is written: 3, or 2 for what the version before wrote, which has no services; 1 is older still.
+    /// Addresses of replicas that are reached elsewhere than at the address in the membership, by number.
+    #[serde(rename = "via")]
+    pub address_overrides: BTreeMap<String, String>,
+    /// The form in which the store is written: 3, or 2 and 1, which older programs read and which have no services.
     pub format: u32,
     /// Leases.
     pub leases: Leases,
-    /// Ages of what is read.
+    /// Bounds on the age of the list.
     pub ages: Ages,
-    /// What callers may take.
-    pub limits: LimitsPart,
-    /// Times of the log.
+    /// Limits on clients.
+    pub limits: LimitsTable,
+    /// Timing of Raft.
     pub timing: Timing,
     /// Snapshots of the log.
     pub log: Log,
@@ -79,87 +83,98 @@
             address: None,
             folder: "roster".into(),
             join: Vec::new(),
-            via: BTreeMap::new(),
+            address_overrides: BTreeMap::new(),
             format: Format::NEWEST.number(),
             leases: Leases::default(),
             ages: Ages::default(),
-            limits: LimitsPart::default(),
+            limits: LimitsTable::default(),
             timing: Timing::default(),
             log: Log::default(),
         }
     }
 }
 
-/// How leases run out.
+/// Expiry of leases. Within a time window, no more than a share of the list expires.
 #[derive(Clone, Debug, Deserialize)]
 #[serde(deny_unknown_fields, default)]
 pub struct Leases {
-    /// In so long a time ...
+    /// The window.
     pub window_s: f64,
-    /// ... no more than this share of the list goes by expiry.
+    /// The share.
     pub share: f64,
-    /// A server whose lease ran out is leaving for so long, then gone.
-    pub leaving_s: f64,
+    /// How long a server whose lease ran out is draining before it is removed.
+    #[serde(rename = "leaving_s")]
+    pub draining_s: f64,
 }
 
 impl Default for Leases {
     fn default() -> Self {
-        Self { window_s: 10.0, share: 0.1, leaving_s: 10.0 }
+        Self { window_s: 10.0, share: 0.1, draining_s: 10.0 }
     }
 }
 
-/// Ages of what is read.
+/// Bounds on the age of the list.
 #[derive(Clone, Debug, Deserialize)]
 #[serde(deny_unknown_fields, default)]
 pub struct Ages {
-    /// A list that can be older is marked as stale.
-    pub mark_s: f64,
-    /// One that can be older is not told.
-    pub refuse_s: f64,
+    /// Age above which the list is served as stale.
+    #[serde(rename = "mark_s")]
+    pub stale_after_s: f64,
+    /// Age above which the list is not served.
+    #[serde(rename = "refuse_s")]
+    pub refuse_after_s: f64,
 }
 
 impl Default for Ages {
     fn default() -> Self {
-        Self { mark_s: 3.0, refuse_s: 30.0 }
+        Self { stale_after_s: 3.0, refuse_after_s: 30.0 }
     }
 }
 
-/// What callers may take.
+/// Limits on clients.
 #[derive(Clone, Debug, Deserialize)]
-#[serde(deny_unknown_fields, default)]
-pub struct LimitsPart {
-    /// Connections.
+#[serde(deny_unknown_fields, default, rename = "LimitsPart")]
+pub struct LimitsTable {
+    /// Concurrent connections.
     pub connections: usize,
-    /// Watches that wait.
+    /// Concurrent watches.
     pub watchers: usize,
-    /// Whole lists a second.
-    pub whole_lists_per_s: f64,
+    /// Full lists per second.
+    #[serde(rename = "whole_lists_per_s")]
+    pub full_lists_per_s: f64,
 }
 
-impl Default for LimitsPart {
+impl Default for LimitsTable {
     fn default() -> Self {
-        let Limits { connections, watchers, whole_lists_per_s, .. } = Limits::default();
-        Self { connections, watchers, whole_lists_per_s }
+        let Limits { connections, watchers, full_lists_per_s, .. } = Limits::default();
+        Self { connections, watchers, full_lists_per_s }
     }
 }
 
-/// Times of the log.
+/// Timing of Raft.
 #[derive(Clone, Debug, Deserialize)]
 #[serde(deny_unknown_fields, default)]
 pub struct Timing {
-    /// Between two heartbeats of a leader.
+    /// Time between two heartbeats of a leader.
     pub heartbeat_ms: u64,
-    /// A replica that has heard nothing for so long, drawn between the two, wants to lead.
+    /// Bounds of the randomized election timeout.
     pub election_ms: [u64; 2],
-    /// How often the leader is asked how far the log is committed.
-    pub refresh_ms: u64,
-    /// A write that takes longer has failed.
-    pub patience_ms: u64,
+    /// Time between two requests for the leader's read index.
+    #[serde(rename = "refresh_ms")]
+    pub read_index_interval_ms: u64,
+    /// Timeout of a write or of a call to the leader.
+    #[serde(rename = "patience_ms")]
+    pub request_timeout_ms: u64,
 }
 
 impl Default for Timing {
     fn default() -> Self {
-        Self { heartbeat_ms: 200, election_ms: [700, 1400], refresh_ms: 500, patience_ms: 2000 }
+        Self {
+            heartbeat_ms: 200,
+            election_ms: [700, 1400],
+            read_index_interval_ms: 500,
+            request_timeout_ms: 2000,
+        }
     }
 }
 
@@ -167,20 +182,21 @@
 #[derive(Clone, Debug, Deserialize)]
 #[serde(deny_unknown_fields, default)]
 pub struct Log {
-    /// A snapshot is made after so many entries.
+    /// Log entries between two snapshots.
     pub snapshot_every: u64,
-    /// So many entries before it are kept.
-    pub keep: u64,
+    /// Log entries retained before a snapshot.
+    #[serde(rename = "keep")]
+    pub retained_entries: u64,
 }
 
 impl Default for Log {
     fn default() -> Self {
-        Self { snapshot_every: 4000, keep: 1000 }
+        Self { snapshot_every: 4000, retained_entries: 1000 }
     }
 }
 
 impl Config {
-    /// Reads a file.
+    /// Reads and checks a file.
     pub fn read(path: &Path) -> Result<Self, ConfigError> {
         let text = std::fs::read_to_string(path)
             .map_err(|source| ConfigError::Read { path: path.to_owned(), source })?;
@@ -190,51 +206,62 @@
         Ok(config)
     }
 
-    /// Whether all of it can be meant; `path` is for the message.
+    /// Checks the values; `path` is for the message.
     pub fn check(&self, path: &Path) -> Result<(), ConfigError> {
-        let Timing { heartbeat_ms, election_ms: [least, most], refresh_ms, patience_ms } = self.timing;
-        let above = |v: f64| v > 0.0 && v < 1e6;
-        for (key, fine, what) in [
+        let Timing { heartbeat_ms, election_ms: [min_election_ms, max_election_ms], .. } = self.timing;
+        let is_positive = |value: f64| value > 0.0 && value < MAX_VALUE;
+        for (key, is_valid, reason) in [
             ("id", self.id > 0, "must be above 0"),
             (
                 "via",
-                self.via.keys().all(|id| id.parse::<u64>().is_ok()),
+                self.address_overrides.keys().all(|id| id.parse::<u64>().is_ok()),
                 "must have numbers of replicas as keys",
             ),
-            ("format", Format::of(self.format).is_some(), "must be 1, 2 or 3"),
-            ("leases.window_s", above(self.leases.window_s), "must be above 0"),
+            ("format", Format::from_number(self.format).is_some(), "must be 1, 2 or 3"),
+            ("leases.window_s", is_positive(self.leases.window_s), "must be above 0"),
             ("leases.share", (0.0..=1.0).contains(&self.leases.share), "must lie in 0 to 1"),
-            ("leases.leaving_s", above(self.leases.leaving_s), "must be above 0"),
-            ("ages.mark_s", above(self.ages.mark_s), "must be above 0"),
-            ("ages.refuse_s", self.ages.refuse_s >= self.ages.mark_s, "must not be below mark_s"),
+            ("leases.leaving_s", is_positive(self.leases.draining_s), "must be above 0"),
+            ("ages.mark_s", is_positive(self.ages.stale_after_s), "must be above 0"),
+            (
+                "ages.refuse_s",
+                self.ages.refuse_after_s >= self.ages.stale_after_s,
+                "must not be below mark_s",
+            ),
             ("limits.connections", self.limits.connections > 0, "must be above 0"),
             ("limits.watchers", self.limits.watchers > 0, "must be above 0"),
-            ("limits.whole_lists_per_s", above(self.limits.whole_lists_per_s), "must be above 0"),
+            ("limits.whole_lists_per_s", is_positive(self.limits.full_lists_per_s), "must be above 0"),
             (
                 "timing.heartbeat_ms",
-                heartbeat_ms > 0 && heartbeat_ms * 2 < least,
+                heartbeat_ms > 0 && heartbeat_ms * 2 < min_election_ms,
                 "must be under half of election_ms",
             ),
-            ("timing.election_ms", least < most, "must be two figures, the smaller first"),
-            ("timing.refresh_ms", refresh_ms > 0, "must be above 0"),
-            ("timing.patience_ms", patience_ms > 0, "must be above 0"),
+            (
+                "timing.election_ms",
+                min_election_ms < max_election_ms,
+                "must be two figures, the smaller first",
+            ),
+            ("timing.refresh_ms", self.timing.read_index_interval_ms > 0, "must be above 0"),
+            ("timing.patience_ms", self.timing.request_timeout_ms > 0, "must be above 0"),
             ("log.snapshot_every", self.log.snapshot_every > 0, "must be above 0"),
         ] {
-            if !fine {
-                return Err(ConfigError::Value { path: path.to_owned(), key, what });
+            if !is_valid {
+                return Err(ConfigError::Value { path: path.to_owned(), key, reason });
             }
         }
         Ok(())
     }
 
-    /// Where other replicas reach it.
+    /// The address at which other replicas reach it.
     pub fn own_address(&self) -> String {
         self.address.clone().unwrap_or_else(|| self.listen.to_string())
     }
 
-    /// Where this replica reaches others, by number.
-    pub fn ways(&self) -> BTreeMap<u64, String> {
-        self.via.iter().filter_map(|(id, at)| Some((id.parse().ok()?, at.clone()))).collect()
+    /// The addresses of replicas that are reached elsewhere than at the address in the membership.
+    pub fn address_overrides(&self) -> BTreeMap<u64, String> {
+        self.address_overrides
+            .iter()
+            .filter_map(|(id, address)| Some((id.parse().ok()?, address.clone())))
+            .collect()
     }
 
     /// A replica's settings.
@@ -246,43 +273,24 @@
         settings.heartbeat_interval = ms(self.timing.heartbeat_ms);
         settings.election_timeout_min = election_timeout_min;
         settings.election_timeout_max = election_timeout_max;
-        settings.read_index_interval = ms(self.timing.refresh_ms);
-        settings.request_timeout = ms(self.timing.patience_ms);
+        settings.read_index_interval = ms(self.timing.read_index_interval_ms);
+        settings.request_timeout = ms(self.timing.request_timeout_ms);
         settings.leases.window = micros(self.leases.window_s);
         settings.leases.share = self.leases.share;
-        settings.leases.leaving_for = micros(self.leases.leaving_s);
-        settings.stale_after = micros(self.ages.mark_s);
-        settings.refuse_after = micros(self.ages.refuse_s);
+        settings.leases.leaving_for = micros(self.leases.draining_s);
+        settings.stale_after = micros(self.ages.stale_after_s);
+        settings.refuse_after = micros(self.ages.refuse_after_s);
         settings.snapshot_every = self.log.snapshot_every;
-        settings.retained_log_entries = self.log.keep;
+        settings.retained_log_entries = self.log.retained_entries;
         settings
     }
 
-    /// What callers may take.
+    /// The limits on clients.
     pub fn limits(&self) -> Limits {
-        let LimitsPart { connections, watchers, whole_lists_per_s } = self.limits.clone();
-        Limits { connections, watchers, whole_lists_per_s, ..Limits::default() }
+        let LimitsTable { connections, watchers, full_lists_per_s } = self.limits.clone();
+        Limits { connections, watchers, full_lists_per_s, ..Limits::default() }
     }
 }
 
 #[cfg(test)]
-mod tests {
-    use super::*;
-
-    fn read(text: &str) -> Result<Config, ConfigError> {
-        let folder = tempfile::tempdir().expect("a folder");
-        let path = folder.path().join("roster.toml");
-        std::fs::write(&path, text).expect("it is written");
-        Config::read(&path)
-    }
-
-    #[test]
-    fn an_empty_file_is_all_defaults_and_a_wrong_one_names_file_line_and_key() {
-        assert_eq!(read("").expect("defaults").id, 1);
-        let unknown = read("id = 2\n[leases]\nwindows_s = 3\n").expect_err("unknown").to_string();
-        assert!(["roster.toml", "line 3", "windows_s"].iter().all(|w| unknown.contains(w)), "{unknown}");
-        let wrong = read("[ages]\nmark_s = 5\nrefuse_s = 2\n").expect_err("wrong").to_string();
-        assert!(wrong.ends_with("roster.toml: ages.refuse_s: must not be below mark_s"), "{wrong}");
-        assert!(read("[timing]\nheartbeat_ms = 900\n").is_err());
-    }
-}
+mod tests;
--- a/crates/registry/src/explore/net.rs
+++ b/crates/registry/src/explore/net.rs
@@ -122,9 +122,9 @@
             // What was lost is silence, not an error.
             Ok(Err(_)) => {
                 tokio::time::sleep(patience).await;
-                Err(CallError::Unanswered("lost".into()))
+                Err(CallError::NoAnswer("lost".into()))
             }
-            Err(_) => Err(CallError::Unanswered("no answer in time".into())),
+            Err(_) => Err(CallError::NoAnswer("no answer in time".into())),
         }
     }
 }
--- a/crates/registry/src/explore/readers.rs
+++ b/crates/registry/src/explore/readers.rs
@@ -84,7 +84,7 @@
             };
             let mut woken = None;
             if version.epoch > 0 {
-                let changed = node.shared().changed_of(version.index, &services);
+                let changed = node.applied_state().services_changed(version.index, &services);
                 let wait = STEP * u32::try_from(wait).unwrap_or(0);
                 woken = Some(match wrong {
                     Some(Wrong::WakesAreLost) => timeout(wait, std::future::pending::<()>()).await.is_ok(),
@@ -122,7 +122,7 @@
         let before = self.known.version;
         let after = (before.epoch > 0).then_some(before.index);
         let read = node.read_services(after, &self.services);
-        let list = &node.shared().state().list;
+        let list = &node.applied_state().state().list;
         if read.reading == Reading::Refused || read.update.version.epoch == 0 {
             return None;
         }
--- a/crates/registry/src/explore/schedule.rs
+++ b/crates/registry/src/explore/schedule.rs
@@ -178,7 +178,7 @@
         let started = runtime.block_on(async {
             let database = redb::Database::builder().set_cache_size(1 << 20).create_with_backend(open);
             let database = database.map_err(|e| e.to_string())?;
-            let store = Store::over(database, Format::NEWEST).map_err(|e| e.to_string())?;
+            let store = Store::from_database(database, Format::NEWEST).map_err(|e| e.to_string())?;
             let node = Node::start(Self::settings(id), store, transport, id + 100).await;
             node.map_err(|e| e.to_string())
         });
@@ -254,14 +254,14 @@
                     let place = self.places.get(&call.to);
                     let Some((runtime, node)) = place.and_then(|p| p.up.as_ref()) else {
                         // Nobody is there: the connection is refused.
-                        let answer = Err(CallError::Unreached("refused".into()));
+                        let answer = Err(CallError::NotSent("refused".into()));
                         let _ = call.reply.send(answer);
                         continue;
                     };
                     let (node, net) = (node.clone(), self.net.clone());
                     runtime.spawn(async move {
                         let answer = node.handle_peer_call(call.rpc, &call.body).await;
-                        let answer = answer.map_err(|e| CallError::TurnedDown(e.to_string()));
+                        let answer = answer.map_err(|e| CallError::Rejected(e.into()));
                         let back = Answered { from: call.to, to: call.from, answer, reply: call.reply };
                         net.send(back.from, back.to, Arrives::Answer(back));
                     });
@@ -293,7 +293,7 @@
     fn look(&mut self) {
         for (id, place) in &self.places {
             if let Some((_, node)) = &place.up {
-                let state = node.shared().state();
+                let state = node.applied_state().state();
                 let version = state.list.version();
                 if version.epoch > 0 {
                     self.history.seen.push((*id, self.now, version, state.list.digest()));
@@ -430,7 +430,7 @@
         let known = |s: &Self| {
             let place = s.places.get(&id).and_then(|p| p.up.as_ref());
             place
-                .and_then(|(_, n)| n.shared().state().list.entries().get(&name).map(|k| k.changed))
+                .and_then(|(_, n)| n.applied_state().state().list.entries().get(&name).map(|k| k.changed))
                 .unwrap_or(0)
         };
         let expect = match self.rng.random_range(0..4) {
@@ -526,7 +526,7 @@
         let mut last = Vec::new();
         for (id, place) in &self.places {
             let Some((_, node)) = &place.up else { continue };
-            let state = node.shared().state();
+            let state = node.applied_state().state();
             last.push((*id, state.list.version(), state.list.digest()));
             if self.history.changes.is_empty() {
                 let changed = |c: &crate::core::list::Change| Changed {
@@ -582,7 +582,7 @@
                 Ok(Outcome::Refused(Refusal::Expected { found, .. })) => Done::Expected(found),
                 Ok(Outcome::Refused(Refusal::Unknown(_))) => Done::Absent,
                 Err(WriteError::OutcomeUnknown(_)) if wrong == Some(Wrong::AcknowledgedEarly) => {
-                    let mut version = node.shared().state().list.version();
+                    let mut version = node.applied_state().state().list.version();
                     version.index += 1;
                     Done::Wrote { version, changed: true }
                 }
--- a/crates/registry/src/http/client.rs
+++ b/crates/registry/src/http/client.rs
@@ -1,45 +1,71 @@
-//! Calls over HTTP: of one replica to another, and of the command line.
+//! Client side of the HTTP interface: calls of replicas to each other and of the command line.
 
 use crate::raft::{CallError, Rpc, Target, Transport};
 use bytes::Bytes;
 use http_body_util::{BodyExt, Full, Limited};
-use hyper::header::{CONTENT_TYPE, HOST};
+use hyper::header::{CONTENT_TYPE, HOST, RETRY_AFTER};
 use hyper::{Method, Request, StatusCode};
 use hyper_util::client::legacy::Client as Pool;
 use hyper_util::client::legacy::connect::HttpConnector;
 use hyper_util::rt::{TokioExecutor, TokioTimer};
 use std::collections::BTreeMap;
+use std::error::Error;
+use std::fmt;
 use std::sync::Arc;
 use std::time::Duration;
 use tokio::time::timeout;
 
-/// Longest answer that is read.
-const LONGEST: usize = 64 << 20;
-/// An idle connection is kept for so long.
-const IDLE: Duration = Duration::from_secs(20);
+/// Longest response body.
+const MAX_BODY_BYTES: usize = 64 << 20;
+/// Time after which an idle connection is closed.
+const IDLE_TIMEOUT: Duration = Duration::from_secs(20);
+/// Timeout of a connection attempt.
+const CONNECT_TIMEOUT: Duration = Duration::from_secs(2);
 
-/// Why a call failed.
-#[derive(Clone, Debug, thiserror::Error)]
+/// What made a call fail.
+type Cause = Box<dyn Error + Send + Sync>;
+
+/// Why a call failed, by whether it may have taken effect.
+#[derive(Debug, thiserror::Error)]
 pub enum ClientError {
-    /// The address can't be meant, or nobody is there: it did not go out.
-    #[error("{address}: {what}")]
-    Unreached {
-        /// Whom.
+    /// The address is invalid or can't be reached: nothing was sent.
+    #[error("{address}: {source}")]
+    NotSent {
+        /// The address.
         address: String,
-        /// What the system says.
-        what: String,
+        /// The cause.
+        source: Cause,
     },
-    /// It went out, and no answer came.
-    #[error("{address}: {what}")]
-    Unanswered {
-        /// Whom.
+    /// The request was sent, and no response was received.
+    #[error("{address}: {source}")]
+    NoAnswer {
+        /// The address.
         address: String,
-        /// What went wrong.
-        what: String,
+        /// The cause.
+        source: Cause,
     },
 }
 
-/// Makes calls over kept connections.
+/// A failed request. It displays its cause, as hyper's own text names only the stage of the request.
+#[derive(Debug)]
+struct RequestError(hyper_util::client::legacy::Error);
+
+impl fmt::Display for RequestError {
+    fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
+        match self.0.source() {
+            Some(cause) => fmt::Display::fmt(cause, f),
+            None => fmt::Display::fmt(&self.0, f),
+        }
+    }
+}
+
+impl Error for RequestError {
+    fn source(&self) -> Option<&(dyn Error + 'static)> {
+        self.0.source()?.source()
+    }
+}
+
+/// Makes calls over pooled connections.
 #[derive(Clone)]
 pub struct Client(Pool<HttpConnector, Full<Bytes>>);
 
@@ -47,77 +73,79 @@
     fn default() -> Self {
         let mut connector = HttpConnector::new();
         connector.set_nodelay(true);
-        connector.set_connect_timeout(Some(Duration::from_secs(2)));
+        connector.set_connect_timeout(Some(CONNECT_TIMEOUT));
         let mut pool = Pool::builder(TokioExecutor::new());
-        pool.pool_idle_timeout(IDLE).pool_timer(TokioTimer::new());
-        // A call that may have run is not sent twice by the pool itself.
+        pool.pool_idle_timeout(IDLE_TIMEOUT).pool_timer(TokioTimer::new());
+        // A request that the server may have executed must not be repeated by the pool.
         Self(pool.retry_canceled_requests(false).build(connector))
     }
 }
 
 impl Client {
-    /// Makes a call; gives status, `Retry-After` and body.
+    /// Makes a call; gives the status, `Retry-After` in seconds, and the body.
     pub async fn call(
         &self,
         method: Method,
         address: &str,
         path: &str,
         body: Vec<u8>,
-        patience: Duration,
+        call_timeout: Duration,
     ) -> Result<(StatusCode, Option<f64>, Bytes), ClientError> {
-        let unreached = |what: String| ClientError::Unreached { address: address.to_owned(), what };
-        let unanswered = |what: String| ClientError::Unanswered { address: address.to_owned(), what };
+        let not_sent = |source: Cause| ClientError::NotSent { address: address.to_owned(), source };
+        let no_answer = |source: Cause| ClientError::NoAnswer { address: address.to_owned(), source };
         let request = Request::builder().method(method).uri(format!("http://{address}{path}"));
         let request = request.header(HOST, address).header(CONTENT_TYPE, "application/json");
-        let request = request.body(Full::new(Bytes::from(body))).map_err(|e| unreached(e.to_string()))?;
+        let request = request.body(Full::new(Bytes::from(body))).map_err(|e| not_sent(e.into()))?;
         let exchange = async {
-            let response = self.0.request(request).await.map_err(|e| {
-                let what = std::error::Error::source(&e).map_or_else(|| e.to_string(), |s| s.to_string());
-                if e.is_connect() { unreached(what) } else { unanswered(what) }
+            let response = self.0.request(request).await.map_err(|error| {
+                let is_connect = error.is_connect();
+                let cause = RequestError(error).into();
+                if is_connect { not_sent(cause) } else { no_answer(cause) }
             })?;
             let (head, body) = response.into_parts();
-            let body = Limited::new(body, LONGEST).collect().await;
-            let body = body.map_err(|e| unanswered(e.to_string()))?.to_bytes();
-            let told =
-                head.headers.get(hyper::header::RETRY_AFTER).and_then(|v| v.to_str().ok()?.parse().ok());
-            Ok((head.status, told, body))
+            let body = Limited::new(body, MAX_BODY_BYTES).collect().await;
+            let body = body.map_err(no_answer)?.to_bytes();
+            let retry_after = head.headers.get(RETRY_AFTER).and_then(|v| v.to_str().ok()?.parse().ok());
+            Ok((head.status, retry_after, body))
         };
-        timeout(patience, exchange).await.unwrap_or_else(|_| Err(unanswered("no answer in time".into())))
+        let answered = timeout(call_timeout, exchange).await;
+        answered.unwrap_or_else(|_| Err(no_answer("no answer in time".into())))
     }
 }
 
 /// Carries calls between replicas over HTTP.
 #[derive(Clone, Default)]
-pub struct Http {
+pub struct HttpTransport {
     client: Client,
-    /// Where others are reached, by number, where that is not the address that they give.
-    ways: Arc<BTreeMap<u64, String>>,
+    /// Addresses of replicas that are reached elsewhere than at the address in the membership, by number.
+    address_overrides: Arc<BTreeMap<u64, String>>,
 }
 
-impl Http {
-    /// With other ways to some replicas than the addresses that they give.
-    pub fn by(ways: BTreeMap<u64, String>) -> Self {
-        Self { client: Client::default(), ways: Arc::new(ways) }
+impl HttpTransport {
+    /// A transport that reaches some replicas, by number, at other addresses than those in the membership.
+    pub fn with_address_overrides(address_overrides: BTreeMap<u64, String>) -> Self {
+        Self { client: Client::default(), address_overrides: Arc::new(address_overrides) }
     }
 }
 
-impl Transport for Http {
+impl Transport for HttpTransport {
     async fn call(
         &self,
         to: &Target,
         rpc: Rpc,
         body: Vec<u8>,
-        patience: Duration,
+        timeout: Duration,
     ) -> Result<Vec<u8>, CallError> {
         let path = format!("/peer/{}", rpc.name());
-        let at = self.ways.get(&to.id).unwrap_or(&to.address);
-        match self.client.call(Method::POST, at, &path, body, patience).await {
+        let address = self.address_overrides.get(&to.id).unwrap_or(&to.address);
+        match self.client.call(Method::POST, address, &path, body, timeout).await {
             Ok((StatusCode::OK, _, answer)) => Ok(answer.to_vec()),
             Ok((status, _, answer)) => {
-                Err(CallError::TurnedDown(format!("{status}: {}", String::from_utf8_lossy(&answer))))
+                let message = format!("{status}: {}", String::from_utf8_lossy(&answer));
+                Err(CallError::Rejected(message.into()))
             }
-            Err(error @ ClientError::Unreached { .. }) => Err(CallError::Unreached(error.to_string())),
-            Err(error @ ClientError::Unanswered { .. }) => Err(CallError::Unanswered(error.to_string())),
+            Err(error @ ClientError::NotSent { .. }) => Err(CallError::NotSent(error.into())),
+            Err(error @ ClientError::NoAnswer { .. }) => Err(CallError::NoAnswer(error.into())),
         }
     }
 }
--- a/crates/registry/src/http/discovery.rs
+++ b/crates/registry/src/http/discovery.rs
@@ -1,14 +1,14 @@
-//! Lists and watches: in the platform's protocol, and in the project's own with epochs, digests and ages.
+//! Lists and watches, in the platform's protocol and in the project's own with epochs, digests and ages.
 
-use super::answer::Refused;
-use super::rendered::Rendered;
-use super::serve::State;
+use super::error_response::ErrorResponse;
+use super::rendered::RenderedList;
+use super::state::ServerState;
 use crate::core::admission::Admit;
 use crate::core::freshness::Reading;
 use crate::core::services::parse;
 use crate::core::{Micros, SECOND};
 use crate::raft::Transport;
-use axum::extract::{Query, State as Held};
+use axum::extract::{Query, State};
 use axum::http::{StatusCode, header};
 use axum::response::{IntoResponse, Response};
 use serde::Deserialize;
@@ -18,10 +18,13 @@
 use tokio::time::{Instant, timeout_at};
 
 /// Longest wait of a watch.
-const LONGEST_WAIT: u64 = 60_000;
+const MAX_WAIT_MS: u64 = 60_000;
+/// Microseconds in a millisecond.
+const MICROS_PER_MILLI: Micros = 1000;
 
+/// Parameters of a list request.
 #[derive(Deserialize)]
-pub(super) struct Asked {
+pub(super) struct ListQuery {
     epoch: Option<u64>,
     after: Option<u64>,
     #[serde(default)]
@@ -31,134 +34,159 @@
     services: Option<String>,
 }
 
-/// The services that a call asks for. A replica whose format has none does not hear it, as in the version before.
-fn services<T: Transport>(state: &State<T>, asked: &Asked) -> Result<Option<Arc<[String]>>, Refused> {
-    let asked = asked.services.as_ref().filter(|_| state.node.store().format().has_services());
-    let services = asked.map(|text| parse(text)).transpose();
-    let services = services.map_err(|what| Refused::bad(StatusCode::BAD_REQUEST, what))?;
+/// `GET /discovery/hosts`: the platform's protocol.
+pub(super) async fn hosts<T: Transport>(
+    State(state): State<Arc<ServerState<T>>>,
+    Query(query): Query<ListQuery>,
+) -> Result<Response, ErrorResponse> {
+    let answer = list_after(&state, query.after, query.wait_ms, None).await?;
+    let list = &answer.list;
+    let head = format!("{{\"index\":{},\"snapshot\":{},\"endpoints\":", list.version.index, list.snapshot);
+    Ok(json_response([head.as_bytes(), &list.platform_entries, b"}"].concat()))
+}
+
+/// `GET /v1/list` and `GET /v1/watch`: the same with epoch, digest and age.
+pub(super) async fn list<T: Transport>(
+    State(state): State<Arc<ServerState<T>>>,
+    Query(query): Query<ListQuery>,
+) -> Result<Response, ErrorResponse> {
+    let services = requested_services(&state, &query)?;
+    if query.consistent {
+        let update = state.node.read_latest_services(services.as_deref()).await?;
+        let body = serde_json::to_vec(&update);
+        let body = body.map_err(|e| ErrorResponse::new(StatusCode::INTERNAL_SERVER_ERROR, e.to_string()))?;
+        return Ok(json_response(body));
+    }
+    // Indexes grow from epoch to epoch: a reader with an index of another epoch needs the full list.
+    let epoch = state.node.applied_state().state().list.version().epoch;
+    let is_same_epoch = query.epoch.is_none_or(|known| known == epoch);
+    let after = query.after.filter(|_| is_same_epoch);
+    let answer = list_after(&state, after, query.wait_ms, services.as_ref()).await?;
+    let head = list_head(&state, &answer, services.as_deref());
+    Ok(json_response([head.as_bytes(), &answer.list.native_entries, b"}"].concat()))
+}
+
+/// The fields of a list response before its entries.
+fn list_head<T: Transport>(
+    state: &ServerState<T>,
+    answer: &ListAnswer,
+    services: Option<&[String]>,
+) -> String {
+    let ListAnswer { list, age, waited } = answer;
+    let stale = matches!(state.node.reading(), Reading::Marked(_));
+    format!(
+        "{{\"epoch\":{},\"index\":{},\"snapshot\":{},\"digest\":{},\"replica\":{},\"age_ms\":{},\"waited_ms\":{},\
+         \"stale\":{stale},{}\"endpoints\":",
+        list.version.epoch,
+        list.version.index,
+        list.snapshot,
+        list.digest,
+        state.node.settings().id,
+        (age + MICROS_PER_MILLI - 1) / MICROS_PER_MILLI,
+        waited.as_millis(),
+        services.map(services_field).unwrap_or_default(),
+    )
+}
+
+/// The field with the services of a response. Names of services contain nothing that JSON escapes.
+fn services_field(services: &[String]) -> String {
+    format!("\"services\":[\"{}\"],", services.join("\",\""))
+}
+
+fn json_response(body: Vec<u8>) -> Response {
+    ([(header::CONTENT_TYPE, "application/json")], body).into_response()
+}
+
+/// The services of a request. A replica whose store format has none ignores them, like the version before.
+fn requested_services<T: Transport>(
+    state: &ServerState<T>,
+    query: &ListQuery,
+) -> Result<Option<Arc<[String]>>, ErrorResponse> {
+    let services = query.services.as_ref().filter(|_| state.node.store().format().has_services());
+    let services = services.map(|text| parse(text)).transpose();
+    let services = services.map_err(|error| ErrorResponse::new(StatusCode::BAD_REQUEST, error))?;
     Ok(services.map(Arc::from))
 }
 
-/// What a reader is to be told, how old it can be, and how long it has waited.
-struct Told {
-    rendered: Arc<Rendered>,
+/// The list for a reader.
+struct ListAnswer {
+    list: Arc<RenderedList>,
+    /// Upper bound of the list's age.
     age: Micros,
+    /// How long the watch lasted.
     waited: Duration,
 }
 
-/// Waits for news where that is wanted, and gives what there is.
-async fn told<T: Transport>(
-    state: &State<T>,
+/// The changes after an index, for which it waits up to `wait_ms`, or the full list.
+async fn list_after<T: Transport>(
+    state: &ServerState<T>,
     after: Option<u64>,
     wait_ms: u64,
     services: Option<&Arc<[String]>>,
-) -> Result<Told, Refused> {
+) -> Result<ListAnswer, ErrorResponse> {
     let began = Instant::now();
     if let Some(after) = after {
-        let deadline = began + Duration::from_millis(wait_ms.min(LONGEST_WAIT));
-        let watching = state.watchers.fetch_add(1, Ordering::Relaxed);
-        let _counted = Counted(state);
-        if watching >= state.limits.watchers {
-            return Err(Refused::later("too many watches", SECOND));
-        }
-        // One that is ahead of this list waits for it as well: it may be ahead of this replica alone.
-        tokio::select! {
-            news = timeout_at(deadline, news(state, after, services)) => if news.is_ok() {
-                state.metrics.woken.inc();
-            },
-            // A replica that has lost touch must not hold on to its watchers.
-            () = state.lost_touch() => {}
-            () = state.closing() => return Err(Refused::later("this replica ends", 0)),
-        }
+        let deadline = began + Duration::from_millis(wait_ms.min(MAX_WAIT_MS));
+        watch(state, after, deadline, services).await?;
     }
-    let age = match state.node.reading() {
-        Reading::Plain(age) | Reading::Marked(age) => age,
-        Reading::Refused => {
-            state.metrics.refused_stale.inc();
-            return Err(Refused::later("this replica can't tell how old its list is", SECOND));
-        }
+    let (Reading::Plain(age) | Reading::Marked(age)) = state.node.reading() else {
+        state.metrics.too_stale.inc();
+        return Err(ErrorResponse::unavailable("this replica can't tell how old its list is", SECOND));
     };
-    let rendered = match services {
-        Some(services) => state.renderings.of(&state.node, after, services),
-        None => state.renderings.after(&state.node, after),
+    let list = match services {
+        Some(services) => state.rendered_lists.some_services(&state.node, after, services),
+        None => state.rendered_lists.all_services(&state.node, after),
     };
-    if rendered.version.epoch == 0 {
-        return Err(Refused::later("there is no list yet", SECOND));
+    if list.version.epoch == 0 {
+        return Err(ErrorResponse::unavailable("there is no list yet", SECOND));
     }
-    if rendered.snapshot {
-        if let Admit::Later(wait) = state.admit() {
-            state.metrics.turned_away.inc();
-            return Err(Refused::later("too many whole lists at once", wait));
+    if list.snapshot {
+        if let Admit::Later(wait) = state.admit_full_list() {
+            state.metrics.full_lists_deferred.inc();
+            return Err(ErrorResponse::unavailable("too many whole lists at once", wait));
         }
-        state.metrics.whole_lists.inc();
+        state.metrics.full_lists.inc();
     }
-    Ok(Told { rendered, age, waited: began.elapsed() })
+    Ok(ListAnswer { list, age, waited: began.elapsed() })
 }
 
-struct Counted<'a, T: Transport>(&'a State<T>);
-
-impl<T: Transport> Drop for Counted<'_, T> {
-    fn drop(&mut self) {
-        self.0.watchers.fetch_sub(1, Ordering::Relaxed);
+/// Waits for a change after an index. A reader that is ahead of this list waits as well: it read from another replica.
+async fn watch<T: Transport>(
+    state: &ServerState<T>,
+    after: u64,
+    deadline: Instant,
+    services: Option<&Arc<[String]>>,
+) -> Result<(), ErrorResponse> {
+    let watchers_before = state.watchers.fetch_add(1, Ordering::Relaxed);
+    let _guard = WatcherGuard(state);
+    if watchers_before >= state.limits.watchers {
+        return Err(ErrorResponse::unavailable("too many watches", SECOND));
     }
-}
-
-/// Waits until there are changes after that index, of these services where some are named.
-async fn news<T: Transport>(state: &State<T>, after: u64, services: Option<&Arc<[String]>>) {
-    match services {
-        Some(services) => state.node.shared().changed_of(after, services).await,
-        None => drop(state.node.shared().version().wait_for(|index| *index > after).await),
+    tokio::select! {
+        changed = timeout_at(deadline, changed_after(state, after, services)) => if changed.is_ok() {
+            state.metrics.watches_woken.inc();
+        },
+        // Watchers of a replica without quorum contact are released, so that they read elsewhere.
+        () = state.quorum_lost() => {}
+        () = state.closing() => return Err(ErrorResponse::unavailable("this replica ends", 0)),
     }
+    Ok(())
 }
 
-/// `GET /discovery/hosts`: the platform's protocol.
-pub(super) async fn hosts<T: Transport>(
-    Held(state): Held<Arc<State<T>>>,
-    Query(asked): Query<Asked>,
-) -> Result<Response, Refused> {
-    let Told { rendered: r, .. } = told(&state, asked.after, asked.wait_ms, None).await?;
-    let head = format!("{{\"index\":{},\"snapshot\":{},\"endpoints\":", r.version.index, r.snapshot);
-    Ok(text([head.as_bytes(), &r.platform, b"}"].concat()))
-}
+/// Counts a watch until it is dropped.
+struct WatcherGuard<'a, T: Transport>(&'a ServerState<T>);
 
-/// `GET /v1/list` and `GET /v1/watch`: the same with epoch, digest and age.
-pub(super) async fn list<T: Transport>(
-    Held(state): Held<Arc<State<T>>>,
-    Query(asked): Query<Asked>,
-) -> Result<Response, Refused> {
-    let services = services(&state, &asked)?;
-    if asked.consistent {
-        let update = state.node.read_latest_services(services.as_deref()).await?;
-        let body = serde_json::to_vec(&update);
-        let body = body.map_err(|e| Refused::bad(StatusCode::INTERNAL_SERVER_ERROR, e.to_string()))?;
-        return Ok(text(body));
+impl<T: Transport> Drop for WatcherGuard<'_, T> {
+    fn drop(&mut self) {
+        self.0.watchers.fetch_sub(1, Ordering::Relaxed);
     }
-    // Indexes grow from epoch to epoch: one of an older epoch is too old for changes, whatever it is.
-    let known = state.node.shared().state().list.version().epoch;
-    let same = asked.epoch.is_none_or(|e| e == known);
-    let after = asked.after.filter(|_| same);
-    let Told { rendered: r, age, waited } = told(&state, after, asked.wait_ms, services.as_ref()).await?;
-    let stale = matches!(state.node.reading(), Reading::Marked(_));
-    let head = format!(
-        "{{\"epoch\":{},\"index\":{},\"snapshot\":{},\"digest\":{},\"replica\":{},\"age_ms\":{},\"waited_ms\":{},\
-         \"stale\":{stale},{}\"endpoints\":",
-        r.version.epoch,
-        r.version.index,
-        r.snapshot,
-        r.digest,
-        state.node.settings().id,
-        (age + 999) / 1000,
-        waited.as_millis(),
-        services.as_deref().map(echo).unwrap_or_default(),
-    );
-    Ok(text([head.as_bytes(), &r.own, b"}"].concat()))
 }
 
-/// The services that an answer tells of. Their names need no escapes.
-fn echo(services: &[String]) -> String {
-    format!("\"services\":[\"{}\"],", services.join("\",\""))
-}
-
-fn text(body: Vec<u8>) -> Response {
-    ([(header::CONTENT_TYPE, "application/json")], body).into_response()
+/// Waits for a change after an index, of some services or of all.
+async fn changed_after<T: Transport>(state: &ServerState<T>, after: u64, services: Option<&Arc<[String]>>) {
+    let applied_state = state.node.applied_state();
+    match services {
+        Some(services) => applied_state.services_changed(after, services).await,
+        None => drop(applied_state.list_index().wait_for(|index| *index > after).await),
+    }
 }
--- /dev/null
+++ b/crates/registry/src/http/error_response.rs
@@ -0,0 +1,100 @@
+//! Responses to writes, and error responses in one form, with the fitting status and `Retry-After`.
+
+use crate::core::Micros;
+use crate::core::list::{Outcome, Refusal};
+use crate::node::WriteError;
+use axum::Json;
+use axum::http::{HeaderValue, StatusCode, header};
+use axum::response::{IntoResponse, Response};
+use serde_json::json;
+
+/// Microseconds in a second, for `Retry-After`.
+const MICROS_PER_SECOND: f64 = 1e6;
+/// Digits of `Retry-After` after the decimal point, as a power of ten.
+const RETRY_AFTER_PRECISION: f64 = 1000.0;
+/// `Retry-After` while there may be an election, which takes one to two seconds.
+const ELECTION_RETRY_AFTER: Micros = 500_000;
+
+/// A response with an error.
+#[derive(Debug)]
+pub struct ErrorResponse {
+    status: StatusCode,
+    message: String,
+    retry_after: Option<Micros>,
+    /// Further fields of the JSON body.
+    details: serde_json::Value,
+}
+
+impl ErrorResponse {
+    /// A response to a request that fails again when it is repeated.
+    pub fn new(status: StatusCode, message: impl Into<String>) -> Self {
+        Self { status, message: message.into(), retry_after: None, details: json!({}) }
+    }
+
+    /// A response to a request that may be repeated after that time.
+    pub fn unavailable(message: impl Into<String>, retry_after: Micros) -> Self {
+        let status = StatusCode::SERVICE_UNAVAILABLE;
+        Self { retry_after: Some(retry_after), ..Self::new(status, message) }
+    }
+}
+
+impl IntoResponse for ErrorResponse {
+    fn into_response(self) -> Response {
+        let mut body = json!({"error": self.message});
+        if let (Some(body), Some(details)) = (body.as_object_mut(), self.details.as_object()) {
+            body.extend(details.clone());
+        }
+        let mut response = (self.status, Json(body)).into_response();
+        if let Some(after) = self.retry_after
+            && let Ok(value) = HeaderValue::from_str(&retry_after(after))
+        {
+            response.headers_mut().insert(header::RETRY_AFTER, value);
+        }
+        response
+    }
+}
+
+/// The value of `Retry-After`. The protocol allows decimals; they are rounded up, so that nobody comes early.
+fn retry_after(after: Micros) -> String {
+    let seconds = (after as f64 / MICROS_PER_SECOND * RETRY_AFTER_PRECISION).ceil() / RETRY_AFTER_PRECISION;
+    format!("{seconds:.3}")
+}
+
+impl From<WriteError> for ErrorResponse {
+    fn from(error: WriteError) -> Self {
+        let message = error.to_string();
+        match error {
+            WriteError::RateLimited(after) => {
+                Self { retry_after: Some(after), ..Self::new(StatusCode::TOO_MANY_REQUESTS, message) }
+            }
+            WriteError::OutcomeUnknown(_) => {
+                let details = json!({"unknown": true});
+                Self { details, ..Self::unavailable(message, ELECTION_RETRY_AFTER) }
+            }
+            WriteError::NoLeader | WriteError::Stopped(_) => Self::unavailable(message, ELECTION_RETRY_AFTER),
+        }
+    }
+}
+
+/// The response to a command that was carried out or refused.
+pub fn outcome_response(outcome: Outcome) -> Result<Response, ErrorResponse> {
+    match outcome {
+        Outcome::Nothing => Err(ErrorResponse::unavailable("nothing was written", ELECTION_RETRY_AFTER)),
+        Outcome::Done { version, changed } => {
+            let body = json!({"epoch": version.epoch, "index": version.index, "changed": changed});
+            Ok(Json(body).into_response())
+        }
+        Outcome::Refused(refusal) => Err(refusal_response(&refusal)),
+    }
+}
+
+fn refusal_response(refusal: &Refusal) -> ErrorResponse {
+    let (status, details) = match refusal {
+        Refusal::Expected { found, .. } => (StatusCode::CONFLICT, json!({"found": found})),
+        Refusal::Unknown(_) => (StatusCode::NOT_FOUND, json!({})),
+        Refusal::Full | Refusal::Invalid(_) | Refusal::Epoch(_) => {
+            (StatusCode::UNPROCESSABLE_ENTITY, json!({}))
+        }
+    };
+    ErrorResponse { details, ..ErrorResponse::new(status, refusal.to_string()) }
+}
--- a/crates/registry/src/http/mod.rs
+++ b/crates/registry/src/http/mod.rs
@@ -1,17 +1,23 @@
-//! The service on sockets: HTTP/1.1 for sidecars, for servers and operators, and between replicas.
+//! The HTTP/1.1 interface: for sidecars, for servers and operators, and between replicas.
 
-mod answer;
 mod client;
+mod connections;
 mod discovery;
+mod error_response;
 mod metrics;
 mod operators;
 mod peers;
 mod rendered;
+mod replicas;
+mod router;
 mod serve;
-mod stall;
+mod servers;
+mod state;
 mod unavailable;
+mod write_timeout;
 
-pub use client::{Client, ClientError, Http};
+pub use client::{Client, ClientError, HttpTransport};
 pub use metrics::Metrics;
-pub use serve::{Limits, Service, serve};
+pub use serve::{Service, serve};
+pub use state::Limits;
 pub use unavailable::unavailable;
--- a/crates/registry/src/http/peers.rs
+++ b/crates/registry/src/http/peers.rs
@@ -1,23 +1,24 @@
-//! Calls of other replicas.
+//! Calls of other replicas: `POST /peer/{rpc}`.
 
-use super::answer::Refused;
-use super::serve::State;
+use super::error_response::ErrorResponse;
+use super::state::ServerState;
 use crate::raft::{Rpc, Transport};
 use axum::body::Bytes;
-use axum::extract::{Path, State as Held};
+use axum::extract::{Path, State};
 use axum::http::StatusCode;
 use axum::response::{IntoResponse, Response};
 use std::sync::Arc;
 
+/// `POST /peer/{rpc}`
 pub(super) async fn call<T: Transport>(
-    Held(state): Held<Arc<State<T>>>,
+    State(state): State<Arc<ServerState<T>>>,
     Path(name): Path<String>,
     body: Bytes,
-) -> Result<Response, Refused> {
+) -> Result<Response, ErrorResponse> {
     let rpc = Rpc::ALL.into_iter().find(|rpc| rpc.name() == name);
-    let rpc = rpc.ok_or_else(|| Refused::bad(StatusCode::NOT_FOUND, "no such call"))?;
+    let rpc = rpc.ok_or_else(|| ErrorResponse::new(StatusCode::NOT_FOUND, "no such call"))?;
     let answer = state.node.handle_peer_call(rpc, &body).await;
     answer
         .map(IntoResponse::into_response)
-        .map_err(|error| Refused::bad(StatusCode::CONFLICT, error.to_string()))
+        .map_err(|error| ErrorResponse::new(StatusCode::CONFLICT, error.to_string()))
 }
--- a/crates/registry/src/http/rendered.rs
+++ b/crates/registry/src/http/rendered.rs
@@ -1,5 +1,4 @@
-//! Lists made into text once for all who ask for the same: a change under three thousand watchers is written down
-//! once, not three thousand times.
+//! Caches lists encoded as JSON: a change that three thousand watchers wait for is encoded once.
 
 use crate::node::Node;
 use crate::raft::Transport;
@@ -7,167 +6,184 @@
 use lotusmoor_registry_client::{Entry, ListUpdate, Version};
 use serde::Serialize;
 use std::collections::HashMap;
-use std::sync::{Arc, Mutex, PoisonError};
+use std::sync::{Arc, Mutex, MutexGuard, PoisonError};
 
-/// A list, or changes, as text.
+/// A list, or changes of it, encoded as JSON.
 #[derive(Clone)]
-pub struct Rendered {
-    /// The version that it brings to.
+pub struct RenderedList {
+    /// The version that a reader has after it.
     pub version: Version,
-    /// Whether it is the whole list.
+    /// Whether it is the full list and not changes.
     pub snapshot: bool,
     /// The list's digest.
     pub digest: u64,
-    /// The entries as the project's own readers get them.
-    pub own: Bytes,
-    /// The entries as the platform's protocol has them.
-    pub platform: Bytes,
+    /// The entries in the project's own protocol.
+    pub native_entries: Bytes,
+    /// The entries in the platform's protocol.
+    pub platform_entries: Bytes,
 }
 
-/// An entry as the platform's protocol has it.
+/// An entry in the platform's protocol.
 #[derive(Serialize)]
-struct Line<'a> {
+struct PlatformEntry<'a> {
     name: &'a str,
     address: std::net::SocketAddr,
     #[serde(skip_serializing_if = "Option::is_none")]
     zone: Option<&'a str>,
     #[serde(rename = "type", skip_serializing_if = "Option::is_none")]
-    kind: Option<&'a str>,
-    group: u64,
+    machine_type: Option<&'a str>,
+    #[serde(rename = "group")]
+    cell: u64,
     status: lotusmoor_registry_client::Status,
     weight: f64,
-    since_ms: i64,
+    #[serde(rename = "since_ms")]
+    started_ms: i64,
 }
 
-impl<'a> From<&'a Entry> for Line<'a> {
-    fn from(e: &'a Entry) -> Self {
+impl<'a> From<&'a Entry> for PlatformEntry<'a> {
+    fn from(entry: &'a Entry) -> Self {
         Self {
-            name: &e.name,
-            address: e.address,
-            zone: e.zone.as_deref(),
-            kind: e.machine_type.as_deref(),
-            group: e.cell,
-            status: e.status,
-            weight: e.weight,
-            since_ms: e.started_ms,
+            name: &entry.name,
+            address: entry.address,
+            zone: entry.zone.as_deref(),
+            machine_type: entry.machine_type.as_deref(),
+            cell: entry.cell,
+            status: entry.status,
+            weight: entry.weight,
+            started_ms: entry.started_ms,
         }
     }
 }
 
-fn text(lines: &impl Serialize) -> Bytes {
-    Bytes::from(serde_json::to_vec(lines).unwrap_or_default())
+fn to_json(entries: &impl Serialize) -> Bytes {
+    Bytes::from(serde_json::to_vec(entries).unwrap_or_default())
 }
 
-impl From<ListUpdate> for Rendered {
+impl From<ListUpdate> for RenderedList {
     fn from(update: ListUpdate) -> Self {
-        let lines: Vec<Line> = update.endpoints.iter().map(Line::from).collect();
-        Self { platform: text(&lines), ..Self::own(&update) }
+        let entries: Vec<PlatformEntry> = update.endpoints.iter().map(PlatformEntry::from).collect();
+        Self { platform_entries: to_json(&entries), ..Self::native_only(&update) }
     }
 }
 
-impl Rendered {
-    /// For the project's own readers alone.
-    fn own(update: &ListUpdate) -> Self {
+impl RenderedList {
+    /// Encodes the entries in the project's own protocol alone.
+    fn native_only(update: &ListUpdate) -> Self {
         Self {
             version: update.version,
             snapshot: update.snapshot,
             digest: update.digest,
-            own: text(&update.endpoints),
-            platform: Bytes::new(),
+            native_entries: to_json(&update.endpoints),
+            platform_entries: Bytes::new(),
         }
     }
 
-    /// No change up to this version.
-    fn nothing(version: Version, digest: u64) -> Self {
+    /// No changes up to this version.
+    fn unchanged(version: Version, digest: u64) -> Self {
         let none = Bytes::from_static(b"[]");
-        Self { version, snapshot: false, digest, own: none, platform: Bytes::new() }
+        Self { version, snapshot: false, digest, native_entries: none, platform_entries: Bytes::new() }
     }
 }
 
-/// Most that is kept at a time: readers are at a few versions, not at all of them.
-const MOST: usize = 64;
+/// Most lists of one version in the cache of full lists: readers are at few versions at a time.
+const MAX_CACHED_LISTS: usize = 64;
+/// Most bytes in the cache of lists of services.
+const MAX_CACHED_BYTES: usize = 16 << 20;
 
-/// Most bytes of lists by service that are kept at a time.
-const MOST_BYTES: usize = 16 << 20;
-
-/// What has been made of the newest version, by the version of its readers.
+/// Caches encoded lists of the newest version.
 #[derive(Default)]
-pub struct Renderings(Mutex<Newest>, Mutex<ByService>);
-
-/// A set of services, and where its readers are alike.
-type Alike = (Arc<[String]>, Option<u64>);
+pub struct RenderCache {
+    all_services: Mutex<VersionCache>,
+    some_services: Mutex<ServicesCache>,
+}
 
-/// The same for readers of services, by what they ask for and where they are alike.
+/// Lists of all services, by the index that their readers have.
 #[derive(Default)]
-struct ByService {
+struct VersionCache {
     version: Version,
-    bytes: usize,
-    by_reader: HashMap<Alike, Arc<Rendered>>,
+    lists: HashMap<Option<u64>, Arc<RenderedList>>,
 }
 
+/// A set of services, and the index from which on its readers get the same changes.
+type ServicesKey = (Arc<[String]>, Option<u64>);
+
+/// Lists of some services.
 #[derive(Default)]
-struct Newest {
+struct ServicesCache {
     version: Version,
-    by_reader: HashMap<Option<u64>, Arc<Rendered>>,
+    bytes: usize,
+    lists: HashMap<ServicesKey, Arc<RenderedList>>,
 }
 
-impl Renderings {
-    /// What a reader of that version is told now.
-    pub fn after<T: Transport>(&self, node: &Node<T>, after: Option<u64>) -> Arc<Rendered> {
-        let mut kept = self.0.lock().unwrap_or_else(PoisonError::into_inner);
-        let version = node.shared().state().list.version();
-        if kept.version != version || kept.by_reader.len() >= MOST {
-            *kept = Newest { version, by_reader: HashMap::new() };
+impl RenderCache {
+    /// The changes after an index, or the full list.
+    pub fn all_services<T: Transport>(&self, node: &Node<T>, after: Option<u64>) -> Arc<RenderedList> {
+        let mut cache = lock(&self.all_services);
+        let version = node.applied_state().state().list.version();
+        if cache.version != version || cache.lists.len() >= MAX_CACHED_LISTS {
+            *cache = VersionCache { version, lists: HashMap::new() };
         }
-        if let Some(rendered) = kept.by_reader.get(&after) {
+        if let Some(rendered) = cache.lists.get(&after) {
             return Arc::clone(rendered);
         }
-        let update = node.shared().state().list.update(after);
-        let rendered = Arc::new(Rendered::from(update));
-        // The list may have gone on between the two looks.
+        let update = node.applied_state().state().list.update(after);
+        let rendered = Arc::new(RenderedList::from(update));
+        // The list may have changed since its version was read.
         if rendered.version == version {
-            kept.by_reader.insert(after, Arc::clone(&rendered));
+            cache.lists.insert(after, Arc::clone(&rendered));
         }
         rendered
     }
-    /// What a reader of these services is told now, who has the version of that index.
-    pub fn of<T: Transport>(
+
+    /// The changes of some services after an index, or their full list.
+    pub fn some_services<T: Transport>(
         &self,
         node: &Node<T>,
         after: Option<u64>,
         services: &Arc<[String]>,
-    ) -> Arc<Rendered> {
+    ) -> Arc<RenderedList> {
         let (version, alike) = {
-            let list = &node.shared().state().list;
+            let list = &node.applied_state().state().list;
             let (version, alike) = (list.version(), list.alike(after, services));
             if alike.is_some_and(|alike| alike >= list.changed_of(services)) {
-                // Nothing is new: most waits end so, and readers are of many services.
-                return Arc::new(Rendered::nothing(version, list.digest_of(services)));
+                // Most watches end without a change: those are not cached.
+                return Arc::new(RenderedList::unchanged(version, list.digest_of(services)));
             }
             (version, alike)
         };
-        let reader = (Arc::clone(services), alike);
-        let kept = || self.1.lock().unwrap_or_else(PoisonError::into_inner);
-        {
-            let kept = kept();
-            if kept.version == version
-                && let Some(rendered) = kept.by_reader.get(&reader)
-            {
-                return Arc::clone(rendered);
-            }
+        let key = (Arc::clone(services), alike);
+        if let Some(rendered) = lock(&self.some_services).get(version, &key) {
+            return rendered;
+        }
+        // Encoded without the lock, so that others need not wait; two equal requests may both encode.
+        let update = node.applied_state().state().list.update_of(alike, services);
+        let rendered = Arc::new(RenderedList::native_only(&update));
+        lock(&self.some_services).insert(version, key, &rendered);
+        rendered
+    }
+}
+
+impl ServicesCache {
+    fn get(&self, version: Version, key: &ServicesKey) -> Option<Arc<RenderedList>> {
+        if self.version != version {
+            return None;
         }
-        // Not under the lock: others need not wait for it. Two that are alike may be made twice.
-        let update = node.shared().state().list.update_of(alike, services);
-        let rendered = Arc::new(Rendered::own(&update));
-        let mut kept = kept();
-        if kept.version < rendered.version || kept.bytes > MOST_BYTES {
-            *kept = ByService { version: rendered.version, ..ByService::default() };
+        self.lists.get(key).map(Arc::clone)
+    }
+
+    /// Adds a list that was requested when the list had that version.
+    fn insert(&mut self, requested: Version, key: ServicesKey, rendered: &Arc<RenderedList>) {
+        if self.version < rendered.version || self.bytes > MAX_CACHED_BYTES {
+            *self = Self { version: rendered.version, ..Self::default() };
         }
-        // The list may have gone on between the two looks.
-        if kept.version == rendered.version && rendered.version == version {
-            kept.bytes += rendered.own.len();
-            kept.by_reader.insert(reader, Arc::clone(&rendered));
+        // The list may have changed since its version was read: the key is not that of the newer version.
+        if self.version == rendered.version && rendered.version == requested {
+            self.bytes += rendered.native_entries.len();
+            self.lists.insert(key, Arc::clone(rendered));
         }
-        rendered
     }
 }
+
+fn lock<V>(mutex: &Mutex<V>) -> MutexGuard<'_, V> {
+    mutex.lock().unwrap_or_else(PoisonError::into_inner)
+}
--- a/crates/registry/src/http/serve.rs
+++ b/crates/registry/src/http/serve.rs
@@ -1,234 +1,59 @@
-//! The listening side: routes, and bounds on connections and what they may hold.
+//! Serves a replica on a listening socket.
 
-use super::metrics::Metrics;
-use super::rendered::Renderings;
-use super::stall::Stall;
-use super::{discovery, operators, peers};
-use crate::core::SECOND;
-use crate::core::admission::{Admission, Admit};
+use super::connections::{ConnectionLimits, serve_connections};
+use super::router::router;
+use super::state::{Limits, ServerState};
 use crate::core::freshness::Reading;
 use crate::node::Node;
 use crate::raft::Transport;
-use axum::Router;
-use axum::extract::{DefaultBodyLimit, State as Held};
-use axum::routing::{get, post, put};
-use hyper::server::conn::http1;
-use hyper_util::rt::{TokioIo, TokioTimer};
-use hyper_util::service::TowerToHyperService;
-use prometheus_client::metrics::counter::Counter;
-use std::pin::pin;
-use std::sync::atomic::{AtomicUsize, Ordering};
-use std::sync::{Arc, Mutex, PoisonError};
+use std::sync::Arc;
 use std::time::Duration;
 use tokio::net::TcpListener;
-use tokio::sync::{Semaphore, watch};
+use tokio::sync::watch;
 
-/// How much callers may take.
-#[derive(Clone, Debug)]
-pub struct Limits {
-    /// Connections.
-    pub connections: usize,
-    /// Watches that wait.
-    pub watchers: usize,
-    /// Whole lists a second, and as many at once.
-    pub whole_lists_per_s: f64,
-    /// Longest time that callers are told to stay away.
-    pub longest_away: Duration,
-    /// A head that has not come after this ends its connection, as does an answer that its reader does not take.
-    pub patience: Duration,
-}
-
-impl Default for Limits {
-    fn default() -> Self {
-        Self {
-            connections: 8000,
-            watchers: 7000,
-            whole_lists_per_s: 500.0,
-            longest_away: Duration::from_secs(30),
-            patience: Duration::from_secs(3),
-        }
-    }
-}
-
-/// Longest bodies: of one server, of many, of other replicas.
-const ONE: usize = 16 << 10;
-const MANY: usize = 4 << 20;
-const PEERS: usize = 32 << 20;
-
-/// What the routes share.
-pub(super) struct State<T> {
-    pub(super) node: Node<T>,
-    pub(super) limits: Limits,
-    pub(super) metrics: Metrics,
-    pub(super) renderings: Renderings,
-    pub(super) watchers: AtomicUsize,
-    admission: Mutex<Admission>,
-    closing: watch::Receiver<bool>,
-    /// Whether this replica has lost touch with the others for so long that it may tell nothing.
-    lost: watch::Receiver<bool>,
-}
+/// How often quorum contact is checked, once for all watchers.
+const QUORUM_CHECK_INTERVAL: Duration = Duration::from_millis(250);
 
-/// How often that is looked at, once for all who wait.
-const LOOK: Duration = Duration::from_millis(250);
-
-impl<T: Transport> State<T> {
-    pub(super) fn admit(&self) -> Admit {
-        self.admission.lock().unwrap_or_else(PoisonError::into_inner).ask(self.node.now())
-    }
-
-    pub(super) async fn closing(&self) {
-        told(&mut self.closing.clone()).await;
-    }
-
-    pub(super) async fn lost_touch(&self) {
-        told(&mut self.lost.clone()).await;
-    }
-}
-
-/// A service that runs.
+/// A running service.
 pub struct Service {
     closing: watch::Sender<bool>,
     done: tokio::task::JoinHandle<()>,
 }
 
 impl Service {
-    /// Takes no more connections, answers the watches that wait, and returns once that is done.
+    /// Stops accepting connections, answers open watches, and returns once that is done.
     pub async fn close(self) {
         self.closing.send_replace(true);
         let _ = self.done.await;
     }
 }
 
-/// Serves a replica until it is closed.
+/// Serves a replica until the service is closed.
 pub fn serve<T: Transport>(listener: impl Into<Arc<TcpListener>>, node: Node<T>, limits: Limits) -> Service {
     let (closing, closed) = watch::channel(false);
-    let (losing, lost) = watch::channel(false);
-    let longest = i64::try_from(limits.longest_away.as_micros()).unwrap_or(30 * SECOND);
-    let admission = Admission::new(limits.whole_lists_per_s, limits.whole_lists_per_s, longest);
-    let state = Arc::new(State {
-        node,
-        metrics: Metrics::default(),
-        renderings: Renderings::default(),
-        watchers: AtomicUsize::new(0),
-        admission: Mutex::new(admission),
-        closing: closed.clone(),
-        lost,
-        limits,
-    });
-    let looks = look(state.node.clone(), losing);
-    let callers = Callers {
-        room: state.limits.connections,
-        patience: state.limits.patience,
-        refused: state.metrics.connections_refused.clone(),
+    let (quorum_lost_sender, quorum_lost) = watch::channel(false);
+    let state = Arc::new(ServerState::new(node, limits, closed.clone(), quorum_lost));
+    let quorum_checks = watch_quorum_contact(state.node.clone(), quorum_lost_sender);
+    let connection_limits = ConnectionLimits {
+        connections: state.limits.connections,
+        io_timeout: state.limits.io_timeout,
+        rejected: state.metrics.connections_rejected.clone(),
     };
-    let accepts = accept(listener.into(), routes(state), callers, closed);
+    let connections = serve_connections(listener.into(), router(state), connection_limits, closed);
     let done = tokio::spawn(async move {
         tokio::select! {
-            () = accepts => {}
-            () = looks => {}
+            () = connections => {}
+            () = quorum_checks => {}
         }
     });
     Service { closing, done }
 }
 
-fn routes<T: Transport>(state: Arc<State<T>>) -> Router {
-    Router::new()
-        .route("/up", get(|| async { "up" }))
-        .route("/discovery/hosts", get(discovery::hosts))
-        .route("/v1/list", get(discovery::list))
-        .route("/v1/watch", get(discovery::list))
-        .route("/v1/history", get(operators::history))
-        .route("/v1/status", get(operators::status))
-        .route("/v1/backup", get(operators::backup))
-        .route("/v1/servers/{name}", put(operators::register).get(operators::show).delete(operators::remove))
-        .route("/v1/servers/{name}/renew", post(operators::renew))
-        .route("/v1/servers/{name}/drain", post(operators::drain))
-        .route("/v1/servers/{name}/resume", post(operators::resume))
-        .route("/v1/replicas", post(operators::take_in))
-        .route("/v1/replicas/{id}", axum::routing::delete(operators::put_out))
-        .route("/metrics", get(metrics))
-        .layer(DefaultBodyLimit::max(ONE))
-        .merge(
-            Router::new()
-                .route("/v1/servers", post(operators::register_all))
-                .layer(DefaultBodyLimit::max(MANY)),
-        )
-        .merge(Router::new().route("/peer/{rpc}", post(peers::call)).layer(DefaultBodyLimit::max(PEERS)))
-        .with_state(state)
-}
-
-async fn metrics<T: Transport>(Held(state): Held<Arc<State<T>>>) -> String {
-    state.metrics.text(&state.node, state.watchers.load(Ordering::Relaxed))
-}
-
-/// Bounds on callers, and where those beyond them are counted.
-pub(super) struct Callers {
-    pub(super) room: usize,
-    pub(super) patience: Duration,
-    pub(super) refused: Counter,
-}
-
-/// Serves whoever connects until it is closed, and then what is open.
-pub(super) async fn accept(
-    listener: Arc<TcpListener>,
-    routes: Router,
-    callers: Callers,
-    mut closing: watch::Receiver<bool>,
-) {
-    let room = Arc::new(Semaphore::new(callers.room));
-    let mut connections = tokio::task::JoinSet::new();
+/// Publishes whether quorum contact has been lost for so long that the list may not be served.
+async fn watch_quorum_contact<T: Transport>(node: Node<T>, quorum_lost: watch::Sender<bool>) {
     loop {
-        let stream = tokio::select! {
-            accepted = listener.accept() => match accepted {
-                Ok((stream, _)) => stream,
-                Err(error) => {
-                    tracing::warn!("no connection could be accepted: {error}");
-                    tokio::time::sleep(Duration::from_millis(50)).await;
-                    continue;
-                }
-            },
-            () = told(&mut closing) => break,
-        };
-        while connections.try_join_next().is_some() {}
-        let Ok(permit) = Arc::clone(&room).try_acquire_owned() else {
-            callers.refused.inc();
-            continue;
-        };
-        let (routes, mut closing, patience) = (routes.clone(), closing.clone(), callers.patience);
-        connections.spawn(async move {
-            let _permit = permit;
-            let _ = stream.set_nodelay(true);
-            let io = TokioIo::new(Stall::new(stream, patience));
-            let connection = http1::Builder::new()
-                .timer(TokioTimer::new())
-                .header_read_timeout(patience)
-                .max_buf_size(64 << 10)
-                .serve_connection(io, TowerToHyperService::new(routes));
-            let mut connection = pin!(connection);
-            tokio::select! {
-                // What a peer breaks off is its own affair.
-                _ = connection.as_mut() => {}
-                () = told(&mut closing) => {
-                    connection.as_mut().graceful_shutdown();
-                    let _ = tokio::time::timeout(patience, connection).await;
-                }
-            }
-        });
+        let is_lost = node.reading() == Reading::Refused;
+        quorum_lost.send_if_modified(|known| std::mem::replace(known, is_lost) != is_lost);
+        tokio::time::sleep(QUORUM_CHECK_INTERVAL).await;
     }
-    drop(listener);
-    while connections.join_next().await.is_some() {}
-}
-
-/// Tells whether the replica has lost touch, for as long as it is served.
-async fn look<T: Transport>(node: Node<T>, losing: watch::Sender<bool>) {
-    loop {
-        let lost = node.reading() == Reading::Refused;
-        losing.send_if_modified(|known| std::mem::replace(known, lost) != lost);
-        tokio::time::sleep(LOOK).await;
-    }
-}
-
-/// Waits until the service is closed; where the other end is gone, it is closing as well.
-async fn told(closing: &mut watch::Receiver<bool>) {
-    let _ = closing.wait_for(|c| *c).await.map(|_| ());
 }
--- a/crates/registry/src/http/unavailable.rs
+++ b/crates/registry/src/http/unavailable.rs
@@ -1,6 +1,7 @@
-//! What callers hear while a replica has no store that it could answer from.
+//! Answers requests while a replica's store can't be used.
 
-use super::serve::{Callers, Limits, accept};
+use super::connections::{ConnectionLimits, serve_connections};
+use super::state::Limits;
 use axum::Router;
 use axum::routing::get;
 use hyper::StatusCode;
@@ -10,34 +11,43 @@
 use tokio::net::TcpListener;
 use tokio::sync::watch;
 
-/// When callers may ask again, in seconds.
-const AGAIN: &str = "1";
+/// `Retry-After`, in seconds.
+const RETRY_AFTER_SECONDS: &str = "1";
 
-/// Answers every call with 503 until `over` comes to hold; the counts say how often the store has failed.
+/// Answers every request with status 503 until `until` completes; the metrics tell how often the store has failed.
 pub async fn unavailable(
     listener: Arc<TcpListener>,
     limits: &Limits,
     failures: u64,
-    over: impl Future<Output = ()>,
+    until: impl Future<Output = ()>,
 ) {
-    let counts = format!(
-        "# HELP roster_store_failures Times the store failed since the start of the process.\n\
-         # TYPE roster_store_failures counter\nroster_store_failures_total {failures}\n\
-         # HELP roster_store_available Whether the store can be used.\n\
-         # TYPE roster_store_available gauge\nroster_store_available 0\n# EOF\n"
-    );
-    let sorry =
-        || async { (StatusCode::SERVICE_UNAVAILABLE, [(RETRY_AFTER, AGAIN)], "the store has failed\n") };
-    let routes = Router::new().route("/metrics", get(|| async { counts })).fallback(sorry);
     let (closing, closed) = watch::channel(false);
-    let callers =
-        Callers { room: limits.connections, patience: limits.patience, refused: Counter::default() };
-    let mut serving = std::pin::pin!(accept(listener, routes, callers, closed));
+    let connection_limits = ConnectionLimits {
+        connections: limits.connections,
+        io_timeout: limits.io_timeout,
+        rejected: Counter::default(),
+    };
+    let connections = serve_connections(listener, router(failures), connection_limits, closed);
+    let mut connections = std::pin::pin!(connections);
     tokio::select! {
-        () = &mut serving => {}
-        () = over => {
+        () = &mut connections => {}
+        () = until => {
             closing.send_replace(true);
-            serving.await;
+            connections.await;
         }
     }
 }
+
+fn router(failures: u64) -> Router {
+    let metrics = format!(
+        "# HELP roster_store_failures Times the store failed since the start of the process.\n\
+         # TYPE roster_store_failures counter\nroster_store_failures_total {failures}\n\
+         # HELP roster_store_available Whether the store can be used.\n\
+         # TYPE roster_store_available gauge\nroster_store_available 0\n# EOF\n"
+    );
+    let store_failed = || async {
+        let retry_after = [(RETRY_AFTER, RETRY_AFTER_SECONDS)];
+        (StatusCode::SERVICE_UNAVAILABLE, retry_after, "the store has failed\n")
+    };
+    Router::new().route("/metrics", get(|| async { metrics })).fallback(store_failed)
+}
--- a/crates/registry/src/http/stall.rs
+++ b/crates/registry/src/http/write_timeout.rs
@@ -1,5 +1,4 @@
-//! A connection whose peer must go on: a write that waits for too long ends it, so that a reader that has stopped
-//! reading holds no memory and no place.
+//! A connection with a write timeout: a client that stops reading frees its memory and its connection.
 
 use std::io::{self, ErrorKind};
 use std::pin::Pin;
@@ -9,28 +8,29 @@
 use tokio::net::TcpStream;
 use tokio::time::{Instant, Sleep, sleep};
 
-pub(super) struct Stall {
+/// A connection whose writes fail when they block for too long.
+pub(super) struct WriteTimeout {
     stream: TcpStream,
-    patience: Duration,
-    waiting: Option<Pin<Box<Sleep>>>,
+    timeout: Duration,
+    deadline: Option<Pin<Box<Sleep>>>,
 }
 
-impl Stall {
-    pub(super) fn new(stream: TcpStream, patience: Duration) -> Self {
-        Self { stream, patience, waiting: None }
+impl WriteTimeout {
+    pub(super) fn new(stream: TcpStream, timeout: Duration) -> Self {
+        Self { stream, timeout, deadline: None }
     }
 
-    /// What a write has come to, unless it has waited for too long.
-    fn within<V>(&mut self, cx: &mut Context<'_>, poll: Poll<io::Result<V>>) -> Poll<io::Result<V>> {
+    /// Passes the result of a write on; a write that has been pending for too long fails instead.
+    fn or_timeout<V>(&mut self, cx: &mut Context<'_>, poll: Poll<io::Result<V>>) -> Poll<io::Result<V>> {
         if poll.is_ready() {
-            self.waiting = None;
+            self.deadline = None;
             return poll;
         }
-        let patience = self.patience;
-        let waiting = self.waiting.get_or_insert_with(|| Box::pin(sleep(patience)));
-        match waiting.as_mut().poll(cx) {
+        let timeout = self.timeout;
+        let deadline = self.deadline.get_or_insert_with(|| Box::pin(sleep(timeout)));
+        match deadline.as_mut().poll(cx) {
             Poll::Ready(()) => {
-                waiting.as_mut().reset(Instant::now() + patience);
+                deadline.as_mut().reset(Instant::now() + timeout);
                 Poll::Ready(Err(ErrorKind::TimedOut.into()))
             }
             Poll::Pending => Poll::Pending,
@@ -38,7 +38,7 @@
     }
 }
 
-impl AsyncRead for Stall {
+impl AsyncRead for WriteTimeout {
     fn poll_read(
         mut self: Pin<&mut Self>,
         cx: &mut Context<'_>,
@@ -48,19 +48,19 @@
     }
 }
 
-impl AsyncWrite for Stall {
+impl AsyncWrite for WriteTimeout {
     fn poll_write(mut self: Pin<&mut Self>, cx: &mut Context<'_>, bytes: &[u8]) -> Poll<io::Result<usize>> {
         let poll = Pin::new(&mut self.stream).poll_write(cx, bytes);
-        self.within(cx, poll)
+        self.or_timeout(cx, poll)
     }
 
     fn poll_flush(mut self: Pin<&mut Self>, cx: &mut Context<'_>) -> Poll<io::Result<()>> {
         let poll = Pin::new(&mut self.stream).poll_flush(cx);
-        self.within(cx, poll)
+        self.or_timeout(cx, poll)
     }
 
     fn poll_shutdown(mut self: Pin<&mut Self>, cx: &mut Context<'_>) -> Poll<io::Result<()>> {
         let poll = Pin::new(&mut self.stream).poll_shutdown(cx);
-        self.within(cx, poll)
+        self.or_timeout(cx, poll)
     }
 }
--- a/crates/registry/src/lib.rs
+++ b/crates/registry/src/lib.rs
@@ -1,4 +1,6 @@
-//! The roster: a list service with versions, watches and leases, durable and replicated. See `docs/roster.md`.
+//! A service registry: a replicated, durable list of endpoints with versions, leases and watches. See `docs/roster.md`.
+
+#![deny(missing_docs)]
 
 pub mod config;
 pub mod core;
--- a/crates/registry/src/node.rs
+++ b/crates/registry/src/node.rs
@@ -20,7 +20,7 @@
 use crate::core::freshness::Freshness;
 use crate::core::lease::Leases;
 use crate::raft::{Peers, Raft, Replica, Target, Transport};
-use crate::store::{Machine, Shared, Store};
+use crate::store::{AppliedState, StateMachine, Store};
 use leases::LeaderState;
 use openraft::SnapshotPolicy;
 use openraft::error::Fatal;
@@ -43,7 +43,7 @@
     own: Replica,
     raft: Raft,
     store: Store,
-    shared: Arc<Shared>,
+    applied_state: Arc<AppliedState>,
     peers: Peers<T>,
     leader_state: Mutex<LeaderState>,
     flaps: Mutex<Flaps>,
@@ -98,9 +98,9 @@
         let identity = store.identity(settings.id, new_identity)?;
         let own = Replica { address: settings.address.clone(), identity };
         let config = raft_config(&settings).validate().map_err(|e| NodeError::Settings(Box::new(e)))?;
-        let (machine, shared) = Machine::open(store.clone())?;
+        let (state_machine, applied_state) = StateMachine::open(store.clone())?;
         let peers = Peers { transport, id: settings.id, own: own.clone() };
-        let raft = Raft::new(settings.id, Arc::new(config), peers.clone(), store.clone(), machine);
+        let raft = Raft::new(settings.id, Arc::new(config), peers.clone(), store.clone(), state_machine);
         let raft = raft.await.map_err(NodeError::raft)?;
         let inner = Inner {
             freshness: Mutex::new(Freshness::new(settings.stale_after, settings.refuse_after)),
@@ -109,7 +109,7 @@
             own,
             raft,
             store,
-            shared,
+            applied_state,
             peers,
             flaps: Mutex::default(),
             started_at: Instant::now(),
@@ -131,7 +131,7 @@
     }
 
     async fn track_applied(self) {
-        let mut applied = self.inner.shared.applied();
+        let mut applied = self.inner.applied_state.applied_index();
         loop {
             let index = *applied.borrow_and_update();
             lock(&self.inner.freshness).applied(index);
@@ -185,8 +185,8 @@
     }
 
     /// The list with its place in the log.
-    pub fn shared(&self) -> &Arc<Shared> {
-        &self.inner.shared
+    pub fn applied_state(&self) -> &Arc<AppliedState> {
+        &self.inner.applied_state
     }
 
     /// Its store.
--- a/crates/registry/src/node/leases.rs
+++ b/crates/registry/src/node/leases.rs
@@ -47,7 +47,7 @@
         };
         let leads = server_state == ServerState::Leader && leader == Some(self.inner.settings.id);
         let now = self.now();
-        let state = self.inner.shared.state();
+        let state = self.inner.applied_state.state();
         let mut leader_state = lock(&self.inner.leader_state);
         if !leads {
             if leader_state.term.take().is_some() {
@@ -82,8 +82,14 @@
 
     pub(super) fn renew_as_leader(&self, name: &str) -> Result<Renewal, WriteError> {
         // Lock order: the list before the leases.
-        let is_permanent =
-            self.inner.shared.state().list.entries().get(name).is_some_and(|entry| entry.lease_ms == 0);
+        let is_permanent = self
+            .inner
+            .applied_state
+            .state()
+            .list
+            .entries()
+            .get(name)
+            .is_some_and(|entry| entry.lease_ms == 0);
         let mut leader_state = lock(&self.inner.leader_state);
         if leader_state.term.is_none() {
             return Err(WriteError::NoLeader);
--- a/crates/registry/src/node/membership.rs
+++ b/crates/registry/src/node/membership.rs
@@ -27,7 +27,7 @@
         wait.state(ServerState::Leader, "founding").await.map_err(NodeError::raft)?;
         // An earlier attempt may have been committed and not applied: apply the whole log before looking.
         raft.ensure_linearizable().await.map_err(NodeError::raft)?;
-        if self.inner.shared.state().list.version().epoch > 0 {
+        if self.inner.applied_state.state().list.version().epoch > 0 {
             return Ok(false);
         }
         match self.write_as_leader(Command::Found { epoch, from }).await {
@@ -51,7 +51,7 @@
 
     /// Adds a replica, at the leader: first as a learner, and as a voter once it has the log.
     pub async fn add_member(&self, id: u64, replica: Replica) -> Result<(), MembershipError> {
-        let member = self.inner.shared.state().membership.membership().get_node(&id).cloned();
+        let member = self.inner.applied_state.state().membership.membership().get_node(&id).cloned();
         if let Some(member) = member
             && member != replica
         {
--- a/crates/registry/src/node/peer_calls.rs
+++ b/crates/registry/src/node/peer_calls.rs
@@ -4,7 +4,7 @@
 use crate::core::lease::Renewal;
 use crate::core::list::Command;
 use crate::raft::transport::Envelope;
-use crate::raft::{LogEntry, Replica, Rpc, Transport, Types};
+use crate::raft::{LogEntry, Replica, Rpc, Transport, TypeConfig};
 use openraft::EntryPayload;
 use openraft::raft::{AppendEntriesRequest, InstallSnapshotRequest, VoteRequest};
 use serde::de::DeserializeOwned;
@@ -23,7 +23,7 @@
     pub async fn handle_peer_call(&self, rpc: Rpc, bytes: &[u8]) -> Result<Vec<u8>, PeerCallError> {
         let answer = match rpc {
             Rpc::Append => {
-                let request: AppendEntriesRequest<Types> = self.open_envelope(bytes, Callers::Any)?;
+                let request: AppendEntriesRequest<TypeConfig> = self.open_envelope(bytes, Callers::Any)?;
                 self.check_services(&request.entries)?;
                 serde_json::to_vec(&self.inner.raft.append_entries(request).await)
             }
@@ -35,7 +35,7 @@
                 let request: InstallSnapshotRequest<_> = self.open_envelope(bytes, Callers::Any)?;
                 serde_json::to_vec(&self.inner.raft.install_snapshot(request).await)
             }
-            Rpc::Committed => {
+            Rpc::ReadIndex => {
                 let () = self.open_envelope(bytes, Callers::Members)?;
                 serde_json::to_vec(&self.read_index_as_leader().await)
             }
@@ -68,7 +68,7 @@
         if envelope.to != own {
             return Err(PeerCallError::WrongReplica { own, addressed: envelope.to });
         }
-        let state = self.inner.shared.state();
+        let state = self.inner.applied_state.state();
         let membership = state.membership.membership();
         let caller = Replica { address: envelope.address, identity: envelope.identity };
         match membership.get_node(&envelope.from) {
--- a/crates/registry/src/node/reads.rs
+++ b/crates/registry/src/node/reads.rs
@@ -24,14 +24,14 @@
     pub fn read(&self, after: Option<u64>) -> Read {
         // The age is determined first: entries applied in between only make the list newer.
         let reading = self.reading();
-        let update = self.inner.shared.state().list.update(after);
+        let update = self.inner.applied_state.state().list.update(after);
         self.with_age(reading, update)
     }
 
     /// Like [`Self::read`], of some services alone, which must be sorted by name.
     pub fn read_services(&self, after: Option<u64>, services: &[String]) -> Read {
         let reading = self.reading();
-        let update = self.inner.shared.state().list.update_of(after, services);
+        let update = self.inner.applied_state.state().list.update_of(after, services);
         self.with_age(reading, update)
     }
 
@@ -62,14 +62,14 @@
     pub async fn read_latest_services(&self, services: Option<&[String]>) -> Result<ListUpdate, WriteError> {
         let requested_at = self.now();
         let index = self.read_index().await?;
-        let mut applied = self.inner.shared.applied();
+        let mut applied = self.inner.applied_state.applied_index();
         let caught_up = applied.wait_for(|applied| *applied >= index);
         if !matches!(timeout(self.inner.settings.request_timeout, caught_up).await, Ok(Ok(_))) {
             return Err(WriteError::NoLeader);
         }
         lock(&self.inner.freshness).committed(requested_at, index);
         let mut update = {
-            let list = &self.inner.shared.state().list;
+            let list = &self.inner.applied_state.state().list;
             services.map_or_else(|| list.update(None), |services| list.update_of(None, services))
         };
         update.replica = self.inner.settings.id;
@@ -84,7 +84,7 @@
             return self.read_index_as_leader().await;
         }
         let answer: Result<Result<u64, WriteError>, CallError> =
-            self.inner.peers.call(&leader, Rpc::Committed, (), self.inner.settings.request_timeout).await;
+            self.inner.peers.call(&leader, Rpc::ReadIndex, (), self.inner.settings.request_timeout).await;
         answer.map_err(|_| WriteError::NoLeader)?
     }
 
--- a/crates/registry/src/node/writes.rs
+++ b/crates/registry/src/node/writes.rs
@@ -22,7 +22,7 @@
             self.inner.peers.call(&leader, Rpc::Write, command, call_timeout).await;
         match answer {
             Ok(outcome) => outcome,
-            Err(CallError::Unreached(_) | CallError::TurnedDown(_)) => Err(WriteError::NoLeader),
+            Err(CallError::NotSent(_) | CallError::Rejected(_)) => Err(WriteError::NoLeader),
             Err(error) => Err(WriteError::OutcomeUnknown(error.to_string())),
         }
     }
--- a/crates/registry/src/raft/mod.rs
+++ b/crates/registry/src/raft/mod.rs
@@ -1,5 +1,5 @@
-//! How the list's log is replicated: openraft's types, and its calls between replicas over a transport that the driver
-//! brings (HTTP in a process, a drawn network in the explorer).
+//! Replication of the list's log: openraft's types, and its calls between replicas over a [`Transport`], which is HTTP in
+//! a process and a simulated network in the explorer.
 
 mod network;
 pub mod runtime;
@@ -12,36 +12,36 @@
 use serde::{Deserialize, Serialize};
 use std::io::Cursor;
 
-/// Who a replica is, as all replicas know it. One with the same number and another identity, or at another address, is
-/// another: a copy, or a mistake in somebody's configuration.
+/// A member of the cluster. A replica with the same number and another identity or address is a different one: a copy,
+/// or a mistake in a configuration.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Deserialize, Serialize)]
 pub struct Replica {
-    /// Where it is reached.
+    /// Address at which the others reach it.
     pub address: String,
-    /// Drawn when its folder was made.
+    /// Random number, drawn when its store was created.
     pub identity: u64,
 }
 
 openraft::declare_raft_types!(
-    /// The types of the list's log.
-    pub Types:
+    /// The types with which openraft is instantiated.
+    pub TypeConfig:
         D = Command,
         R = Outcome,
         NodeId = u64,
         Node = Replica,
         SnapshotData = Cursor<Vec<u8>>,
-        AsyncRuntime = runtime::Seeded,
+        AsyncRuntime = runtime::SeededRuntime,
 );
 
-/// A replica's log.
-pub type Raft = openraft::Raft<Types>;
-/// A place in it.
+/// A replica's Raft instance.
+pub type Raft = openraft::Raft<TypeConfig>;
+/// The position of a log entry.
 pub type LogId = openraft::LogId<u64>;
-/// An entry of it.
-pub type LogEntry = openraft::Entry<Types>;
-/// Who votes, and since which place.
+/// A log entry.
+pub type LogEntry = openraft::Entry<TypeConfig>;
+/// The members, with the position of the log entry that made them so.
 pub type Membership = openraft::StoredMembership<u64, Replica>;
 /// A vote.
 pub type Vote = openraft::Vote<u64>;
-/// What openraft takes for a failed store.
+/// The error with which a store stops openraft.
 pub type StorageError = openraft::StorageError<u64>;
--- a/crates/registry/src/raft/network.rs
+++ b/crates/registry/src/raft/network.rs
@@ -1,7 +1,7 @@
-//! openraft's calls, put into envelopes.
+//! The sending side of calls between replicas.
 
 use super::transport::{CallError, Envelope, Rpc, Target, Transport};
-use super::{Replica, Types};
+use super::{Replica, TypeConfig};
 use openraft::error::{InstallSnapshotError, NetworkError, RPCError, RaftError, RemoteError, Unreachable};
 use openraft::network::{RPCOption, RaftNetwork, RaftNetworkFactory};
 use openraft::raft::{
@@ -16,22 +16,22 @@
 /// Makes the calls of one replica to the others.
 #[derive(Clone)]
 pub struct Peers<T> {
-    /// What carries them.
+    /// Carries the calls.
     pub transport: T,
-    /// The replica's number.
+    /// Number of this replica.
     pub id: u64,
-    /// The replica as others know it.
+    /// This replica as a member.
     pub own: Replica,
 }
 
 impl<T: Transport> Peers<T> {
-    /// Makes a call, and reads what it is answered.
+    /// Makes a call and decodes its answer.
     pub async fn call<B: Serialize, A: DeserializeOwned>(
         &self,
         to: &Target,
         rpc: Rpc,
         body: B,
-        patience: Duration,
+        timeout: Duration,
     ) -> Result<A, CallError> {
         let envelope = Envelope {
             from: self.id,
@@ -40,19 +40,19 @@
             to: to.id,
             body,
         };
-        let bytes = serde_json::to_vec(&envelope).map_err(|e| CallError::Unreached(e.to_string()))?;
-        let answer = self.transport.call(to, rpc, bytes, patience).await?;
-        serde_json::from_slice(&answer).map_err(|e| CallError::Unanswered(format!("unreadable: {e}")))
+        let bytes = serde_json::to_vec(&envelope).map_err(|e| CallError::NotSent(e.into()))?;
+        let answer = self.transport.call(to, rpc, bytes, timeout).await?;
+        serde_json::from_slice(&answer).map_err(|e| CallError::NoAnswer(format!("unreadable: {e}").into()))
     }
 }
 
-/// The way to one other replica.
+/// Makes openraft's calls to one other replica.
 pub struct Peer<T> {
     peers: Peers<T>,
     to: Target,
 }
 
-impl<T: Transport> RaftNetworkFactory<Types> for Peers<T> {
+impl<T: Transport> RaftNetworkFactory<TypeConfig> for Peers<T> {
     type Network = Peer<T>;
 
     async fn new_client(&mut self, id: u64, replica: &Replica) -> Peer<T> {
@@ -61,7 +61,7 @@
 }
 
 impl<T: Transport> Peer<T> {
-    async fn ask<B, A, E>(
+    async fn call<B, A, E>(
         &self,
         rpc: Rpc,
         body: B,
@@ -77,29 +77,29 @@
         match answer {
             Ok(Ok(answer)) => Ok(answer),
             Ok(Err(error)) => Err(RPCError::RemoteError(RemoteError::new(self.to.id, error))),
-            // Where nobody is there, openraft waits a little before it tries again.
-            Err(error @ CallError::Unreached(_)) => Err(RPCError::Unreachable(Unreachable::new(&error))),
+            // openraft backs off from an unreachable replica.
+            Err(error @ CallError::NotSent(_)) => Err(RPCError::Unreachable(Unreachable::new(&error))),
             Err(error) => Err(RPCError::Network(NetworkError::new(&error))),
         }
     }
 }
 
-impl<T: Transport> RaftNetwork<Types> for Peer<T> {
+impl<T: Transport> RaftNetwork<TypeConfig> for Peer<T> {
     async fn append_entries(
         &mut self,
-        rpc: AppendEntriesRequest<Types>,
+        rpc: AppendEntriesRequest<TypeConfig>,
         option: RPCOption,
     ) -> Result<AppendEntriesResponse<u64>, RPCError<u64, Replica, RaftError<u64>>> {
-        self.ask(Rpc::Append, rpc, &option).await
+        self.call(Rpc::Append, rpc, &option).await
     }
 
     async fn install_snapshot(
         &mut self,
-        rpc: InstallSnapshotRequest<Types>,
+        rpc: InstallSnapshotRequest<TypeConfig>,
         option: RPCOption,
     ) -> Result<InstallSnapshotResponse<u64>, RPCError<u64, Replica, RaftError<u64, InstallSnapshotError>>>
     {
-        self.ask(Rpc::Snapshot, rpc, &option).await
+        self.call(Rpc::Snapshot, rpc, &option).await
     }
 
     async fn vote(
@@ -107,6 +107,6 @@
         rpc: VoteRequest<u64>,
         option: RPCOption,
     ) -> Result<VoteResponse<u64>, RPCError<u64, Replica, RaftError<u64>>> {
-        self.ask(Rpc::Vote, rpc, &option).await
+        self.call(Rpc::Vote, rpc, &option).await
     }
 }
--- a/crates/registry/src/raft/runtime.rs
+++ b/crates/registry/src/raft/runtime.rs
@@ -1,4 +1,4 @@
-//! Tokio, with random numbers that can be seeded: openraft draws its election timeouts from its runtime.
+//! Tokio as openraft's runtime, with a random generator that can be seeded: openraft draws its election timeouts from it.
 
 use openraft::{AsyncRuntime, TokioRuntime};
 use rand_08::rngs::StdRng;
@@ -11,15 +11,15 @@
     static RNG: RefCell<Option<StdRng>> = const { RefCell::new(None) };
 }
 
-/// From now on, draws on this thread follow from a seed.
+/// Seeds the generator of the current thread.
 pub fn seed(seed: u64) {
     RNG.with_borrow_mut(|rng| *rng = Some(StdRng::seed_from_u64(seed)));
 }
 
-/// The thread's random numbers: seeded where they were, else the system's.
-pub struct Drawn;
+/// The generator of the current thread: the seeded one where [`seed`] was called, else that of the system.
+pub struct ThreadRng;
 
-impl RngCore for Drawn {
+impl RngCore for ThreadRng {
     fn next_u32(&mut self) -> u32 {
         self.next_u64() as u32
     }
@@ -31,8 +31,8 @@
     }
     fn fill_bytes(&mut self, bytes: &mut [u8]) {
         for chunk in bytes.chunks_mut(8) {
-            let drawn = self.next_u64().to_le_bytes();
-            chunk.copy_from_slice(&drawn[..chunk.len()]);
+            let random = self.next_u64().to_le_bytes();
+            chunk.copy_from_slice(&random[..chunk.len()]);
         }
     }
     fn try_fill_bytes(&mut self, bytes: &mut [u8]) -> Result<(), Error> {
@@ -41,18 +41,18 @@
     }
 }
 
-/// Tokio with [`Drawn`].
+/// Tokio with [`ThreadRng`].
 #[derive(Debug, Default, PartialEq, Eq)]
-pub struct Seeded;
+pub struct SeededRuntime;
 
-impl AsyncRuntime for Seeded {
+impl AsyncRuntime for SeededRuntime {
     type JoinError = <TokioRuntime as AsyncRuntime>::JoinError;
     type JoinHandle<T: Send + 'static> = <TokioRuntime as AsyncRuntime>::JoinHandle<T>;
     type Sleep = <TokioRuntime as AsyncRuntime>::Sleep;
     type Instant = <TokioRuntime as AsyncRuntime>::Instant;
     type TimeoutError = <TokioRuntime as AsyncRuntime>::TimeoutError;
     type Timeout<R, T: Future<Output = R> + Send> = <TokioRuntime as AsyncRuntime>::Timeout<R, T>;
-    type ThreadLocalRng = Drawn;
+    type ThreadLocalRng = ThreadRng;
     type OneshotSender<T: Send> = <TokioRuntime as AsyncRuntime>::OneshotSender<T>;
     type OneshotReceiver<T: Send> = <TokioRuntime as AsyncRuntime>::OneshotReceiver<T>;
     type OneshotReceiverError = <TokioRuntime as AsyncRuntime>::OneshotReceiverError;
@@ -88,8 +88,8 @@
         TokioRuntime::is_panic(error)
     }
 
-    fn thread_rng() -> Drawn {
-        Drawn
+    fn thread_rng() -> ThreadRng {
+        ThreadRng
     }
 
     fn oneshot<T: Send>() -> (Self::OneshotSender<T>, Self::OneshotReceiver<T>) {
--- a/crates/registry/src/raft/transport.rs
+++ b/crates/registry/src/raft/transport.rs
@@ -1,39 +1,41 @@
-//! What carries calls between replicas.
+//! Calls between replicas, and the interface of what carries them.
 
 use serde::{Deserialize, Serialize};
+use std::error::Error;
 use std::future::Future;
 use std::time::Duration;
 
-/// The calls.
+/// The calls between replicas.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, Deserialize, Serialize)]
 #[serde(rename_all = "lowercase")]
 pub enum Rpc {
-    /// Entries of the log, or a heartbeat.
+    /// Appends log entries; without entries it is a heartbeat.
     Append,
-    /// A vote is wanted.
+    /// Requests a vote.
     Vote,
-    /// A part of a snapshot.
+    /// Installs a chunk of a snapshot.
     Snapshot,
-    /// Up to where is the log committed? Asked of the leader.
-    Committed,
-    /// A command for the leader.
+    /// Requests the leader's read index.
+    #[serde(rename = "committed")]
+    ReadIndex,
+    /// Forwards a command to the leader.
     Write,
-    /// A server's renewal, for the leader.
+    /// Forwards the renewal of a lease to the leader.
     Renew,
 }
 
 impl Rpc {
-    /// All of them.
+    /// All calls.
     pub const ALL: [Self; 6] =
-        [Self::Append, Self::Vote, Self::Snapshot, Self::Committed, Self::Write, Self::Renew];
+        [Self::Append, Self::Vote, Self::Snapshot, Self::ReadIndex, Self::Write, Self::Renew];
 
-    /// Its name in addresses.
+    /// Its name in the path of a request.
     pub fn name(self) -> &'static str {
         match self {
             Self::Append => "append",
             Self::Vote => "vote",
             Self::Snapshot => "snapshot",
-            Self::Committed => "committed",
+            Self::ReadIndex => "committed",
             Self::Write => "write",
             Self::Renew => "renew",
         }
@@ -49,33 +51,37 @@
     pub address: String,
 }
 
-/// Why a call failed.
-#[derive(Clone, Debug, thiserror::Error, PartialEq, Eq)]
+/// What made a call fail.
+type Cause = Box<dyn Error + Send + Sync>;
+
+/// Why a call failed, by whether it may have taken effect. The texts contain their cause, so that it is no `source`:
+/// openraft would append it a second time.
+#[derive(Debug, thiserror::Error)]
 pub enum CallError {
-    /// It never went out.
+    /// The call was not sent.
     #[error("not reached: {0}")]
-    Unreached(String),
-    /// It may have come there.
+    NotSent(Cause),
+    /// The call may have been received.
     #[error("no answer: {0}")]
-    Unanswered(String),
-    /// The other turned it down, whole.
+    NoAnswer(Cause),
+    /// The other replica rejected the call; it had no effect.
     #[error("turned down: {0}")]
-    TurnedDown(String),
+    Rejected(Cause),
 }
 
-/// Carries calls: bytes there, bytes back.
+/// Carries the bytes of calls and answers.
 pub trait Transport: Clone + Send + Sync + 'static {
-    /// Makes a call, which has failed after `patience`.
+    /// Makes a call, which fails after `timeout`.
     fn call(
         &self,
         to: &Target,
         rpc: Rpc,
         body: Vec<u8>,
-        patience: Duration,
+        timeout: Duration,
     ) -> impl Future<Output = Result<Vec<u8>, CallError>> + Send;
 }
 
-/// A call with who makes it and whom it is for.
+/// A call with its sender and its receiver, as it is sent.
 #[derive(Debug, Deserialize, Serialize)]
 pub struct Envelope<B> {
     /// The caller's number.
@@ -84,8 +90,8 @@
     pub identity: u64,
     /// The caller's address.
     pub address: String,
-    /// Whom it is for.
+    /// The receiver's number.
     pub to: u64,
-    /// What is said.
+    /// The parameters of the call.
     pub body: B,
 }
--- /dev/null
+++ b/crates/registry/src/store/applied_state.rs
@@ -0,0 +1,78 @@
+//! The list as of the last applied log entry, as the rest of a replica reads it and waits for its changes.
+
+use super::service_waiters::ServiceWaiters;
+use super::{FormatError, format};
+use crate::core::list::List;
+use crate::raft::{LogId, Membership, Replica};
+use openraft::SnapshotMeta;
+use serde::{Deserialize, Serialize};
+use std::sync::{Arc, Mutex, MutexGuard, PoisonError};
+use tokio::sync::watch;
+
+/// The list with its place in the log. It is stored and sent as JSON.
+#[derive(Clone, Debug, Default, PartialEq, Deserialize, Serialize)]
+pub struct Snapshot {
+    /// The last log entry that is applied to it.
+    pub applied: Option<LogId>,
+    /// The members of the cluster.
+    pub membership: Membership,
+    /// The list.
+    pub list: List,
+}
+
+impl Snapshot {
+    pub(super) fn meta(&self) -> SnapshotMeta<u64, Replica> {
+        let snapshot_id =
+            self.applied.map_or_else(|| "0".to_owned(), |l| format!("{}-{}", l.leader_id, l.index));
+        SnapshotMeta { last_log_id: self.applied, last_membership: self.membership.clone(), snapshot_id }
+    }
+
+    /// Decodes a snapshot of any known form.
+    pub fn decode(bytes: &[u8]) -> Result<Self, FormatError> {
+        Ok(serde_json::from_slice(&format::decode(bytes)?)?)
+    }
+}
+
+/// The list as of the last applied entry, with notification of its changes.
+#[derive(Default)]
+pub struct AppliedState {
+    state: Mutex<Snapshot>,
+    applied_index: watch::Sender<u64>,
+    list_index: watch::Sender<u64>,
+    service_waiters: ServiceWaiters,
+}
+
+impl AppliedState {
+    /// Locks the state. The log is not applied meanwhile: release it soon.
+    pub fn state(&self) -> MutexGuard<'_, Snapshot> {
+        self.state.lock().unwrap_or_else(PoisonError::into_inner)
+    }
+
+    /// Follows the index of the last applied log entry.
+    pub fn applied_index(&self) -> watch::Receiver<u64> {
+        self.applied_index.subscribe()
+    }
+
+    /// Follows the list's index.
+    pub fn list_index(&self) -> watch::Receiver<u64> {
+        self.list_index.subscribe()
+    }
+
+    /// Waits until one of these services has changed after that index.
+    pub async fn services_changed(&self, after: u64, services: &Arc<[String]>) {
+        // Registered before the list is read, so that no change in between is missed.
+        let waiter = self.service_waiters.register(after, services);
+        if self.state().list.changed_of(services) <= after {
+            waiter.notified().await;
+        }
+    }
+
+    /// Notifies watchers of a new state, which the caller has locked.
+    pub(super) fn notify(&self, state: &Snapshot) {
+        self.service_waiters.notify(&state.list);
+        let list_index = state.list.version().index;
+        self.list_index.send_if_modified(|known| std::mem::replace(known, list_index) != list_index);
+        let applied_index = state.applied.map_or(0, |log_id| log_id.index);
+        self.applied_index.send_replace(applied_index);
+    }
+}
--- a/crates/registry/src/store/mark/tests.rs
+++ b/crates/registry/src/store/commit_counter/tests.rs
@@ -13,5 +13,5 @@
     drop(store);
     std::fs::copy(&copy, &file).expect("it is put back");
     let error = Store::open(folder.path(), Format::NEWEST).err().expect("it lacks a commit");
-    assert!(matches!(error, StoreError::Behind { .. }), "{error}");
+    assert!(matches!(error, StoreError::RolledBack { .. }), "{error}");
 }
--- /dev/null
+++ b/crates/registry/src/store/error.rs
@@ -0,0 +1,95 @@
+//! Errors of the store.
+
+use super::FormatError;
+
+/// Why a replica's store can't be used.
+#[derive(Debug, thiserror::Error)]
+pub enum StoreError {
+    /// The database can't be read or written, or is damaged.
+    #[error("{0}")]
+    Database(#[from] redb::Error),
+    /// A value is not what was written.
+    #[error("{what}: {error}")]
+    Corrupt {
+        /// Which value.
+        what: String,
+        /// What is wrong with it. Not a `source`, as openraft would append it to the text a second time.
+        error: FormatError,
+    },
+    /// The checksums of the database's pages do not match.
+    #[error("the file is not whole: its checksums do not match")]
+    IntegrityCheck,
+    /// The database is damaged so badly that opening it panics.
+    #[error("the file is not whole: {panic}")]
+    OpenPanicked {
+        /// The message of the panic.
+        panic: String,
+    },
+    /// Commits are missing that were on disk before: acknowledged writes may be lost.
+    #[error("the file has seen {found} commits, and had seen {counted} before: its last ones are lost")]
+    RolledBack {
+        /// Commits in the database.
+        found: u64,
+        /// Commits that were counted beside it.
+        counted: u64,
+    },
+    /// It was written by a newer program.
+    #[error("the file has form {found}, and this program knows up to {known}")]
+    NewerForm {
+        /// Its form.
+        found: u32,
+        /// The newest form that is known.
+        known: u32,
+    },
+    /// A list has services, which the configured format can't represent.
+    #[error("{what} has services, which form {format} can't hold: it needs form 3")]
+    ServicesUnsupported {
+        /// Which value.
+        what: String,
+        /// The format's number.
+        format: u32,
+    },
+    /// It belongs to another replica.
+    #[error("the folder belongs to replica {found}, not {wanted}")]
+    OtherReplica {
+        /// The replica that it belongs to.
+        found: u64,
+        /// The replica that opened it.
+        wanted: u64,
+    },
+}
+
+impl StoreError {
+    /// Whether reopening the store may help, because its disk failed. Damage stays.
+    pub fn is_transient(&self) -> bool {
+        match self {
+            Self::Database(redb::Error::PreviousIo) => true,
+            // redb reports a truncated file as an I/O error without a number of the system's.
+            Self::Database(redb::Error::Io(e)) => e.raw_os_error().is_some() && !is_permanent(e),
+            _ => false,
+        }
+    }
+
+    /// Whether the database is open elsewhere.
+    pub fn is_open_elsewhere(&self) -> bool {
+        matches!(self, Self::Database(redb::Error::DatabaseAlreadyOpen))
+    }
+}
+
+/// Whether the error persists until somebody changes the file's permissions or place.
+fn is_permanent(error: &std::io::Error) -> bool {
+    use std::io::ErrorKind::{IsADirectory, NotADirectory, NotFound, PermissionDenied, ReadOnlyFilesystem};
+    matches!(error.kind(), NotFound | PermissionDenied | ReadOnlyFilesystem | IsADirectory | NotADirectory)
+}
+
+/// Every error of redb becomes a [`StoreError::Database`].
+macro_rules! from_redb {
+    ($($error:ident),*) => {$(
+        impl From<redb::$error> for StoreError {
+            fn from(error: redb::$error) -> Self {
+                Self::Database(error.into())
+            }
+        }
+    )*};
+}
+from_redb!(DatabaseError, TransactionError, TableError, StorageError, CommitError);
--- a/crates/registry/src/store/format.rs
+++ b/crates/registry/src/store/format.rs
@@ -1,113 +1,90 @@
-//! How a value is written. Form 1 was bare JSON; form 2 puts a mark and a checksum before it; form 3 is the same under
-//! another mark, and may have services in it, which programs of the forms before would not see. All are read, whichever
-//! is written, so that replicas can be upgraded one after the other and go back.
+//! Encodings of stored values. Form 1 was plain JSON; form 2 puts a tag and a checksum before it; form 3 differs from
+//! form 2 in its tag alone, and may contain services, which programs of the earlier forms would ignore. All forms are
+//! read, whichever is written, so that replicas can be upgraded one after the other and go back.
 
-/// How values are written.
+/// How values are encoded.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub enum Format {
-    /// Bare JSON.
-    Bare,
-    /// Marked, with a checksum.
-    Sealed,
+    /// Plain JSON.
+    PlainJson,
+    /// JSON after a tag and a checksum.
+    Checksummed,
     /// The same, of lists with services.
     #[default]
     Services,
 }
 
-/// The marks of forms 2 and 3: no JSON text begins with them, and no flipped bit makes one of the other.
-const MARKS: [u8; 2] = [2, 4];
+/// Tag of form 2. No JSON text begins with it or with that of form 3, and two bits lie between them.
+const CHECKSUMMED_TAG: u8 = 2;
+/// Tag of form 3.
+const SERVICES_TAG: u8 = 4;
 
-/// Why a value can't be read.
+/// Why a value can't be decoded.
 #[derive(Debug, thiserror::Error)]
 pub enum FormatError {
-    /// It is cut off, or of no form that is known.
+    /// It is truncated, or of no form that is known.
     #[error("cut off or of no known form")]
-    Form,
+    UnknownForm,
     /// The checksum is not that of the bytes.
     #[error("the checksum does not match: a byte was changed")]
     Checksum,
-    /// The text can't be understood.
+    /// The JSON is not that of the value.
     #[error("{0}")]
     Json(#[from] serde_json::Error),
 }
 
 impl Format {
-    /// The newest.
+    /// The newest format.
     pub const NEWEST: Self = Self::Services;
-    /// All, the oldest first.
-    const ALL: [Self; 3] = [Self::Bare, Self::Sealed, Self::Services];
+    /// All formats, the oldest first.
+    const ALL: [Self; 3] = [Self::PlainJson, Self::Checksummed, Self::Services];
 
-    /// Its number.
+    /// The number of the form, as configuration and file have it.
     pub fn number(self) -> u32 {
         match self {
-            Self::Bare => 1,
-            Self::Sealed => 2,
+            Self::PlainJson => 1,
+            Self::Checksummed => 2,
             Self::Services => 3,
         }
     }
 
     /// The format of that number.
-    pub fn of(number: u32) -> Option<Self> {
-        Self::ALL.into_iter().find(|f| f.number() == number)
+    pub fn from_number(number: u32) -> Option<Self> {
+        Self::ALL.into_iter().find(|format| format.number() == number)
     }
 
-    /// Whether lists with services are written in it.
+    /// Whether lists with services can be written in it.
     pub fn has_services(self) -> bool {
         self == Self::Services
     }
 
-    /// Writes a value.
-    pub fn seal(self, plain: &[u8]) -> Vec<u8> {
+    /// Encodes the JSON of a value.
+    pub fn encode(self, json: &[u8]) -> Vec<u8> {
         match self {
-            Self::Bare => plain.to_vec(),
-            Self::Sealed => marked(MARKS[0], plain),
-            Self::Services => marked(MARKS[1], plain),
+            Self::PlainJson => json.to_vec(),
+            Self::Checksummed => with_checksum(CHECKSUMMED_TAG, json),
+            Self::Services => with_checksum(SERVICES_TAG, json),
         }
     }
 }
 
-fn marked(mark: u8, plain: &[u8]) -> Vec<u8> {
-    [&[mark], crc32fast::hash(plain).to_le_bytes().as_slice(), plain].concat()
+fn with_checksum(tag: u8, json: &[u8]) -> Vec<u8> {
+    [&[tag], crc32fast::hash(json).to_le_bytes().as_slice(), json].concat()
 }
 
-/// Reads a value of any known form.
-pub fn open(value: &[u8]) -> Result<Vec<u8>, FormatError> {
+/// Decodes a value of any known form to its JSON.
+pub fn decode(value: &[u8]) -> Result<Vec<u8>, FormatError> {
     match value {
-        [mark, a, b, c, d, plain @ ..] if MARKS.contains(mark) => {
-            if crc32fast::hash(plain).to_le_bytes() != [*a, *b, *c, *d] {
+        [CHECKSUMMED_TAG | SERVICES_TAG, a, b, c, d, json @ ..] => {
+            if crc32fast::hash(json).to_le_bytes() != [*a, *b, *c, *d] {
                 return Err(FormatError::Checksum);
             }
-            Ok(plain.to_vec())
+            Ok(json.to_vec())
         }
         [b'{' | b'[' | b'"' | b'n' | b'0'..=b'9', ..] => Ok(value.to_vec()),
-        _ => Err(FormatError::Form),
+        _ => Err(FormatError::UnknownForm),
     }
 }
 
 #[cfg(test)]
-mod tests {
-    use super::*;
-
-    #[test]
-    fn all_forms_are_read_and_any_flipped_bit_of_the_newer_ones_is_seen() {
-        let plain = br#"{"a":[1,2,3]}"#;
-        for format in Format::ALL {
-            assert_eq!(open(&format.seal(plain)).expect("it is read"), plain);
-            assert_eq!(Format::of(format.number()), Some(format));
-        }
-        for sealed in [Format::Sealed.seal(plain), Format::Services.seal(plain)] {
-            for at in 0..sealed.len() {
-                for bit in 0..8 {
-                    let mut flipped = sealed.clone();
-                    flipped[at] ^= 1 << bit;
-                    // The mark itself may turn into the start of a text, which then is none.
-                    let read = open(&flipped);
-                    let none = |r: Vec<u8>| serde_json::from_slice::<serde_json::Value>(&r).is_err();
-                    assert!(read.is_err() || at == 0 && read.is_ok_and(none));
-                }
-            }
-            assert!(open(&sealed[..4]).is_err());
-        }
-        assert!(open(b"").is_err());
-    }
-}
+mod tests;
--- a/crates/registry/src/store/mod.rs
+++ b/crates/registry/src/store/mod.rs
@@ -1,161 +1,120 @@
-//! What a replica keeps on disk: log, vote and snapshot, in one redb file. What is written is on disk when a call
-//! returns, and every value carries a checksum of its own, so that a byte that a disk changed is not taken for data.
+//! The store of a replica: log, vote and snapshot, in one redb database. A write is synced before its call returns, and
+//! each value carries a checksum of its own, so that corruption by a disk is detected.
 
+mod applied_state;
+mod commit_counter;
+mod error;
 mod format;
 mod log;
-mod machine;
-mod mark;
-mod waiting;
+mod service_waiters;
+mod state_machine;
 
+pub use applied_state::{AppliedState, Snapshot};
+pub use error::StoreError;
 pub use format::{Format, FormatError};
-pub use machine::{Machine, Shared, Snapshot};
+pub use state_machine::StateMachine;
 
-use mark::Mark;
+use commit_counter::CommitCounter;
 use redb::{Database, ReadableDatabase, ReadableTable, TableDefinition, WriteTransaction};
+use serde::Serialize;
+use serde::de::DeserializeOwned;
 use std::path::Path;
 use std::sync::Arc;
 
-/// The file in its folder, and its name until it is whole.
-const FILE: &str = "roster.redb";
-const NEW_FILE: &str = "roster.new";
+/// The database's name in the folder of a replica.
+pub(crate) const DATABASE_FILE: &str = "roster.redb";
+/// The database's name until it is initialized.
+const NEW_DATABASE_FILE: &str = "roster.new";
+/// The commit counter's name in the folder of a replica.
+const COMMIT_COUNTER_FILE: &str = "roster.mark";
 
-/// Entries of the log by index.
+/// Log entries by index.
 const LOG: TableDefinition<u64, &[u8]> = TableDefinition::new("log");
-/// Everything of which there is one.
-const ONE: TableDefinition<&str, &[u8]> = TableDefinition::new("one");
+/// Values of which there is one each, by the names below.
+const SINGLETONS: TableDefinition<&str, &[u8]> = TableDefinition::new("one");
 
 const VOTE: &str = "vote";
 const COMMITTED: &str = "committed";
 const PURGED: &str = "purged";
 const SNAPSHOT: &str = "snapshot";
 const IDENTITY: &str = "identity";
-/// The form of the file, as plain digits: read before anything else.
+/// Number of the database's format in decimal digits, which is read before any other value.
 const FORM: &str = "form";
-/// How many commits the file has seen, as eight bytes.
+/// Number of commits to the database, as eight bytes in little-endian order.
 const COMMITS: &str = "commits";
 
-/// Why a replica's file can't be used.
-#[derive(Debug, thiserror::Error)]
-pub enum StoreError {
-    /// It can't be read or written, or is not whole.
-    #[error("{0}")]
-    Database(#[from] redb::Error),
-    /// A value in it is not what was written.
-    #[error("{what}: {error}")]
-    Spoilt {
-        /// Which.
-        what: String,
-        /// What is wrong.
-        error: FormatError,
-    },
-    /// It is so far from whole that it can't even be opened.
-    #[error("the file is not whole: {0}")]
-    Broken(String),
-    /// It lacks commits that were on disk before: what was acknowledged with them may be gone.
-    #[error("the file has seen {found} commits, and had seen {marked} before: its last ones are lost")]
-    Behind {
-        /// Commits that it has.
-        found: u64,
-        /// Commits that it had.
-        marked: u64,
-    },
-    /// It was written by a newer program.
-    #[error("the file has form {found}, and this program knows up to {known}")]
-    Newer {
-        /// Its form.
-        found: u32,
-        /// The newest that is known.
-        known: u32,
-    },
-    /// It holds a list with services, which the format that is wanted does not.
-    #[error("{what} has services, which form {format} can't hold: it needs form 3")]
-    Services {
-        /// Which value.
-        what: String,
-        /// The format's number.
-        format: u32,
-    },
-    /// It belongs to another replica.
-    #[error("the folder belongs to replica {found}, not {wanted}")]
-    Other {
-        /// Whose it is.
-        found: u64,
-        /// Who wants it.
-        wanted: u64,
-    },
+fn corrupt(what: &str, error: FormatError) -> StoreError {
+    StoreError::Corrupt { what: what.to_owned(), error }
 }
 
-impl StoreError {
-    /// Whether the file may be of use when it is opened anew: its disk failed, and may do so no more. What stands in it
-    /// and can't be used stays so.
-    pub fn passes(&self) -> bool {
-        match self {
-            Self::Database(redb::Error::PreviousIo) => true,
-            // The library says of a file that is not whole that reading it failed, with no number of the system's.
-            Self::Database(redb::Error::Io(e)) => e.raw_os_error().is_some() && !denied(e),
-            _ => false,
-        }
-    }
-
-    /// Whether somebody has the file open.
-    pub fn is_open_elsewhere(&self) -> bool {
-        matches!(self, Self::Database(redb::Error::DatabaseAlreadyOpen))
-    }
+fn decode_json<V: DeserializeOwned>(what: &str, json: &[u8]) -> Result<V, StoreError> {
+    serde_json::from_slice(json).map_err(|e| corrupt(what, FormatError::Json(e)))
 }
 
-/// Whether the system will say the same until somebody changes something about the file.
-fn denied(error: &std::io::Error) -> bool {
-    use std::io::ErrorKind::{IsADirectory, NotADirectory, NotFound, PermissionDenied, ReadOnlyFilesystem};
-    matches!(error.kind(), NotFound | PermissionDenied | ReadOnlyFilesystem | IsADirectory | NotADirectory)
+fn decode_to_json(what: &str, value: &[u8]) -> Result<Vec<u8>, StoreError> {
+    format::decode(value).map_err(|error| corrupt(what, error))
 }
 
-/// All of redb's errors are one to whoever reads.
-macro_rules! from_redb {
-    ($($error:ident),*) => {$(
-        impl From<redb::$error> for StoreError {
-            fn from(error: redb::$error) -> Self {
-                Self::Database(error.into())
-            }
-        }
-    )*};
+fn decode<V: DeserializeOwned>(what: &str, value: &[u8]) -> Result<V, StoreError> {
+    decode_json(what, &decode_to_json(what, value)?)
 }
-from_redb!(DatabaseError, TransactionError, TableError, StorageError, CommitError);
 
-fn read_plain<V: serde::de::DeserializeOwned>(what: &str, plain: &[u8]) -> Result<V, StoreError> {
-    let read = serde_json::from_slice(plain);
-    read.map_err(|e| StoreError::Spoilt { what: what.to_owned(), error: FormatError::Json(e) })
+/// Decodes the number of commits, which is 0 in a database that has none yet.
+fn decode_count(value: Option<&[u8]>) -> u64 {
+    value.and_then(|bytes| bytes.try_into().ok()).map_or(0, u64::from_le_bytes)
 }
 
-/// How many commits a file has seen.
-fn commits(database: &Database) -> Result<u64, StoreError> {
+/// How many commits a database has seen.
+fn commit_count(database: &Database) -> Result<u64, StoreError> {
     let transaction = database.begin_read()?;
-    let table = match transaction.open_table(ONE) {
+    let table = match transaction.open_table(SINGLETONS) {
         Ok(table) => table,
         Err(redb::TableError::TableDoesNotExist(_)) => return Ok(0),
         Err(error) => return Err(error.into()),
     };
-    let value = table.get(COMMITS)?.map(|v| v.value().to_vec());
-    Ok(value.and_then(|v| v.try_into().ok()).map_or(0, u64::from_le_bytes))
+    let value = table.get(COMMITS)?;
+    Ok(decode_count(value.as_ref().map(|value| value.value())))
 }
 
-/// A replica's file.
+/// Opens a database, and checks all of it. redb trusts the length that a file's header states, and panics where the
+/// file is shorter: that is an error here. The hook is replaced meanwhile, so that the panic is not printed.
+fn open_database(path: &Path) -> Result<Database, StoreError> {
+    let hook = std::panic::take_hook();
+    std::panic::set_hook(Box::new(|_| {}));
+    let opened = std::panic::catch_unwind(|| -> Result<Database, StoreError> {
+        let mut database = Database::create(path)?;
+        if !database.check_integrity()? {
+            return Err(StoreError::IntegrityCheck);
+        }
+        Ok(database)
+    });
+    std::panic::set_hook(hook);
+    opened.unwrap_or_else(|panic| Err(StoreError::OpenPanicked { panic: panic_message(&*panic) }))
+}
+
+fn panic_message(panic: &(dyn std::any::Any + Send)) -> String {
+    let text = panic.downcast_ref::<String>().cloned();
+    text.or_else(|| panic.downcast_ref::<&str>().map(|s| (*s).to_owned())).unwrap_or_default()
+}
+
+/// A replica's store; clones share it.
 #[derive(Clone)]
 pub struct Store {
     database: Arc<Database>,
     format: Format,
-    /// Beside the file, how many commits it has seen.
-    mark: Option<Arc<Mark>>,
+    /// Absent for a database without a folder.
+    commit_counter: Option<Arc<CommitCounter>>,
 }
 
 impl Store {
-    /// Opens the file of that folder, or makes it; values are written in that format.
+    /// Opens the store of that folder, or creates it; values are written in that format.
     pub fn open(folder: &Path, format: Format) -> Result<Self, StoreError> {
-        let path = folder.join(FILE);
+        let path = folder.join(DATABASE_FILE);
         if path.try_exists().map_err(redb::Error::Io)? {
-            return Self::open_file(folder, &path, format)?.marked();
+            return Self::open_file(folder, &path, format)?.with_current_counter();
         }
-        // One whose making was cut short is no store, and holds nothing that anybody was told.
-        let new = folder.join(NEW_FILE);
+        // A database whose creation was interrupted holds nothing that was acknowledged.
+        let new = folder.join(NEW_DATABASE_FILE);
         match std::fs::remove_file(&new) {
             Err(error) if error.kind() != std::io::ErrorKind::NotFound => {
                 return Err(redb::Error::Io(error).into());
@@ -163,173 +122,171 @@
             _ => {}
         }
         let store = Self::open_file(folder, &new, format)?;
-        let put_in_place = || {
+        let move_into_place = || {
             std::fs::rename(&new, &path)?;
             std::fs::File::open(folder)?.sync_all()
         };
-        put_in_place().map_err(redb::Error::Io)?;
-        store.marked()
+        move_into_place().map_err(redb::Error::Io)?;
+        store.with_current_counter()
     }
 
-    /// From now on commits are counted beside the file, which is in its place.
-    fn marked(self) -> Result<Self, StoreError> {
-        if let Some(mark) = &self.mark {
-            mark.set(commits(&self.database)?);
+    /// Brings the commit counter up to date with the database.
+    fn with_current_counter(self) -> Result<Self, StoreError> {
+        if let Some(counter) = &self.commit_counter {
+            counter.store(commit_count(&self.database)?);
         }
         Ok(self)
     }
 
-    /// Opens that file, which lies in that folder.
+    /// Opens the database at that path in that folder.
     fn open_file(folder: &Path, path: &Path, format: Format) -> Result<Self, StoreError> {
-        // The library takes for granted that a file is as long as its own head says, and panics where it is not.
-        // Whoever else panics meanwhile says nothing of it; a replica that opens its file anew has ended its own tasks.
-        let hook = std::panic::take_hook();
-        std::panic::set_hook(Box::new(|_| {}));
-        let opened = std::panic::catch_unwind(|| -> Result<Database, StoreError> {
-            let mut database = Database::create(path)?;
-            if !database.check_integrity()? {
-                return Err(StoreError::Broken("its checksums do not match".into()));
-            }
-            Ok(database)
-        });
-        std::panic::set_hook(hook);
-        let said = |panic: &(dyn std::any::Any + Send)| {
-            let text = panic.downcast_ref::<String>().cloned();
-            text.or_else(|| panic.downcast_ref::<&str>().map(|s| (*s).to_owned())).unwrap_or_default()
-        };
-        let database = opened.unwrap_or_else(|panic| Err(StoreError::Broken(said(&*panic))))?;
-        let mark = Mark::open(&folder.join("roster.mark"))?;
-        // Before anything is written.
-        let (found, marked) = (commits(&database)?, mark.get());
-        if found < marked {
-            return Err(StoreError::Behind { found, marked });
+        let database = open_database(path)?;
+        let commit_counter = CommitCounter::open(&folder.join(COMMIT_COUNTER_FILE))?;
+        // Checked before the first write, which would raise the database's count.
+        let found = commit_count(&database)?;
+        let counted = commit_counter.count_when_opened();
+        if found < counted {
+            return Err(StoreError::RolledBack { found, counted });
         }
-        let mut store = Self::over(database, format)?;
-        store.mark = Some(Arc::new(mark));
+        let mut store = Self::from_database(database, format)?;
+        store.commit_counter = Some(Arc::new(commit_counter));
         Ok(store)
     }
 
-    /// Commits a change, counted: a file that was rolled back to an earlier commit, as a library may do with one that
-    /// it finds spoilt, is told apart from one that is whole.
-    fn change<V>(
+    /// Commits a change and counts it. redb may roll a damaged database back to an earlier commit; the count shows it.
+    fn commit<V>(
         &self,
-        what: impl FnOnce(&WriteTransaction) -> Result<V, StoreError>,
+        change: impl FnOnce(&WriteTransaction) -> Result<V, StoreError>,
     ) -> Result<V, StoreError> {
         let transaction = self.database.begin_write()?;
-        let value = what(&transaction)?;
+        let value = change(&transaction)?;
         let count = {
-            let mut one = transaction.open_table(ONE)?;
-            let before =
-                one.get(COMMITS)?.and_then(|v| v.value().try_into().ok()).map_or(0, u64::from_le_bytes);
-            one.insert(COMMITS, (before + 1).to_le_bytes().as_slice())?;
-            before + 1
+            let mut singletons = transaction.open_table(SINGLETONS)?;
+            let count = decode_count(singletons.get(COMMITS)?.as_ref().map(|value| value.value())) + 1;
+            singletons.insert(COMMITS, count.to_le_bytes().as_slice())?;
+            count
         };
         transaction.commit()?;
-        if let Some(mark) = &self.mark {
-            mark.set(count);
+        if let Some(counter) = &self.commit_counter {
+            counter.store(count);
         }
         Ok(value)
     }
 
-    /// Writes and syncs a commit that changes nothing, to see whether the disk takes one.
+    /// Commits and syncs an empty change, to find out whether the disk accepts writes.
     pub fn probe(&self) -> Result<(), StoreError> {
-        self.change(|_| Ok(()))
+        self.commit(|_| Ok(()))
     }
 
-    /// The same over an open database.
-    pub fn over(database: Database, format: Format) -> Result<Self, StoreError> {
+    /// A store over an open database, whose values are converted to that format.
+    pub fn from_database(database: Database, format: Format) -> Result<Self, StoreError> {
         let transaction = database.begin_write()?;
-        let (found, fresh) = {
+        let stored_form = {
             transaction.open_table(LOG)?;
-            let one = transaction.open_table(ONE)?;
-            let found = one.get(FORM)?.and_then(|v| std::str::from_utf8(v.value()).ok()?.parse().ok());
-            (found.unwrap_or(format.number()), found.is_none())
+            let singletons = transaction.open_table(SINGLETONS)?;
+            singletons.get(FORM)?.and_then(|v| std::str::from_utf8(v.value()).ok()?.parse().ok())
         };
+        let found = stored_form.unwrap_or(format.number());
         if found > Format::NEWEST.number() {
-            return Err(StoreError::Newer { found, known: Format::NEWEST.number() });
+            return Err(StoreError::NewerForm { found, known: Format::NEWEST.number() });
         }
         transaction.commit()?;
-        let store = Self { database: Arc::new(database), format, mark: None };
+        let store = Self { database: Arc::new(database), format, commit_counter: None };
         if found != format.number() {
-            store.rewrite()?;
+            store.convert_all()?;
         }
-        if found != format.number() || fresh {
-            store.put_plain(FORM, format.number().to_string().as_bytes())?;
+        if stored_form != Some(format.number()) {
+            store.put_bytes(FORM, format.number().to_string().as_bytes())?;
         }
         Ok(store)
     }
 
-    /// Writes every value anew in this store's format, all or none.
-    fn rewrite(&self) -> Result<(), StoreError> {
-        self.change(|transaction| {
-            let mut one = transaction.open_table(ONE)?;
-            for key in [VOTE, COMMITTED, PURGED, SNAPSHOT, IDENTITY] {
-                let value = one.get(key)?.map(|v| v.value().to_vec());
-                if let Some(value) = value {
-                    let plain = self.open_value(key, &value)?;
-                    if key == SNAPSHOT {
-                        let snapshot: Snapshot = read_plain(key, &plain)?;
-                        self.can_hold(key, snapshot.list.has_services())?;
-                    }
-                    one.insert(key, self.format.seal(&plain).as_slice())?;
-                }
-            }
-            let mut log = transaction.open_table(LOG)?;
-            let indexes: Vec<u64> = redb::ReadableTable::iter(&log)?
-                .map(|e| e.map(|(k, _)| k.value()))
-                .collect::<Result<_, _>>()?;
-            for index in indexes {
-                let value = log.get(index)?.map(|v| v.value().to_vec()).unwrap_or_default();
-                let what = format!("log entry {index}");
-                let plain = self.open_value(&what, &value)?;
-                self.can_hold(&what, log::has_services(&read_plain(&what, &plain)?))?;
-                log.insert(index, self.format.seal(&plain).as_slice())?;
-            }
-            Ok(())
+    /// Rewrites every value in this store's format, in one commit.
+    fn convert_all(&self) -> Result<(), StoreError> {
+        self.commit(|transaction| {
+            self.convert_singletons(transaction)?;
+            self.convert_log(transaction)
         })
     }
 
-    /// Whose file it is: the number and identity that were written first, which are these where there are none.
-    pub fn identity(&self, id: u64, drawn: u64) -> Result<u64, StoreError> {
+    fn convert_singletons(&self, transaction: &WriteTransaction) -> Result<(), StoreError> {
+        let mut singletons = transaction.open_table(SINGLETONS)?;
+        for key in [VOTE, COMMITTED, PURGED, SNAPSHOT, IDENTITY] {
+            let value = singletons.get(key)?.map(|v| v.value().to_vec());
+            let Some(value) = value else { continue };
+            let json = decode_to_json(key, &value)?;
+            if key == SNAPSHOT {
+                let snapshot: Snapshot = decode_json(key, &json)?;
+                self.check_services(key, snapshot.list.has_services())?;
+            }
+            singletons.insert(key, self.format.encode(&json).as_slice())?;
+        }
+        Ok(())
+    }
+
+    fn convert_log(&self, transaction: &WriteTransaction) -> Result<(), StoreError> {
+        let mut log = transaction.open_table(LOG)?;
+        let indexes: Vec<u64> =
+            log.iter()?.map(|row| row.map(|(index, _)| index.value())).collect::<Result<_, _>>()?;
+        for index in indexes {
+            let value = log.get(index)?.map(|v| v.value().to_vec()).unwrap_or_default();
+            let name = log::entry_name(index);
+            let json = decode_to_json(&name, &value)?;
+            self.check_services(&name, log::has_services(&decode_json(&name, &json)?))?;
+            log.insert(index, self.format.encode(&json).as_slice())?;
+        }
+        Ok(())
+    }
+
+    /// The identity of the replica `id`. A new store takes it from `new_identity` and belongs to that replica from then
+    /// on.
+    pub fn identity(&self, id: u64, new_identity: u64) -> Result<u64, StoreError> {
         if let Some((found, identity)) = self.get::<(u64, u64)>(IDENTITY)? {
-            return if found == id { Ok(identity) } else { Err(StoreError::Other { found, wanted: id }) };
+            return if found == id {
+                Ok(identity)
+            } else {
+                Err(StoreError::OtherReplica { found, wanted: id })
+            };
         }
-        self.put(IDENTITY, &(id, drawn))?;
-        Ok(drawn)
+        self.put(IDENTITY, &(id, new_identity))?;
+        Ok(new_identity)
     }
 
-    /// How values are written.
+    /// The format in which values are written.
     pub fn format(&self) -> Format {
         self.format
     }
 
-    /// What has services is not written in a form whose readers would not see them.
-    fn can_hold(&self, what: &str, services: bool) -> Result<(), StoreError> {
-        if services && !self.format.has_services() {
-            return Err(StoreError::Services { what: what.to_owned(), format: self.format.number() });
+    /// Rejects services in a format whose readers would ignore them.
+    fn check_services(&self, what: &str, has_services: bool) -> Result<(), StoreError> {
+        if has_services && !self.format.has_services() {
+            return Err(StoreError::ServicesUnsupported {
+                what: what.to_owned(),
+                format: self.format.number(),
+            });
         }
         Ok(())
     }
 
-    fn open_value(&self, what: &str, value: &[u8]) -> Result<Vec<u8>, StoreError> {
-        format::open(value).map_err(|error| StoreError::Spoilt { what: what.to_owned(), error })
+    fn encode<V: Serialize>(&self, what: &str, value: &V) -> Result<Vec<u8>, StoreError> {
+        let json = serde_json::to_vec(value).map_err(|e| corrupt(what, FormatError::Json(e)))?;
+        Ok(self.format.encode(&json))
     }
 
-    fn get<V: serde::de::DeserializeOwned>(&self, key: &str) -> Result<Option<V>, StoreError> {
+    fn get<V: DeserializeOwned>(&self, key: &str) -> Result<Option<V>, StoreError> {
         let transaction = self.database.begin_read()?;
-        let table = transaction.open_table(ONE)?;
+        let table = transaction.open_table(SINGLETONS)?;
         let Some(value) = table.get(key)? else { return Ok(None) };
-        read_plain(key, &self.open_value(key, value.value())?).map(Some)
+        decode(key, value.value()).map(Some)
     }
 
-    fn put<V: serde::Serialize>(&self, key: &str, value: &V) -> Result<(), StoreError> {
-        let json = |e| StoreError::Spoilt { what: key.to_owned(), error: FormatError::Json(e) };
-        self.put_plain(key, &self.format.seal(&serde_json::to_vec(value).map_err(json)?))
+    fn put<V: Serialize>(&self, key: &str, value: &V) -> Result<(), StoreError> {
+        self.put_bytes(key, &self.encode(key, value)?)
     }
 
-    fn put_plain(&self, key: &str, value: &[u8]) -> Result<(), StoreError> {
-        self.change(|transaction| {
-            transaction.open_table(ONE)?.insert(key, value)?;
+    fn put_bytes(&self, key: &str, value: &[u8]) -> Result<(), StoreError> {
+        self.commit(|transaction| {
+            transaction.open_table(SINGLETONS)?.insert(key, value)?;
             Ok(())
         })
     }
--- a/crates/registry/tests/forms.rs
+++ b/crates/registry/tests/forms.rs
@@ -82,29 +82,29 @@
 fn a_store_of_an_older_format_keeps_and_takes_over_nothing_that_has_services() {
     let with = Snapshot { list: list(Some("s")), ..Snapshot::default() };
     let without = Snapshot { list: list(None), ..Snapshot::default() };
-    for older in [Format::Bare, Format::Sealed] {
+    for older in [Format::PlainJson, Format::Checksummed] {
         let folder = tempfile::tempdir().expect("a folder");
         let store = Store::open(folder.path(), older).expect("it opens");
-        for refused in [store.keep_snapshot(&with).err(), store.seal(&with).err()] {
+        for refused in [store.save_snapshot(&with).err(), store.encode_snapshot(&with).err()] {
             let number = older.number();
             assert!(
-                matches!(refused, Some(StoreError::Services { format, .. }) if format == number),
+                matches!(refused, Some(StoreError::ServicesUnsupported { format, .. }) if format == number),
                 "{refused:?}"
             );
         }
-        assert!(store.snapshot().expect("it is read").is_none());
-        store.keep_snapshot(&without).expect("it is kept");
+        assert!(store.load_snapshot().expect("it is read").is_none());
+        store.save_snapshot(&without).expect("it is kept");
         drop(store);
         // The newer format takes it over and keeps services in it. Then there is no way back.
         let store = Store::open(folder.path(), Format::Services).expect("it opens");
-        assert_eq!(store.snapshot().expect("it is read").as_ref(), Some(&without));
-        store.keep_snapshot(&with).expect("it is kept");
+        assert_eq!(store.load_snapshot().expect("it is read").as_ref(), Some(&without));
+        store.save_snapshot(&with).expect("it is kept");
         drop(store);
         let refused = Store::open(folder.path(), older).err();
-        assert!(matches!(&refused, Some(StoreError::Services { .. })), "{refused:?}");
+        assert!(matches!(&refused, Some(StoreError::ServicesUnsupported { .. })), "{refused:?}");
         // And what was refused is as it was.
         let store = Store::open(folder.path(), Format::Services).expect("it opens");
-        assert_eq!(store.snapshot().expect("it is read").as_ref(), Some(&with));
+        assert_eq!(store.load_snapshot().expect("it is read").as_ref(), Some(&with));
     }
 }
 
@@ -112,9 +112,9 @@
 fn a_list_without_services_goes_back_to_an_older_format() {
     let folder = tempfile::tempdir().expect("a folder");
     let without = Snapshot { list: list(None), ..Snapshot::default() };
-    for format in [Format::Services, Format::Sealed, Format::Bare, Format::Services] {
+    for format in [Format::Services, Format::Checksummed, Format::PlainJson, Format::Services] {
         let store = Store::open(folder.path(), format).expect("it opens");
-        store.keep_snapshot(&without).expect("it is kept");
+        store.save_snapshot(&without).expect("it is kept");
     }
 }
 
@@ -123,8 +123,8 @@
     // It knew bare JSON, and this mark.
     const MARK_BEFORE: u8 = 2;
     let plain = br#"{"a":1}"#;
-    assert_eq!(Format::Sealed.seal(plain)[0], MARK_BEFORE);
-    let mark = Format::Services.seal(plain)[0];
+    assert_eq!(Format::Checksummed.encode(plain)[0], MARK_BEFORE);
+    let mark = Format::Services.encode(plain)[0];
     assert_ne!(mark, MARK_BEFORE);
     assert!(!b"{[\"n0123456789".contains(&mark));
 }
--- a/crates/registry/tests/stored_forms/calls_made.rs
+++ b/crates/registry/tests/stored_forms/calls_made.rs
@@ -29,7 +29,7 @@
         assert!(matches!(node.renew("a").await, Err(WriteError::OutcomeUnknown(_))));
         assert_eq!(node.read_latest().await.err(), Some(WriteError::NoLeader));
         node.stop().await;
-        [Rpc::Write, Rpc::Renew, Rpc::Committed].map(|rpc| first(&recorder, rpc))
+        [Rpc::Write, Rpc::Renew, Rpc::ReadIndex].map(|rpc| first(&recorder, rpc))
     });
     let text = |(rpc, body): Sent| [rpc.name().to_owned(), String::from_utf8(body).expect("it is JSON")];
     calls.into_iter().flat_map(text).collect()
--- a/crates/registry/tests/stored_forms/configuration.rs
+++ b/crates/registry/tests/stored_forms/configuration.rs
@@ -13,14 +13,14 @@
     assert_eq!(config.address.as_deref(), Some("10.0.0.4:7400"));
     assert_eq!(config.folder, Path::new("/var/lib/roster"));
     assert_eq!(config.join, ["127.0.0.1:7401", "127.0.0.1:7402"]);
-    assert_eq!(config.via, BTreeMap::from([("1".to_owned(), "127.0.0.1:7501".to_owned())]));
-    assert_eq!((config.leases.window_s, config.leases.share, config.leases.leaving_s), (20.0, 0.2, 15.0));
-    assert_eq!((config.ages.mark_s, config.ages.refuse_s), (4.0, 40.0));
+    assert_eq!(config.address_overrides, BTreeMap::from([("1".to_owned(), "127.0.0.1:7501".to_owned())]));
+    assert_eq!((config.leases.window_s, config.leases.share, config.leases.draining_s), (20.0, 0.2, 15.0));
+    assert_eq!((config.ages.stale_after_s, config.ages.refuse_after_s), (4.0, 40.0));
     assert_eq!((config.limits.connections, config.limits.watchers), (100, 90));
-    assert_eq!(config.limits.whole_lists_per_s, 50.0);
+    assert_eq!(config.limits.full_lists_per_s, 50.0);
     assert_eq!((config.timing.heartbeat_ms, config.timing.election_ms), (300, [800, 1600]));
-    assert_eq!((config.timing.refresh_ms, config.timing.patience_ms), (600, 3000));
-    assert_eq!((config.log.snapshot_every, config.log.keep), (500, 50));
+    assert_eq!((config.timing.read_index_interval_ms, config.timing.request_timeout_ms), (600, 3000));
+    assert_eq!((config.log.snapshot_every, config.log.retained_entries), (500, 50));
 }
 
 #[test]
--- a/crates/registry/tests/stored_forms/database.rs
+++ b/crates/registry/tests/stored_forms/database.rs
@@ -47,7 +47,7 @@
 /// Takes a snapshot and drops entries before it.
 async fn keep_snapshot(node: &Node<Recorder>) {
     let wait = || node.raft().wait(Some(Duration::from_secs(10)));
-    let applied = node.shared().state().applied.expect("something is applied");
+    let applied = node.applied_state().state().applied.expect("something is applied");
     node.raft().trigger().snapshot().await.expect("a snapshot is wanted");
     wait().snapshot(applied, "a snapshot").await.expect("it is made");
     node.raft().trigger().purge_log(PURGED).await.expect("entries are to go");
@@ -104,10 +104,10 @@
 
 /// The list of a replica of the version before: it has no services, and stands in form 2.
 fn make_form_2(folder: &Path) {
-    let store = Store::open(folder, Format::Sealed).expect("the store opens");
+    let store = Store::open(folder, Format::Checksummed).expect("the store opens");
     store.identity(1, samples::replica(1).identity).expect("it is written");
     let list = samples::list(&samples::commands_without_services());
-    store.keep_snapshot(&Snapshot { list, ..Snapshot::default() }).expect("it is kept");
+    store.save_snapshot(&Snapshot { list, ..Snapshot::default() }).expect("it is kept");
 }
 
 pub fn write_fixtures() {
@@ -134,14 +134,14 @@
     let mut store = Store::open(folder.path(), Format::NEWEST).expect("the store opens");
     store.verify().expect("all of it is read");
     assert_eq!(raft_calls::runtime().block_on(state(&mut store)), fixtures::read_lines(STATE));
-    assert!(matches!(store.identity(2, 0), Err(StoreError::Other { found: 1, wanted: 2 })));
+    assert!(matches!(store.identity(2, 0), Err(StoreError::OtherReplica { found: 1, wanted: 2 })));
 }
 
 #[test]
 fn the_snapshot_of_the_file_is_that_of_the_list_when_it_was_taken() {
     let folder = copy();
     let store = Store::open(folder.path(), Format::NEWEST).expect("the store opens");
-    let snapshot = store.snapshot().expect("it is read").expect("there is one");
+    let snapshot = store.load_snapshot().expect("it is read").expect("there is one");
     assert_eq!(snapshot.list, samples::list(&samples::commands()[..=IN_SNAPSHOT]));
     let nodes: BTreeMap<u64, Replica> =
         snapshot.membership.membership().nodes().map(|(id, node)| (*id, node.clone())).collect();
@@ -153,12 +153,12 @@
     let folder = copy();
     let list: List = raft_calls::runtime().block_on(async {
         let node = samples::start(1, folder.path()).await;
-        let mut applied = node.shared().applied();
+        let mut applied = node.applied_state().applied_index();
         let last = samples::commands().len() as u64 + 1;
         let caught_up = applied.wait_for(|index| *index >= last);
         tokio::time::timeout(Duration::from_secs(5), caught_up).await.expect("in time").expect("it applies");
         assert_eq!(*node.own(), samples::replica(1));
-        let list = node.shared().state().list.clone();
+        let list = node.applied_state().state().list.clone();
         node.stop().await;
         list
     });
@@ -198,7 +198,7 @@
     let marked = u64::from_le_bytes(fixtures::read(MARK)[..8].try_into().expect("eight bytes"));
     std::fs::write(folder.path().join("roster.redb"), fixtures::read(FILE_FORM_2)).expect("it is replaced");
     let refused = Store::open(folder.path(), Format::NEWEST).err();
-    assert!(matches!(refused, Some(StoreError::Behind { marked: m, .. }) if m == marked), "{refused:?}");
+    assert!(matches!(refused, Some(StoreError::RolledBack { counted: m, .. }) if m == marked), "{refused:?}");
 }
 
 #[test]
@@ -207,6 +207,6 @@
     std::fs::write(folder.path().join("roster.redb"), fixtures::read(FILE_FORM_2)).expect("it is copied");
     let store = Store::open(folder.path(), Format::NEWEST).expect("the store opens");
     assert_eq!(store.identity(1, 0).expect("it is that replica's"), samples::replica(1).identity);
-    let snapshot = store.snapshot().expect("it is read").expect("there is one");
+    let snapshot = store.load_snapshot().expect("it is read").expect("there is one");
     assert_eq!(snapshot.list, samples::list(&samples::commands_without_services()));
 }
--- a/crates/registry/tests/stored_forms/http_answers.rs
+++ b/crates/registry/tests/stored_forms/http_answers.rs
@@ -93,7 +93,7 @@
     let node = samples::start(if leads { 1 } else { 2 }, folder.path()).await;
     match scene {
         LEADER | BUSY => {
-            while node.age().is_none() || node.shared().state().list.version().index < LAST {
+            while node.age().is_none() || node.applied_state().state().list.version().index < LAST {
                 tokio::time::sleep(Duration::from_millis(10)).await;
             }
             // It looks after the leases from the first tick on at which it leads.
@@ -105,7 +105,7 @@
         _ => {}
     }
     let limits = if scene == BUSY {
-        Limits { watchers: 0, whole_lists_per_s: 1e-4, ..Limits::default() }
+        Limits { watchers: 0, full_lists_per_s: 1e-4, ..Limits::default() }
     } else {
         Limits::default()
     };
@@ -221,7 +221,7 @@
 fn a_backup_over_http_restores_the_list() {
     let response = fixtures::read(&format!("http/{LEADER}/19-backup.response"));
     let head = response.windows(4).position(|w| w == b"\r\n\r\n").expect("a head") + 4;
-    let snapshot = Snapshot::read(&response[head..]).expect("it is read");
+    let snapshot = Snapshot::decode(&response[head..]).expect("it is read");
     assert_eq!(snapshot.list, samples::list(&samples::commands()));
     let file = tempfile::NamedTempFile::new().expect("a file");
     std::fs::write(file.path(), &response[head..]).expect("it is written");
@@ -231,7 +231,7 @@
         let folder = tempfile::tempdir().expect("a folder");
         let node = samples::start(1, folder.path()).await;
         assert!(node.bootstrap_cluster(EPOCH + 1, Some(Box::new(read))).await.expect("the list is founded"));
-        let list = node.shared().state().list.clone();
+        let list = node.applied_state().state().list.clone();
         node.stop().await;
         list
     });
--- a/crates/registry/tests/stored_forms/messages.rs
+++ b/crates/registry/tests/stored_forms/messages.rs
@@ -19,8 +19,8 @@
 
 /// Files of a snapshot, by the format in which it is written.
 const SNAPSHOTS: [(&str, Format); 3] = [
-    ("snapshot.form1", Format::Bare),
-    ("snapshot.form2", Format::Sealed),
+    ("snapshot.form1", Format::PlainJson),
+    ("snapshot.form2", Format::Checksummed),
     ("snapshot.form3", Format::Services),
 ];
 
@@ -68,7 +68,7 @@
     fixtures::write_lines(CALLS, &encoded(&Rpc::ALL));
     for (name, format) in SNAPSHOTS {
         let plain = serde_json::to_vec(&snapshot(format)).expect("it is encoded");
-        fixtures::write(name, &format.seal(&plain));
+        fixtures::write(name, &format.encode(&plain));
     }
 }
 
@@ -108,10 +108,10 @@
 fn snapshots_of_all_forms_are_read_and_written_as_they_were() {
     for (name, format) in SNAPSHOTS {
         let bytes = fixtures::read(name);
-        let read = Snapshot::read(&bytes).expect("it is read");
+        let read = Snapshot::decode(&bytes).expect("it is read");
         assert_eq!(read, snapshot(format), "{name}");
         let plain = serde_json::to_vec(&read).expect("it is encoded");
-        assert_eq!(format.seal(&plain), bytes, "{name}");
+        assert_eq!(format.encode(&plain), bytes, "{name}");
     }
 }
 
--- a/crates/registry/tests/stored_forms/raft_calls.rs
+++ b/crates/registry/tests/stored_forms/raft_calls.rs
@@ -5,7 +5,7 @@
 use lotusmoor_registry::core::list::{Command, Outcome};
 use lotusmoor_registry::node::{Node, WriteError};
 use lotusmoor_registry::raft::transport::Envelope;
-use lotusmoor_registry::raft::{CallError, Membership, Peers, Rpc, Target, Types, Vote};
+use lotusmoor_registry::raft::{CallError, Membership, Peers, Rpc, Target, TypeConfig, Vote};
 use lotusmoor_registry::store::{Format, Snapshot};
 use openraft::SnapshotMeta;
 use openraft::error::{InstallSnapshotError, RaftError};
@@ -28,7 +28,7 @@
     let peers = Peers { transport: transport.clone(), id: 1, own: replica(1) };
     let target = Target { id: to, address: samples::address(to) };
     let answer: Result<(), CallError> = peers.call(&target, rpc, body, Duration::from_secs(1)).await;
-    assert!(matches!(answer, Err(CallError::Unreached(_))), "{answer:?}");
+    assert!(matches!(answer, Err(CallError::NotSent(_))), "{answer:?}");
     let mut calls = transport.0.lock().expect("nobody panicked");
     calls.pop().expect("it was sent")
 }
@@ -48,7 +48,7 @@
     vote: Vote,
     previous: Option<u64>,
     entries: std::ops::Range<usize>,
-) -> AppendEntriesRequest<Types> {
+) -> AppendEntriesRequest<TypeConfig> {
     AppendEntriesRequest {
         vote,
         prev_log_id: previous.map(|index| samples::log_id(1, index)),
@@ -58,7 +58,7 @@
 }
 
 /// A snapshot in one part, which begins at that offset.
-pub fn snapshot_request(offset: u64) -> InstallSnapshotRequest<Types> {
+pub fn snapshot_request(offset: u64) -> InstallSnapshotRequest<TypeConfig> {
     let (last, members) = (samples::log_id(1, 40), samples::membership(false));
     let membership = Membership::new(Some(samples::log_id(0, 0)), members);
     let list = samples::list(&samples::commands());
@@ -66,7 +66,7 @@
     let plain = serde_json::to_vec(&snapshot).expect("it is encoded");
     let snapshot_id = format!("1-1-40-{offset}");
     let meta = SnapshotMeta { last_log_id: Some(last), last_membership: membership, snapshot_id };
-    let data = Format::Services.seal(&plain);
+    let data = Format::Services.encode(&plain);
     InstallSnapshotRequest { vote: leader(), meta, offset, data, done: true }
 }
 
@@ -84,7 +84,7 @@
         sent(2, Rpc::Vote, VoteRequest::new(Vote::new(0, 1), None)).await,
         sent(2, Rpc::Snapshot, snapshot_request(5)).await,
         sent(2, Rpc::Snapshot, snapshot_request(0)).await,
-        sent(2, Rpc::Committed, ()).await,
+        sent(2, Rpc::ReadIndex, ()).await,
         sent(2, Rpc::Write, samples::drain("c")).await,
         sent(2, Rpc::Renew, "a").await,
     ]
@@ -100,7 +100,7 @@
     for command in [late, samples::drain("a"), samples::drain("a"), samples::drain("nobody")] {
         calls.push(sent(1, Rpc::Write, command).await);
     }
-    calls.push(sent(1, Rpc::Committed, ()).await);
+    calls.push(sent(1, Rpc::ReadIndex, ()).await);
     calls.push(sent(1, Rpc::Renew, "m").await);
     calls.push(sent(1, Rpc::Renew, "nobody").await);
     calls
@@ -191,10 +191,10 @@
             let [rpc, body, answer] = call else { panic!("three lines a call") };
             let encoded = match rpc.as_str() {
                 "append" => {
-                    both::<AppendEntriesRequest<Types>, Raft<AppendEntriesResponse<u64>>>(body, answer)
+                    both::<AppendEntriesRequest<TypeConfig>, Raft<AppendEntriesResponse<u64>>>(body, answer)
                 }
                 "vote" => both::<VoteRequest<u64>, Raft<VoteResponse<u64>>>(body, answer),
-                "snapshot" => both::<InstallSnapshotRequest<Types>, Install>(body, answer),
+                "snapshot" => both::<InstallSnapshotRequest<TypeConfig>, Install>(body, answer),
                 "committed" => both::<(), Result<u64, WriteError>>(body, answer),
                 "write" => both::<Command, Result<Outcome, WriteError>>(body, answer),
                 "renew" => both::<String, Result<bool, WriteError>>(body, answer),
--- a/crates/registry/tests/stored_forms/samples.rs
+++ b/crates/registry/tests/stored_forms/samples.rs
@@ -33,7 +33,7 @@
 impl Transport for Recorder {
     async fn call(&self, _: &Target, rpc: Rpc, body: Vec<u8>, _: Duration) -> Result<Vec<u8>, CallError> {
         self.0.lock().expect("nobody panicked").push((rpc, body));
-        Err(CallError::Unreached("nobody is there".into()))
+        Err(CallError::NotSent("nobody is there".into()))
     }
 }
 
