--- a/crates/registry/src/explore/network.rs
+++ b/crates/registry/src/explore/network.rs
@@ -145,9 +145,9 @@
             // The caller of a lost message waits in vain, like over a real network.
             Ok(Err(_)) => {
                 tokio::time::sleep(patience).await;
-                Err(CallError::Unanswered("lost".into()))
+                Err(CallError::NoAnswer("lost".into()))
             }
-            Err(_) => Err(CallError::Unanswered("no answer in time".into())),
+            Err(_) => Err(CallError::NoAnswer("no answer in time".into())),
         }
     }
 }
--- a/crates/registry/src/explore/readers.rs
+++ b/crates/registry/src/explore/readers.rs
@@ -121,7 +121,7 @@
     if version.epoch == 0 {
         return None;
     }
-    let changed = node.shared().changed_of(version.index, &services);
+    let changed = node.applied_state().services_changed(version.index, &services);
     let wait = duration_of(wait);
     Some(match defect {
         Some(Defect::WakeupsAreLost) => timeout(wait, std::future::pending::<()>()).await.is_ok(),
@@ -150,7 +150,7 @@
         let version = self.list.version;
         let after = (version.epoch > 0).then_some(version.index);
         let read = node.read_services(after, &self.services);
-        let replica_list = &node.shared().state().list;
+        let replica_list = &node.applied_state().state().list;
         if read.reading == ReadConsistency::Unavailable || read.update.version.epoch == 0 {
             return None;
         }
--- a/crates/registry/src/explore/schedule.rs
+++ b/crates/registry/src/explore/schedule.rs
@@ -169,14 +169,14 @@
     fn deliver_request(&self, request: Request) {
         let Some(running) = self.running(request.to) else {
             // Nobody listens: the connection is refused.
-            let _ = request.reply.send(Err(CallError::Unreached("refused".into())));
+            let _ = request.reply.send(Err(CallError::NotSent("refused".into())));
             return;
         };
         let node = running.node.clone();
         let network = self.network.clone();
         running.runtime.spawn(async move {
             let answer = node.handle_peer_call(request.rpc, &request.body).await;
-            let answer = answer.map_err(|e| CallError::TurnedDown(e.to_string()));
+            let answer = answer.map_err(|e| CallError::Rejected(e.into()));
             let Request { from, to, reply, .. } = request;
             let response = Response { answer, reply };
             network.send(to, from, Message::Response(response));
@@ -187,7 +187,7 @@
     fn observe(&mut self) {
         for (id, replica) in &self.replicas {
             let Some(running) = &replica.running else { continue };
-            let state = running.node.shared().state();
+            let state = running.node.applied_state().state();
             let version = state.list.version();
             if version.epoch > 0 {
                 let digest = state.list.digest();
--- a/crates/registry/src/explore/schedule/calls.rs
+++ b/crates/registry/src/explore/schedule/calls.rs
@@ -75,7 +75,7 @@
     /// The index of an endpoint's last change in a replica's list; 0 if there is none.
     fn changed_index(&self, replica: u64, name: &str) -> u64 {
         let Some(running) = self.running(replica) else { return 0 };
-        let state = running.node.shared().state();
+        let state = running.node.applied_state().state();
         state.list.entries().get(name).map_or(0, |record| record.changed_index)
     }
 
@@ -113,7 +113,7 @@
             Ok(Outcome::Refused(Refusal::IndexMismatch { found, .. })) => CallResult::IndexMismatch(found),
             Ok(Outcome::Refused(Refusal::UnknownEndpoint(_))) => CallResult::NotListed,
             Err(WriteError::OutcomeUnknown(_)) if self.defect == Some(Defect::EarlyAcknowledgement) => {
-                let mut version = self.node.shared().state().list.version();
+                let mut version = self.node.applied_state().state().list.version();
                 version.index += 1;
                 CallResult::Written { version, changed: true }
             }
--- a/crates/registry/src/explore/schedule/recovery.rs
+++ b/crates/registry/src/explore/schedule/recovery.rs
@@ -82,7 +82,7 @@
         let mut last = Vec::new();
         for (id, replica) in &self.replicas {
             let Some(running) = &replica.running else { continue };
-            let list = &running.node.shared().state().list;
+            let list = &running.node.applied_state().state().list;
             let (version, digest) = (list.version(), list.digest());
             last.push(Observation { replica: *id, at: self.now, version, digest });
             if self.history.changes.is_empty() {
--- a/crates/registry/src/explore/schedule/replica.rs
+++ b/crates/registry/src/explore/schedule/replica.rs
@@ -80,7 +80,7 @@
         let started: Result<_, StartError> = runtime.block_on(async {
             let mut builder = redb::Database::builder();
             let database = builder.set_cache_size(STORE_CACHE_BYTES).create_with_backend(disk)?;
-            let store = Store::over(database, Format::NEWEST)?;
+            let store = Store::from_database(database, Format::NEWEST)?;
             Ok(Node::start(settings(id), store, transport, id + IDENTITY_OFFSET).await?)
         });
         Ok(Self { node: started?, runtime })
