--- a/crates/registry/tests/forms.rs
+++ b/crates/registry/tests/forms.rs
@@ -55,7 +55,7 @@
 }
 
 #[test]
-fn commands_with_services_are_turned_down_by_the_version_before_and_others_are_read() {
+fn earlier_version_rejects_commands_with_services_and_reads_others() {
     for plain in [
         put("a", None),
         Command::Found { epoch: 100, from: None },
@@ -79,7 +79,7 @@
 }
 
 #[test]
-fn a_store_of_an_older_format_keeps_and_takes_over_nothing_that_has_services() {
+fn store_of_older_format_rejects_services() {
     let with = Snapshot { list: list(Some("s")), ..Snapshot::default() };
     let without = Snapshot { list: list(None), ..Snapshot::default() };
     for older in [Format::PlainJson, Format::Checksummed] {
@@ -109,7 +109,7 @@
 }
 
 #[test]
-fn a_list_without_services_goes_back_to_an_older_format() {
+fn store_without_services_converts_to_older_formats() {
     let folder = tempfile::tempdir().expect("a folder");
     let without = Snapshot { list: list(None), ..Snapshot::default() };
     for format in [Format::Services, Format::Checksummed, Format::PlainJson, Format::Services] {
@@ -119,7 +119,7 @@
 }
 
 #[test]
-fn values_that_may_have_services_bear_a_mark_that_the_version_before_does_not_know() {
+fn format_with_services_has_a_tag_unknown_to_earlier_version() {
     // It knew bare JSON, and this mark.
     const MARK_BEFORE: u8 = 2;
     let plain = br#"{"a":1}"#;
--- a/crates/registry/tests/stored_forms/calls_made.rs
+++ b/crates/registry/tests/stored_forms/calls_made.rs
@@ -40,12 +40,12 @@
 }
 
 #[test]
-fn a_follower_sends_its_leader_what_it_did() {
+fn calls_forwarded_to_leader_match_fixture() {
     assert_eq!(forwarded(), fixtures::read_lines(FORWARDED));
 }
 
 #[test]
-fn openraft_s_calls_are_sent_as_they_were() {
+fn openraft_calls_match_fixture() {
     let sent = raft_calls::runtime().block_on(async {
         let recorder = Recorder::default();
         let mut peers = Peers { transport: recorder.clone(), id: 1, own: replica(1) };
--- a/crates/registry/tests/stored_forms/configuration.rs
+++ b/crates/registry/tests/stored_forms/configuration.rs
@@ -6,7 +6,7 @@
 use std::path::Path;
 
 #[test]
-fn all_keys_of_the_configuration_are_read_as_they_were() {
+fn reads_every_key_of_the_configuration() {
     let config = Config::read(&fixtures::path("roster.toml")).expect("it is read");
     assert_eq!((config.id, config.format), (4, 2));
     assert_eq!(config.listen.to_string(), "127.0.0.1:7404");
@@ -24,6 +24,6 @@
 }
 
 #[test]
-fn a_replica_keeps_its_file_in_the_folder_of_its_usual_configuration() {
+fn default_configuration_has_the_default_folder() {
     assert_eq!(Config::default().folder, Path::new("roster"));
 }
--- a/crates/registry/tests/stored_forms/database.rs
+++ b/crates/registry/tests/stored_forms/database.rs
@@ -129,7 +129,7 @@
 }
 
 #[test]
-fn the_store_reads_votes_places_and_entries_of_the_file() {
+fn store_reads_votes_log_ids_and_entries_of_fixture() {
     let folder = copy();
     let mut store = Store::open(folder.path(), Format::NEWEST).expect("the store opens");
     store.verify().expect("all of it is read");
@@ -138,7 +138,7 @@
 }
 
 #[test]
-fn the_snapshot_of_the_file_is_that_of_the_list_when_it_was_taken() {
+fn stored_snapshot_matches_list_at_that_index() {
     let folder = copy();
     let store = Store::open(folder.path(), Format::NEWEST).expect("the store opens");
     let snapshot = store.load_snapshot().expect("it is read").expect("there is one");
@@ -149,7 +149,7 @@
 }
 
 #[test]
-fn a_replica_started_over_the_file_has_servers_services_leases_and_the_open_drain() {
+fn replica_restores_servers_services_leases_and_drain_from_fixture() {
     let folder = copy();
     let list: List = raft_calls::runtime().block_on(async {
         let node = samples::start(1, folder.path()).await;
@@ -178,7 +178,7 @@
 
 /// In both directions: the fixture has the rows that it had, and a replica that does the same now writes these rows.
 #[test]
-fn a_replica_writes_the_tables_keys_and_values_that_it_wrote() {
+fn replica_writes_tables_keys_and_values_of_fixture() {
     let expected = fixtures::read_lines(ROWS);
     assert_eq!(rows(&copy().path().join("roster.redb")), expected);
     let folder = tempfile::tempdir().expect("a folder");
@@ -193,7 +193,7 @@
 }
 
 #[test]
-fn a_file_that_has_seen_fewer_commits_than_its_mark_says_is_not_used() {
+fn rejects_database_with_fewer_commits_than_counted() {
     let folder = copy();
     let marked = u64::from_le_bytes(fixtures::read(MARK)[..8].try_into().expect("eight bytes"));
     std::fs::write(folder.path().join("roster.redb"), fixtures::read(FILE_FORM_2)).expect("it is replaced");
@@ -202,7 +202,7 @@
 }
 
 #[test]
-fn a_file_of_the_version_before_is_taken_over() {
+fn converts_database_of_earlier_format() {
     let folder = tempfile::tempdir().expect("a folder");
     std::fs::write(folder.path().join("roster.redb"), fixtures::read(FILE_FORM_2)).expect("it is copied");
     let store = Store::open(folder.path(), Format::NEWEST).expect("the store opens");
--- a/crates/registry/tests/stored_forms/http_answers.rs
+++ b/crates/registry/tests/stored_forms/http_answers.rs
@@ -158,27 +158,27 @@
 }
 
 #[test]
-fn a_leader_answers_as_it_did() {
+fn leader_responses_match_fixtures() {
     check(LEADER);
 }
 
 #[test]
-fn a_leader_without_room_answers_as_it_did() {
+fn overloaded_leader_responses_match_fixtures() {
     check(BUSY);
 }
 
 #[test]
-fn a_follower_answers_as_it_did() {
+fn follower_responses_match_fixtures() {
     check(FOLLOWER);
 }
 
 #[test]
-fn a_new_replica_answers_as_it_did() {
+fn uninitialized_replica_responses_match_fixtures() {
     check(NEW);
 }
 
 #[test]
-fn a_replica_whose_store_has_failed_answers_as_it_did() {
+fn responses_after_store_failure_match_fixtures() {
     check(STORE_FAILED);
 }
 
@@ -190,7 +190,7 @@
 }
 
 #[test]
-fn lists_are_decoded_by_readers_and_encoded_as_they_were() {
+fn list_responses_round_trip_through_client_types() {
     let consistent = body("02-list-consistent");
     let update = ListUpdate::from_json(&consistent).expect("it is read");
     assert_eq!((update.version.epoch, update.version.index, update.replica), (EPOCH, LAST, 1));
@@ -210,7 +210,7 @@
 }
 
 #[test]
-fn a_server_that_is_shown_is_decoded_and_encoded_as_it_was() {
+fn shown_server_round_trips() {
     let shown = body("16-show");
     let kept: Kept = serde_json::from_slice(&shown).expect("it is read");
     assert_eq!((kept.entry.name.as_str(), kept.registered, kept.lease_ms), ("m", FIRST + 8, LEASE_MS));
@@ -218,7 +218,7 @@
 }
 
 #[test]
-fn a_backup_over_http_restores_the_list() {
+fn backup_over_http_restores_the_list() {
     let response = fixtures::read(&format!("http/{LEADER}/19-backup.response"));
     let head = response.windows(4).position(|w| w == b"\r\n\r\n").expect("a head") + 4;
     let snapshot = Snapshot::decode(&response[head..]).expect("it is read");
--- a/crates/registry/tests/stored_forms/messages.rs
+++ b/crates/registry/tests/stored_forms/messages.rs
@@ -73,39 +73,39 @@
 }
 
 #[test]
-fn commands_are_as_they_were() {
+fn commands_match_fixture() {
     check::<Command>(COMMANDS, &samples::every_command());
 }
 
 #[test]
-fn outcomes_are_as_they_were() {
+fn outcomes_match_fixture() {
     check::<Result<Outcome, WriteError>>(OUTCOMES, &samples::every_outcome());
 }
 
 #[test]
-fn log_entries_are_as_they_were() {
+fn log_entries_match_fixture() {
     check::<LogEntry>(ENTRIES, &samples::every_entry());
 }
 
 #[test]
-fn votes_are_as_they_were() {
+fn votes_match_fixture() {
     check::<Vote>(VOTES, &votes());
 }
 
 #[test]
-fn answers_to_entries_are_as_they_were() {
+fn append_responses_match_fixture() {
     check::<AppendEntriesResponse<u64>>(APPEND_ANSWERS, &append_answers());
 }
 
 #[test]
-fn calls_have_the_names_that_they_had() {
+fn rpc_names_match_fixture() {
     check::<Rpc>(CALLS, &Rpc::ALL);
     let names: Vec<String> = Rpc::ALL.iter().map(|rpc| format!("\"{}\"", rpc.name())).collect();
     assert_eq!(names, fixtures::read_lines(CALLS));
 }
 
 #[test]
-fn snapshots_of_all_forms_are_read_and_written_as_they_were() {
+fn snapshots_of_all_formats_match_fixtures() {
     for (name, format) in SNAPSHOTS {
         let bytes = fixtures::read(name);
         let read = Snapshot::decode(&bytes).expect("it is read");
@@ -116,7 +116,7 @@
 }
 
 #[test]
-fn a_backup_is_read_as_it_was() {
+fn reads_backup_fixture() {
     for (name, format) in SNAPSHOTS {
         let list: List = lotusmoor_registry::process::read_backup(&fixtures::path(name)).expect("it is read");
         assert_eq!(list, snapshot(format).list, "{name}");
--- a/crates/registry/tests/stored_forms/raft_calls.rs
+++ b/crates/registry/tests/stored_forms/raft_calls.rs
@@ -158,12 +158,12 @@
 }
 
 #[test]
-fn a_follower_is_sent_and_answers_what_it_was() {
+fn calls_to_follower_and_its_answers_match_fixture() {
     assert_eq!(played_at_follower(), fixtures::read_lines(TO_FOLLOWER));
 }
 
 #[test]
-fn a_leader_is_sent_and_answers_what_it_was() {
+fn calls_to_leader_and_its_answers_match_fixture() {
     assert_eq!(played_at_leader(), fixtures::read_lines(TO_LEADER));
 }
 
@@ -181,7 +181,7 @@
 }
 
 #[test]
-fn calls_and_answers_are_decoded_and_encoded_as_they_were() {
+fn calls_and_answers_round_trip() {
     type Raft<A> = Result<A, RaftError<u64>>;
     type Install = Result<InstallSnapshotResponse<u64>, RaftError<u64, InstallSnapshotError>>;
     for name in [TO_FOLLOWER, TO_LEADER] {
