--- a/crates/registry/src/process/join.rs
+++ b/crates/registry/src/process/join.rs
@@ -16,7 +16,8 @@
 const JOIN_PAUSE: Duration = Duration::from_millis(500);
 /// Milliseconds in a second: epochs are Unix times in seconds.
 const MILLIS_PER_SECOND: u64 = 1000;
-/// Part of the response to a replica whose number another one has, of which that of a change under way has nothing.
+/// Part of the response that says that the number is taken, which is permanent. Other conflicts, as with a membership
+/// change under way, are temporary.
 const ID_TAKEN: &str = "a number of its own";
 
 /// Makes a replica a member where it is none, and then waits for ever. `backup` is taken once it has become the list.
