--- a/crates/registry/src/core/admission/tests.rs
+++ b/crates/registry/src/core/admission/tests.rs
@@ -3,7 +3,7 @@
 use super::*;
 
 #[test]
-fn three_thousand_that_come_at_once_are_all_answered_within_what_the_rate_allows() {
+fn burst_of_callers_is_answered_at_the_configured_rate() {
     let mut admission = Admission::new(500.0, 500.0, 30 * SECOND);
     let mut coming: Vec<Micros> = vec![0; 3000];
     let (mut answered, mut calls, mut last) = (Vec::new(), 0, 0);
@@ -27,7 +27,7 @@
 }
 
 #[test]
-fn nobody_is_told_to_stay_away_for_longer_than_the_bound() {
+fn retry_after_is_bounded() {
     let mut admission = Admission::new(1.0, 1.0, 5 * SECOND);
     for _ in 0..1000 {
         if let AdmissionDecision::RetryAfter(wait) = admission.admit(0) {
--- a/crates/registry/src/core/flap/tests.rs
+++ b/crates/registry/src/core/flap/tests.rs
@@ -3,7 +3,7 @@
 use super::*;
 
 #[test]
-fn a_server_that_flaps_ten_times_a_second_changes_the_list_now_and_then_and_others_are_not_held_up() {
+fn flapping_endpoint_is_damped_without_affecting_others() {
     let mut flaps = FlapDamping::default();
     let taken = (0..600).filter(|i| flaps.try_change(i * SECOND / 10, "flaps").is_ok()).count();
     // A minute at one in two seconds, and the burst.
@@ -16,7 +16,7 @@
 }
 
 #[test]
-fn names_that_are_made_up_take_no_more_than_a_bounded_memory() {
+fn tracked_endpoints_are_bounded() {
     let mut flaps = FlapDamping::default();
     for i in 0..3 * MAX_TRACKED {
         let _ = flaps.try_change(i as Micros, &format!("s{i}"));
--- a/crates/registry/src/core/freshness/tests.rs
+++ b/crates/registry/src/core/freshness/tests.rs
@@ -3,7 +3,7 @@
 use super::*;
 
 #[test]
-fn the_age_counts_from_the_question_and_only_once_the_answer_is_applied() {
+fn age_counts_from_the_request_once_the_committed_index_is_applied() {
     let mut f = Freshness::default();
     assert_eq!(f.consistency(0), ReadConsistency::Unavailable);
     f.record_applied(10);
@@ -21,7 +21,7 @@
 }
 
 #[test]
-fn a_replica_that_lags_behind_for_ever_still_learns_how_old_it_is() {
+fn permanently_lagging_replica_knows_its_age() {
     let mut f = Freshness::default();
     for second in 1..20 {
         f.record_committed(second * SECOND, 10 * second as u64);
--- a/crates/registry/src/core/lease/tests.rs
+++ b/crates/registry/src/core/lease/tests.rs
@@ -52,7 +52,7 @@
 }
 
 #[test]
-fn one_that_falls_silent_is_leaving_after_its_lease_and_gone_later() {
+fn silent_endpoint_drains_after_its_lease_and_is_removed_later() {
     let mut kept = Kept3::new(20);
     let heard = |name: &str| name != "s004";
     for _ in 0..30 {
@@ -66,7 +66,7 @@
 }
 
 #[test]
-fn a_service_that_is_cut_off_from_all_servers_does_not_empty_its_list() {
+fn partition_from_all_endpoints_does_not_empty_the_list() {
     let mut kept = Kept3::new(100);
     let mut active = vec![100];
     for _ in 0..200 {
@@ -82,7 +82,7 @@
 }
 
 #[test]
-fn a_clock_that_jumps_or_a_process_that_was_held_ends_no_lease() {
+fn clock_jump_or_suspension_expires_no_lease() {
     let mut kept = Kept3::new(100);
     for _ in 0..40 {
         kept.tick(SECOND / 2, |_| true);
@@ -95,7 +95,7 @@
 }
 
 #[test]
-fn a_new_leader_lets_nothing_expire_before_a_window_has_passed() {
+fn new_leader_expires_nothing_within_the_first_window() {
     let mut kept = Kept3::new(50);
     for _ in 0..200 {
         // The lead changes hands every 5 s.
@@ -109,7 +109,7 @@
 }
 
 #[test]
-fn one_that_was_drained_is_gone_once_its_lease_runs_out_and_takes_no_room_of_others() {
+fn drained_endpoint_is_removed_on_expiry_without_using_the_expiry_limit() {
     let mut kept = Kept3::new(10);
     for _ in 0..30 {
         kept.tick(SECOND / 2, |_| true);
@@ -130,7 +130,7 @@
 }
 
 #[test]
-fn a_renewal_that_comes_too_late_is_told_so() {
+fn late_renewal_is_rejected() {
     let mut kept = Kept3::new(2);
     for _ in 0..30 {
         kept.tick(SECOND / 2, |name| name == "s000");
--- a/crates/registry/src/core/list/tests.rs
+++ b/crates/registry/src/core/list/tests.rs
@@ -31,7 +31,7 @@
 }
 
 #[test]
-fn what_changes_nothing_keeps_the_version_and_what_does_raises_it_by_one() {
+fn only_effective_commands_raise_the_index_and_by_one() {
     let mut list = bootstrapped();
     let first = list.version().index;
     assert_eq!(first, 100 << EPOCH_SHIFT);
@@ -45,7 +45,7 @@
 }
 
 #[test]
-fn compare_and_set_is_refused_with_what_was_found() {
+fn conditional_command_is_refused_with_the_actual_index() {
     let mut list = bootstrapped();
     list.apply(&register("a", 1));
     let changed = list.entries()["a"].changed_index;
@@ -58,7 +58,7 @@
 }
 
 #[test]
-fn a_drain_outlives_registrations_of_the_same_process_and_not_a_new_one() {
+fn drain_survives_re_registration_but_not_a_restart() {
     let mut list = bootstrapped();
     list.apply(&register("a", 5));
     list.apply(&drain("a", None));
@@ -69,7 +69,7 @@
 }
 
 #[test]
-fn register_and_expiry_race_and_a_lease_of_an_earlier_registration_takes_nothing() {
+fn expiry_of_an_earlier_registration_changes_nothing() {
     let mut list = bootstrapped();
     list.apply(&register("a", 5));
     let registered = list.entries()["a"].registered_index;
@@ -93,7 +93,7 @@
 }
 
 #[test]
-fn a_batch_with_one_wrong_server_changes_nothing() {
+fn batch_with_an_invalid_endpoint_changes_nothing() {
     let mut list = bootstrapped();
     let good = Registration { entry: entry("a", 0), lease_ms: 5000 };
     let bad = |change: fn(&mut Registration)| {
@@ -129,7 +129,7 @@
 }
 
 #[test]
-fn an_epoch_only_goes_forward_and_so_does_the_index() {
+fn epoch_and_index_only_increase() {
     let mut list = bootstrapped();
     list.apply(&register("a", 0));
     let before = list.version();
@@ -144,7 +144,7 @@
 }
 
 #[test]
-fn a_list_of_an_old_backup_begins_an_epoch_that_all_readers_follow() {
+fn restored_backup_starts_an_epoch_that_all_readers_follow() {
     let mut list = bootstrapped();
     list.apply(&register("a", 0));
     let backup = list.clone();
@@ -166,7 +166,7 @@
 }
 
 #[test]
-fn a_reader_ahead_of_the_list_or_too_far_behind_gets_the_whole() {
+fn reader_ahead_of_the_list_or_too_far_behind_gets_a_snapshot() {
     let mut list = bootstrapped();
     let first = list.version().index;
     for i in 0..MAX_TOMBSTONES + 10 {
@@ -199,7 +199,7 @@
 proptest! {
     // Changes after any version bring a reader of that version to the very list that the whole would.
     #[test]
-    fn changes_and_the_whole_list_agree(commands in commands(), at in 0usize..60) {
+    fn incremental_update_and_snapshot_agree(commands in commands(), at in 0usize..60) {
         let mut list = bootstrapped();
         let mut reader = EndpointList::default();
         for (i, command) in commands.iter().enumerate() {
@@ -217,7 +217,7 @@
 
     // A snapshot holds all of it.
     #[test]
-    fn a_snapshot_is_read_as_it_was(commands in commands()) {
+    fn snapshot_survives_serialization(commands in commands()) {
         let mut list = bootstrapped();
         commands.iter().for_each(|c| drop(list.apply(c)));
         let text = serde_json::to_string(&list).expect("it is written");
--- a/crates/registry/src/core/service_index/tests.rs
+++ b/crates/registry/src/core/service_index/tests.rs
@@ -90,7 +90,7 @@
 }
 
 #[test]
-fn a_service_that_does_not_exist_is_an_empty_list_with_a_version_and_comes_to_be() {
+fn unknown_service_is_an_empty_versioned_list_until_an_endpoint_registers() {
     let mut list = bootstrapped();
     let mut reader = Reader::of("a", &list);
     let first = list.version().index;
@@ -110,7 +110,7 @@
 }
 
 #[test]
-fn a_service_that_is_emptied_is_told_by_tombstones_and_may_come_back() {
+fn emptied_service_is_reported_by_tombstones_and_can_return() {
     let mut list = bootstrapped();
     done(&mut list, &register(&[("s1", "a"), ("s2", "a"), ("s3", "b")]));
     let (mut a, mut b) = (Reader::of("a", &list), Reader::of("b", &list));
@@ -129,7 +129,7 @@
 }
 
 #[test]
-fn a_drain_keeps_the_service() {
+fn draining_keeps_the_service() {
     let mut list = bootstrapped();
     done(&mut list, &register(&[("s1", "a")]));
     let mut a = Reader::of("a", &list);
@@ -139,7 +139,7 @@
 }
 
 #[test]
-fn a_server_that_is_handed_over_in_one_write_is_never_in_both_and_never_in_neither() {
+fn endpoint_that_moves_in_one_write_is_always_in_exactly_one_service() {
     let mut list = bootstrapped();
     done(&mut list, &register(&[("s1", "a"), ("s2", "a"), ("s3", "b"), ("s4", "c")]));
     let mut readers = ["a", "b", "a,b", "c", "a,c"].map(|names| Reader::of(names, &list));
@@ -167,7 +167,7 @@
 }
 
 #[test]
-fn of_a_server_that_went_over_and_then_left_a_reader_of_both_hears_the_last() {
+fn reader_of_two_services_gets_only_the_last_tombstone_of_a_moved_endpoint() {
     let mut list = bootstrapped();
     done(&mut list, &register(&[("s1", "a")]));
     let (mut both, mut a) = (Reader::of("a,b", &list), Reader::of("a", &list));
@@ -180,7 +180,7 @@
 }
 
 #[test]
-fn what_was_forgotten_of_other_services_makes_nobody_ask_for_the_whole() {
+fn dropped_tombstones_of_other_services_do_not_force_a_snapshot() {
     let mut list = bootstrapped();
     done(&mut list, &register(&[("s1", "a"), ("s2", "b"), ("s3", "")]));
     let (mut a, mut late) = (Reader::of("a", &list), Reader::of("never", &list));
@@ -204,7 +204,7 @@
 }
 
 #[test]
-fn services_that_are_made_up_and_emptied_take_bounded_memory_and_their_readers_are_told_the_whole() {
+fn empty_services_take_bounded_memory_and_their_readers_get_a_snapshot() {
     let mut list = bootstrapped();
     done(&mut list, &register(&[("s1", "a"), ("s2", "b")]));
     done(&mut list, &remove("s2"));
@@ -228,7 +228,7 @@
 }
 
 #[test]
-fn a_digest_differs_for_the_one_service_whose_history_does() {
+fn digest_differs_only_for_services_with_different_history() {
     let list = |service| {
         let mut list = bootstrapped();
         done(&mut list, &register(&[("s1", "a"), ("s2", "b"), ("s3", "c")]));
@@ -246,7 +246,7 @@
 }
 
 #[test]
-fn a_list_restored_with_a_new_epoch_gives_the_whole_of_what_was_asked() {
+fn readers_of_services_get_a_snapshot_after_a_restore() {
     let mut list = bootstrapped();
     done(&mut list, &register(&[("s1", "a"), ("s2", "b")]));
     let backup = list.clone();
@@ -269,7 +269,7 @@
 }
 
 #[test]
-fn a_snapshot_of_a_list_without_services_is_as_the_version_before_wrote_it() {
+fn snapshot_without_services_has_the_form_of_versions_before_services() {
     let mut list = bootstrapped();
     done(&mut list, &register(&[("s1", "")]));
     let text = serde_json::to_string(&list).expect("it is written");
@@ -280,7 +280,7 @@
 }
 
 #[test]
-fn services_are_asked_for_by_plain_names_of_which_there_are_not_too_many() {
+fn service_names_and_their_number_are_validated() {
     assert_eq!(parse_services("b,a,b"), Ok(vec!["a".to_owned(), "b".to_owned()]));
     let names = |count: usize| (0..count).map(|i| format!("s{i}")).collect::<Vec<_>>().join(",");
     assert_eq!(parse_services(&names(MAX_SERVICES_PER_QUERY)).map(|s| s.len()), Ok(MAX_SERVICES_PER_QUERY));
@@ -304,7 +304,7 @@
 }
 
 #[test]
-fn services_in_a_command_of_the_form_before_are_refused_and_limits_go_by_form() {
+fn unwrapped_command_with_services_is_refused_and_has_the_lower_limit() {
     let mut list = bootstrapped();
     let Command::WithServices(bare) = register(&[("s1", "a")]) else { unreachable!() };
     assert!(matches!(list.apply(&bare), Outcome::Refused(Refusal::Invalid(_))));
@@ -347,7 +347,7 @@
     // From any version on, over any versions, a reader's list is the list's part in its services; a replica that has
     // come by a snapshot tells the same.
     #[test]
-    fn a_readers_list_is_the_part_of_the_list_in_its_services(
+    fn reader_of_services_has_exactly_their_endpoints(
         commands in commands(),
         names in prop::collection::btree_set("[a-d]", 1..4),
         at in 0usize..50,
@@ -388,7 +388,7 @@
     }
 
     #[test]
-    fn a_command_is_read_as_it_was_written(commands in commands()) {
+    fn command_survives_serialization(commands in commands()) {
         for command in commands {
             let text = serde_json::to_string(&command).expect("it is written");
             let read: Command = serde_json::from_str(&text).expect("it is read");
--- a/crates/registry/src/explore/check/tests.rs
+++ b/crates/registry/src/explore/check/tests.rs
@@ -44,7 +44,7 @@
 }
 
 #[test]
-fn a_good_history_breaks_nothing_and_each_altered_one_breaks_its_rule() {
+fn valid_history_passes_and_each_altered_one_violates_its_invariant() {
     assert_eq!(check(&good()), []);
     let altered = |change: fn(&mut History)| {
         let mut history = good();
--- a/crates/registry/src/explore/disk/tests.rs
+++ b/crates/registry/src/explore/disk/tests.rs
@@ -4,7 +4,7 @@
 use rand::SeedableRng;
 
 #[test]
-fn what_was_synced_outlives_a_crash_and_what_was_not_may_go_in_part() {
+fn crash_keeps_synced_data_and_may_lose_part_of_the_rest() {
     let mut retained = 0;
     for seed in 0..50 {
         let disk = Disk::default();
--- a/crates/registry/src/explore/schedule/tests.rs
+++ b/crates/registry/src/explore/schedule/tests.rs
@@ -12,7 +12,7 @@
 
 // Until it is ended, a majority of those before is wanted as well as one of those after, for good.
 #[test]
-fn a_change_of_who_belongs_that_its_leader_left_half_done_is_ended_by_the_next() {
+fn new_leader_completes_an_interrupted_membership_change() {
     let mut s = Schedule::new(5, None);
     (1..=3).for_each(|id| assert!(s.start(id), "{:?}", s.violations));
     s.bootstrap();
--- a/crates/registry/tests/explore.rs
+++ b/crates/registry/tests/explore.rs
@@ -7,7 +7,7 @@
 }
 
 #[test]
-fn two_hundred_schedules_of_faults_break_no_rule() {
+fn two_hundred_fault_schedules_violate_no_invariant() {
     let explored = explore(1, 200, threads(), None);
     assert!(explored.violations.is_empty(), "{:#?}", explored.violations);
     assert_eq!(explored.schedules, 200);
@@ -18,7 +18,7 @@
 }
 
 #[test]
-fn each_wrong_behaviour_is_noticed() {
+fn each_injected_defect_is_detected() {
     for defect in [
         Defect::SyncsAreIgnored,
         Defect::LinearizableReadsAreLocal,
@@ -36,7 +36,7 @@
 }
 
 #[test]
-fn a_seed_plays_the_same_schedule_again() {
+fn schedule_is_determined_by_its_seed() {
     for seed in 1..=4 {
         let (one, two) = (play(seed, None), play(seed, None));
         assert_eq!(one.timeline, two.timeline);
