--- a/crates/registry/src/core/lease/tests.rs
+++ b/crates/registry/src/core/lease/tests.rs
@@ -3,14 +3,14 @@
 use super::*;
 use crate::core::{Command, List, Outcome, Registration};
 
-/// A list of so many servers with leases of 3 s, and its leader's keeper. Time goes in ticks of half a second.
-struct Kept3 {
+/// A list of endpoints with leases of 3 s, and its leader's lease tracker. Time advances in ticks of half a second.
+struct SimulatedLeader {
     list: List,
     leases: LeaseTracker,
     now: Micros,
 }
 
-impl Kept3 {
+impl SimulatedLeader {
     fn new(servers: usize) -> Self {
         let mut list = List::default();
         list.apply(&Command::Bootstrap { epoch: 1, backup: None });
@@ -19,16 +19,16 @@
             Registration { entry: serde_json::from_str(&text).expect("it is read"), lease_ms: 3000 }
         });
         list.apply(&Command::Register { servers: servers.collect(), expect: None, at_ms: 0 });
-        let mut kept = Self { list, leases: LeaseTracker::new(Settings::default()), now: 7 };
-        kept.leases.start_leading(kept.now, kept.list.entries().values());
-        kept
+        let mut leader = Self { list, leases: LeaseTracker::new(Settings::default()), now: 7 };
+        leader.leases.start_leading(leader.now, leader.list.entries().values());
+        leader
     }
 
     fn active(&self) -> usize {
         self.list.entries().values().filter(|k| k.entry.status == Status::Active).count()
     }
 
-    /// A tick, before which the servers are renewed that are heard of.
+    /// Renews the endpoints that are heard of, advances time and applies expiries.
     fn tick(&mut self, step: Micros, heard: impl Fn(&str) -> bool) {
         self.now += step;
         let names: Vec<String> = self.list.entries().keys().cloned().collect();
@@ -44,7 +44,7 @@
         assert!(matches!(outcome, Outcome::Applied { .. }));
         for name in names {
             match self.list.entries().get(&name) {
-                Some(kept) => self.leases.update(self.now, kept),
+                Some(record) => self.leases.update(self.now, record),
                 None => self.leases.remove(&name),
             }
         }
@@ -53,89 +53,89 @@
 
 #[test]
 fn silent_endpoint_drains_after_its_lease_and_is_removed_later() {
-    let mut kept = Kept3::new(20);
+    let mut leader = SimulatedLeader::new(20);
     let heard = |name: &str| name != "s004";
     for _ in 0..30 {
-        kept.tick(SECOND / 2, heard);
+        leader.tick(SECOND / 2, heard);
     }
-    assert_eq!((kept.active(), kept.list.entries().len()), (19, 20));
+    assert_eq!((leader.active(), leader.list.entries().len()), (19, 20));
     for _ in 0..20 {
-        kept.tick(SECOND / 2, heard);
+        leader.tick(SECOND / 2, heard);
     }
-    assert_eq!((kept.active(), kept.list.entries().len()), (19, 19));
+    assert_eq!((leader.active(), leader.list.entries().len()), (19, 19));
 }
 
 #[test]
 fn partition_from_all_endpoints_does_not_empty_the_list() {
-    let mut kept = Kept3::new(100);
+    let mut leader = SimulatedLeader::new(100);
     let mut active = vec![100];
     for _ in 0..200 {
-        kept.tick(SECOND / 2, |_| false);
-        active.push(kept.active());
+        leader.tick(SECOND / 2, |_| false);
+        active.push(leader.active());
     }
-    // 20 ticks are a window.
+    // A window has 20 ticks.
     for (i, before) in active.iter().enumerate() {
         let after = active[(i + 19).min(active.len() - 1)];
         assert!(before - after <= before / 10 + 1, "{before} to {after} in a window");
     }
-    assert!(kept.active() > 30 && kept.leases.deferred() > 0, "{}", kept.active());
+    assert!(leader.active() > 30 && leader.leases.deferred() > 0, "{}", leader.active());
 }
 
 #[test]
 fn clock_jump_or_suspension_expires_no_lease() {
-    let mut kept = Kept3::new(100);
+    let mut leader = SimulatedLeader::new(100);
     for _ in 0..40 {
-        kept.tick(SECOND / 2, |_| true);
+        leader.tick(SECOND / 2, |_| true);
     }
     for jump in [3600 * SECOND, -3600 * SECOND, 30 * SECOND] {
-        kept.tick(jump, |_| false);
-        kept.tick(SECOND / 2, |_| true);
+        leader.tick(jump, |_| false);
+        leader.tick(SECOND / 2, |_| true);
     }
-    assert_eq!(kept.active(), 100);
+    assert_eq!(leader.active(), 100);
 }
 
 #[test]
 fn new_leader_expires_nothing_within_the_first_window() {
-    let mut kept = Kept3::new(50);
+    let mut leader = SimulatedLeader::new(50);
     for _ in 0..200 {
-        // The lead changes hands every 5 s.
-        kept.leases.stop_leading();
-        kept.leases.start_leading(kept.now, kept.list.entries().values());
+        // Another replica becomes the leader every 5 s.
+        leader.leases.stop_leading();
+        leader.leases.start_leading(leader.now, leader.list.entries().values());
         for _ in 0..10 {
-            kept.tick(SECOND / 2, |_| false);
+            leader.tick(SECOND / 2, |_| false);
         }
     }
-    assert_eq!(kept.active(), 50);
+    assert_eq!(leader.active(), 50);
 }
 
 #[test]
 fn drained_endpoint_is_removed_on_expiry_without_using_the_expiry_limit() {
-    let mut kept = Kept3::new(10);
+    let mut leader = SimulatedLeader::new(10);
     for _ in 0..30 {
-        kept.tick(SECOND / 2, |_| true);
+        leader.tick(SECOND / 2, |_| true);
     }
     for name in ["s001", "s002", "s003"] {
-        kept.list.apply(&Command::Drain { name: name.into(), expect: None, at_ms: 0 });
-        kept.leases.update(kept.now, &kept.list.entries()[name]);
+        leader.list.apply(&Command::Drain { name: name.into(), expect: None, at_ms: 0 });
+        leader.leases.update(leader.now, &leader.list.entries()[name]);
     }
-    // It renews while it ends what it has.
+    // They renew while they finish their requests.
     for _ in 0..20 {
-        kept.tick(SECOND / 2, |_| true);
+        leader.tick(SECOND / 2, |_| true);
     }
-    assert_eq!((kept.active(), kept.list.entries().len()), (7, 10));
+    assert_eq!((leader.active(), leader.list.entries().len()), (7, 10));
     for _ in 0..8 {
-        kept.tick(SECOND / 2, |name| !["s001", "s002", "s003"].contains(&name));
+        leader.tick(SECOND / 2, |name| !["s001", "s002", "s003"].contains(&name));
     }
-    assert_eq!((kept.active(), kept.list.entries().len()), (7, 7));
+    assert_eq!((leader.active(), leader.list.entries().len()), (7, 7));
 }
 
 #[test]
 fn late_renewal_is_rejected() {
-    let mut kept = Kept3::new(2);
+    let mut leader = SimulatedLeader::new(2);
     for _ in 0..30 {
-        kept.tick(SECOND / 2, |name| name == "s000");
+        leader.tick(SECOND / 2, |name| name == "s000");
     }
-    assert_eq!(kept.leases.renew(kept.now, "s000"), Renewal::Renewed);
-    assert_eq!(kept.leases.renew(kept.now, "s001"), Renewal::Unknown);
-    assert_eq!(kept.leases.renew(kept.now, "other"), Renewal::Unknown);
+    assert_eq!(leader.leases.renew(leader.now, "s000"), Renewal::Renewed);
+    assert_eq!(leader.leases.renew(leader.now, "s001"), Renewal::Unknown);
+    assert_eq!(leader.leases.renew(leader.now, "other"), Renewal::Unknown);
 }
--- a/crates/registry/src/core/list/tests.rs
+++ b/crates/registry/src/core/list/tests.rs
@@ -87,7 +87,7 @@
         (list.entries()["a"].entry.status, list.entries()["a"].entry.status_reason),
         (Status::Draining, StatusReason::Expired)
     );
-    // It is heard of again before it is gone.
+    // It registers again before it is removed.
     list.apply(&register("a", 6));
     assert_eq!(list.entries()["a"].entry.status, Status::Active);
 }
@@ -120,7 +120,7 @@
     let many = (0..=MAX_ENTRIES).map(|i| Registration { entry: entry(&format!("s{i}"), 0), lease_ms: 0 });
     let all = Command::Register { servers: many.collect(), expect: None, at_ms: 0 };
     assert_eq!(list.apply(&all), Outcome::Refused(Refusal::ListFull));
-    // In neither form.
+    // Neither wrapped nor unwrapped.
     let Command::Register { mut servers, .. } = all else { unreachable!() };
     servers[0].entry.service = Some("a".into());
     let all = Command::Register { servers, expect: None, at_ms: 0 }.into_log_form();
@@ -139,7 +139,7 @@
     );
     list.apply(&Command::Bootstrap { epoch: 101, backup: None });
     assert!(list.version() > before && list.version().index > before.index);
-    // A reader of the epoch before gets the whole list.
+    // A reader of the previous epoch gets a snapshot.
     assert!(list.update(Some(before.index)).snapshot);
 }
 
@@ -197,7 +197,7 @@
 }
 
 proptest! {
-    // Changes after any version bring a reader of that version to the very list that the whole would.
+    // Incremental updates from any version lead to the same list as a snapshot.
     #[test]
     fn incremental_update_and_snapshot_agree(commands in commands(), at in 0usize..60) {
         let mut list = bootstrapped();
@@ -215,7 +215,7 @@
         prop_assert_eq!(known, whole);
     }
 
-    // A snapshot holds all of it.
+    // A snapshot holds the complete state.
     #[test]
     fn snapshot_survives_serialization(commands in commands()) {
         let mut list = bootstrapped();
--- a/crates/registry/src/core/service_index/tests.rs
+++ b/crates/registry/src/core/service_index/tests.rs
@@ -1,4 +1,4 @@
-//! Lists by service, as readers of them see them.
+//! Updates of services, as their readers get them.
 
 use super::*;
 use crate::core::{
@@ -54,22 +54,22 @@
 impl Reader {
     fn of(names: &str, list: &List) -> Self {
         let mut reader = Self { services: set(names), known: EndpointList::default() };
-        assert!(reader.goes_on(list).snapshot);
+        assert!(reader.poll(list).snapshot);
         reader
     }
 
-    fn goes_on(&mut self, list: &List) -> ListUpdate {
+    fn poll(&mut self, list: &List) -> ListUpdate {
         let before = self.known.version;
         let after = (before.epoch == list.version().epoch && before.epoch > 0).then_some(before.index);
         let update = list.update_for_services(after, &self.services);
         assert_eq!((update.version, update.services.as_ref()), (list.version(), Some(&self.services)));
-        // Those that lack the same are told the same.
+        // Readers that lack the same changes get the same update.
         assert_eq!(
             list.update_for_services(list.equivalent_index(after, &self.services), &self.services),
             update
         );
         self.known = self.known.updated(&update, Some(before)).expect("it fits");
-        assert_eq!(self.known.entries, told(list, &self.services), "{update:?}");
+        assert_eq!(self.known.entries, entries_of(list, &self.services), "{update:?}");
         update
     }
 
@@ -78,8 +78,8 @@
     }
 }
 
-/// The list's entries in these services.
-fn told(list: &List, services: &[String]) -> BTreeMap<String, Entry> {
+/// The entries of some services.
+fn entries_of(list: &List, services: &[String]) -> BTreeMap<String, Entry> {
     let entries = list.entries().values().map(|k| k.entry.clone());
     let inside = entries.filter(|e| e.service.as_ref().is_some_and(|s| services.contains(s)));
     inside.map(|e| (e.name.clone(), e)).collect()
@@ -100,11 +100,11 @@
         (list.services_changed_index(&set("a")), list.services_changed_index(&set("b"))),
         (first, first + 1)
     );
-    assert_eq!(reader.goes_on(&list).endpoints, []);
+    assert_eq!(reader.poll(&list).endpoints, []);
     assert_eq!(list.services_digest(&set("a")), bootstrapped().services_digest(&set("a")));
     done(&mut list, &register(&[("s3", "a")]));
     assert_eq!(list.services_changed_index(&set("a")), first + 2);
-    let update = reader.goes_on(&list);
+    let update = reader.poll(&list);
     assert!(!update.snapshot, "nothing was forgotten");
     assert_eq!(reader.names(), ["s3"]);
 }
@@ -116,14 +116,14 @@
     let (mut a, mut b) = (Reader::of("a", &list), Reader::of("b", &list));
     done(&mut list, &remove("s1"));
     done(&mut list, &remove("s2"));
-    let update = a.goes_on(&list);
+    let update = a.poll(&list);
     assert_eq!(
         lines(&update),
         [("s1", Status::Removed, StatusReason::Removed), ("s2", Status::Removed, StatusReason::Removed)]
     );
-    assert_eq!(b.goes_on(&list).endpoints, []);
+    assert_eq!(b.poll(&list).endpoints, []);
     done(&mut list, &register(&[("s1", "a")]));
-    let update = a.goes_on(&list);
+    let update = a.poll(&list);
     assert!(!update.snapshot);
     assert_eq!(lines(&update), [("s1", Status::Active, StatusReason::Registered)]);
 }
@@ -134,7 +134,7 @@
     done(&mut list, &register(&[("s1", "a")]));
     let mut a = Reader::of("a", &list);
     done(&mut list, &Command::Drain { name: "s1".into(), expect: None, at_ms: 0 });
-    assert_eq!(lines(&a.goes_on(&list)), [("s1", Status::Draining, StatusReason::Drained)]);
+    assert_eq!(lines(&a.poll(&list)), [("s1", Status::Draining, StatusReason::Drained)]);
     assert_eq!(list.entries()["s1"].entry.service.as_deref(), Some("a"));
 }
 
@@ -144,10 +144,10 @@
     done(&mut list, &register(&[("s1", "a"), ("s2", "a"), ("s3", "b"), ("s4", "c")]));
     let mut readers = ["a", "b", "a,b", "c", "a,c"].map(|names| Reader::of(names, &list));
     let before = list.version().index;
-    // Two go over at once, one of them to where the other came from.
+    // Two endpoints swap services at once.
     done(&mut list, &register(&[("s1", "b"), ("s3", "a")]));
     assert_eq!(list.version().index, before + 1);
-    let updates = readers.each_mut().map(|r| r.goes_on(&list));
+    let updates = readers.each_mut().map(|r| r.poll(&list));
     let (left, active) =
         ((Status::Removed, StatusReason::Removed), (Status::Active, StatusReason::Registered));
     let line = |name, (status, why)| (name, status, why);
@@ -157,11 +157,11 @@
     assert_eq!(lines(&updates[3]), []);
     assert_eq!(lines(&updates[4]), [line("s3", active), line("s1", left)]);
     assert_eq!(readers[2].names(), ["s1", "s2", "s3"]);
-    // Out of all services, which old forms of command can do as well.
+    // A move out of all services needs no wrapped command.
     done(&mut list, &register(&[("s1", "")]));
-    readers.iter_mut().for_each(|r| drop(r.goes_on(&list)));
+    readers.iter_mut().for_each(|r| drop(r.poll(&list)));
     assert_eq!((readers[1].names(), readers[2].names()), (vec![], vec!["s2", "s3"]));
-    // The whole list is told of it as a change of an entry, as ever.
+    // Readers of the full list get it as a change of an entry.
     let update = list.update(Some(before));
     assert!(update.services.is_none() && update.endpoints.iter().all(|e| e.status == Status::Active));
 }
@@ -175,8 +175,8 @@
     let registered = list.entries()["s1"].registered_index;
     let due = vec![ExpiredLease { name: "s1".into(), registered_index: registered, remove: true }];
     done(&mut list, &Command::Expire { leases: due, at_ms: 0 });
-    assert_eq!(lines(&both.goes_on(&list)), [("s1", Status::Removed, StatusReason::Expired)]);
-    assert_eq!(lines(&a.goes_on(&list)), [("s1", Status::Removed, StatusReason::Removed)]);
+    assert_eq!(lines(&both.poll(&list)), [("s1", Status::Removed, StatusReason::Expired)]);
+    assert_eq!(lines(&a.poll(&list)), [("s1", Status::Removed, StatusReason::Removed)]);
 }
 
 #[test]
@@ -192,9 +192,9 @@
         done(&mut list, &remove(&name));
     }
     assert!(list.update(Some(all)).snapshot);
-    assert!(!a.goes_on(&list).snapshot && !late.goes_on(&list).snapshot);
-    assert!(b.goes_on(&list).snapshot && both.goes_on(&list).snapshot);
-    // A snapshot that is read has forgotten no more, and no less.
+    assert!(!a.poll(&list).snapshot && !late.poll(&list).snapshot);
+    assert!(b.poll(&list).snapshot && both.poll(&list).snapshot);
+    // Serialization keeps exactly the same tombstones.
     let read: List = serde_json::from_str(&serde_json::to_string(&list).expect("written")).expect("read");
     assert_eq!(read, list);
     assert!(
@@ -215,14 +215,14 @@
     }
     assert_eq!(list.services_changed_after(0).count(), MAX_EMPTY_SERVICES + 2);
     assert!(list.services_dropped_index() > b.known.version.index);
-    assert!(!a.goes_on(&list).snapshot);
-    assert!(b.goes_on(&list).snapshot, "what b was is forgotten");
+    assert!(!a.poll(&list).snapshot);
+    assert!(b.poll(&list).snapshot, "what b was is forgotten");
     assert_ne!(list.services_digest(&set("b")), digest);
     assert_eq!(list.services_digest(&set("never")), never);
-    // What comes back begins where it was forgotten.
+    // A service that returns starts at the index at which its state was dropped.
     let before = b.known.version.index;
     done(&mut list, &register(&[("s2", "b")]));
-    assert!(!b.goes_on(&list).snapshot && before < b.known.version.index);
+    assert!(!b.poll(&list).snapshot && before < b.known.version.index);
     let read: List = serde_json::from_str(&serde_json::to_string(&list).expect("written")).expect("read");
     assert_eq!(read, list);
 }
@@ -241,7 +241,7 @@
     for (names, equal) in [("b", true), ("b,b2,c", true), ("a1", false), ("a1,c", false), ("a", false)] {
         assert_eq!(one.services_digest(&set(names)) == other.services_digest(&set(names)), equal, "{names}");
     }
-    // Sets are told apart by name where their services are alike.
+    // Services without state differ by name.
     assert_ne!(one.services_digest(&set("never")), one.services_digest(&set("neither")));
 }
 
@@ -255,17 +255,17 @@
     assert_eq!(reader.names(), ["s3"]);
     let mut restored = List::default();
     done(&mut restored, &bootstrap(200, Some(&backup)));
-    let update = reader.goes_on(&restored);
+    let update = reader.poll(&restored);
     assert!(update.snapshot);
     assert_eq!(reader.names(), ["s1"]);
-    // Also one that knows no epochs, and whose index is of the list before or ahead of this one.
+    // Also a reader without an epoch, whose index is of an earlier list or ahead of this one.
     for index in [list.version().index, backup.version().index, restored.version().index + 1] {
         assert!(restored.update_for_services(Some(index), &set("a")).snapshot);
     }
     assert!(restored.services_changed_index(&set("a")) > list.version().index, "whoever waits is woken");
     assert!(restored.services_changed_index(&set("never")) > list.version().index);
     done(&mut restored, &register(&[("s4", "a")]));
-    assert!(!reader.goes_on(&restored).snapshot);
+    assert!(!reader.poll(&restored).snapshot);
 }
 
 #[test]
@@ -318,7 +318,7 @@
     assert_eq!(list.apply(&many(20_000, 20_001, None)), Outcome::Refused(Refusal::ListFull));
     done(&mut list, &many(20_000, 25_000, Some("a")));
     assert_eq!(list.apply(&many(25_000, 25_001, Some("a"))), Outcome::Refused(Refusal::ListFull));
-    // What is listed already takes no room.
+    // Endpoints that are listed already do not count.
     done(&mut list, &register(&[("s7", "b")]));
     done(&mut list, &register(&[("s24999", "")]));
 }
@@ -361,17 +361,17 @@
                 reader = Some(Reader::of(&names, &list));
             }
             let (before, digest) = (list.services_changed_index(&set(&names)), list.services_digest(&set(&names)));
-            let (had, version) = (told(&list, &set(&names)), list.version());
+            let (had, version) = (entries_of(&list, &set(&names)), list.version());
             list.apply(command);
-            // It changes for whom it concerns.
+            // Index and digest change exactly if the services do.
             let concerned = list.services_changed_index(&set(&names)) > before;
             prop_assert!(!concerned || list.services_changed_index(&set(&names)) == list.version().index);
             prop_assert_eq!(list.services_digest(&set(&names)) != digest, concerned);
-            prop_assert_eq!(told(&list, &set(&names)) != had, concerned, "{:?} after {}", command, version);
+            prop_assert_eq!(entries_of(&list, &set(&names)) != had, concerned, "{:?} after {}", command, version);
             if let Some(reader) = &mut reader
                 && i % every == 0
             {
-                let update = reader.goes_on(&list);
+                let update = reader.poll(&list);
                 prop_assert!(!update.snapshot);
                 prop_assert!(concerned || every > 1 || update.endpoints.is_empty());
                 for entry in &update.endpoints {
@@ -384,7 +384,7 @@
         let text = serde_json::to_string(&list).expect("it is written");
         let read: List = serde_json::from_str(&text).expect("it is read");
         prop_assert_eq!(&read, &list);
-        reader.goes_on(&read);
+        reader.poll(&read);
     }
 
     #[test]
