--- a/crates/lotusmoor/tests/scale_sidecar.rs
+++ b/crates/lotusmoor/tests/scale_sidecar.rs
@@ -84,7 +84,7 @@
     let mut command = command(&out, &SMALL);
     command.args(["--sweeps", "sidecar_listed,module_listed"]);
     // A sidecar that ends at once.
-    assert!(command.env("TINFLOW", "/bin/false").status().expect("it starts").success());
+    assert!(command.env("LOTUSMOOR_SIDECAR", "/bin/false").status().expect("it starts").success());
     let lines = Lines::read(&out).expect("it is read");
     let failed: Vec<_> = lines.iter().map(|l| (l.sweep, l.failed.is_some())).collect();
     let (sidecar, module) = (Sweep::SidecarListed, Sweep::ModuleListed);
