--- a/crates/fleet/src/harness/ledger.rs
+++ b/crates/fleet/src/harness/backend.rs
@@ -1,8 +1,8 @@
 //! The stand-in ledger server: answers requests as PROTOCOL has it, misbehaves as it is told, and writes down what it
 //! saw. It runs as a process of its own, so that it can be held and killed.
 
-use super::clock;
 use super::http::{Message, Reader, answer};
+use super::now_micros;
 use serde::{Deserialize, Serialize};
 use std::fs::File;
 use std::io::{self, Write};
@@ -55,7 +55,7 @@
 
 /// What it saw of a request.
 #[derive(Clone, Debug, Deserialize, Serialize, PartialEq)]
-pub struct Seen {
+pub struct ReceivedRequest {
     /// The number of the request at this server.
     pub number: u64,
     /// The request's id.
@@ -65,23 +65,26 @@
     /// Its key, if it has one.
     pub key: Option<String>,
     /// When its first byte had come, and its last.
-    pub came: (i64, i64),
+    #[serde(rename = "came")]
+    pub received_at: (i64, i64),
     /// Its sidecar had given it up before it was read.
     pub stale: bool,
     /// How long its sidecar said that it waits, in microseconds.
     #[serde(default)]
-    pub told: Option<i64>,
+    #[serde(rename = "told")]
+    pub time_left: Option<i64>,
 }
 
 /// How a request ended there.
 #[derive(Clone, Debug, Deserialize, Serialize, PartialEq)]
-pub struct Over {
+pub struct EndedRequest {
     /// The number of the request at this server.
     pub number: u64,
     /// When.
     pub at: i64,
     /// Whether it has run.
-    pub ran: bool,
+    #[serde(rename = "ran")]
+    pub executed: bool,
     /// The status that was answered; none where the connection ended first.
     pub status: Option<u16>,
     /// The body that was answered.
@@ -91,20 +94,22 @@
 /// A line of what it wrote down.
 #[derive(Clone, Debug, Deserialize, Serialize, PartialEq)]
 #[serde(rename_all = "snake_case")]
-pub enum Noted {
+pub enum BackendEvent {
     /// A request has come.
-    Seen(Seen),
+    #[serde(rename = "seen")]
+    Received(ReceivedRequest),
     /// A request is over.
-    Over(Over),
+    #[serde(rename = "over")]
+    Ended(EndedRequest),
 }
 
 /// Where operators of a stand-in tell it how to behave.
-pub const CONDUCT: &str = "/stand-in/conduct";
+pub const CONDUCT_PATH: &str = "/stand-in/conduct";
 
 /// Longer than any play.
 const NEVER: Duration = Duration::from_secs(24 * 3600);
 
-struct Ledger {
+struct Backend {
     name: String,
     conduct: Mutex<Conduct>,
     notes: Option<Mutex<File>>,
@@ -113,8 +118,8 @@
     connections: AtomicU32,
 }
 
-impl Ledger {
-    fn note(&self, line: &Noted) {
+impl Backend {
+    fn note(&self, line: &BackendEvent) {
         let Some(file) = &self.notes else { return };
         if let Ok(mut text) = serde_json::to_vec(line) {
             text.push(b'\n');
@@ -142,11 +147,11 @@
 ) -> io::Result<()> {
     let open = |path: &Path| File::options().create(true).append(true).open(path);
     let notes = notes.map(open).transpose()?.map(Mutex::new);
-    let ledger = Arc::new(Ledger {
+    let backend = Arc::new(Backend {
         name,
         conduct: Mutex::new(conduct),
         notes,
-        next: AtomicU64::new(clock().unsigned_abs()),
+        next: AtomicU64::new(now_micros().unsigned_abs()),
         cores: Semaphore::new(cores.max(1)),
         connections: AtomicU32::new(0),
     });
@@ -154,21 +159,21 @@
     loop {
         let (stream, _) = listener.accept().await?;
         stream.set_nodelay(true)?;
-        let ledger = ledger.clone();
+        let backend = backend.clone();
         tokio::spawn(async move {
-            ledger.connections.fetch_add(1, Ordering::Relaxed);
+            backend.connections.fetch_add(1, Ordering::Relaxed);
             // A connection that breaks is its sidecar's affair.
-            let _ = connection(&ledger, stream).await;
-            ledger.connections.fetch_sub(1, Ordering::Relaxed);
+            let _ = connection(&backend, stream).await;
+            backend.connections.fetch_sub(1, Ordering::Relaxed);
         });
     }
 }
 
-async fn connection(ledger: &Ledger, mut stream: TcpStream) -> io::Result<()> {
+async fn connection(backend: &Backend, mut stream: TcpStream) -> io::Result<()> {
     let mut reader = Reader::default();
     let mut answered = false;
     loop {
-        let idle = ledger.conduct().idle_us;
+        let idle = backend.conduct().idle_us;
         let bound = if idle > 0 && answered { Duration::from_micros(idle) } else { NEVER };
         // A request that comes as its time runs out crosses the close, and is reset.
         let next = tokio::time::timeout(bound, reader.next(&mut stream, false)).await;
@@ -176,9 +181,9 @@
         answered = true;
         let closes = message.header("connection") == Some("close");
         let reply = match (message.start.0.as_str(), message.start.1.as_str()) {
-            ("POST", CONDUCT) => match serde_json::from_slice(&message.body) {
+            ("POST", CONDUCT_PATH) => match serde_json::from_slice(&message.body) {
                 Ok(told) => {
-                    *ledger.conduct.lock().unwrap_or_else(PoisonError::into_inner) = told;
+                    *backend.conduct.lock().unwrap_or_else(PoisonError::into_inner) = told;
                     answer(200, "", b"")
                 }
                 Err(error) => answer(400, "", error.to_string().as_bytes()),
@@ -187,7 +192,7 @@
             _ => match message.header("x-correlation-id") {
                 Some(id) => {
                     let id = id.to_owned();
-                    match request(ledger, &mut stream, message, id).await? {
+                    match request(backend, &mut stream, message, id).await? {
                         Some(reply) => reply,
                         None => return Ok(()),
                     }
@@ -204,21 +209,29 @@
 
 /// Works on a request; gives the answer, or nothing where the connection has ended.
 async fn request(
-    ledger: &Ledger,
+    backend: &Backend,
     stream: &mut TcpStream,
     message: Message,
     id: String,
 ) -> io::Result<Option<Vec<u8>>> {
-    let conduct = ledger.conduct();
-    let number = ledger.next.fetch_add(1, Ordering::Relaxed);
+    let conduct = backend.conduct();
+    let number = backend.next.fetch_add(1, Ordering::Relaxed);
     // One that was held finds what its sidecars have long given up: that is not out any more.
     let stale = matches!(stream.try_read(&mut [0]), Ok(0)) || stream.take_error()?.is_some();
     let key = message.header("idempotency-key").map(str::to_owned);
-    let told = message.time_left();
-    let (method, came) = (message.start.0, message.came);
-    ledger.note(&Noted::Seen(Seen { number, id: id.clone(), method, key, came, stale, told }));
-    let over = |ran: bool, status: Option<u16>, body: Option<String>| {
-        ledger.note(&Noted::Over(Over { number, at: clock(), ran, status, body }));
+    let time_left = message.time_left();
+    let (method, received_at) = (message.start.0, message.received_at);
+    backend.note(&BackendEvent::Received(ReceivedRequest {
+        number,
+        id: id.clone(),
+        method,
+        key,
+        received_at,
+        stale,
+        time_left,
+    }));
+    let over = |executed: bool, status: Option<u16>, body: Option<String>| {
+        backend.note(&BackendEvent::Ended(EndedRequest { number, at: now_micros(), executed, status, body }));
     };
     if stale {
         over(false, None, None);
@@ -233,7 +246,7 @@
         if conduct.silent {
             std::future::pending::<()>().await;
         }
-        let _core = ledger.cores.acquire().await;
+        let _core = backend.cores.acquire().await;
         // The runtime's timers round up to a whole millisecond, also from nothing.
         let takes = Duration::from_micros(conduct.work_us + conduct.first_byte_us);
         if !takes.is_zero() {
@@ -259,8 +272,8 @@
         over(true, Some(500), None);
         return Ok(Some(answer(500, "", b"")));
     }
-    let body = format!("{{\"id\":\"{id}\",\"server\":\"{}\",\"number\":{number}}}", ledger.name);
-    let load = ledger.connections.load(Ordering::Relaxed);
+    let body = format!("{{\"id\":\"{id}\",\"server\":\"{}\",\"number\":{number}}}", backend.name);
+    let load = backend.connections.load(Ordering::Relaxed);
     let whole = answer(200, &format!("X-Backend-Load: queue={load}\r\n"), body.as_bytes());
     if chance(3) < conduct.halves {
         over(true, None, None);
--- a/crates/fleet/src/harness/check.rs
+++ b/crates/fleet/src/harness/check.rs
@@ -1,70 +1,92 @@
 //! The checker: reads what clients, servers and discovery each saw, and says which of the protocol's rules were broken.
 //! It opens nothing and knows no process; a history is a value.
 
-mod cold;
-mod cold_budget;
 mod history;
-mod spoil;
+mod slow_start;
+mod slow_start_limit;
+mod violation_injection;
 
-pub use cold::{cold_load, cold_peaks};
-pub use cold_budget::Cold;
-pub use history::{Ask, Attempt, Away, Came, Cordon, History, Kind, Send, Stranger};
-pub use spoil::spoil;
+pub use history::{
+    Attempt, ClientRequest, Cordon, ForwardedRequest, History, Idempotency, MalformedClient, Outage, Outcome,
+};
+pub use slow_start::{peak_slow_start_load, slow_start_peaks};
+pub use slow_start_limit::SlowStartLimit;
+pub use violation_injection::inject_violation;
 
-use cold::cold;
+use slow_start::slow_start_overloads;
 use std::collections::{BTreeMap, BTreeSet, HashMap};
 use std::fmt;
 
 /// The rules.
-#[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
+#[derive(Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
 pub enum Rule {
     /// Every request that is taken has one final answer.
     Answered,
     /// And in time.
-    InTime,
+    WithinDeadline,
     /// What is served was made by a server for that request.
     Genuine,
     /// Only what a client asked reaches a server.
-    Asked,
+    RequestedByClient,
     /// Never two attempts at a request out at once.
     OneAtATime,
     /// What may have run goes again only as its class allows.
-    NoRepeat,
+    NoUnsafeRetry,
     /// A refusal says that nothing has run, or that a repeat does no harm.
-    Harmless,
+    SafeRejection,
     /// Nothing new to a server that drains or is gone.
-    Drained,
+    RespectsDrain,
     /// No cold server pushed over by those who had been told of its start.
-    Cold,
+    RespectsSlowStart,
     /// No attempt begins over 0.1 s after its client closed its connection.
-    Left,
+    NotAfterDisconnect,
     /// An attempt tells its server no more time than its client has left.
-    Deadline,
+    DeadlineNotExtended,
     /// Who connects and is no client gets an error or a close within 3 s.
-    TurnedAway,
+    MalformedClientRejected,
+}
+
+/// Writes the rule's name as it stands in reports and recorded results.
+impl fmt::Debug for Rule {
+    fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
+        f.write_str(match self {
+            Self::Answered => "Answered",
+            Self::WithinDeadline => "InTime",
+            Self::Genuine => "Genuine",
+            Self::RequestedByClient => "Asked",
+            Self::OneAtATime => "OneAtATime",
+            Self::NoUnsafeRetry => "NoRepeat",
+            Self::SafeRejection => "Harmless",
+            Self::RespectsDrain => "Drained",
+            Self::RespectsSlowStart => "Cold",
+            Self::NotAfterDisconnect => "Left",
+            Self::DeadlineNotExtended => "Deadline",
+            Self::MalformedClientRejected => "TurnedAway",
+        })
+    }
 }
 
 impl Rule {
     /// All of them.
     pub const ALL: [Self; 12] = [
         Self::Answered,
-        Self::InTime,
+        Self::WithinDeadline,
         Self::Genuine,
-        Self::Asked,
+        Self::RequestedByClient,
         Self::OneAtATime,
-        Self::NoRepeat,
-        Self::Harmless,
-        Self::Drained,
-        Self::Cold,
-        Self::Left,
-        Self::Deadline,
-        Self::TurnedAway,
+        Self::NoUnsafeRetry,
+        Self::SafeRejection,
+        Self::RespectsDrain,
+        Self::RespectsSlowStart,
+        Self::NotAfterDisconnect,
+        Self::DeadlineNotExtended,
+        Self::MalformedClientRejected,
     ];
 }
 
 /// A rule that was broken, and where.
 #[derive(Clone, Debug, PartialEq)]
-pub struct Broken {
+pub struct Violation {
     /// The rule.
     pub rule: Rule,
     /// The request.
@@ -73,34 +95,34 @@
     pub what: String,
 }
 
-impl fmt::Display for Broken {
+impl fmt::Display for Violation {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         write!(f, "{:?}: request {}: {}", self.rule, self.id, self.what)
     }
 }
 
 /// All rules that were broken, in the order of the rules.
-pub fn check(history: &History) -> Vec<Broken> {
+pub fn check(history: &History) -> Vec<Violation> {
     let mut attempts: HashMap<&str, Vec<&Attempt>> = HashMap::new();
     for attempt in &history.attempts {
-        attempts.entry(&attempt.seen.id).or_default().push(attempt);
+        attempts.entry(&attempt.request.id).or_default().push(attempt);
     }
-    attempts.values_mut().for_each(|all| all.sort_by_key(|a| a.seen.came.1));
-    let mut sends: HashMap<&str, Vec<&Send>> = HashMap::new();
-    for send in &history.sends {
-        sends.entry(&send.sent.id).or_default().push(send);
+    attempts.values_mut().for_each(|all| all.sort_by_key(|a| a.request.received_at.1));
+    let mut sends: HashMap<&str, Vec<&ForwardedRequest>> = HashMap::new();
+    for send in &history.forwarded {
+        sends.entry(&send.request.id).or_default().push(send);
     }
     let mut broken = Vec::new();
-    let asked: BTreeSet<&str> = history.asks.iter().map(|a| a.id.as_str()).collect();
-    for attempt in history.attempts.iter().filter(|a| !asked.contains(a.seen.id.as_str())) {
+    let asked: BTreeSet<&str> = history.requests.iter().map(|a| a.id.as_str()).collect();
+    for attempt in history.attempts.iter().filter(|a| !asked.contains(a.request.id.as_str())) {
         let what = format!("server {} got it, and no client sent it", attempt.server);
-        broken.push(Broken { rule: Rule::Asked, id: attempt.seen.id.clone(), what });
+        broken.push(Violation { rule: Rule::RequestedByClient, id: attempt.request.id.clone(), what });
     }
-    for ask in &history.asks {
+    for ask in &history.requests {
         let attempts = attempts.get(ask.id.as_str()).map_or(&[][..], Vec::as_slice);
         let sends = sends.get(ask.id.as_str()).map_or(&[][..], Vec::as_slice);
         let mut note = |found: Option<(Rule, String)>| {
-            broken.extend(found.map(|(rule, what)| Broken { rule, id: ask.id.clone(), what }));
+            broken.extend(found.map(|(rule, what)| Violation { rule, id: ask.id.clone(), what }));
         };
         note(answer(history, ask));
         note(genuine(ask, attempts));
@@ -112,50 +134,52 @@
         note(cordoned(history, sends));
         note(deadline(history, ask, sends));
     }
-    broken.extend(cold(history));
+    broken.extend(slow_start_overloads(history));
     broken.extend(left(history, &sends));
-    broken.extend(history.strangers.iter().filter_map(|s| stranger(history, s)));
+    broken.extend(history.malformed_clients.iter().filter_map(|s| stranger(history, s)));
     broken.sort_by_key(|b| b.rule);
     broken
 }
 
-fn answer(history: &History, ask: &Ask) -> Option<(Rule, String)> {
-    let end = ask.sent + ask.wait;
+fn answer(history: &History, ask: &ClientRequest) -> Option<(Rule, String)> {
+    let end = ask.sent_at + ask.timeout;
     // What a sidecar had that was killed, or that stood still, is for the client to repeat.
-    if history.sidecars_away.iter().any(|a| a.meets(ask.sidecar, ask.sent, end + history.slack)) {
+    if history.sidecar_outages.iter().any(|a| a.overlaps(ask.sidecar, ask.sent_at, end + history.slack)) {
         return None;
     }
-    match &ask.came {
-        Came::Unreached | Came::Left { .. } => None,
-        Came::Closed { at } => {
-            Some((Rule::Answered, format!("its connection ended after {} us", at - ask.sent)))
+    match &ask.outcome {
+        Outcome::ConnectFailed | Outcome::Disconnected { .. } => None,
+        Outcome::Closed { at } => {
+            Some((Rule::Answered, format!("its connection ended after {} us", at - ask.sent_at)))
         }
-        Came::Nothing => Some((Rule::Answered, "it had no answer".to_owned())),
-        Came::Answer { at, status, .. } => (*at > end + history.slack)
-            .then(|| (Rule::InTime, format!("its answer {status} came {} us after its time", at - end))),
+        Outcome::TimedOut => Some((Rule::Answered, "it had no answer".to_owned())),
+        Outcome::Answer { at, status, .. } => (*at > end + history.slack).then(|| {
+            (Rule::WithinDeadline, format!("its answer {status} came {} us after its time", at - end))
+        }),
     }
 }
 
 /// Whether an attempt is that of a process that was killed. A client whose connection ended with that has sent its request
 /// once more, to a process that knows nothing of the first.
-fn of_killed(history: &History, ask: &Ask, attempt: &Attempt) -> bool {
-    let sent = history.left_at(attempt);
-    sent < ask.sent && history.sidecars_away.iter().any(|away| away.meets(ask.sidecar, sent, ask.sent))
+fn of_killed(history: &History, ask: &ClientRequest, attempt: &Attempt) -> bool {
+    let sent = history.sent_at_of(attempt);
+    sent < ask.sent_at
+        && history.sidecar_outages.iter().any(|away| away.overlaps(ask.sidecar, sent, ask.sent_at))
 }
 
-fn genuine(ask: &Ask, attempts: &[&Attempt]) -> Option<(Rule, String)> {
-    let Came::Answer { status: 200, body, .. } = &ask.came else { return None };
-    let made = attempts.iter().filter_map(|a| a.over.as_ref()?.body.as_ref());
+fn genuine(ask: &ClientRequest, attempts: &[&Attempt]) -> Option<(Rule, String)> {
+    let Outcome::Answer { status: 200, body, .. } = &ask.outcome else { return None };
+    let made = attempts.iter().filter_map(|a| a.end.as_ref()?.body.as_ref());
     let genuine = made.into_iter().any(|made| made == body);
     (!genuine).then(|| (Rule::Genuine, format!("no server made what it was served: {body}")))
 }
 
 /// Until when an attempt was out. A server that stood still wrote that down late, and is believed in nothing.
 fn out(history: &History, attempt: &Attempt) -> Option<(i64, i64)> {
-    let over = attempt.over.as_ref()?;
-    let (from, to) = (attempt.seen.came.1, over.at);
-    let late = history.servers_away.iter().any(|a| a.meets(attempt.server, from - history.slack, to));
-    (!late && !attempt.seen.stale).then_some((from, to))
+    let over = attempt.end.as_ref()?;
+    let (from, to) = (attempt.request.received_at.1, over.at);
+    let late = history.server_outages.iter().any(|a| a.overlaps(attempt.server, from - history.slack, to));
+    (!late && !attempt.request.stale).then_some((from, to))
 }
 
 fn two_at_once(history: &History, attempts: &[&Attempt]) -> Option<(Rule, String)> {
@@ -170,24 +194,27 @@
     })
 }
 
-fn repeat(history: &History, ask: &Ask, attempts: &[&Attempt]) -> Option<(Rule, String)> {
-    let ran = |a: &Attempt| a.over.as_ref().is_none_or(|o| o.ran);
+fn repeat(history: &History, ask: &ClientRequest, attempts: &[&Attempt]) -> Option<(Rule, String)> {
+    let ran = |a: &Attempt| a.end.as_ref().is_none_or(|o| o.executed);
     let first = attempts.iter().find(|a| ran(a))?;
-    let next = attempts.iter().filter(|a| a.seen.came.1 > first.seen.came.1).filter(|a| !a.seen.stale);
-    match ask.kind {
-        Kind::Safe => None,
-        Kind::Unsafe => next.into_iter().next().map(|a| {
+    let next = attempts
+        .iter()
+        .filter(|a| a.request.received_at.1 > first.request.received_at.1)
+        .filter(|a| !a.request.stale);
+    match ask.idempotency {
+        Idempotency::Idempotent => None,
+        Idempotency::NonIdempotent => next.into_iter().next().map(|a| {
             (
-                Rule::NoRepeat,
+                Rule::NoUnsafeRetry,
                 format!("server {} got it after it may have run at server {}", a.server, first.server),
             )
         }),
         // One that its server read late, as it stood still, was sent in time for all that is known.
-        Kind::Keyed { window } => next.into_iter().filter(|a| !read_late(history, a)).find_map(|a| {
-            let after = history.left_at(a) - first.seen.came.0;
+        Idempotency::Keyed { window } => next.into_iter().filter(|a| !read_late(history, a)).find_map(|a| {
+            let after = history.sent_at_of(a) - first.request.received_at.0;
             (after > window + history.slack).then(|| {
                 (
-                    Rule::NoRepeat,
+                    Rule::NoUnsafeRetry,
                     format!("it was sent to server {} {after} us after the first came", a.server),
                 )
             })
@@ -197,36 +224,37 @@
 
 /// Whether a server stood still, or came to itself, as it read a request.
 fn read_late(history: &History, attempt: &Attempt) -> bool {
-    let came = attempt.seen.came.0;
-    history.servers_away.iter().any(|away| away.meets(attempt.server, came, came))
+    let came = attempt.request.received_at.0;
+    history.server_outages.iter().any(|away| away.overlaps(attempt.server, came, came))
 }
 
-fn refusal(ask: &Ask, attempts: &[&Attempt]) -> Option<(Rule, String)> {
-    let Came::Answer { status: status @ (429 | 503), at, .. } = &ask.came else { return None };
-    let ran = attempts.iter().find(|a| a.over.as_ref().is_some_and(|o| o.ran))?;
-    let harmless = match ask.kind {
-        Kind::Safe => true,
-        Kind::Keyed { window } => at - ran.seen.came.0 < window,
-        Kind::Unsafe => false,
+fn refusal(ask: &ClientRequest, attempts: &[&Attempt]) -> Option<(Rule, String)> {
+    let Outcome::Answer { status: status @ (429 | 503), at, .. } = &ask.outcome else { return None };
+    let ran = attempts.iter().find(|a| a.end.as_ref().is_some_and(|o| o.executed))?;
+    let harmless = match ask.idempotency {
+        Idempotency::Idempotent => true,
+        Idempotency::Keyed { window } => at - ran.request.received_at.0 < window,
+        Idempotency::NonIdempotent => false,
     };
-    (!harmless)
-        .then(|| (Rule::Harmless, format!("it was refused with {status}, and server {} ran it", ran.server)))
+    (!harmless).then(|| {
+        (Rule::SafeRejection, format!("it was refused with {status}, and server {} ran it", ran.server))
+    })
 }
 
-fn drained(history: &History, ask: &Ask, sends: &[&Send]) -> Option<(Rule, String)> {
+fn drained(history: &History, ask: &ClientRequest, sends: &[&ForwardedRequest]) -> Option<(Rule, String)> {
     let last = |told: &[(usize, usize, i64)], server: usize, before: i64| {
         let of = told.iter().filter(|t| t.0 == ask.sidecar && t.1 == server && t.2 <= before);
         of.map(|t| t.2).max()
     };
     sends.iter().find_map(|send| {
-        let (server, at) = (send.server, send.sent.at);
-        let gone = last(&history.told_gone, server, at)?;
-        let back = last(&history.told_back, server, at);
-        let broken = back.is_none_or(|b| b < gone) && at > gone + history.grace + history.slack;
+        let (server, at) = (send.server, send.request.sent_at);
+        let gone = last(&history.notified_unavailable, server, at)?;
+        let back = last(&history.notified_available, server, at);
+        let broken = back.is_none_or(|b| b < gone) && at > gone + history.drain_grace + history.slack;
         broken.then(|| {
             let after = at - gone;
             (
-                Rule::Drained,
+                Rule::RespectsDrain,
                 format!("it was sent to server {server} {after} us after sidecar {} was told", ask.sidecar),
             )
         })
@@ -234,17 +262,17 @@
 }
 
 /// From an operator's yes on the server counts as draining, whatever discovery lists.
-fn cordoned(history: &History, sends: &[&Send]) -> Option<(Rule, String)> {
+fn cordoned(history: &History, sends: &[&ForwardedRequest]) -> Option<(Rule, String)> {
     sends.iter().find_map(|send| {
-        let at = send.sent.at;
+        let at = send.request.sent_at;
         let broken = |c: &&Cordon| {
-            let from = c.span.0 + history.grace + history.slack;
+            let from = c.span.0 + history.drain_grace + history.slack;
             (c.sidecar, c.server) == (send.sidecar, send.server) && at > from && at < c.span.1
         };
         let cordon = history.cordons.iter().find(broken)?;
         let after = at - cordon.span.0;
         Some((
-            Rule::Drained,
+            Rule::RespectsDrain,
             format!("it was sent to server {} {after} us after it was taken out", send.server),
         ))
     })
@@ -256,12 +284,15 @@
 /// By how much the time that is told may be over what is left.
 const DEADLINE_SLACK: i64 = 150_000;
 
-fn deadline(history: &History, ask: &Ask, sends: &[&Send]) -> Option<(Rule, String)> {
+fn deadline(history: &History, ask: &ClientRequest, sends: &[&ForwardedRequest]) -> Option<(Rule, String)> {
     sends.iter().find_map(|send| {
-        let left = ask.sent + ask.wait - send.sent.at;
-        let told = send.sent.told?;
-        (told > left + DEADLINE_SLACK + history.links).then(|| {
-            (Rule::Deadline, format!("server {} was told {told} us, where {left} were left", send.server))
+        let left = ask.sent_at + ask.timeout - send.request.sent_at;
+        let told = send.request.time_left?;
+        (told > left + DEADLINE_SLACK + history.max_link_delay).then(|| {
+            (
+                Rule::DeadlineNotExtended,
+                format!("server {} was told {told} us, where {left} were left", send.server),
+            )
         })
     })
 }
@@ -269,28 +300,30 @@
 /// What peers that are no clients are owed comes within this time.
 const TURNED_AWAY_WITHIN: i64 = 3_000_000;
 
-fn stranger(history: &History, stranger: &Stranger) -> Option<Broken> {
-    let until = stranger.came + TURNED_AWAY_WITHIN + history.slack;
-    let away = history.sidecars_away.iter().any(|a| a.meets(stranger.sidecar, stranger.came, until));
-    let late = stranger.turned_away.is_none_or(|at| at > until) && !away;
-    (late || stranger.served).then(|| Broken {
-        rule: Rule::TurnedAway,
+fn stranger(history: &History, stranger: &MalformedClient) -> Option<Violation> {
+    let until = stranger.connected_at + TURNED_AWAY_WITHIN + history.slack;
+    let away =
+        history.sidecar_outages.iter().any(|a| a.overlaps(stranger.sidecar, stranger.connected_at, until));
+    let late = stranger.rejected_at.is_none_or(|at| at > until) && !away;
+    (late || stranger.served).then(|| Violation {
+        rule: Rule::MalformedClientRejected,
         id: "none".to_owned(),
         what: format!("{stranger:?}"),
     })
 }
 
-fn left(history: &History, sends: &HashMap<&str, Vec<&Send>>) -> Vec<Broken> {
-    let late = |ask: &Ask| {
-        let Came::Left { at } = ask.came else { return Vec::new() };
+fn left(history: &History, sends: &HashMap<&str, Vec<&ForwardedRequest>>) -> Vec<Violation> {
+    let late = |ask: &ClientRequest| {
+        let Outcome::Disconnected { at } = ask.outcome else { return Vec::new() };
         let all = sends.get(ask.id.as_str()).map_or(&[][..], Vec::as_slice);
-        let late = all.iter().filter(|send| send.sent.at > at + LEFT_GRACE + history.links);
-        late.map(|send| (send.sent.at, send.server, send.sent.at - at, ask.id.clone())).collect()
+        let late = all.iter().filter(|send| send.request.sent_at > at + LEFT_GRACE + history.max_link_delay);
+        late.map(|send| (send.request.sent_at, send.server, send.request.sent_at - at, ask.id.clone()))
+            .collect()
     };
-    let mut all: Vec<(i64, usize, i64, String)> = history.asks.iter().flat_map(late).collect();
+    let mut all: Vec<(i64, usize, i64, String)> = history.requests.iter().flat_map(late).collect();
     all.sort();
-    let broken = all.into_iter().map(|(_, server, after, id)| Broken {
-        rule: Rule::Left,
+    let broken = all.into_iter().map(|(_, server, after, id)| Violation {
+        rule: Rule::NotAfterDisconnect,
         id,
         what: format!("it was sent to server {server} {after} us after its client had closed"),
     });
@@ -298,7 +331,7 @@
 }
 
 /// Broken rules by count, for the reader of a failure.
-pub fn counts(broken: &[Broken]) -> BTreeMap<Rule, usize> {
+pub fn count_by_rule(broken: &[Violation]) -> BTreeMap<Rule, usize> {
     let mut counts = BTreeMap::new();
     broken.iter().for_each(|b| *counts.entry(b.rule).or_default() += 1);
     counts
--- a/crates/fleet/src/harness/clients.rs
+++ b/crates/fleet/src/harness/clients.rs
@@ -1,8 +1,8 @@
 //! Clients of the sidecars: requests by a schedule, whatever became of earlier ones, and all that came back.
 
-use super::check::{Ask, Came, Kind};
-use super::clock;
+use super::check::{ClientRequest, Idempotency, Outcome};
 use super::http::Reader;
+use super::now_micros;
 use crate::chance::{mix, unit};
 use std::collections::HashMap;
 use std::net::SocketAddr;
@@ -20,11 +20,11 @@
     /// Requests a second to each sidecar.
     pub rate: f64,
     /// Classes: name, kind, time that the client waits, and share.
-    pub classes: Vec<(String, Kind, Duration, f64)>,
+    pub classes: Vec<(String, Idempotency, Duration, f64)>,
     /// Share of clients that close their connection within a quarter of their time, if they have no answer by then.
-    pub leaving: f64,
+    pub disconnect_share: f64,
     /// Share of requests that may have one that come with a body, some of them a long one, in pieces.
-    pub bodies: f64,
+    pub body_share: f64,
     /// Fixes ids and the order of classes.
     pub seed: u64,
 }
@@ -32,7 +32,7 @@
 /// Clients at work. They stop when told, or when this is dropped.
 pub struct Clients {
     stop: Arc<AtomicBool>,
-    asks: Arc<Mutex<Vec<Ask>>>,
+    requests: Arc<Mutex<Vec<ClientRequest>>>,
     open: Arc<AtomicU64>,
     /// Sidecars to which no new connection is made.
     barred: Arc<Vec<AtomicBool>>,
@@ -54,10 +54,10 @@
     /// Begins to ask these sidecars, in the order of their numbers.
     pub fn start(runtime: &Handle, sidecars: &[SocketAddr], traffic: &Traffic) -> Self {
         let barred = Arc::new(sidecars.iter().map(|_| AtomicBool::default()).collect());
-        let clients = Self { stop: Arc::default(), asks: Arc::default(), open: Arc::default(), barred };
+        let clients = Self { stop: Arc::default(), requests: Arc::default(), open: Arc::default(), barred };
         for (sidecar, at) in sidecars.iter().copied().enumerate() {
             let (traffic, stop) = (traffic.clone(), clients.stop.clone());
-            let (asks, open, handle) = (clients.asks.clone(), clients.open.clone(), runtime.clone());
+            let (asks, open, handle) = (clients.requests.clone(), clients.open.clone(), runtime.clone());
             let barred = clients.barred.clone();
             runtime.spawn(async move {
                 let (begun, pool) = (Instant::now(), Pool::default());
@@ -85,38 +85,38 @@
     }
 
     /// Makes no new connections to a sidecar, as it is about to end, or does again.
-    pub fn bar(&self, sidecar: usize, barred: bool) {
+    pub fn block_connections(&self, sidecar: usize, barred: bool) {
         self.barred[sidecar].store(barred, Ordering::SeqCst);
     }
 
     /// How many requests are over.
-    pub fn over(&self) -> usize {
-        self.asks.lock().unwrap_or_else(PoisonError::into_inner).len()
+    pub fn finished_count(&self) -> usize {
+        self.requests.lock().unwrap_or_else(PoisonError::into_inner).len()
     }
 
     /// How many were served so far, of those that hold.
-    pub fn served(&self, of: impl Fn(&Ask) -> bool) -> usize {
-        let asks = self.asks.lock().unwrap_or_else(PoisonError::into_inner);
-        asks.iter().filter(|a| of(a) && matches!(a.came, Came::Answer { status: 200, .. })).count()
+    pub fn served_count(&self, of: impl Fn(&ClientRequest) -> bool) -> usize {
+        let asks = self.requests.lock().unwrap_or_else(PoisonError::into_inner);
+        asks.iter().filter(|a| of(a) && matches!(a.outcome, Outcome::Answer { status: 200, .. })).count()
     }
 
     /// All that was asked so far.
-    pub fn finish_early(self) -> Vec<Ask> {
-        std::mem::take(&mut self.asks.lock().unwrap_or_else(PoisonError::into_inner))
+    pub fn into_requests(self) -> Vec<ClientRequest> {
+        std::mem::take(&mut self.requests.lock().unwrap_or_else(PoisonError::into_inner))
     }
 
     /// Asks nothing more and waits for what is open; whether that ended.
-    pub fn settle(&self) -> bool {
+    pub fn stop_and_wait(&self) -> bool {
         self.stop.store(true, Ordering::SeqCst);
         super::until(|| self.open.load(Ordering::SeqCst) == 0)
     }
 
     /// Asks nothing more, waits for what is open, and gives all of it; `None` if that does not end.
-    pub fn finish(self) -> Option<Vec<Ask>> {
-        if !self.settle() {
+    pub fn finish(self) -> Option<Vec<ClientRequest>> {
+        if !self.stop_and_wait() {
             return None;
         }
-        Some(std::mem::take(&mut self.asks.lock().unwrap_or_else(PoisonError::into_inner)))
+        Some(std::mem::take(&mut self.requests.lock().unwrap_or_else(PoisonError::into_inner)))
     }
 }
 
@@ -128,7 +128,7 @@
     name: u64,
     pool: &Pool,
     barred: &AtomicBool,
-) -> Ask {
+) -> ClientRequest {
     let mut pick = unit(name) * traffic.classes.iter().map(|c| c.3).sum::<f64>();
     let found = traffic.classes.iter().find(|c| {
         pick -= c.3;
@@ -137,19 +137,25 @@
     let (class, kind, wait, _) = found.unwrap_or(&traffic.classes[0]);
     let id = format!("{name:016x}");
     let (method, key) = match kind {
-        Kind::Safe => ("GET", String::new()),
-        Kind::Keyed { .. } => ("POST", format!("Idempotency-Key: k{id}\r\n")),
-        Kind::Unsafe => ("POST", String::new()),
+        Idempotency::Idempotent => ("GET", String::new()),
+        Idempotency::Keyed { .. } => ("POST", format!("Idempotency-Key: k{id}\r\n")),
+        Idempotency::NonIdempotent => ("POST", String::new()),
     };
-    let body = body(name, method, traffic.bodies);
+    let body = body(name, method, traffic.body_share);
     let text = format!(
         "{method} /api HTTP/1.1\r\nHost: api.internal\r\nX-Correlation-Id: {id}\r\nX-Service-Class: {class}\r\n\
          X-Time-Left: {}m\r\n{key}Content-Length: {}\r\n\r\n",
         wait.as_millis(),
         body.len()
     );
-    let mut ask =
-        Ask { id, sidecar, kind: *kind, wait: wait.as_micros() as i64, sent: clock(), came: Came::Unreached };
+    let mut ask = ClientRequest {
+        id,
+        sidecar,
+        idempotency: *kind,
+        timeout: wait.as_micros() as i64,
+        sent_at: now_micros(),
+        outcome: Outcome::ConnectFailed,
+    };
     let kept = pool.lock().unwrap_or_else(PoisonError::into_inner).pop();
     let reused = kept.is_some();
     let mut next = kept;
@@ -158,7 +164,7 @@
             Some(connection) => Some(connection),
             // What it had kept has closed under its request, unread: there is nowhere to send it again.
             None if barred.load(Ordering::SeqCst) => {
-                ask.came = Came::Unreached;
+                ask.outcome = Outcome::ConnectFailed;
                 return ask;
             }
             None => match timeout(*wait, TcpStream::connect(at)).await {
@@ -170,42 +176,44 @@
             },
         };
         let Some((mut stream, mut reader)) = connection else { return ask };
-        ask.sent = clock();
+        ask.sent_at = now_micros();
         if write(&mut stream, text.as_bytes(), &body, name).await.is_err() {
-            if reused && ask.came == Came::Unreached {
-                ask.came = Came::Closed { at: clock() };
+            if reused && ask.outcome == Outcome::ConnectFailed {
+                ask.outcome = Outcome::Closed { at: now_micros() };
                 continue;
             }
-            ask.came = Came::Closed { at: clock() };
+            ask.outcome = Outcome::Closed { at: now_micros() };
             return ask;
         }
-        ask.sent = clock();
-        let leaves = unit(mix(name)) < traffic.leaving;
+        ask.sent_at = now_micros();
+        let leaves = unit(mix(name)) < traffic.disconnect_share;
         let listens = if leaves { wait.mul_f64(0.25 * unit(!name)) } else { *wait + LISTENS };
         let answer = timeout(listens, reader.next(&mut stream, true)).await;
         match answer {
             Ok(Ok(Some(m))) => {
                 let body = String::from_utf8_lossy(&m.body).into_owned();
                 let closes = m.header("connection").is_some_and(|c| c.eq_ignore_ascii_case("close"));
-                ask.came = Came::Answer { status: m.status(), at: m.came.1, body };
+                ask.outcome = Outcome::Answer { status: m.status(), at: m.received_at.1, body };
                 if !closes && !reader.holds_more() {
                     pool.lock().unwrap_or_else(PoisonError::into_inner).push((stream, reader));
                 }
                 return ask;
             }
             // A kept connection that closes as it is written to: once more, on a new one.
-            Ok(_) if reused && ask.came == Came::Unreached => ask.came = Came::Closed { at: clock() },
+            Ok(_) if reused && ask.outcome == Outcome::ConnectFailed => {
+                ask.outcome = Outcome::Closed { at: now_micros() }
+            }
             Ok(_) => {
-                ask.came = Came::Closed { at: clock() };
+                ask.outcome = Outcome::Closed { at: now_micros() };
                 return ask;
             }
             Err(_) if leaves => {
                 drop(stream);
-                ask.came = Came::Left { at: clock() };
+                ask.outcome = Outcome::Disconnected { at: now_micros() };
                 return ask;
             }
             Err(_) => {
-                ask.came = Came::Nothing;
+                ask.outcome = Outcome::TimedOut;
                 return ask;
             }
         }
@@ -239,11 +247,11 @@
 }
 
 /// Counts by what came, for the reader of a failure.
-pub fn counts(asks: &[Ask]) -> HashMap<String, usize> {
+pub fn counts(asks: &[ClientRequest]) -> HashMap<String, usize> {
     let mut counts = HashMap::new();
     for ask in asks {
-        let what = match &ask.came {
-            Came::Answer { status, .. } => status.to_string(),
+        let what = match &ask.outcome {
+            Outcome::Answer { status, .. } => status.to_string(),
             other => format!("{other:?}").split([' ', '{']).next().unwrap_or_default().to_owned(),
         };
         *counts.entry(what).or_default() += 1;
--- a/crates/fleet/src/harness/cluster.rs
+++ b/crates/fleet/src/harness/cluster.rs
@@ -1,12 +1,12 @@
 //! A cluster of real processes: sidecars, servers, discovery, a relay on each link between them, and clients.
 
 use super::check::History;
+use super::fault_proxy::FaultProxy;
 use super::process::{Process, Programs};
-use super::reaper::Reaper;
-use super::relay::Relay;
-use super::rosters::Rosters;
-use super::wait::{LONG, Timeline, until};
-use super::{clock, unused_address};
+use super::process_guard::ProcessGuard;
+use super::registry_replicas::RegistryReplicas;
+use super::wait::{Timeline, WAIT_TIMEOUT, until};
+use super::{now_micros, unused_address};
 use lotusmoor_faults::{FaultTable, Rule};
 use std::collections::BTreeMap;
 use std::fs::File;
@@ -16,21 +16,21 @@
 use std::process::Command;
 use tokio::runtime::Runtime;
 
+mod config;
+mod fake_services;
+mod faults;
 mod finish;
 mod hand_over;
 mod logs;
+mod notification_deadline;
 mod operators;
 mod servers;
-mod shape;
 mod sidecars;
-mod stand_in;
-mod told;
-mod troubles;
 
+pub use config::ClusterConfig;
 pub use logs::LogReader;
+use notification_deadline::Interruptions;
 pub use operators::{OperatorCall, PendingCall};
-pub use shape::Shape;
-use told::Obstacles;
 
 /// Why a cluster can't be played with: what failed, with all that was seen.
 #[derive(Debug, thiserror::Error)]
@@ -54,7 +54,7 @@
 
 /// A cluster. All of it ends when this is dropped.
 pub struct Cluster {
-    shape: Shape,
+    config: ClusterConfig,
     programs: Programs,
     folder: tempfile::TempDir,
     /// What was done when.
@@ -64,32 +64,32 @@
     servers: Vec<Server>,
     discovery: Discovery,
     /// Replicas of a roster, where the shape has some.
-    pub rosters: Rosters,
+    pub registry: RegistryReplicas,
     /// When each sidecar was first seen to have a version, by version.
-    told: BTreeMap<(usize, u64), i64>,
+    notified: BTreeMap<(usize, u64), i64>,
     /// What stood between discovery and sidecars.
-    obstacles: Obstacles,
+    interruptions: Interruptions,
     history: History,
     // Last: it ends what the others leave.
-    reaper: Reaper,
+    process_guard: ProcessGuard,
 }
 
 struct Sidecar {
     address: SocketAddr,
     /// The socket that is passed on to its processes, where the platform holds it.
-    passed: Option<TcpListener>,
+    inherited_socket: Option<TcpListener>,
     process: Option<Process>,
     /// The process before that, until it has ended.
-    before: Option<Process>,
+    previous_process: Option<Process>,
     /// Two ways to discovery, and the one that its configuration names.
-    to_discovery: [Relay; 2],
-    discovery_way: usize,
+    discovery_proxies: [FaultProxy; 2],
+    discovery_proxy_index: usize,
     faults: Option<FaultTable>,
-    untold_since: Option<i64>,
-    to_rosters: Vec<Relay>,
+    updates_interrupted_since: Option<i64>,
+    registry_proxies: Vec<FaultProxy>,
     management: SocketAddr,
-    to_servers: Vec<Relay>,
-    away_since: Option<i64>,
+    server_proxies: Vec<FaultProxy>,
+    unavailable_since: Option<i64>,
     /// Holds the pipe that it logs to open, and reads nothing.
     log_reader: Option<File>,
 }
@@ -99,91 +99,101 @@
     zone: usize,
     address: SocketAddr,
     process: Option<Process>,
-    notes: PathBuf,
+    records: PathBuf,
     status: &'static str,
     since_ms: i64,
-    away_since: Option<i64>,
+    unavailable_since: Option<i64>,
 }
 
 struct Discovery {
     process: Process,
     control: SocketAddr,
-    notes: PathBuf,
+    records: PathBuf,
     /// Servers whose status each version changed: version, when, server, whether it is gone from then on.
     changes: Vec<(u64, i64, usize, bool)>,
 }
 
 impl Cluster {
     /// Starts all of it, and waits until each sidecar serves.
-    pub fn start(shape: Shape) -> Result<Self, ClusterError> {
+    pub fn start(config: ClusterConfig) -> Result<Self, ClusterError> {
         let programs = Programs::find()?;
-        let reaper = Reaper::start(&programs.lotusmoor)?;
+        let process_guard = ProcessGuard::start(&programs.lotusmoor)?;
         let folder = tempfile::tempdir()?;
         let runtime = tokio::runtime::Builder::new_multi_thread().worker_threads(2).enable_all().build()?;
         let mut servers = Vec::new();
-        for i in 0..shape.servers {
+        for i in 0..config.servers {
             servers.push(Server {
                 name: format!("s-{i}"),
-                zone: i % shape.zones.len(),
+                zone: i % config.zones.len(),
                 address: unused_address(),
                 process: None,
-                notes: folder.path().join(format!("server-{i}.notes")),
+                records: folder.path().join(format!("server-{i}.notes")),
                 status: "active",
                 since_ms: 0,
-                away_since: None,
+                unavailable_since: None,
             });
         }
-        let told: Vec<SocketAddr> = (0..shape.sidecars).map(|_| unused_address()).collect();
+        let told: Vec<SocketAddr> = (0..config.sidecars).map(|_| unused_address()).collect();
         let control = unused_address();
-        let notes = folder.path().join("discovery.notes");
+        let records = folder.path().join("discovery.notes");
         let mut command = Command::new(&programs.lotusmoor);
         command.args(["--log", "error", "fleet", "stand-in", "discovery", "--control", &control.to_string()]);
-        command.arg("--notes").arg(&notes);
+        command.arg("--notes").arg(&records);
         told.iter().for_each(|at| {
             command.args(["--sidecar", &at.to_string()]);
         });
         let log = folder.path().join("discovery.log");
-        let process = Process::start(command, "discovery", &log, Some(&reaper))?;
-        let discovery = Discovery { process, control, notes, changes: Vec::new() };
+        let process = Process::start(command, "discovery", &log, Some(&process_guard))?;
+        let discovery = Discovery { process, control, records, changes: Vec::new() };
         let timeline = Timeline::default();
-        let mut rosters = Rosters::new(
+        let mut registry = RegistryReplicas::new(
             programs.clone(),
             folder.path(),
             runtime.handle().clone(),
-            reaper.clone(),
+            process_guard.clone(),
             timeline.clone(),
         );
-        if shape.rosters > 0 {
-            rosters.start(shape.rosters, &[])?;
+        if config.registry_replicas > 0 {
+            registry.start(config.registry_replicas, &[])?;
         }
         let mut sidecars = Vec::new();
         for (n, at) in told.into_iter().enumerate() {
-            let to_servers = servers.iter().map(|s| Relay::start(runtime.handle(), s.address));
+            let server_proxies = servers.iter().map(|s| FaultProxy::start(runtime.handle(), s.address));
             let address = unused_address();
             sidecars.push(Sidecar {
                 address,
-                passed: shape.passed.then(|| TcpListener::bind(address)).transpose()?,
+                inherited_socket: config.inherited_sockets.then(|| TcpListener::bind(address)).transpose()?,
                 process: None,
-                before: None,
-                to_discovery: [Relay::start(runtime.handle(), at)?, Relay::start(runtime.handle(), at)?],
-                discovery_way: 0,
-                faults: shape.faults.then(|| table(folder.path(), n, &shape.fails)).transpose()?,
-                untold_since: None,
-                to_rosters: (0..shape.rosters)
-                    .map(|r| Relay::start(runtime.handle(), rosters.address(r)))
+                previous_process: None,
+                discovery_proxies: [
+                    FaultProxy::start(runtime.handle(), at)?,
+                    FaultProxy::start(runtime.handle(), at)?,
+                ],
+                discovery_proxy_index: 0,
+                faults: config
+                    .fault_injection
+                    .then(|| create_fault_table(folder.path(), n, &config.initial_faults))
+                    .transpose()?,
+                updates_interrupted_since: None,
+                registry_proxies: (0..config.registry_replicas)
+                    .map(|r| FaultProxy::start(runtime.handle(), registry.address(r)))
                     .collect::<Result<_, _>>()?,
                 management: unused_address(),
-                to_servers: to_servers.collect::<Result<_, _>>()?,
-                away_since: None,
+                server_proxies: server_proxies.collect::<Result<_, _>>()?,
+                unavailable_since: None,
                 log_reader: None,
             });
         }
-        let history =
-            History { slack: shape.slack, grace: 2_000_000, cold: shape.cold(), ..History::default() };
-        let pushed = shape.rosters == 0 && shape.settings["Discovery"] == "pushed";
-        let obstacles = Obstacles { pushed, all: Vec::new() };
+        let history = History {
+            slack: config.slack,
+            drain_grace: 2_000_000,
+            slow_start_limit: config.slow_start_limit(),
+            ..History::default()
+        };
+        let pushed = config.registry_replicas == 0 && config.settings["Discovery"] == "pushed";
+        let interruptions = Interruptions { pushed, all: Vec::new() };
         let mut cluster = Self {
-            shape,
+            config,
             programs,
             folder,
             timeline,
@@ -191,17 +201,17 @@
             sidecars,
             servers,
             discovery,
-            rosters,
-            told: BTreeMap::new(),
-            obstacles,
+            registry,
+            notified: BTreeMap::new(),
+            interruptions,
             history,
-            reaper,
+            process_guard,
         };
         for i in 0..cluster.servers.len() {
             cluster.start_server(i)?;
         }
         let all: Vec<usize> = (0..cluster.servers.len()).collect();
-        cluster.list(&all)?;
+        cluster.publish(&all)?;
         for i in 0..cluster.sidecars.len() {
             cluster.start_sidecar(i)?;
         }
@@ -219,17 +229,17 @@
         let servers = self.servers.iter().filter_map(|s| s.process.as_ref());
         let mut logs = String::new();
         for process in sidecars.chain(servers).chain([&self.discovery.process]) {
-            let said = process.said();
+            let said = process.log_text();
             let tail: Vec<&str> = said.lines().rev().take(40).collect();
             logs.push_str(&format!("--- {}, last lines first\n{}\n", process.name, tail.join("\n")));
         }
-        logs.push_str(&self.rosters.logs());
+        logs.push_str(&self.registry.logs());
         let timeline = self.timeline.to_string();
-        ClusterError::Failed { what, seed: self.shape.seed, timeline, logs }
+        ClusterError::Failed { what, seed: self.config.seed, timeline, logs }
     }
 }
 
-fn table(folder: &Path, sidecar: usize, fails: &[Rule]) -> io::Result<FaultTable> {
+fn create_fault_table(folder: &Path, sidecar: usize, fails: &[Rule]) -> io::Result<FaultTable> {
     let path = folder.join(format!("sidecar-{sidecar}.faults"));
     let other = |e: lotusmoor_faults::TableError| io::Error::other(e.to_string());
     let table = FaultTable::create(&path).map_err(other)?;
--- a/crates/fleet/src/harness/cluster/shape.rs
+++ b/crates/fleet/src/harness/cluster/config.rs
@@ -1,7 +1,7 @@
 //! What a cluster is made of.
 
-use super::super::check::Cold;
-use super::super::ledger::Conduct;
+use super::super::backend::Conduct;
+use super::super::check::SlowStartLimit;
 use super::logs::LogReader;
 use lotusmoor_faults::Rule;
 use serde_json::{Value, json};
@@ -11,7 +11,7 @@
 
 /// What a cluster is made of.
 #[derive(Clone, Debug)]
-pub struct Shape {
+pub struct ClusterConfig {
     /// Sidecars.
     pub sidecars: usize,
     /// Servers.
@@ -26,13 +26,13 @@
     pub settings: Value,
     /// Replicas of a roster, which takes the stand-in discovery's place; 0 for none. With one, sidecars reach
     /// servers at their own addresses, as a roster has one for each server.
-    pub rosters: usize,
+    pub registry_replicas: usize,
     /// System calls of sidecars can be made to fail, and their wall clocks to step.
-    pub faults: bool,
+    pub fault_injection: bool,
     /// Calls that fail from the start of each sidecar on, where they can.
-    pub fails: Vec<Rule>,
+    pub initial_faults: Vec<Rule>,
     /// Sidecars listen on sockets that are passed on to them, so that new processes can take over.
-    pub passed: bool,
+    pub inherited_sockets: bool,
     /// Sidecars whose log nobody reads, by a reader that stands still, and by one that is gone.
     pub unread_logs: (Vec<usize>, Vec<usize>),
     /// How much later than a rule's figure something may be, in microseconds: what the machine itself may add.
@@ -41,9 +41,9 @@
     pub seed: u64,
 }
 
-impl Shape {
+impl ClusterConfig {
     /// Servers that answer at once, in three zones, with classes of each kind and the figures of the site's own rules.
-    pub fn plain(sidecars: usize, servers: usize, rosters: usize, seed: u64) -> Self {
+    pub fn plain(sidecars: usize, servers: usize, registry_replicas: usize, seed: u64) -> Self {
         let lane = |name: &str, effect: &str, aim: i64| {
             json!({"Name": name, "AimUs": aim, "DeadlineUs": 2_000_000, "Effect": effect, "DedupScope": "all",
                 "KeyTtlUs": 7_500_000, "Worth": 1.0})
@@ -64,7 +64,8 @@
         });
         let zones = ["a", "b", "c"].map(str::to_owned).to_vec();
         let conduct = Conduct::default();
-        let (cores, faults, fails, passed, slack) = (64, false, Vec::new(), false, SLACK);
+        let (cores, fault_injection, initial_faults, inherited_sockets, slack) =
+            (64, false, Vec::new(), false, SLACK);
         Self {
             sidecars,
             servers,
@@ -72,10 +73,10 @@
             conduct,
             cores,
             settings,
-            rosters,
-            faults,
-            fails,
-            passed,
+            registry_replicas,
+            fault_injection,
+            initial_faults,
+            inherited_sockets,
             unread_logs: Default::default(),
             slack,
             seed,
@@ -92,9 +93,9 @@
     }
 
     /// What a cold server bears, by the settings and what a warm one does; none where a request takes no time.
-    pub(super) fn cold(&self) -> Option<Cold> {
+    pub(super) fn slow_start_limit(&self) -> Option<SlowStartLimit> {
         let rules = &self.settings["Rules"];
-        Some(Cold {
+        Some(SlowStartLimit {
             per_s: (self.conduct.work_us > 0)
                 .then(|| self.cores as f64 * 1e6 / self.conduct.work_us as f64)?,
             factor: rules["OverloadFactor"].as_f64()?,
--- a/crates/fleet/src/harness/cluster/stand_in.rs
+++ b/crates/fleet/src/harness/cluster/fake_services.rs
@@ -1,6 +1,6 @@
 //! Calls to stand-ins and sidecars, and what stand-ins have written down.
 
-use super::LONG;
+use super::WAIT_TIMEOUT;
 use serde::Serialize;
 use serde::de::DeserializeOwned;
 use std::io::{self, Read, Write};
@@ -20,7 +20,7 @@
 
 fn call(at: SocketAddr, request: &str) -> io::Result<String> {
     let mut stream = TcpStream::connect_timeout(&at, Duration::from_secs(5))?;
-    stream.set_read_timeout(Some(LONG))?;
+    stream.set_read_timeout(Some(WAIT_TIMEOUT))?;
     stream.write_all(request.as_bytes())?;
     let mut answer = String::new();
     stream.read_to_string(&mut answer)?;
--- a/crates/fleet/src/harness/cluster/troubles.rs
+++ b/crates/fleet/src/harness/cluster/faults.rs
@@ -1,17 +1,17 @@
 //! Troubles of sidecars' processes: system calls that fail, clocks that step, signals.
 
+use super::super::fault_proxy::Link;
 use super::super::process::Process;
-use super::super::relay::Link;
-use super::stand_in::ready;
-use super::told::{Obstacle, Obstructed};
-use super::{Cluster, ClusterError, clock};
+use super::fake_services::ready;
+use super::notification_deadline::{Interruption, InterruptionCause};
+use super::{Cluster, ClusterError, now_micros};
 use lotusmoor_faults::{Call, Rule};
 use std::io;
 use std::net::SocketAddr;
 use tokio::runtime::Handle;
 
 /// A process that ended in one of these ways told to stop has done as it should.
-const STOPPED_WELL: Option<i32> = Some(0);
+const CLEAN_EXIT: Option<i32> = Some(0);
 
 impl Cluster {
     fn table_error(error: &lotusmoor_faults::TableError) -> ClusterError {
@@ -26,7 +26,7 @@
     }
 
     /// No system call of a sidecar fails any more.
-    pub fn mend_calls(&self, sidecar: usize) -> Result<(), ClusterError> {
+    pub fn clear_call_faults(&self, sidecar: usize) -> Result<(), ClusterError> {
         self.timeline.note(format!("sidecar {sidecar}: calls go well again"));
         let Some(table) = &self.sidecars[sidecar].faults else { return Ok(()) };
         table.disarm_all().map_err(|e| Self::table_error(&e))
@@ -40,45 +40,45 @@
     }
 
     /// A sidecar stands still.
-    pub fn hold_sidecar(&self, sidecar: usize) -> Result<(), ClusterError> {
+    pub fn pause_sidecar(&self, sidecar: usize) -> Result<(), ClusterError> {
         self.timeline.note(format!("sidecar {sidecar} held"));
-        Ok(self.sidecars[sidecar].process.as_ref().map_or(Ok(()), Process::hold)?)
+        Ok(self.sidecars[sidecar].process.as_ref().map_or(Ok(()), Process::pause)?)
     }
 
     /// It goes on.
-    pub fn let_sidecar_go_on(&self, sidecar: usize) -> Result<(), ClusterError> {
+    pub fn resume_sidecar(&self, sidecar: usize) -> Result<(), ClusterError> {
         self.timeline.note(format!("sidecar {sidecar} goes on"));
-        Ok(self.sidecars[sidecar].process.as_ref().map_or(Ok(()), Process::go_on)?)
+        Ok(self.sidecars[sidecar].process.as_ref().map_or(Ok(()), Process::resume)?)
     }
 
     /// A sidecar is told to stop.
-    pub fn tell_sidecar_to_stop(&mut self, sidecar: usize) -> Result<(), ClusterError> {
+    pub fn terminate_sidecar(&mut self, sidecar: usize) -> Result<(), ClusterError> {
         self.timeline.note(format!("sidecar {sidecar} told to stop"));
         let sidecar = &mut self.sidecars[sidecar];
-        sidecar.untold_since.get_or_insert_with(clock);
-        Ok(sidecar.process.as_ref().map_or(Ok(()), Process::tell_to_stop)?)
+        sidecar.updates_interrupted_since.get_or_insert_with(now_micros);
+        Ok(sidecar.process.as_ref().map_or(Ok(()), Process::terminate)?)
     }
 
     /// A sidecar is interrupted, as from a terminal.
     pub fn interrupt_sidecar(&mut self, sidecar: usize) -> Result<(), ClusterError> {
         self.timeline.note(format!("sidecar {sidecar} interrupted"));
         let sidecar = &mut self.sidecars[sidecar];
-        sidecar.untold_since.get_or_insert_with(clock);
+        sidecar.updates_interrupted_since.get_or_insert_with(now_micros);
         Ok(sidecar.process.as_ref().map_or(Ok(()), Process::interrupt)?)
     }
 
     /// The time of a sidecar that was told to stop is over: one that still runs is killed.
     pub fn end_sidecar(&mut self, sidecar: usize) -> Result<(), ClusterError> {
-        if !self.shape.passed {
-            self.forget_cordons(sidecar);
+        if !self.config.inherited_sockets {
+            self.end_cordons_of(sidecar);
         }
         let Some(mut process) = self.sidecars[sidecar].process.take() else { return Ok(()) };
-        match process.ended() {
+        match process.exit_status() {
             None => {
                 self.timeline.note(format!("sidecar {sidecar} killed, as it has not ended"));
                 process.kill()?;
             }
-            Some(status) if status.code() == STOPPED_WELL => {
+            Some(status) if status.code() == CLEAN_EXIT => {
                 self.timeline.note(format!("sidecar {sidecar} had ended"));
             }
             Some(status) => return Err(self.failed(format!("sidecar {sidecar} ended badly: {status}"))),
@@ -87,30 +87,34 @@
     }
 
     /// A sidecar whose process is killed, until it is started again.
-    pub fn kill_sidecar_for_now(&mut self, sidecar: usize) -> Result<(), ClusterError> {
-        self.sidecars[sidecar].untold_since.get_or_insert_with(clock);
+    pub fn kill_sidecar_until_restart(&mut self, sidecar: usize) -> Result<(), ClusterError> {
+        self.sidecars[sidecar].updates_interrupted_since.get_or_insert_with(now_micros);
         self.kill_sidecar(sidecar)
     }
 
     /// A sidecar's process starts; whether it serves is asked with [`Self::came_up`].
-    pub fn start_sidecar_for_now(&mut self, sidecar: usize) -> Result<(), ClusterError> {
+    pub fn begin_sidecar_start(&mut self, sidecar: usize) -> Result<(), ClusterError> {
         self.timeline.note(format!("sidecar {sidecar} starts"));
         self.launch_sidecar(sidecar)
     }
 
     /// Whether a sidecar that was started serves by now.
-    pub fn came_up(&mut self, sidecar: usize) -> Result<bool, ClusterError> {
-        if let Some(status) = self.sidecars[sidecar].process.as_mut().and_then(Process::ended) {
+    pub fn sidecar_is_ready(&mut self, sidecar: usize) -> Result<bool, ClusterError> {
+        if let Some(status) = self.sidecars[sidecar].process.as_mut().and_then(Process::exit_status) {
             return Err(self.failed(format!("sidecar {sidecar} ended as it started: {status}")));
         }
         if !ready(self.sidecars[sidecar].address) {
             return Ok(false);
         }
-        let now = clock();
-        if let Some(since) = self.sidecars[sidecar].untold_since.take() {
-            self.obstacles.all.push(Obstructed { sidecar, why: Obstacle::Away, span: (since, now) });
+        let now = now_micros();
+        if let Some(since) = self.sidecars[sidecar].updates_interrupted_since.take() {
+            self.interruptions.all.push(Interruption {
+                sidecar,
+                why: InterruptionCause::ProcessDown,
+                span: (since, now),
+            });
         }
-        self.sidecar_serves(sidecar, now);
+        self.record_sidecar_serving(sidecar, now);
         Ok(true)
     }
 
@@ -118,48 +122,53 @@
     /// more connections, and its open ones are reset.
     pub fn reload_sidecar(&mut self, sidecar: usize) -> Result<(), ClusterError> {
         self.timeline.note(format!("sidecar {sidecar} reloads"));
-        let now = clock();
+        let now = now_micros();
         let (to_old, to_new) = {
             let sidecar = &mut self.sidecars[sidecar];
-            let old = sidecar.discovery_way;
-            sidecar.discovery_way = 1 - old;
-            (old, sidecar.discovery_way)
+            let old = sidecar.discovery_proxy_index;
+            sidecar.discovery_proxy_index = 1 - old;
+            (old, sidecar.discovery_proxy_index)
         };
         self.write_config(sidecar)?;
         let sidecar_of = &self.sidecars[sidecar];
-        sidecar_of.to_discovery[to_new].set(Link::default());
-        sidecar_of.process.as_ref().map_or(Ok(()), Process::tell_to_reload)?;
-        sidecar_of.to_discovery[to_old].set(Link::cut());
-        sidecar_of.to_discovery[to_old].reset();
-        self.obstacles.all.push(Obstructed { sidecar, why: Obstacle::Reload, span: (now, now) });
+        sidecar_of.discovery_proxies[to_new].set_link(Link::default());
+        sidecar_of.process.as_ref().map_or(Ok(()), Process::reload)?;
+        sidecar_of.discovery_proxies[to_old].set_link(Link::cut());
+        sidecar_of.discovery_proxies[to_old].reset_connections();
+        self.interruptions.all.push(Interruption {
+            sidecar,
+            why: InterruptionCause::Reload,
+            span: (now, now),
+        });
         Ok(())
     }
 
     /// Nobody was told anything in that time.
-    pub fn note_silence(&mut self, since: i64) {
-        let now = clock();
-        let silence = |sidecar| Obstructed { sidecar, why: Obstacle::Silence, span: (since, now) };
-        self.obstacles.all.extend((0..self.sidecars.len()).map(silence));
+    pub fn record_discovery_silence(&mut self, since: i64) {
+        let now = now_micros();
+        let silence =
+            |sidecar| Interruption { sidecar, why: InterruptionCause::DiscoverySilent, span: (since, now) };
+        self.interruptions.all.extend((0..self.sidecars.len()).map(silence));
     }
 
     /// Where a sidecar listens, and the runtime of the harness.
-    pub fn way_to(&self, sidecar: usize) -> (Handle, SocketAddr) {
+    pub fn runtime_and_address(&self, sidecar: usize) -> (Handle, SocketAddr) {
         (self.runtime.handle().clone(), self.sidecars[sidecar].address)
     }
 
     /// Whether discovery has been asked at the address that a sidecar's configuration names.
-    pub fn discovery_is_asked(&self, sidecar: usize) -> bool {
+    pub fn discovery_is_contacted(&self, sidecar: usize) -> bool {
         let sidecar = &self.sidecars[sidecar];
-        sidecar.to_discovery[sidecar.discovery_way].bytes() > 0
+        sidecar.discovery_proxies[sidecar.discovery_proxy_index].bytes_forwarded() > 0
     }
 
     /// System calls of that kind that a sidecar's processes have made.
-    pub fn calls(&self, sidecar: usize, call: Call) -> u64 {
+    pub fn system_calls(&self, sidecar: usize, call: Call) -> u64 {
         self.sidecars[sidecar].faults.as_ref().and_then(|table| table.calls(call).ok()).unwrap_or(0)
     }
 
     /// Descriptors and kilobytes of memory that a sidecar's process holds.
-    pub fn held_by(&self, sidecar: usize) -> Result<(usize, u64), ClusterError> {
+    pub fn resource_usage(&self, sidecar: usize) -> Result<(usize, u64), ClusterError> {
         let Some(id) = self.sidecar_pid(sidecar) else { return Ok((0, 0)) };
         let descriptors = std::fs::read_dir(format!("/proc/{id}/fd"))?.count();
         let status = std::fs::read_to_string(format!("/proc/{id}/status"))?;
@@ -169,8 +178,8 @@
     }
 
     /// Whether the process of a sidecar that was told to stop has ended; one that ended badly is a failure.
-    pub fn sidecar_ended_well(&mut self, sidecar: usize) -> Result<bool, ClusterError> {
-        let ended = self.sidecars[sidecar].process.as_mut().and_then(Process::ended);
+    pub fn sidecar_has_stopped(&mut self, sidecar: usize) -> Result<bool, ClusterError> {
+        let ended = self.sidecars[sidecar].process.as_mut().and_then(Process::exit_status);
         if ended.is_some() {
             self.end_sidecar(sidecar)?;
         }
--- a/crates/fleet/src/harness/cluster/hand_over.rs
+++ b/crates/fleet/src/harness/cluster/hand_over.rs
@@ -2,7 +2,7 @@
 //! holds, and the first is told to stop once the second can serve.
 
 use super::super::process::Process;
-use super::{Cluster, ClusterError, clock};
+use super::{Cluster, ClusterError, now_micros};
 use std::net::TcpListener;
 use std::os::fd::OwnedFd;
 use std::process::{Command, Stdio};
@@ -30,13 +30,13 @@
         self.timeline.note(format!("sidecar {sidecar}: a new process starts"));
         let before = self.sidecars[sidecar].process.take();
         self.launch_sidecar(sidecar)?;
-        self.sidecars[sidecar].before = before;
+        self.sidecars[sidecar].previous_process = before;
         Ok(())
     }
 
     /// Whether the new process of a sidecar can serve by now; if so, the one before it has been told to stop.
-    pub fn handed_over(&mut self, sidecar: usize) -> Result<bool, ClusterError> {
-        if let Some(status) = self.sidecars[sidecar].process.as_mut().and_then(Process::ended) {
+    pub fn hand_over_if_ready(&mut self, sidecar: usize) -> Result<bool, ClusterError> {
+        if let Some(status) = self.sidecars[sidecar].process.as_mut().and_then(Process::exit_status) {
             return Err(
                 self.failed(format!("sidecar {sidecar}: the new process ended at its start: {status}"))
             );
@@ -46,18 +46,18 @@
         }
         self.timeline
             .note(format!("sidecar {sidecar}: the new process can serve, the old one is told to stop"));
-        self.sidecars[sidecar].before.as_ref().map_or(Ok(()), Process::tell_to_stop)?;
+        self.sidecars[sidecar].previous_process.as_ref().map_or(Ok(()), Process::terminate)?;
         Ok(true)
     }
 
     /// Whether the process before the present one has ended well; one that ended badly is a failure.
     pub fn old_process_ended(&mut self, sidecar: usize) -> Result<bool, ClusterError> {
-        let Some(process) = &mut self.sidecars[sidecar].before else { return Ok(true) };
-        match process.ended() {
+        let Some(process) = &mut self.sidecars[sidecar].previous_process else { return Ok(true) };
+        match process.exit_status() {
             None => Ok(false),
             Some(status) if status.success() => {
                 self.timeline.note(format!("sidecar {sidecar}: the old process has ended"));
-                self.sidecars[sidecar].before = None;
+                self.sidecars[sidecar].previous_process = None;
                 Ok(true)
             }
             Some(status) => {
@@ -69,7 +69,7 @@
     /// The time of the process before the present one is over: it is killed if it still runs.
     pub fn end_old_process(&mut self, sidecar: usize) -> Result<(), ClusterError> {
         if !self.old_process_ended(sidecar)?
-            && let Some(mut process) = self.sidecars[sidecar].before.take()
+            && let Some(mut process) = self.sidecars[sidecar].previous_process.take()
         {
             self.timeline.note(format!("sidecar {sidecar}: the old process is killed, as it has not ended"));
             process.kill()?;
@@ -78,9 +78,9 @@
     }
 
     /// Both processes of a sidecar are killed; clients wait in the queue of the socket that the platform holds.
-    pub fn kill_both(&mut self, sidecar: usize) -> Result<(), ClusterError> {
-        self.sidecars[sidecar].untold_since.get_or_insert_with(clock);
-        if let Some(mut before) = self.sidecars[sidecar].before.take() {
+    pub fn kill_both_processes(&mut self, sidecar: usize) -> Result<(), ClusterError> {
+        self.sidecars[sidecar].updates_interrupted_since.get_or_insert_with(now_micros);
+        if let Some(mut before) = self.sidecars[sidecar].previous_process.take() {
             before.kill()?;
         }
         self.kill_sidecar(sidecar)
--- a/crates/fleet/src/harness/cluster/logs.rs
+++ b/crates/fleet/src/harness/cluster/logs.rs
@@ -39,7 +39,7 @@
 impl Cluster {
     /// The pipe that a sidecar logs to; none where it has a file.
     pub(super) fn log_pipe(&self, sidecar: usize) -> Result<Option<LogPipe>, ClusterError> {
-        if self.shape.log_reader(sidecar).is_none() {
+        if self.config.log_reader(sidecar).is_none() {
             return Ok(None);
         }
         LogPipe::open(&self.folder.path().join(format!("sidecar-{sidecar}.pipe"))).map(Some)
@@ -47,7 +47,7 @@
 
     /// The process that logs to that pipe has started: its reader stands still from now on, or goes.
     pub(super) fn keep_log_reader(&mut self, sidecar: usize, pipe: LogPipe) {
-        let stalls = self.shape.log_reader(sidecar) == Some(LogReader::Stalled);
+        let stalls = self.config.log_reader(sidecar) == Some(LogReader::Stalled);
         self.sidecars[sidecar].log_reader = stalls.then_some(pipe.reader);
     }
 
--- a/crates/fleet/src/harness/cluster/operators.rs
+++ b/crates/fleet/src/harness/cluster/operators.rs
@@ -1,15 +1,15 @@
 //! What operators tell sidecars, and what they have been promised.
 
 use super::super::check::Cordon;
-use super::stand_in::ready;
-use super::{Cluster, clock, until};
+use super::fake_services::ready;
+use super::{Cluster, now_micros, until};
 use std::io::{Read, Write};
 use std::net::{SocketAddr, TcpStream};
 use std::thread::JoinHandle;
 use std::time::Duration;
 
 /// How long a caller waits for an answer.
-const PATIENCE: Duration = Duration::from_secs(5);
+const CALL_TIMEOUT: Duration = Duration::from_secs(5);
 
 /// What operators tell a sidecar.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
@@ -48,7 +48,7 @@
 
 impl PendingCall {
     /// Whether it is answered, or was given up.
-    pub fn is_over(&self) -> bool {
+    pub fn is_finished(&self) -> bool {
         self.caller.is_finished()
     }
 }
@@ -61,7 +61,7 @@
 /// Makes a call; `None` where it is not answered.
 fn ask(at: SocketAddr, line: &str) -> Option<String> {
     let mut stream = TcpStream::connect(at).ok()?;
-    stream.set_read_timeout(Some(PATIENCE)).ok()?;
+    stream.set_read_timeout(Some(CALL_TIMEOUT)).ok()?;
     stream.write_all(format!("{line}\n").as_bytes()).ok()?;
     let mut answer = String::new();
     stream.read_to_string(&mut answer).ok()?;
@@ -78,8 +78,8 @@
     /// Operators make a call, while all else goes on.
     pub fn begin_call(&self, sidecar: usize, call: OperatorCall) -> PendingCall {
         let (at, line) = (self.sidecars[sidecar].management, call.line());
-        let caller = std::thread::spawn(move || (ask(at, &line), clock()));
-        PendingCall { sidecar, call, asked: clock(), caller }
+        let caller = std::thread::spawn(move || (ask(at, &line), now_micros()));
+        PendingCall { sidecar, call, asked: now_micros(), caller }
     }
 
     /// Waits until a call is answered; whether it was a yes, which is a promise from then on.
@@ -114,12 +114,12 @@
     }
 
     /// What operators have told a sidecar ends with its process.
-    pub(super) fn forget_cordons(&mut self, sidecar: usize) {
-        self.end_cordons(clock(), |c| c.sidecar == sidecar);
+    pub(super) fn end_cordons_of(&mut self, sidecar: usize) {
+        self.end_cordons(now_micros(), |c| c.sidecar == sidecar);
     }
 
     /// Whether a sidecar comes to say, in that time, that it is in service, or that it is not.
-    pub fn comes_to_say(&self, sidecar: usize, in_service: bool, within: Duration) -> bool {
+    pub fn wait_for_readiness(&self, sidecar: usize, in_service: bool, within: Duration) -> bool {
         let began = std::time::Instant::now();
         let mut says_so = false;
         until(|| {
--- a/crates/fleet/src/harness/leaving_clients.rs
+++ b/crates/fleet/src/harness/disconnecting_clients.rs
@@ -1,7 +1,7 @@
 //! Clients that write a long body as far as the system takes it, and close.
 
-use super::check::{Ask, Came, Kind};
-use super::clock;
+use super::check::{ClientRequest, Idempotency, Outcome};
+use super::now_micros;
 use crate::chance::mix;
 use std::net::SocketAddr;
 use std::sync::{Arc, Mutex, PoisonError};
@@ -21,7 +21,7 @@
 
 /// What a group of such clients does.
 #[derive(Clone, Copy, Debug)]
-pub struct LeavingGroup {
+pub struct DisconnectingGroup {
     /// The sidecar that they connect to.
     pub sidecar: usize,
     /// Where it listens.
@@ -36,16 +36,16 @@
 
 /// Clients at work, and those that have closed.
 #[derive(Default)]
-pub struct LeavingClients {
-    asks: Arc<Mutex<Vec<Ask>>>,
+pub struct DisconnectingClients {
+    requests: Arc<Mutex<Vec<ClientRequest>>>,
     tasks: Vec<JoinHandle<()>>,
 }
 
-impl LeavingClients {
+impl DisconnectingClients {
     /// A group connects, writes and closes.
-    pub fn visit(&mut self, runtime: &Handle, group: LeavingGroup) {
+    pub fn connect(&mut self, runtime: &Handle, group: DisconnectingGroup) {
         for number in 0..group.count {
-            let asks = Arc::clone(&self.asks);
+            let asks = Arc::clone(&self.requests);
             self.tasks.push(runtime.spawn(async move {
                 if let Some(ask) = visit(group, number).await {
                     asks.lock().unwrap_or_else(PoisonError::into_inner).push(ask);
@@ -55,28 +55,35 @@
     }
 
     /// Waits until all have closed, and gives what they asked.
-    pub fn finish(&mut self, runtime: &Handle) -> Vec<Ask> {
+    pub fn finish(&mut self, runtime: &Handle) -> Vec<ClientRequest> {
         for task in self.tasks.drain(..) {
             // One that was cut short asked nothing that is known.
             let _ = runtime.block_on(task);
         }
-        std::mem::take(&mut self.asks.lock().unwrap_or_else(PoisonError::into_inner))
+        std::mem::take(&mut self.requests.lock().unwrap_or_else(PoisonError::into_inner))
     }
 }
 
 /// One client; none where no connection came up.
-async fn visit(group: LeavingGroup, number: usize) -> Option<Ask> {
+async fn visit(group: DisconnectingGroup, number: usize) -> Option<ClientRequest> {
     let id = format!("{:016x}", mix(group.seed ^ mix(number as u64)));
     let request =
         request(&id, LENGTHS[number % LENGTHS.len()], (number / LENGTHS.len()).is_multiple_of(2), group.wait);
     let mut stream = timeout(group.wait, TcpStream::connect(group.at)).await.ok()?.ok()?;
-    let sent = clock();
+    let sent_at = now_micros();
     // The rest stays in the client's system, or is not written at all.
     let _ = timeout(WRITE_TIME, stream.write_all(&request)).await;
     drop(stream);
-    let wait = i64::try_from(group.wait.as_micros()).ok()?;
-    let came = Came::Left { at: clock() };
-    Some(Ask { id, sidecar: group.sidecar, kind: Kind::Unsafe, wait, sent, came })
+    let timeout = i64::try_from(group.wait.as_micros()).ok()?;
+    let outcome = Outcome::Disconnected { at: now_micros() };
+    Some(ClientRequest {
+        id,
+        sidecar: group.sidecar,
+        idempotency: Idempotency::NonIdempotent,
+        timeout,
+        sent_at,
+        outcome,
+    })
 }
 
 fn request(id: &str, length: usize, in_chunks: bool, wait: Duration) -> Vec<u8> {
--- a/crates/fleet/src/harness/list.rs
+++ b/crates/fleet/src/harness/discovery.rs
@@ -1,8 +1,8 @@
 //! The stand-in discovery: serves PROTOCOL's list and watches, each sidecar at an address of its own, and writes down
 //! what it told whom. It runs as a process of its own.
 
-use super::clock;
 use super::http::{Message, Reader, answer};
+use super::now_micros;
 use serde::{Deserialize, Serialize};
 use serde_json::{Value, json};
 use std::collections::BTreeMap;
@@ -19,7 +19,7 @@
 
 /// A server as the list has it.
 #[derive(Clone, Debug, Deserialize, Serialize, PartialEq)]
-pub struct Listed {
+pub struct ServerEntry {
     /// Its name.
     pub name: String,
     /// Its zone.
@@ -34,7 +34,7 @@
 
 /// Something that was told to a sidecar.
 #[derive(Clone, Debug, Deserialize, Serialize, PartialEq)]
-pub struct Told {
+pub struct DeliveredVersion {
     /// The sidecar.
     pub sidecar: usize,
     /// The version.
@@ -44,14 +44,14 @@
 }
 
 /// Where operators of the stand-in put entries: a JSON list of [`Listed`], each in place of the one of its name.
-pub const LIST: &str = "/stand-in/list";
+pub const ENTRIES_PATH: &str = "/stand-in/list";
 /// Where they make it silent (`true`) or not.
-pub const SILENT: &str = "/stand-in/silent";
+pub const SILENT_PATH: &str = "/stand-in/silent";
 
 #[derive(Default)]
 struct State {
     index: u64,
-    entries: BTreeMap<String, (u64, Listed)>,
+    entries: BTreeMap<String, (u64, ServerEntry)>,
     silent: bool,
 }
 
@@ -68,7 +68,7 @@
 
     fn body(&self, sidecar: usize, after: Option<u64>) -> (u64, String) {
         let state = self.state();
-        let entry = |(at, l): &(u64, Listed)| -> Option<Value> {
+        let entry = |(at, l): &(u64, ServerEntry)| -> Option<Value> {
             let wanted = after.map_or(l.status != "left", |after| *at > after);
             let address = l.addresses.get(sidecar).filter(|_| wanted)?;
             Some(json!({"name": l.name, "address": address, "zone": l.zone, "type": "m", "group": 1,
@@ -119,7 +119,7 @@
                     return Ok(());
                 };
                 stream.write_all(&answer(200, "Content-Type: application/json\r\n", body.as_bytes())).await?;
-                let mut text = serde_json::to_vec(&Told { sidecar, index, at: clock() })?;
+                let mut text = serde_json::to_vec(&DeliveredVersion { sidecar, index, at: now_micros() })?;
                 text.push(b'\n');
                 discovery.notes.lock().unwrap_or_else(PoisonError::into_inner).write_all(&text)?;
                 continue;
@@ -136,7 +136,7 @@
 fn control(discovery: &Discovery, message: &Message) -> Vec<u8> {
     let fault = |e: serde_json::Error| answer(400, "", e.to_string().as_bytes());
     match message.start.1.as_str() {
-        LIST => match serde_json::from_slice::<Vec<Listed>>(&message.body) {
+        ENTRIES_PATH => match serde_json::from_slice::<Vec<ServerEntry>>(&message.body) {
             Ok(entries) => {
                 let index = {
                     let mut state = discovery.state();
@@ -150,7 +150,7 @@
             }
             Err(error) => fault(error),
         },
-        SILENT => match serde_json::from_slice(&message.body) {
+        SILENT_PATH => match serde_json::from_slice(&message.body) {
             Ok(silent) => {
                 discovery.state().silent = silent;
                 answer(200, "", b"")
--- a/crates/fleet/src/harness/relay.rs
+++ b/crates/fleet/src/harness/fault_proxy.rs
@@ -4,8 +4,8 @@
 //! does not come up. For the latter the relay fills the queue of its own listening socket, beyond which the system
 //! answers nobody.
 
-use super::clock;
-use super::sends::{Sent, SentReader};
+use super::now_micros;
+use super::sent_requests::{SentRequest, SentRequestParser};
 use socket2::{Domain, Protocol, SockRef, Socket, Type};
 use std::collections::VecDeque;
 use std::io;
@@ -49,7 +49,7 @@
 }
 
 /// A relay. It ends when this is dropped.
-pub struct Relay {
+pub struct FaultProxy {
     /// Where clients dial.
     pub address: SocketAddr,
     link: watch::Sender<Link>,
@@ -64,24 +64,24 @@
     /// Bytes passed on, both ways together.
     bytes: AtomicU64,
     /// Requests that clients have sent, also those that came no further.
-    sent: Mutex<Vec<Sent>>,
+    sent: Mutex<Vec<SentRequest>>,
 }
 
 impl Traffic {
-    fn note(&self, sent: Vec<Sent>) {
+    fn note(&self, sent: Vec<SentRequest>) {
         if !sent.is_empty() {
             self.sent.lock().unwrap_or_else(PoisonError::into_inner).extend(sent);
         }
     }
 }
 
-impl Drop for Relay {
+impl Drop for FaultProxy {
     fn drop(&mut self) {
         self.task.abort();
     }
 }
 
-impl Relay {
+impl FaultProxy {
     /// Relays to a server from an address of its own.
     pub fn start(runtime: &Handle, server: SocketAddr) -> io::Result<Self> {
         let address = super::unused_address();
@@ -100,22 +100,22 @@
     }
 
     /// From now on the link is like this.
-    pub fn set(&self, link: Link) {
+    pub fn set_link(&self, link: Link) {
         self.link.send_replace(link);
     }
 
     /// Bytes that it has passed on, both ways together.
-    pub fn bytes(&self) -> u64 {
+    pub fn bytes_forwarded(&self) -> u64 {
         self.seen.bytes.load(Ordering::Relaxed)
     }
 
     /// Requests that clients have sent over it so far.
-    pub fn sent(&self) -> Vec<Sent> {
+    pub fn sent_requests(&self) -> Vec<SentRequest> {
         self.seen.sent.lock().unwrap_or_else(PoisonError::into_inner).clone()
     }
 
     /// Resets all connections, on both sides.
-    pub fn reset(&self) {
+    pub fn reset_connections(&self) {
         self.resets.send_modify(|n| *n += 1);
     }
 }
@@ -233,7 +233,7 @@
     let mut way: VecDeque<(Instant, Vec<u8>)> = VecDeque::new();
     let (mut passed, mut open, mut reset) = (0u64, true, false);
     let mut buffer = vec![0; 16 << 10];
-    let mut requests = SentReader::default();
+    let mut requests = SentRequestParser::default();
     while open || !way.is_empty() {
         let (cut, delay, bandwidth, stalled) = {
             let link = link.borrow_and_update();
@@ -247,7 +247,7 @@
                 Ok(0) => open = false,
                 Ok(n) => {
                     if up {
-                        seen.note(requests.read(&buffer[..n], clock()));
+                        seen.note(requests.read(&buffer[..n], now_micros()));
                     }
                     way.push_back((Instant::now() + delay, buffer[..n].to_vec()));
                 }
--- a/crates/fleet/src/harness/http.rs
+++ b/crates/fleet/src/harness/http.rs
@@ -17,7 +17,7 @@
     /// The body.
     pub body: Vec<u8>,
     /// When its first and its last byte had come, on the shared clock.
-    pub came: (i64, i64),
+    pub received_at: (i64, i64),
 }
 
 impl Message {
@@ -62,7 +62,7 @@
         from: &mut (impl AsyncRead + Unpin),
         answer: bool,
     ) -> io::Result<Option<Message>> {
-        let mut first = if self.held.is_empty() { None } else { Some(super::clock()) };
+        let mut first = if self.held.is_empty() { None } else { Some(super::now_micros()) };
         let (mut message, head, length) = loop {
             if let Some(found) = head(&self.held, answer)? {
                 break found;
@@ -77,7 +77,7 @@
                     Err(io::ErrorKind::UnexpectedEof.into())
                 };
             }
-            first.get_or_insert_with(super::clock);
+            first.get_or_insert_with(super::now_micros);
         };
         if length > LONGEST_BODY {
             return Err(wrong("the body is too long"));
@@ -89,8 +89,8 @@
         }
         message.body = self.held[head..head + length].to_vec();
         self.held.drain(..head + length);
-        let now = super::clock();
-        message.came = (first.unwrap_or(now), now);
+        let now = super::now_micros();
+        message.received_at = (first.unwrap_or(now), now);
         Ok(Some(message))
     }
 
--- a/crates/fleet/src/harness/strangers.rs
+++ b/crates/fleet/src/harness/malformed_clients.rs
@@ -1,9 +1,9 @@
 //! Peers that are no clients: they connect to a sidecar, send what is no proper request or stop in the midst of one, and
 //! stay. Each is owed an error or a close.
 
-use super::check::Stranger;
-use super::clock;
+use super::check::MalformedClient;
 use super::http::Reader;
+use super::now_micros;
 use std::net::SocketAddr;
 use std::sync::{Arc, Mutex, PoisonError};
 use std::time::Duration;
@@ -27,14 +27,14 @@
 
 /// Strangers at their sidecars, and what became of them.
 #[derive(Default)]
-pub struct Strangers {
-    seen: Arc<Mutex<Vec<Stranger>>>,
+pub struct MalformedClients {
+    seen: Arc<Mutex<Vec<MalformedClient>>>,
     tasks: Vec<JoinHandle<()>>,
 }
 
-impl Strangers {
+impl MalformedClients {
     /// So many connect to a sidecar.
-    pub fn visit(&mut self, runtime: &Handle, sidecar: usize, at: SocketAddr, count: usize) {
+    pub fn connect(&mut self, runtime: &Handle, sidecar: usize, at: SocketAddr, count: usize) {
         for n in 0..count {
             let seen = Arc::clone(&self.seen);
             self.tasks.push(runtime.spawn(async move {
@@ -46,7 +46,7 @@
     }
 
     /// Waits until all have gone, and gives what became of them.
-    pub fn finish(&mut self, runtime: &Handle) -> Vec<Stranger> {
+    pub fn finish(&mut self, runtime: &Handle) -> Vec<MalformedClient> {
         for task in self.tasks.drain(..) {
             // One that was cut short saw nothing.
             let _ = runtime.block_on(task);
@@ -56,16 +56,16 @@
 }
 
 /// One visit; none where no connection came up.
-async fn visit(sidecar: usize, at: SocketAddr, says: &[u8]) -> Option<Stranger> {
+async fn visit(sidecar: usize, at: SocketAddr, says: &[u8]) -> Option<MalformedClient> {
     let mut stream = TcpStream::connect(at).await.ok()?;
-    let came = clock();
+    let connected_at = now_micros();
     // It may be turned away before it has said anything.
     let _ = stream.write_all(says).await;
     let answer = timeout(STAYS, Reader::default().next(&mut stream, true)).await;
-    let (turned_away, served) = match answer {
-        Ok(Ok(Some(answer))) => (Some(answer.came.1), answer.status() < 400),
-        Ok(_) => (Some(clock()), false),
+    let (rejected_at, served) = match answer {
+        Ok(Ok(Some(answer))) => (Some(answer.received_at.1), answer.status() < 400),
+        Ok(_) => (Some(now_micros()), false),
         Err(_) => (None, false),
     };
-    Some(Stranger { sidecar, came, turned_away, served })
+    Some(MalformedClient { sidecar, connected_at, rejected_at, served })
 }
--- a/crates/fleet/src/harness/mod.rs
+++ b/crates/fleet/src/harness/mod.rs
@@ -5,36 +5,36 @@
 //! process's log. Children end with the harness: with it when it is dropped, as after a panic, and through
 //! [`reaper`] when its process is killed.
 
+pub mod backend;
 pub mod check;
 mod clients;
 mod cluster;
+mod disconnecting_clients;
+pub mod discovery;
+mod fault_proxy;
 mod http;
-mod leaving_clients;
-pub mod ledger;
-pub mod list;
+mod malformed_clients;
 mod process;
-pub mod reaper;
-mod relay;
-pub mod rosters;
-pub mod sends;
-mod strangers;
+pub mod process_guard;
+pub mod registry_replicas;
+pub mod sent_requests;
 mod wait;
 
 pub use clients::{Clients, Traffic};
-pub use cluster::{Cluster, ClusterError, LogReader, OperatorCall, PendingCall, Shape};
+pub use cluster::{Cluster, ClusterConfig, ClusterError, LogReader, OperatorCall, PendingCall};
+pub use disconnecting_clients::{DisconnectingClients, DisconnectingGroup};
+pub use fault_proxy::{FaultProxy, Link};
 pub use http::Message;
-pub use leaving_clients::{LeavingClients, LeavingGroup};
+pub use malformed_clients::MalformedClients;
 pub use process::{Process, Programs};
-pub use relay::{Link, Relay};
-pub use strangers::Strangers;
-pub use wait::{LONG, Timeline, until};
+pub use wait::{Timeline, WAIT_TIMEOUT, until};
 
 use std::net::{Ipv4Addr, SocketAddr};
 use std::sync::atomic::{AtomicU32, Ordering};
 use std::time::{SystemTime, UNIX_EPOCH};
 
 /// Microseconds on the clock that all processes of this machine share.
-pub fn clock() -> i64 {
+pub fn now_micros() -> i64 {
     let since = SystemTime::now().duration_since(UNIX_EPOCH).unwrap_or_default();
     since.as_micros() as i64
 }
--- a/crates/fleet/src/harness/process.rs
+++ b/crates/fleet/src/harness/process.rs
@@ -1,6 +1,6 @@
 //! A child process: started, held, let go on, killed, and never left behind.
 
-use super::reaper::Reaper;
+use super::process_guard::ProcessGuard;
 use lotusmoor_faults::TABLE_VARIABLE;
 use rustix::process::{Pid, Signal, kill_process};
 use std::fs::File;
@@ -60,30 +60,30 @@
     pub name: String,
     /// Where its standard output and error go.
     pub log: PathBuf,
-    reaper: Option<Reaper>,
+    guard: Option<ProcessGuard>,
 }
 
 impl Process {
     /// Starts one. What it writes is added to `log`; `reaper` sees to it if this process is killed.
-    pub fn start(command: Command, name: &str, log: &Path, reaper: Option<&Reaper>) -> io::Result<Self> {
-        Self::start_with(command, Stdio::null(), name, log, reaper)
+    pub fn start(command: Command, name: &str, log: &Path, guard: Option<&ProcessGuard>) -> io::Result<Self> {
+        Self::start_with_input(command, Stdio::null(), name, log, guard)
     }
 
     /// The same with that as its standard input.
-    pub fn start_with(
+    pub fn start_with_input(
         mut command: Command,
         input: Stdio,
         name: &str,
         log: &Path,
-        reaper: Option<&Reaper>,
+        guard: Option<&ProcessGuard>,
     ) -> io::Result<Self> {
         let file = File::options().create(true).append(true).open(log)?;
         command.stdin(input).stdout(file.try_clone()?).stderr(file);
         let child = command.spawn()?;
-        if let Some(reaper) = reaper {
-            reaper.watch(child.id());
+        if let Some(guard) = guard {
+            guard.register(child.id());
         }
-        Ok(Self { child, name: name.to_owned(), log: log.to_owned(), reaper: reaper.cloned() })
+        Ok(Self { child, name: name.to_owned(), log: log.to_owned(), guard: guard.cloned() })
     }
 
     /// Its process id.
@@ -98,17 +98,17 @@
     }
 
     /// It stands still, with its connections open.
-    pub fn hold(&self) -> io::Result<()> {
+    pub fn pause(&self) -> io::Result<()> {
         self.signal(Signal::STOP)
     }
 
     /// It goes on.
-    pub fn go_on(&self) -> io::Result<()> {
+    pub fn resume(&self) -> io::Result<()> {
         self.signal(Signal::CONT)
     }
 
     /// It is told to stop.
-    pub fn tell_to_stop(&self) -> io::Result<()> {
+    pub fn terminate(&self) -> io::Result<()> {
         self.signal(Signal::TERM)
     }
 
@@ -118,7 +118,7 @@
     }
 
     /// It is told that its configuration has changed.
-    pub fn tell_to_reload(&self) -> io::Result<()> {
+    pub fn reload(&self) -> io::Result<()> {
         self.signal(Signal::HUP)
     }
 
@@ -126,19 +126,19 @@
     pub fn kill(&mut self) -> io::Result<ExitStatus> {
         self.child.kill()?;
         let status = self.child.wait()?;
-        if let Some(reaper) = &self.reaper {
-            reaper.forget(self.child.id());
+        if let Some(guard) = &self.guard {
+            guard.unregister(self.child.id());
         }
         Ok(status)
     }
 
     /// How it ended, if it has.
-    pub fn ended(&mut self) -> Option<ExitStatus> {
+    pub fn exit_status(&mut self) -> Option<ExitStatus> {
         self.child.try_wait().ok().flatten()
     }
 
     /// What it wrote.
-    pub fn said(&self) -> String {
+    pub fn log_text(&self) -> String {
         std::fs::read(&self.log).map(|b| String::from_utf8_lossy(&b).into_owned()).unwrap_or_default()
     }
 }
--- a/crates/fleet/src/harness/reaper.rs
+++ b/crates/fleet/src/harness/process_guard.rs
@@ -10,14 +10,14 @@
 
 /// The harness's end.
 #[derive(Clone)]
-pub struct Reaper(Arc<Mutex<Inner>>);
+pub struct ProcessGuard(Arc<Mutex<Inner>>);
 
 struct Inner {
     child: Child,
     pipe: Option<ChildStdin>,
 }
 
-impl Reaper {
+impl ProcessGuard {
     /// Starts one: `lotusmoor fleet reaper`.
     pub fn start(lotusmoor: &Path) -> std::io::Result<Self> {
         let mut command = Command::new(lotusmoor);
@@ -26,7 +26,7 @@
         Ok(Self(Arc::new(Mutex::new(Inner { child, pipe }))))
     }
 
-    fn say(&self, line: String) {
+    fn send_line(&self, line: String) {
         let mut inner = self.0.lock().unwrap_or_else(PoisonError::into_inner);
         if let Some(pipe) = &mut inner.pipe {
             // Without it, only what survives a kill of the harness is lost.
@@ -35,15 +35,15 @@
     }
 
     /// That process ends with the harness.
-    pub fn watch(&self, id: u32) {
-        if let Some(started) = started(id) {
-            self.say(format!("+{id} {started}\n"));
+    pub fn register(&self, id: u32) {
+        if let Some(started) = start_ticks(id) {
+            self.send_line(format!("+{id} {started}\n"));
         }
     }
 
     /// That process has ended.
-    pub fn forget(&self, id: u32) {
-        self.say(format!("-{id}\n"));
+    pub fn unregister(&self, id: u32) {
+        self.send_line(format!("-{id}\n"));
     }
 }
 
@@ -56,13 +56,13 @@
 
 /// When a process started, in the system's ticks since its own start: field 22 of its `stat`, of which the second may
 /// hold spaces and ends with the last bracket.
-pub fn started(id: u32) -> Option<u64> {
+pub fn start_ticks(id: u32) -> Option<u64> {
     let text = std::fs::read_to_string(format!("/proc/{id}/stat")).ok()?;
     text.rsplit_once(')')?.1.split_whitespace().nth(19)?.parse().ok()
 }
 
 /// Reads what is to be watched until the harness ends, and then ends what is left.
-pub fn serve(input: impl BufRead) {
+pub fn run(input: impl BufRead) {
     let mut watched: BTreeMap<u32, u64> = BTreeMap::new();
     for line in input.lines().map_while(Result::ok) {
         if let Some(id) = line.strip_prefix('-').and_then(|id| id.parse().ok()) {
@@ -75,7 +75,7 @@
     }
     for (id, at) in watched {
         let pid = i32::try_from(id).ok().and_then(rustix::process::Pid::from_raw);
-        if let Some(pid) = pid.filter(|_| started(id) == Some(at)) {
+        if let Some(pid) = pid.filter(|_| start_ticks(id) == Some(at)) {
             let _ = rustix::process::kill_process(pid, rustix::process::Signal::KILL);
         }
     }
@@ -89,7 +89,7 @@
     fn only_the_process_that_was_named_is_ended() {
         let sleeps = || Command::new("sleep").arg("600").spawn().expect("it starts");
         let (mut named, mut other, mut forgotten) = (sleeps(), sleeps(), sleeps());
-        let at = started(named.id()).expect("it runs");
+        let at = start_ticks(named.id()).expect("it runs");
         // The second is named with the start of another process, the third has been taken back.
         let lines = format!(
             "+{} {at}\n+{} {}\n+{} {at}\n-{}\n",
@@ -99,7 +99,7 @@
             forgotten.id(),
             forgotten.id()
         );
-        serve(lines.as_bytes());
+        run(lines.as_bytes());
         assert!(!named.wait().expect("it ends").success());
         for left in [&mut other, &mut forgotten] {
             assert_eq!(left.try_wait().expect("it is asked"), None);
--- a/crates/fleet/src/harness/rosters.rs
+++ b/crates/fleet/src/harness/registry_replicas.rs
@@ -1,8 +1,8 @@
 //! Replicas of a roster as real processes, with a relay on each way from one to another.
 
+use super::fault_proxy::{FaultProxy, Link};
 use super::process::{Process, Programs};
-use super::reaper::Reaper;
-use super::relay::{Link, Relay};
+use super::process_guard::ProcessGuard;
 use super::unused_address;
 use super::wait::{Timeline, until};
 use serde_json::Value;
@@ -33,7 +33,7 @@
     process: Mutex<Option<Process>>,
     program: Mutex<RegistryProgram>,
     /// Its way to each other replica, by number.
-    ways: BTreeMap<u64, Relay>,
+    proxies: BTreeMap<u64, FaultProxy>,
     /// What it is started with beside that.
     arguments: Mutex<Vec<String>>,
     /// The fault table that it is started with.
@@ -41,11 +41,11 @@
 }
 
 /// Replicas of a roster. They end when this is dropped.
-pub struct Rosters {
+pub struct RegistryReplicas {
     programs: Programs,
     folder: PathBuf,
     runtime: Handle,
-    reaper: Reaper,
+    process_guard: ProcessGuard,
     /// What was done when.
     pub timeline: Timeline,
     replicas: Vec<Replica>,
@@ -74,17 +74,17 @@
     }
 }
 
-impl Rosters {
+impl RegistryReplicas {
     /// None yet.
     pub fn new(
         programs: Programs,
         folder: &Path,
         runtime: Handle,
-        reaper: Reaper,
+        process_guard: ProcessGuard,
         timeline: Timeline,
     ) -> Self {
         let folder = folder.to_owned();
-        Self { programs, folder, runtime, reaper, timeline, replicas: Vec::new() }
+        Self { programs, folder, runtime, process_guard, timeline, replicas: Vec::new() }
     }
 
     /// Starts so many: the first founds a list, the others are taken in. Returns once all vote.
@@ -92,7 +92,7 @@
         for _ in 0..count {
             self.add(arguments)?;
         }
-        let all = until(|| self.status(0).is_some_and(|s| voters(&s) == count));
+        let all = until(|| self.status(0).is_some_and(|s| voter_count(&s) == count));
         if all { Ok(()) } else { Err(io::Error::other(format!("not all vote\n{}", self.logs()))) }
     }
 
@@ -100,24 +100,24 @@
     pub fn add(&mut self, arguments: &[&str]) -> io::Result<usize> {
         let program =
             RegistryProgram { path: self.programs.lotusmoor.clone(), subcommand: "registry".to_owned() };
-        self.add_running(program, arguments)
+        self.add_with_program(program, arguments)
     }
 
     /// The same with a program of the caller's.
-    pub fn add_running(&mut self, program: RegistryProgram, arguments: &[&str]) -> io::Result<usize> {
+    pub fn add_with_program(&mut self, program: RegistryProgram, arguments: &[&str]) -> io::Result<usize> {
         let (at, id) = (self.replicas.len(), self.replicas.len() as u64 + 1);
         let listen = unused_address();
-        let mut ways = BTreeMap::new();
+        let mut proxies = BTreeMap::new();
         for other in &mut self.replicas {
-            ways.insert(other.id, Relay::start(&self.runtime, other.listen)?);
+            proxies.insert(other.id, FaultProxy::start(&self.runtime, other.listen)?);
         }
         let folder = self.folder.join(format!("roster-{id}"));
         let log = self.folder.join(format!("roster-{id}.log"));
         let arguments = Mutex::new(arguments.iter().map(|a| (*a).to_owned()).collect());
         let (process, program, faults) = (Mutex::default(), Mutex::new(program), Mutex::default());
-        self.replicas.push(Replica { id, listen, folder, log, process, program, ways, arguments, faults });
+        self.replicas.push(Replica { id, listen, folder, log, process, program, proxies, arguments, faults });
         // Those who were there before learn the way to it at their next start; until then they go straight there.
-        self.go(at)?;
+        self.start_replica(at)?;
         let up = until(|| self.call(at, "GET", "/up", "").is_ok_and(|a| a.status == 200));
         if !up {
             return Err(io::Error::other(format!("replica {id} is not up\n{}", self.logs())));
@@ -131,17 +131,17 @@
     }
 
     /// Starts all anew, one after the other, so that each goes through relays to all others.
-    pub fn relay_all(&mut self) -> io::Result<()> {
+    pub fn restart_with_proxies(&mut self) -> io::Result<()> {
         for at in 0..self.replicas.len() {
             for other in 0..self.replicas.len() {
                 let (id, listen) = (self.replicas[other].id, self.replicas[other].listen);
-                if other != at && !self.replicas[at].ways.contains_key(&id) {
-                    let relay = Relay::start(&self.runtime, listen)?;
-                    self.replicas[at].ways.insert(id, relay);
+                if other != at && !self.replicas[at].proxies.contains_key(&id) {
+                    let relay = FaultProxy::start(&self.runtime, listen)?;
+                    self.replicas[at].proxies.insert(id, relay);
                 }
             }
             self.kill(at)?;
-            self.go(at)?;
+            self.start_replica(at)?;
             if !until(|| self.leader().is_some() && self.status(at).is_some_and(|s| s["leader"].is_u64())) {
                 return Err(io::Error::other(format!("nobody leads\n{}", self.logs())));
             }
@@ -150,7 +150,7 @@
     }
 
     /// Starts one that does not run, with the folder that it had.
-    pub fn go(&self, at: usize) -> io::Result<()> {
+    pub fn start_replica(&self, at: usize) -> io::Result<()> {
         let join = self.replicas.iter().enumerate().find(|(i, _)| *i != at).map(|(_, r)| r.listen);
         let first = at == 0;
         let r = &self.replicas[at];
@@ -160,7 +160,7 @@
         command.args(["--log", "info,openraft=error", &program.subcommand, "serve"]);
         command.args(["--id", &r.id.to_string()]);
         command.args(["--listen", &r.listen.to_string(), "--folder"]).arg(&r.folder);
-        for (id, relay) in &r.ways {
+        for (id, relay) in &r.proxies {
             command.args(["--via", &format!("{id}={}", relay.address)]);
         }
         // The first founds the list, once; from then on nobody does.
@@ -172,7 +172,7 @@
             self.programs.preload(&mut command, table)?;
         }
         *lock(&r.process) =
-            Some(Process::start(command, &format!("roster {}", r.id), &r.log, Some(&self.reaper))?);
+            Some(Process::start(command, &format!("roster {}", r.id), &r.log, Some(&self.process_guard))?);
         Ok(())
     }
 
@@ -202,20 +202,20 @@
     }
 
     /// One stands still.
-    pub fn hold(&self, at: usize) -> io::Result<()> {
+    pub fn pause(&self, at: usize) -> io::Result<()> {
         self.timeline.note(format!("replica {} held", self.replicas[at].id));
-        lock(&self.replicas[at].process).as_ref().map_or(Ok(()), Process::hold)
+        lock(&self.replicas[at].process).as_ref().map_or(Ok(()), Process::pause)
     }
 
     /// It goes on.
-    pub fn go_on(&self, at: usize) -> io::Result<()> {
+    pub fn resume(&self, at: usize) -> io::Result<()> {
         self.timeline.note(format!("replica {} goes on", self.replicas[at].id));
-        lock(&self.replicas[at].process).as_ref().map_or(Ok(()), Process::go_on)
+        lock(&self.replicas[at].process).as_ref().map_or(Ok(()), Process::resume)
     }
 
     /// Whether one has ended by itself.
-    pub fn ended(&self, at: usize) -> bool {
-        lock(&self.replicas[at].process).as_mut().is_some_and(|p| p.ended().is_some())
+    pub fn has_exited(&self, at: usize) -> bool {
+        lock(&self.replicas[at].process).as_mut().is_some_and(|p| p.exit_status().is_some())
     }
 
     /// The process id of one.
@@ -224,19 +224,19 @@
     }
 
     /// The way from one replica to another is like this from now on.
-    pub fn link(&self, from: usize, to: usize, link: Link) {
+    pub fn set_link(&self, from: usize, to: usize, link: Link) {
         let (id, other) = (self.replicas[from].id, self.replicas[to].id);
         self.timeline.note(format!("way of replica {id} to {other}: {link:?}"));
-        if let Some(relay) = self.replicas[from].ways.get(&other) {
-            relay.set(link);
+        if let Some(relay) = self.replicas[from].proxies.get(&other) {
+            relay.set_link(link);
         }
     }
 
     /// Nothing passes between one replica and the others, or all does again.
-    pub fn isolate(&self, at: usize, cut: bool) {
+    pub fn set_isolated(&self, at: usize, cut: bool) {
         for other in (0..self.replicas.len()).filter(|o| *o != at) {
             for (from, to) in [(at, other), (other, at)] {
-                self.link(from, to, if cut { Link::cut() } else { Link::default() });
+                self.set_link(from, to, if cut { Link::cut() } else { Link::default() });
             }
         }
     }
@@ -247,7 +247,7 @@
     }
 
     /// Where one's file lies.
-    pub fn file(&self, at: usize) -> PathBuf {
+    pub fn database_file(&self, at: usize) -> PathBuf {
         self.replicas[at].folder.join("roster.redb")
     }
 
@@ -257,7 +257,7 @@
     }
 
     /// What one wrote.
-    pub fn said(&self, at: usize) -> String {
+    pub fn log_text(&self, at: usize) -> String {
         std::fs::read_to_string(&self.replicas[at].log).unwrap_or_default()
     }
 
@@ -265,7 +265,7 @@
     pub fn logs(&self) -> String {
         let mut all = String::new();
         for at in 0..self.replicas.len() {
-            let said = self.said(at);
+            let said = self.log_text(at);
             let tail: Vec<&str> = said.lines().rev().take(25).collect();
             all.push_str(&format!("--- replica {}, last lines first\n{}\n", at + 1, tail.join("\n")));
         }
@@ -295,7 +295,7 @@
 }
 
 /// Voters, as a status has them; 0 while who belongs is being changed.
-pub fn voters(status: &Value) -> usize {
+pub fn voter_count(status: &Value) -> usize {
     if status["joint"] == true {
         return 0;
     }
--- a/crates/fleet/src/harness/sends.rs
+++ b/crates/fleet/src/harness/sent_requests.rs
@@ -8,18 +8,18 @@
 
 /// A request that a sidecar has sent.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct Sent {
+pub struct SentRequest {
     /// The request's id.
     pub id: String,
     /// When its first byte came out of the sidecar, on the shared clock.
-    pub at: i64,
+    pub sent_at: i64,
     /// How long the sidecar says that it waits, in microseconds.
-    pub told: Option<i64>,
+    pub time_left: Option<i64>,
 }
 
 /// Finds requests in what one connection carries.
 #[derive(Debug, Default)]
-pub struct SentReader {
+pub struct SentRequestParser {
     /// What came of a head that has not ended, and when its first byte did.
     head: Vec<u8>,
     began: i64,
@@ -29,10 +29,10 @@
     unreadable: bool,
 }
 
-impl SentReader {
+impl SentRequestParser {
     /// Takes what came at that time; gives the requests whose heads are whole by now. Those without an id are no
     /// client's.
-    pub fn read(&mut self, mut bytes: &[u8], now: i64) -> Vec<Sent> {
+    pub fn read(&mut self, mut bytes: &[u8], now: i64) -> Vec<SentRequest> {
         let mut sent = Vec::new();
         while !bytes.is_empty() && !self.unreadable {
             let of_body = self.body_left.min(bytes.len());
@@ -50,10 +50,10 @@
                 Ok(Some((message, length, body))) => {
                     bytes = &bytes[length - before..];
                     (self.head, self.body_left) = (Vec::new(), body);
-                    sent.extend(message.header("x-correlation-id").map(|id| Sent {
+                    sent.extend(message.header("x-correlation-id").map(|id| SentRequest {
                         id: id.to_owned(),
-                        at: self.began,
-                        told: message.time_left(),
+                        sent_at: self.began,
+                        time_left: message.time_left(),
                     }));
                 }
                 Ok(None) if self.head.len() <= LONGEST_HEAD => break,
--- a/crates/fleet/src/harness/wait.rs
+++ b/crates/fleet/src/harness/wait.rs
@@ -4,11 +4,11 @@
 use std::time::{Duration, Instant};
 
 /// Longer than anything that is waited for takes on a slow machine.
-pub const LONG: Duration = Duration::from_secs(60);
+pub const WAIT_TIMEOUT: Duration = Duration::from_secs(60);
 
 /// Waits until something holds; `false` where it did not come to hold in [`LONG`].
 pub fn until(mut holds: impl FnMut() -> bool) -> bool {
-    let end = Instant::now() + LONG;
+    let end = Instant::now() + WAIT_TIMEOUT;
     while !holds() {
         if Instant::now() > end {
             return false;
@@ -21,28 +21,28 @@
 /// What was done when, for the reader of a failure.
 #[derive(Clone)]
 pub struct Timeline {
-    begun: Instant,
+    start: Instant,
     /// The same on the clock that all processes share.
-    began: i64,
+    started_at: i64,
     lines: Arc<Mutex<Vec<(Duration, String)>>>,
 }
 
 impl Default for Timeline {
     fn default() -> Self {
-        Self { begun: Instant::now(), began: super::clock(), lines: Arc::default() }
+        Self { start: Instant::now(), started_at: super::now_micros(), lines: Arc::default() }
     }
 }
 
 impl Timeline {
     /// When it began, on the clock that all processes share.
-    pub fn began(&self) -> i64 {
-        self.began
+    pub fn started_at(&self) -> i64 {
+        self.started_at
     }
 
     /// Notes something that happens now.
     pub fn note(&self, what: impl Into<String>) {
         let mut lines = self.lines.lock().unwrap_or_else(PoisonError::into_inner);
-        lines.push((self.begun.elapsed(), what.into()));
+        lines.push((self.start.elapsed(), what.into()));
     }
 }
 
--- a/crates/fleet/src/load/mod.rs
+++ b/crates/fleet/src/load/mod.rs
@@ -8,8 +8,8 @@
 pub use open_loop::{Answered, Route, Shot, open_loop};
 pub use usage::{peak_kb, pin, resident_kb, used_cpu};
 
-use crate::harness::ledger::Conduct;
-use crate::harness::reaper::Reaper;
+use crate::harness::backend::Conduct;
+use crate::harness::process_guard::ProcessGuard;
 use crate::harness::{Process, Programs, until, unused_address};
 use hdrhistogram::Histogram;
 use serde::Serialize;
@@ -39,7 +39,7 @@
     pub direct: SocketAddr,
     _folder: tempfile::TempDir,
     // Ends both where this process is killed.
-    _reaper: Reaper,
+    _reaper: ProcessGuard,
 }
 
 impl Bench {
@@ -47,7 +47,7 @@
     /// this thread's cores and those of the threads that it starts.
     pub fn start(work_us: u64) -> io::Result<Self> {
         let programs = Programs::find()?;
-        let reaper = Reaper::start(&programs.lotusmoor)?;
+        let reaper = ProcessGuard::start(&programs.lotusmoor)?;
         let folder = tempfile::tempdir()?;
         let (through, direct) = (unused_address(), unused_address());
         let conduct = Conduct { work_us, ..Conduct::default() };
@@ -73,7 +73,7 @@
         }
         let up = |at: SocketAddr, path: &str| once(at, path).is_ok_and(|status| status == 200);
         if !until(|| up(direct, "/alive") && up(through, "/up")) {
-            return Err(io::Error::other(format!("the sidecar never served: {}", sidecar.said())));
+            return Err(io::Error::other(format!("the sidecar never served: {}", sidecar.log_text())));
         }
         Ok(Self { sidecar, server, through, direct, _folder: folder, _reaper: reaper })
     }
--- a/crates/fleet/src/load/roster.rs
+++ b/crates/fleet/src/load/roster.rs
@@ -2,7 +2,7 @@
 //! faults, how long nothing can be written, and what a list costs that does not change.
 
 use super::used_cpu;
-use crate::harness::{Cluster, ClusterError, Link, Shape};
+use crate::harness::{Cluster, ClusterConfig, ClusterError, Link};
 use serde::Serialize;
 use serde_json::json;
 use std::io;
@@ -63,9 +63,9 @@
 
 /// Three replicas and so many sidecars.
 pub fn start(sidecars: usize, seed: u64) -> Result<Cluster, ClusterError> {
-    let mut cluster = Cluster::start(Shape::plain(sidecars, 2, 3, seed))?;
-    cluster.rosters.relay_all()?;
-    cluster.wait_told()?;
+    let mut cluster = Cluster::start(ClusterConfig::plain(sidecars, 2, 3, seed))?;
+    cluster.registry.restart_with_proxies()?;
+    cluster.wait_until_notified()?;
     Ok(cluster)
 }
 
@@ -82,18 +82,19 @@
     let began = Instant::now();
     let mut last_write = Instant::now();
     let mut at = 0;
-    let leader = cluster.rosters.leader().unwrap_or(0);
+    let leader = cluster.registry.leader().unwrap_or(0);
     let other = (leader + 1) % 3;
     let pause = pause.unwrap_or(Duration::ZERO);
     for i in 0..changes {
         if i == changes / 4 {
             match fault {
                 Fault::None => {}
-                Fault::LeaderKilled => cluster.rosters.kill(leader)?,
-                Fault::ReplicaHeld => cluster.rosters.hold(other)?,
+                Fault::LeaderKilled => cluster.registry.kill(leader)?,
+                Fault::ReplicaHeld => cluster.registry.pause(other)?,
                 Fault::CutOneWay => {
                     let cut = Link { cut_down: true, ..Link::default() };
-                    (0..cluster.sidecars()).for_each(|s| cluster.roster_link(s, other, cut.clone()));
+                    (0..cluster.sidecar_count())
+                        .for_each(|s| cluster.set_registry_link(s, other, cut.clone()));
                 }
             }
         }
@@ -103,7 +104,7 @@
         no_writes = no_writes.max(last_write.elapsed());
         let written = Instant::now();
         let wait = |s: usize| -> Option<Duration> {
-            while cluster.version_of(s).is_none_or(|v| v < index) {
+            while cluster.list_version(s).is_none_or(|v| v < index) {
                 if written.elapsed() > Duration::from_secs(60) {
                     return None;
                 }
@@ -113,7 +114,7 @@
         // Each is asked by a thread of its own, without a pause.
         let told: Vec<Option<Duration>> = std::thread::scope(|scope| {
             let wait = &wait;
-            let all: Vec<_> = (0..cluster.sidecars()).map(|s| scope.spawn(move || wait(s))).collect();
+            let all: Vec<_> = (0..cluster.sidecar_count()).map(|s| scope.spawn(move || wait(s))).collect();
             all.into_iter().map(|t| t.join().unwrap_or(None)).collect()
         });
         match told.into_iter().collect::<Option<Vec<_>>>() {
@@ -127,18 +128,19 @@
     let left = Duration::from_secs(10).saturating_sub(began.elapsed());
     match fault {
         Fault::None => {}
-        Fault::LeaderKilled => cluster.rosters.go(leader)?,
+        Fault::LeaderKilled => cluster.registry.start_replica(leader)?,
         Fault::ReplicaHeld => {
             std::thread::sleep(left);
-            cluster.rosters.go_on(other)?;
+            cluster.registry.resume(other)?;
         }
         Fault::CutOneWay => {
             std::thread::sleep(left);
-            (0..cluster.sidecars()).for_each(|s| cluster.roster_link(s, other, Link::default()));
+            (0..cluster.sidecar_count()).for_each(|s| cluster.set_registry_link(s, other, Link::default()));
         }
     }
     let all_well = || {
-        let views: Vec<_> = (0..3).map(|at| cluster.rosters.status(at).map(|s| s["index"].clone())).collect();
+        let views: Vec<_> =
+            (0..3).map(|at| cluster.registry.status(at).map(|s| s["index"].clone())).collect();
         views.iter().all(|v| v.is_some() && *v == views[0])
     };
     cluster.wait("all replicas are well", all_well)?;
@@ -159,8 +161,13 @@
     let began = Instant::now();
     while began.elapsed() < Duration::from_secs(60) {
         let patience = Duration::from_secs(1);
-        let answer =
-            crate::harness::rosters::call(cluster.rosters.address(*at), "PUT", &path, &body, patience);
+        let answer = crate::harness::registry_replicas::call(
+            cluster.registry.address(*at),
+            "PUT",
+            &path,
+            &body,
+            patience,
+        );
         if let Ok(answer) = answer
             && answer.status == 200
         {
@@ -173,13 +180,13 @@
 
 /// What it costs that nothing changes, over so long.
 pub fn idle(cluster: &Cluster, over: Duration) -> io::Result<Idle> {
-    let sidecars = cluster.sidecars();
+    let sidecars = cluster.sidecar_count();
     let gone = || io::Error::other("a process is gone");
     let look = || -> io::Result<(u64, Duration, Duration)> {
-        let bytes = (0..sidecars).map(|s| cluster.roster_bytes(s)).sum();
+        let bytes = (0..sidecars).map(|s| cluster.registry_bytes(s)).sum();
         let cpu = |id: Option<u32>| id.and_then(used_cpu).ok_or_else(gone);
         let own: Duration = (0..sidecars).map(|s| cpu(cluster.sidecar_pid(s))).sum::<io::Result<_>>()?;
-        let theirs: Duration = (0..3).map(|r| cpu(cluster.rosters.pid(r))).sum::<io::Result<_>>()?;
+        let theirs: Duration = (0..3).map(|r| cpu(cluster.registry.pid(r))).sum::<io::Result<_>>()?;
         Ok((bytes, own, theirs))
     };
     let before = look()?;
--- a/crates/fleet/src/scale/deployment.rs
+++ b/crates/fleet/src/scale/deployment.rs
@@ -5,10 +5,10 @@
 use super::hollow::{Ask, Assignment, Hollow, Lease, Standing, Taken};
 use super::lines::Mode;
 use super::plan::{Plan, Sizes};
-use crate::harness::ledger::Conduct;
-use crate::harness::reaper::Reaper;
-use crate::harness::rosters::{Rosters, call};
-use crate::harness::{Process, Programs, Relay, Shape, Timeline, unused_address};
+use crate::harness::backend::Conduct;
+use crate::harness::process_guard::ProcessGuard;
+use crate::harness::registry_replicas::{RegistryReplicas, call};
+use crate::harness::{ClusterConfig, FaultProxy, Process, Programs, Timeline, unused_address};
 use lotusmoor_registry_client::EndpointList;
 use serde::de::DeserializeOwned;
 use serde_json::json;
@@ -62,7 +62,7 @@
     /// What readers are told.
     pub mode: Mode,
     /// Replicas.
-    pub rosters: Rosters,
+    pub rosters: RegistryReplicas,
     /// Where requests go that pass the real sidecars by.
     pub ledgers: Vec<SocketAddr>,
     /// Real sidecars.
@@ -70,7 +70,7 @@
     hollows: Vec<Hollows>,
     ledger_processes: Vec<Process>,
     /// The ways of a region's hollow ones to the replicas, where it can be cut.
-    relays: BTreeMap<usize, Vec<Relay>>,
+    relays: BTreeMap<usize, Vec<FaultProxy>>,
     zones: Vec<String>,
     regions: Vec<String>,
     lease_ms: u64,
@@ -79,7 +79,7 @@
     folder: tempfile::TempDir,
     _runtime: Runtime,
     // Last: it ends what the others leave.
-    reaper: Reaper,
+    reaper: ProcessGuard,
 }
 
 fn lock<V>(of: &Mutex<V>) -> MutexGuard<'_, V> {
@@ -106,7 +106,7 @@
         let each = (sizes.hollow + plan.sidecars) as u64 * 3 / 4 + 600;
         allow_files(each)?;
         let programs = Programs::find()?;
-        let reaper = Reaper::start(&programs.lotusmoor)?;
+        let reaper = ProcessGuard::start(&programs.lotusmoor)?;
         let folder = tempfile::tempdir()?;
         let runtime = tokio::runtime::Builder::new_multi_thread().worker_threads(2).enable_all().build()?;
         let config = folder.path().join("roster.toml");
@@ -116,7 +116,7 @@
             plan.whole_lists_per_s
         );
         std::fs::write(&config, text)?;
-        let mut rosters = Rosters::new(
+        let mut rosters = RegistryReplicas::new(
             programs.clone(),
             folder.path(),
             runtime.handle().clone(),
@@ -126,7 +126,7 @@
         rosters.start(REPLICAS, &["--config", &config.to_string_lossy()])?;
         let mut relays = BTreeMap::new();
         for region in cut {
-            let ways = (0..REPLICAS).map(|at| Relay::start(runtime.handle(), rosters.address(at)));
+            let ways = (0..REPLICAS).map(|at| FaultProxy::start(runtime.handle(), rosters.address(at)));
             relays.insert(*region, ways.collect::<io::Result<_>>()?);
         }
         let mut deployment = Self {
@@ -226,7 +226,7 @@
     fn start_sidecar(&mut self, number: usize, plan: &Plan) -> io::Result<()> {
         let (address, management) = (unused_address(), unused_address());
         let file = self.folder.path().join(format!("sidecar-{number}.list"));
-        let mut settings = Shape::plain(plan.sidecars, 0, 0, plan.seed).settings;
+        let mut settings = ClusterConfig::plain(plan.sidecars, 0, 0, plan.seed).settings;
         settings["Balancers"] = json!(plan.sidecars);
         settings["Index"] = json!(number);
         settings["Zone"] = json!(self.zones[number % self.zones.len()]);
@@ -365,12 +365,12 @@
 
     /// The hollow ones of a zone stand still.
     pub fn hold_zone(&self, zone: usize) -> io::Result<()> {
-        self.of_zone(zone).try_for_each(|h| lock(&h.process).hold())
+        self.of_zone(zone).try_for_each(|h| lock(&h.process).pause())
     }
 
     /// They go on.
     pub fn let_zone_go_on(&self, zone: usize) -> io::Result<()> {
-        self.of_zone(zone).try_for_each(|h| lock(&h.process).go_on())
+        self.of_zone(zone).try_for_each(|h| lock(&h.process).resume())
     }
 
     /// They are killed.
@@ -387,7 +387,7 @@
     }
 
     /// The ways of a region's hollow ones to the replicas.
-    pub fn ways(&self, region: usize) -> &[Relay] {
+    pub fn ways(&self, region: usize) -> &[FaultProxy] {
         self.relays.get(&region).map_or(&[], Vec::as_slice)
     }
 
@@ -407,9 +407,10 @@
         let hollows =
             self.hollows.iter_mut().map(|h| h.process.get_mut().unwrap_or_else(PoisonError::into_inner));
         let mut all = sidecars.chain(hollows).chain(&mut self.ledger_processes);
-        let ended =
-            all.find_map(|p| p.ended().map(|status| format!("{} ended: {status}\n{}", p.name, p.said())));
-        let replica = (0..REPLICAS).any(|at| self.rosters.ended(at));
+        let ended = all.find_map(|p| {
+            p.exit_status().map(|status| format!("{} ended: {status}\n{}", p.name, p.log_text()))
+        });
+        let replica = (0..REPLICAS).any(|at| self.rosters.has_exited(at));
         ended.or_else(|| replica.then(|| format!("a replica ended by itself\n{}", self.rosters.logs())))
     }
 
--- a/crates/fleet/src/scale/run.rs
+++ b/crates/fleet/src/scale/run.rs
@@ -211,7 +211,7 @@
             (0..REPLICAS).map(|at| self.deployment.metric(at, "roster_watchers")).collect();
         let mut back: Vec<(i64, i64)> = after.taken.iter().flat_map(|t| t.back.iter().copied()).collect();
         if let Some(EventPart::ReplicaKilled { which }) = event {
-            self.deployment.rosters.go(struck(*which, leader))?;
+            self.deployment.rosters.start_replica(struck(*which, leader))?;
         }
         // Until all are back and have been told.
         let began = Instant::now();
@@ -486,10 +486,10 @@
         }
         Some(EventPart::RegionCut { region, for_s }) => {
             let ways = d.ways(place(region.as_ref(), &plan.regions).unwrap_or(0));
-            ways.iter().for_each(|way| way.set(Link::cut()));
+            ways.iter().for_each(|way| way.set_link(Link::cut()));
             std::thread::sleep(Duration::from_secs_f64(*for_s));
             mended = monotonic();
-            ways.iter().for_each(|way| way.set(Link::default()));
+            ways.iter().for_each(|way| way.set_link(Link::default()));
         }
     }
     std::thread::sleep(end.saturating_duration_since(Instant::now()));
--- a/crates/fleet/src/scale/sidecar.rs
+++ b/crates/fleet/src/scale/sidecar.rs
@@ -5,10 +5,12 @@
 use super::module;
 use super::usage::{Cpu, written};
 use crate::experiment::commit;
-use crate::harness::ledger::Conduct;
-use crate::harness::reaper::Reaper;
-use crate::harness::rosters::{Rosters, call};
-use crate::harness::{LONG, Process, Programs, Relay, Timeline, clock, until, unused_address};
+use crate::harness::backend::Conduct;
+use crate::harness::process_guard::ProcessGuard;
+use crate::harness::registry_replicas::{RegistryReplicas, call};
+use crate::harness::{
+    FaultProxy, Process, Programs, Timeline, WAIT_TIMEOUT, now_micros, until, unused_address,
+};
 use crate::load::{self, Route, open_loop};
 use hdrhistogram::Histogram;
 use indicatif::{ProgressBar, ProgressStyle};
@@ -164,17 +166,17 @@
 struct Rig {
     listed: u32,
     told: u32,
-    rosters: Rosters,
+    rosters: RegistryReplicas,
     sidecar: Process,
     _server: Process,
-    to_rosters: Vec<Relay>,
+    to_rosters: Vec<FaultProxy>,
     through: SocketAddr,
     direct: SocketAddr,
     management: SocketAddr,
     _folder: tempfile::TempDir,
     _runtime: Runtime,
     // Ends all of them where this process is killed.
-    _reaper: Reaper,
+    _reaper: ProcessGuard,
 }
 
 /// A server as it registers.
@@ -191,10 +193,10 @@
     /// Starts all, and waits until the sidecar has the list.
     fn start(plan: &Plan, listed: u32) -> io::Result<Self> {
         let programs = Programs::find()?;
-        let reaper = Reaper::start(&programs.lotusmoor)?;
+        let reaper = ProcessGuard::start(&programs.lotusmoor)?;
         let folder = tempfile::tempdir()?;
         let runtime = tokio::runtime::Builder::new_multi_thread().worker_threads(2).enable_all().build()?;
-        let mut rosters = Rosters::new(
+        let mut rosters = RegistryReplicas::new(
             programs.clone(),
             folder.path(),
             runtime.handle().clone(),
@@ -217,8 +219,8 @@
         let log = folder.path().join("server.log");
         let server = Process::start(command, "server", &log, Some(&reaper))?;
 
-        let relays = (0..REPLICAS).map(|r| Relay::start(runtime.handle(), rosters.address(r)));
-        let to_rosters = relays.collect::<io::Result<Vec<Relay>>>()?;
+        let relays = (0..REPLICAS).map(|r| FaultProxy::start(runtime.handle(), rosters.address(r)));
+        let to_rosters = relays.collect::<io::Result<Vec<FaultProxy>>>()?;
         let addresses: Vec<SocketAddr> = to_rosters.iter().map(|r| r.address).collect();
         let mut roster = json!({"addresses": addresses, "file": folder.path().join("sidecar.list")});
         if plan.mode == Mode::Services {
@@ -255,7 +257,7 @@
         };
         let mut ended = None;
         let has_list = until(|| {
-            ended = rig.sidecar.ended();
+            ended = rig.sidecar.exit_status();
             ended.is_some() || rig.list().is_some_and(|(_, servers)| servers == told)
         });
         if let Some(status) = ended {
@@ -274,7 +276,7 @@
     }
 
     fn failed(&self, what: &str) -> io::Error {
-        let said = self.sidecar.said();
+        let said = self.sidecar.log_text();
         io::Error::other(format!("{what}; its last line: {}", said.lines().last().unwrap_or("none")))
     }
 
@@ -295,7 +297,7 @@
 
     /// Bytes that the sidecar and the replicas have exchanged.
     fn wire_bytes(&self) -> u64 {
-        self.to_rosters.iter().map(Relay::bytes).sum()
+        self.to_rosters.iter().map(FaultProxy::bytes_forwarded).sum()
     }
 
     /// Changes so many servers a second, of the first `of` in turn; `changed` hears the index of each and when it was
@@ -315,7 +317,7 @@
             }
             std::thread::sleep(due.saturating_sub(begun.elapsed()));
             // As if its process had started anew.
-            let server = server(plan, made % of.max(1), self.direct, clock() / 1000);
+            let server = server(plan, made % of.max(1), self.direct, now_micros() / 1000);
             let path = format!("/v1/servers/s-{}", made % of.max(1));
             let index = write(&self.rosters, &mut at, "PUT", &path, &server.to_string())?;
             changed(index, Instant::now());
@@ -378,7 +380,8 @@
     /// From a change's acknowledgement until the sidecar's own list has it, in microseconds. Only servers that it is
     /// told of are changed.
     fn in_force(&self, plan: &Plan, rate: f64) -> io::Result<Histogram<u64>> {
-        let mut all = Histogram::new_with_bounds(1, LONG.as_micros() as u64, 3).map_err(io::Error::other)?;
+        let mut all =
+            Histogram::new_with_bounds(1, WAIT_TIMEOUT.as_micros() as u64, 3).map_err(io::Error::other)?;
         let waiting: Mutex<Vec<(u64, Instant)>> = Mutex::default();
         let lock = || waiting.lock().unwrap_or_else(PoisonError::into_inner);
         let over = AtomicBool::new(false);
@@ -389,7 +392,7 @@
                 changed
             });
             let mut told = Instant::now();
-            while told.elapsed() < LONG {
+            while told.elapsed() < WAIT_TIMEOUT {
                 let (was_over, seen) = (over.load(Ordering::Acquire), self.list());
                 let now = Instant::now();
                 let mut waiting = lock();
@@ -422,9 +425,15 @@
 }
 
 /// Writes to the roster, at the replica that took the last write or else the next; gives the list's index then.
-fn write(rosters: &Rosters, at: &mut usize, method: &str, path: &str, body: &str) -> io::Result<u64> {
+fn write(
+    rosters: &RegistryReplicas,
+    at: &mut usize,
+    method: &str,
+    path: &str,
+    body: &str,
+) -> io::Result<u64> {
     let (begun, mut said) = (Instant::now(), String::new());
-    while begun.elapsed() < LONG {
+    while begun.elapsed() < WAIT_TIMEOUT {
         match call(rosters.address(*at), method, path, body, Duration::from_secs(5)) {
             Ok(answer) if answer.status == 200 => return Ok(answer.body["index"].as_u64().unwrap_or(0)),
             // Nothing will change about that.
--- a/crates/fleet/src/soak/plan.rs
+++ b/crates/fleet/src/soak/plan.rs
@@ -2,8 +2,8 @@
 
 use super::further::SeriesSignal;
 use crate::chance::stream;
-use crate::harness::Shape;
-use crate::harness::ledger::Conduct;
+use crate::harness::ClusterConfig;
+use crate::harness::backend::Conduct;
 use lotusmoor_faults::{Call, errno};
 use rand::RngExt;
 use rand::seq::IndexedRandom;
@@ -375,10 +375,10 @@
     }
 
     /// The fleet that it is played on.
-    pub fn shape(&self) -> Shape {
-        let mut shape = Shape::plain(self.sidecars, self.servers, self.rosters, self.seed);
-        shape.faults = true;
-        shape.passed = self.passed;
+    pub fn shape(&self) -> ClusterConfig {
+        let mut shape = ClusterConfig::plain(self.sidecars, self.servers, self.rosters, self.seed);
+        shape.fault_injection = true;
+        shape.inherited_sockets = self.passed;
         shape.cores = self.cores;
         shape.unread_logs = self.unread_logs();
         shape.slack = SLACK_US;
--- a/crates/fleet/src/soak/play.rs
+++ b/crates/fleet/src/soak/play.rs
@@ -5,10 +5,10 @@
 use super::further::{ProcessSignal, SeriesSignal};
 use super::plan::{Plan, SLOW_MS, Trouble, Window};
 use crate::chance::mix;
-use crate::harness::check::{Kind, cold_load};
+use crate::harness::check::{Idempotency, peak_slow_start_load};
 use crate::harness::{
-    Clients, Cluster, ClusterError, LeavingClients, LeavingGroup, OperatorCall, PendingCall, Strangers,
-    Traffic, until,
+    Clients, Cluster, ClusterError, DisconnectingClients, DisconnectingGroup, MalformedClients, OperatorCall,
+    PendingCall, Traffic, until,
 };
 use std::thread::sleep;
 use std::time::{Duration, Instant};
@@ -70,8 +70,8 @@
     plan: &'a Plan,
     cluster: Cluster,
     clients: Clients,
-    strangers: Strangers,
-    leaving_clients: LeavingClients,
+    strangers: MalformedClients,
+    leaving_clients: DisconnectingClients,
     series_signals: usize,
     /// What is to be done, and when.
     due: Vec<(Instant, Step)>,
@@ -94,7 +94,7 @@
 /// Plays a plan; the failure says what was broken, with the timeline, the way of each request, and the logs.
 pub fn play(plan: &Plan) -> Result<Seen, ClusterError> {
     let cluster = Cluster::start(plan.shape())?;
-    let clients = cluster.ask(&traffic(plan));
+    let clients = cluster.start_clients(&traffic(plan));
     let begun = Instant::now();
     let mut due = Vec::new();
     for Window { at_ms, lasts_ms, trouble } in &plan.windows {
@@ -103,13 +103,13 @@
         due.push((at + Duration::from_millis(*lasts_ms), Step::End(trouble.clone())));
     }
     let up_since = vec![begun; plan.sidecars];
-    let (strangers, starting) = (Strangers::default(), Vec::new());
+    let (strangers, starting) = (MalformedClients::default(), Vec::new());
     let mut play = Play {
         plan,
         cluster,
         clients,
         strangers,
-        leaving_clients: LeavingClients::default(),
+        leaving_clients: DisconnectingClients::default(),
         series_signals: 0,
         due,
         starting,
@@ -139,13 +139,19 @@
 
 fn traffic(plan: &Plan) -> Traffic {
     let wait = Duration::from_millis(plan.wait_ms);
-    let keyed = Kind::Keyed { window: plan.window_ms * 1000 };
+    let keyed = Idempotency::Keyed { window: plan.window_ms * 1000 };
     let classes = vec![
-        ("look".into(), Kind::Safe, wait, 0.5),
+        ("look".into(), Idempotency::Idempotent, wait, 0.5),
         ("pay".into(), keyed, wait, 0.3),
-        ("book".into(), Kind::Unsafe, wait, 0.2),
+        ("book".into(), Idempotency::NonIdempotent, wait, 0.2),
     ];
-    Traffic { rate: plan.rate, classes, leaving: plan.leaving, bodies: plan.bodies, seed: plan.seed }
+    Traffic {
+        rate: plan.rate,
+        classes,
+        disconnect_share: plan.leaving,
+        body_share: plan.bodies,
+        seed: plan.seed,
+    }
 }
 
 impl Play<'_> {
@@ -162,7 +168,7 @@
             match step {
                 Step::Begin(trouble) => self.begin(&trouble)?,
                 Step::End(trouble) => self.end(&trouble)?,
-                Step::Bar(sidecar) => self.clients.bar(sidecar, true),
+                Step::Bar(sidecar) => self.clients.block_connections(sidecar, true),
                 Step::EndSidecar(sidecar) => {
                     self.cluster.end_sidecar(sidecar)?;
                     self.start(sidecar)?;
@@ -180,8 +186,8 @@
         self.finish_hand_overs()?;
         let mut still = Vec::new();
         for sidecar in std::mem::take(&mut self.starting) {
-            if self.cluster.came_up(sidecar)? {
-                self.clients.bar(sidecar, false);
+            if self.cluster.sidecar_is_ready(sidecar)? {
+                self.clients.block_connections(sidecar, false);
                 self.up_since[sidecar] = Instant::now();
             } else {
                 still.push(sidecar);
@@ -193,7 +199,7 @@
 
     /// Hears what operators were answered. What ends something is called until it is answered well.
     fn finish_calls(&mut self) {
-        let (over, open) = std::mem::take(&mut self.calls).into_iter().partition(PendingCall::is_over);
+        let (over, open) = std::mem::take(&mut self.calls).into_iter().partition(PendingCall::is_finished);
         self.calls = open;
         for pending in over {
             let (sidecar, call) = (pending.sidecar, pending.call);
@@ -208,7 +214,7 @@
     fn finish_hand_overs(&mut self) -> Result<(), ClusterError> {
         let mut still = Vec::new();
         for (sidecar, since) in std::mem::take(&mut self.handing_over) {
-            if self.cluster.handed_over(sidecar)? {
+            if self.cluster.hand_over_if_ready(sidecar)? {
                 let now = Instant::now();
                 self.up_since[sidecar] = now;
                 self.due.push((now + self.longest() + KILLED_AFTER, Step::EndOldProcess(sidecar)));
@@ -242,7 +248,7 @@
     }
 
     fn start(&mut self, sidecar: usize) -> Result<(), ClusterError> {
-        self.cluster.start_sidecar_for_now(sidecar)?;
+        self.cluster.begin_sidecar_start(sidecar)?;
         self.starting.push(sidecar);
         Ok(())
     }
@@ -266,7 +272,7 @@
         if !self.is_up(sidecar) {
             return Ok(());
         }
-        self.cluster.tell_sidecar_to_stop(sidecar)?;
+        self.cluster.terminate_sidecar(sidecar)?;
         self.end_after_stop(sidecar);
         Ok(())
     }
@@ -279,7 +285,7 @@
         self.series_signals += 1;
         match signal {
             ProcessSignal::Hangup => return self.cluster.reload_sidecar(sidecar),
-            ProcessSignal::Terminate => self.cluster.tell_sidecar_to_stop(sidecar)?,
+            ProcessSignal::Terminate => self.cluster.terminate_sidecar(sidecar)?,
             ProcessSignal::Interrupt => self.cluster.interrupt_sidecar(sidecar)?,
         }
         let ends = |(_, step): &(Instant, Step)| matches!(step, Step::EndSidecar(s) if *s == sidecar);
@@ -301,10 +307,10 @@
     }
 
     fn leave(&mut self, sidecar: usize, count: usize) {
-        let (runtime, at) = self.cluster.way_to(sidecar);
+        let (runtime, at) = self.cluster.runtime_and_address(sidecar);
         let wait = Duration::from_millis(self.plan.wait_ms);
         let seed = mix(self.plan.seed ^ mix(LEAVING_CLIENTS ^ sidecar as u64));
-        self.leaving_clients.visit(&runtime, LeavingGroup { sidecar, at, count, wait, seed });
+        self.leaving_clients.connect(&runtime, DisconnectingGroup { sidecar, at, count, wait, seed });
     }
 
     /// What comes of a sidecar that was told to stop.
@@ -321,14 +327,14 @@
     /// All is well again: what everyone saw is read and checked.
     fn finish(mut self) -> Result<Seen, ClusterError> {
         for sidecar in 0..self.plan.sidecars {
-            self.cluster.mend_calls(sidecar)?;
+            self.cluster.clear_call_faults(sidecar)?;
         }
-        let (runtime, _) = self.cluster.way_to(0);
+        let (runtime, _) = self.cluster.runtime_and_address(0);
         let strangers = self.strangers.finish(&runtime);
         let left = self.leaving_clients.finish(&runtime);
-        let served = self.clients.over();
+        let served = self.clients.finished_count();
         // With all troubles over, what is asked is answered.
-        if !until(|| self.clients.over() > served + self.plan.sidecars) {
+        if !until(|| self.clients.finished_count() > served + self.plan.sidecars) {
             return Err(self.cluster.failed("requests stand still after the troubles".into()));
         }
         for sidecar in 0..self.plan.sidecars {
@@ -336,7 +342,7 @@
             if counted.as_ref().is_none_or(|lines| !lines.is_empty()) {
                 return Err(self.cluster.failed(format!("sidecar {sidecar} has counted {counted:?}")));
             }
-            let said = self.cluster.sidecar_said(sidecar);
+            let said = self.cluster.sidecar_log(sidecar);
             if let Some(line) = said.lines().find(|l| l.contains("rule broken") || l.contains("panicked")) {
                 return Err(self.cluster.failed(format!("sidecar {sidecar} said: {line}")));
             }
@@ -348,14 +354,14 @@
         let slow = i64::try_from(1000 * SLOW_MS).unwrap_or(0);
         let history = self.cluster.finish_soak(self.clients, left, strangers, slow)?;
         Ok(Seen {
-            requests: history.asks.len(),
-            served: history.asks.iter().filter(|a| a.is_served()).count(),
+            requests: history.requests.len(),
+            served: history.requests.iter().filter(|a| a.is_served()).count(),
             attempts: history.attempts.len(),
             strangers: visits,
             left_with_bodies,
             series_signals: self.series_signals,
             dropped_log_lines,
-            cold_load: cold_load(&history),
+            cold_load: peak_slow_start_load(&history),
         })
     }
 }
--- a/crates/fleet/src/soak/play/faults.rs
+++ b/crates/fleet/src/soak/play/faults.rs
@@ -1,7 +1,7 @@
 //! How each fault of a plan begins and ends.
 
 use super::Play;
-use crate::harness::{ClusterError, Link, OperatorCall, clock};
+use crate::harness::{ClusterError, Link, OperatorCall, now_micros};
 use crate::soak::plan::{LinkKind, SLOW_MS, Trouble};
 use lotusmoor_faults::{Call, Fault, Rule, Span, errno};
 use std::time::{Duration, Instant};
@@ -18,7 +18,7 @@
             Trouble::HandOver(sidecar) => self.begin_hand_over(*sidecar)?,
             Trouble::Cordon { sidecar, server } => self.cordon(*sidecar, *server),
             Trouble::Quiesce(sidecar) => self.quiesce(*sidecar),
-            Trouble::HoldSidecar(sidecar) => self.cluster.hold_sidecar(*sidecar)?,
+            Trouble::HoldSidecar(sidecar) => self.cluster.pause_sidecar(*sidecar)?,
             Trouble::Calls { sidecar, call, errno, every } => {
                 self.fail_calls(*sidecar, *call, *errno, *every)?;
             }
@@ -30,16 +30,16 @@
             }
             Trouble::HoldServer(server) => {
                 self.away.push(*server);
-                self.cluster.hold_server(*server)?;
+                self.cluster.pause_server(*server)?;
             }
             Trouble::Misbehaves { server, conduct } => self.cluster.set_conduct(*server, conduct)?,
             Trouble::Silence => {
-                self.silent_since.get_or_insert_with(clock);
-                self.cluster.silence_discovery(true)?;
+                self.silent_since.get_or_insert_with(now_micros);
+                self.cluster.set_discovery_silent(true)?;
             }
-            Trouble::Link { sidecar, server, kind } => self.cluster.link(*sidecar, *server, link(*kind)),
+            Trouble::Link { sidecar, server, kind } => self.cluster.set_link(*sidecar, *server, link(*kind)),
             Trouble::Resets(sidecar) => {
-                (0..self.plan.servers).for_each(|server| self.cluster.reset(*sidecar, server));
+                (0..self.plan.servers).for_each(|server| self.cluster.reset_connections(*sidecar, server));
             }
             Trouble::LeavingBodies { sidecar, count } => self.leave(*sidecar, *count),
             Trouble::SignalSeries { sidecar, signals } => self.begin_series(*sidecar, signals),
@@ -56,8 +56,8 @@
                 Some(_) => Ok(()),
                 None => self.start(*sidecar),
             },
-            Trouble::HoldSidecar(sidecar) => self.cluster.let_sidecar_go_on(*sidecar),
-            Trouble::Calls { sidecar, .. } => self.cluster.mend_calls(*sidecar),
+            Trouble::HoldSidecar(sidecar) => self.cluster.resume_sidecar(*sidecar),
+            Trouble::Calls { sidecar, .. } => self.cluster.clear_call_faults(*sidecar),
             Trouble::WallClock { sidecar, .. } => self.cluster.step_wall_clock(*sidecar, 0),
             Trouble::Drain(server) => self.cluster.set_status(*server, "active"),
             Trouble::KillServer(server) => {
@@ -66,17 +66,17 @@
             }
             Trouble::HoldServer(server) => {
                 self.is_back(*server);
-                self.cluster.let_server_go_on(*server)
+                self.cluster.resume_server(*server)
             }
             Trouble::Misbehaves { server, .. } => self.cluster.set_conduct(*server, &self.plan.conduct()),
             Trouble::Silence => {
                 if let Some(since) = self.silent_since.take() {
-                    self.cluster.note_silence(since);
+                    self.cluster.record_discovery_silence(since);
                 }
-                self.cluster.silence_discovery(false)
+                self.cluster.set_discovery_silent(false)
             }
             Trouble::Link { sidecar, server, .. } => {
-                self.cluster.link(*sidecar, *server, Link::default());
+                self.cluster.set_link(*sidecar, *server, Link::default());
                 Ok(())
             }
             Trouble::Cordon { sidecar, server } => {
@@ -101,7 +101,7 @@
     }
 
     fn kill_sidecar(&mut self, sidecar: usize) -> Result<(), ClusterError> {
-        if self.is_up(sidecar) { self.cluster.kill_sidecar_for_now(sidecar) } else { Ok(()) }
+        if self.is_up(sidecar) { self.cluster.kill_sidecar_until_restart(sidecar) } else { Ok(()) }
     }
 
     fn reload(&mut self, sidecar: usize, twice: bool, unreadable_ms: u64) -> Result<(), ClusterError> {
@@ -158,8 +158,8 @@
     }
 
     fn visit(&mut self, sidecar: usize, count: usize) {
-        let (runtime, at) = self.cluster.way_to(sidecar);
-        self.strangers.visit(&runtime, sidecar, at, count);
+        let (runtime, at) = self.cluster.runtime_and_address(sidecar);
+        self.strangers.connect(&runtime, sidecar, at, count);
     }
 }
 
--- a/crates/fleet/src/sweep/life.rs
+++ b/crates/fleet/src/sweep/life.rs
@@ -2,9 +2,9 @@
 //! a drain of a server, a reload, a hand-over to a new process, a stop.
 
 use super::Case;
-use crate::harness::check::{Came, Kind};
-use crate::harness::ledger::Conduct;
-use crate::harness::{Clients, Cluster, ClusterError, OperatorCall, Shape, Traffic, until};
+use crate::harness::backend::Conduct;
+use crate::harness::check::{Idempotency, Outcome};
+use crate::harness::{Clients, Cluster, ClusterConfig, ClusterError, OperatorCall, Traffic, until};
 use lotusmoor_faults::Call;
 use std::time::{Duration, Instant};
 
@@ -36,15 +36,15 @@
 
 /// Plays the life; with a case, that call fails. Gives the calls that were made.
 pub fn play(case: Option<&Case>, seed: u64) -> Result<Counts, ClusterError> {
-    let mut shape = Shape::plain(1, 3, 0, seed);
-    shape.faults = true;
-    shape.passed = true;
+    let mut shape = ClusterConfig::plain(1, 3, 0, seed);
+    shape.fault_injection = true;
+    shape.inherited_sockets = true;
     shape.slack = SLACK_US;
-    shape.fails = case.map(Case::rule).into_iter().collect();
+    shape.initial_faults = case.map(Case::rule).into_iter().collect();
     let usual = Conduct { work_us: 2_000, idle_us: 30_000, ..Conduct::default() };
     shape.conduct = usual.clone();
     let cluster = Cluster::start(shape)?;
-    let clients = cluster.ask(&traffic(seed));
+    let clients = cluster.start_clients(&traffic(seed));
     let mut life = Life { cluster, clients, usual };
     life.requests()?;
     life.operators()?;
@@ -54,13 +54,13 @@
 }
 
 fn traffic(seed: u64) -> Traffic {
-    let keyed = Kind::Keyed { window: 7_500_000 };
+    let keyed = Idempotency::Keyed { window: 7_500_000 };
     let classes = vec![
-        ("look".into(), Kind::Safe, WAIT, 0.4),
+        ("look".into(), Idempotency::Idempotent, WAIT, 0.4),
         ("pay".into(), keyed, WAIT, 0.3),
-        ("book".into(), Kind::Unsafe, WAIT, 0.3),
+        ("book".into(), Idempotency::NonIdempotent, WAIT, 0.3),
     ];
-    Traffic { rate: RATE, classes, leaving: 0.05, bodies: 0.2, seed }
+    Traffic { rate: RATE, classes, disconnect_share: 0.05, body_share: 0.2, seed }
 }
 
 struct Life {
@@ -71,8 +71,8 @@
 
 impl Life {
     fn more(&self) -> Result<(), ClusterError> {
-        let before = self.clients.over();
-        self.cluster.wait("more is asked", || self.clients.over() >= before + BETWEEN)
+        let before = self.clients.finished_count();
+        self.cluster.wait("more is asked", || self.clients.finished_count() >= before + BETWEEN)
     }
 
     /// Makes an operators' call until it is answered well.
@@ -103,7 +103,7 @@
         self.more()?;
         for (call, in_service) in [(OperatorCall::Quiesce, false), (OperatorCall::Resume, true)] {
             self.call(&format!("{call:?}"), |cluster| cluster.call(0, call))?;
-            if !self.cluster.comes_to_say(0, in_service, SAYS_SO) {
+            if !self.cluster.wait_for_readiness(0, in_service, SAYS_SO) {
                 return Err(self.cluster.failed(format!("told to {call:?}, it does not say so")));
             }
         }
@@ -117,8 +117,8 @@
         self.cluster.set_status(2, "active")?;
         self.cluster.reload_sidecar(0)?;
         let began = Instant::now();
-        if !until(|| self.cluster.discovery_is_asked(0) || began.elapsed() > ASKED_ANEW)
-            || !self.cluster.discovery_is_asked(0)
+        if !until(|| self.cluster.discovery_is_contacted(0) || began.elapsed() > ASKED_ANEW)
+            || !self.cluster.discovery_is_contacted(0)
         {
             return Err(self.cluster.failed("the reload is not followed".into()));
         }
@@ -129,7 +129,7 @@
     fn hand_over(&mut self) -> Result<(), ClusterError> {
         self.cluster.begin_hand_over(0)?;
         let began = Instant::now();
-        while !self.cluster.handed_over(0)? {
+        while !self.cluster.hand_over_if_ready(0)? {
             if began.elapsed() > CALLS_AGAIN {
                 return Err(self.cluster.failed("the new process can never serve".into()));
             }
@@ -158,7 +158,7 @@
 
     /// Everything is over: what all saw is checked, and the process ends as it is told.
     fn end(mut self, case: Option<&Case>) -> Result<Counts, ClusterError> {
-        if !self.clients.settle() {
+        if !self.clients.stop_and_wait() {
             return Err(self.cluster.failed("clients' requests never ended".into()));
         }
         let mut counted = None;
@@ -170,27 +170,27 @@
         if counted.as_ref().is_none_or(|lines| !lines.is_empty()) {
             return Err(self.cluster.failed(format!("the sidecar has counted {counted:?}")));
         }
-        let said = self.cluster.sidecar_said(0);
+        let said = self.cluster.sidecar_log(0);
         if let Some(line) = said.lines().find(|l| l.contains("rule broken") || l.contains("panicked")) {
             return Err(self.cluster.failed(format!("the sidecar said: {line}")));
         }
-        let (descriptors, memory_kb) = self.cluster.held_by(0)?;
+        let (descriptors, memory_kb) = self.cluster.resource_usage(0)?;
         if descriptors > MOST_DESCRIPTORS || memory_kb > MOST_MEMORY_KB {
             return Err(self
                 .cluster
                 .failed(format!("it holds {descriptors} descriptors and {memory_kb} kB")));
         }
-        let calls = Counts(Call::ALL.iter().map(|call| self.cluster.calls(0, *call)).collect());
-        self.cluster.tell_sidecar_to_stop(0)?;
-        self.ends("the process", |cluster| cluster.sidecar_ended_well(0))?;
-        let mut asks = self.clients.finish_early();
+        let calls = Counts(Call::ALL.iter().map(|call| self.cluster.system_calls(0, *call)).collect());
+        self.cluster.terminate_sidecar(0)?;
+        self.ends("the process", |cluster| cluster.sidecar_has_stopped(0))?;
+        let mut asks = self.clients.into_requests();
         if case.is_some_and(Case::ends_connections) {
             // The network ended them, not the sidecar.
-            for ask in asks.iter_mut().filter(|ask| matches!(ask.came, Came::Closed { .. })) {
-                ask.came = Came::Unreached;
+            for ask in asks.iter_mut().filter(|ask| matches!(ask.outcome, Outcome::Closed { .. })) {
+                ask.outcome = Outcome::ConnectFailed;
             }
         }
-        self.cluster.finish_asked(asks)?;
+        self.cluster.finish_with_requests(asks)?;
         Ok(calls)
     }
 }
--- a/crates/fleet/src/sweep/replica.rs
+++ b/crates/fleet/src/sweep/replica.rs
@@ -2,8 +2,8 @@
 //! more, and is told to stop. What it has acknowledged is there in the end, and it is of use again by itself.
 
 use super::{Case, Counts};
-use crate::harness::rosters::call;
-use crate::harness::{Process, Programs, reaper::Reaper, until, unused_address};
+use crate::harness::registry_replicas::call;
+use crate::harness::{Process, Programs, process_guard::ProcessGuard, until, unused_address};
 use lotusmoor_faults::{Call, FaultTable};
 use serde_json::json;
 use std::collections::BTreeSet;
@@ -40,7 +40,7 @@
 
 struct Replica {
     programs: Programs,
-    reaper: Reaper,
+    reaper: ProcessGuard,
     listen: SocketAddr,
     folder: tempfile::TempDir,
     table: FaultTable,
@@ -50,7 +50,7 @@
 /// Plays the life; with a case, that call fails. Gives the calls that were made.
 pub fn play_replica(case: Option<&Case>) -> Result<Counts, ReplicaError> {
     let programs = Programs::find()?;
-    let reaper = Reaper::start(&programs.lotusmoor)?;
+    let reaper = ProcessGuard::start(&programs.lotusmoor)?;
     let folder = tempfile::tempdir()?;
     let other = |e: lotusmoor_faults::TableError| std::io::Error::other(e.to_string());
     let table = FaultTable::create(&folder.path().join("faults")).map_err(other)?;
@@ -78,7 +78,7 @@
 
 fn start(
     programs: &Programs,
-    reaper: &Reaper,
+    reaper: &ProcessGuard,
     listen: SocketAddr,
     folder: &tempfile::TempDir,
     table: &FaultTable,
@@ -104,7 +104,7 @@
 
 impl Replica {
     fn failed(&self, what: String) -> ReplicaError {
-        let said = self.process.said();
+        let said = self.process.log_text();
         let mut tail: Vec<&str> = said.lines().rev().take(30).collect();
         tail.reverse();
         ReplicaError::Failed { what, log: tail.join("\n") }
@@ -114,7 +114,7 @@
     fn comes(&mut self, what: &str, holds: impl Fn(SocketAddr) -> bool) -> Result<(), ReplicaError> {
         let began = Instant::now();
         while !holds(self.listen) {
-            if let Some(status) = self.process.ended() {
+            if let Some(status) = self.process.exit_status() {
                 return Err(self.failed(format!("it ended by itself, {status}, before {what}")));
             }
             if began.elapsed() > OF_USE_WITHIN {
@@ -175,10 +175,10 @@
     /// It ends as it is told.
     fn end(mut self) -> Result<Counts, ReplicaError> {
         let calls = Call::ALL.iter().map(|call| self.table.calls(*call).unwrap_or(0)).collect();
-        self.process.tell_to_stop()?;
+        self.process.terminate()?;
         let mut status = None;
         until(|| {
-            status = self.process.ended();
+            status = self.process.exit_status();
             status.is_some()
         });
         match status {
--- a/crates/fleet/tests/stored_forms.rs
+++ b/crates/fleet/tests/stored_forms.rs
@@ -8,8 +8,8 @@
 use lotusmoor_faults::{Call, errno};
 use lotusmoor_fleet::capacity::Runs;
 use lotusmoor_fleet::experiment::{Line as RunLine, Point, Results, measure, measures};
-use lotusmoor_fleet::harness::ledger::{Conduct, Noted, Over, Seen};
-use lotusmoor_fleet::harness::list::{Listed, Told};
+use lotusmoor_fleet::harness::backend::{BackendEvent, Conduct, EndedRequest, ReceivedRequest};
+use lotusmoor_fleet::harness::discovery::{DeliveredVersion, ServerEntry};
 use lotusmoor_fleet::model::Figures;
 use lotusmoor_fleet::scale::hollow::{Ask, Assignment, Hollow, Lease, Standing, Taken};
 use lotusmoor_fleet::scale::lines::{At, Line as ScaleLine, Lines, Mode, Role, Sweep};
@@ -483,34 +483,45 @@
 
 // ---- Processes of the harness ----
 
-fn server_notes() -> Vec<Noted> {
-    let keyed = Seen {
+fn server_notes() -> Vec<BackendEvent> {
+    let keyed = ReceivedRequest {
         number: 4,
         id: "r-17".to_owned(),
         method: "POST".to_owned(),
         key: Some("5c0f6e1a".to_owned()),
-        came: (1_790_000_000_000_001, 1_790_000_000_000_250),
+        received_at: (1_790_000_000_000_001, 1_790_000_000_000_250),
         stale: true,
-        told: Some(19_000_000),
+        time_left: Some(19_000_000),
     };
-    let plain = Seen { key: None, stale: false, told: None, method: "GET".to_owned(), ..keyed.clone() };
-    let served = Over {
+    let plain = ReceivedRequest {
+        key: None,
+        stale: false,
+        time_left: None,
+        method: "GET".to_owned(),
+        ..keyed.clone()
+    };
+    let served = EndedRequest {
         number: 4,
         at: 1_790_000_000_005_000,
-        ran: true,
+        executed: true,
         status: Some(200),
         body: Some("ledger-1 r-17".to_owned()),
     };
-    let lost = Over { ran: false, status: None, body: None, ..served.clone() };
-    vec![Noted::Seen(keyed), Noted::Seen(plain), Noted::Over(served), Noted::Over(lost)]
+    let lost = EndedRequest { executed: false, status: None, body: None, ..served.clone() };
+    vec![
+        BackendEvent::Received(keyed),
+        BackendEvent::Received(plain),
+        BackendEvent::Ended(served),
+        BackendEvent::Ended(lost),
+    ]
 }
 
-fn discovery_notes() -> Vec<Told> {
-    vec![Told { sidecar: 11, index: 42, at: 1_790_000_000_000_003 }]
+fn discovery_notes() -> Vec<DeliveredVersion> {
+    vec![DeliveredVersion { sidecar: 11, index: 42, at: 1_790_000_000_000_003 }]
 }
 
-fn discovery_list() -> Vec<Listed> {
-    vec![Listed {
+fn discovery_list() -> Vec<ServerEntry> {
+    vec![ServerEntry {
         name: "ledger-1".to_owned(),
         zone: "a".to_owned(),
         status: "leaving".to_owned(),
@@ -521,16 +532,20 @@
 
 #[test]
 fn what_servers_and_discovery_write_down_is_read_and_written_again_as_the_same_text() {
-    assert_eq!(read_lines::<Noted>(SERVER_NOTES), server_notes());
-    assert_eq!(read_lines::<Told>(DISCOVERY_NOTES), discovery_notes());
+    assert_eq!(read_lines::<BackendEvent>(SERVER_NOTES), server_notes());
+    assert_eq!(read_lines::<DeliveredVersion>(DISCOVERY_NOTES), discovery_notes());
     let without_told = text(SERVER_NOTES).lines().nth(1).expect("a line").replace(r#","told":null"#, "");
-    assert_eq!(read::<Noted>(&without_told), server_notes()[1], "as it was written before it was told");
+    assert_eq!(
+        read::<BackendEvent>(&without_told),
+        server_notes()[1],
+        "as it was written before it was told"
+    );
 }
 
 #[test]
 fn what_servers_and_discovery_are_told_is_read_and_written_again_as_the_same_text() {
     assert_eq!(read_lines::<Conduct>(SERVER_CONDUCT), [full_conduct()]);
-    assert_eq!(read_lines::<Vec<Listed>>(DISCOVERY_LIST), [discovery_list()]);
+    assert_eq!(read_lines::<Vec<ServerEntry>>(DISCOVERY_LIST), [discovery_list()]);
     assert_eq!(read::<Conduct>("{}"), Conduct::default());
     assert!(serde_json::from_str::<Conduct>(r#"{"unknown":1}"#).is_err());
 }
--- a/crates/lotusmoor/src/fleet.rs
+++ b/crates/lotusmoor/src/fleet.rs
@@ -2,8 +2,8 @@
 
 use crate::Failure;
 use lotusmoor_fleet::experiment::{self, Experiment, Results};
-use lotusmoor_fleet::harness::ledger::{self, Conduct};
-use lotusmoor_fleet::harness::{list, reaper};
+use lotusmoor_fleet::harness::backend::{self, Conduct};
+use lotusmoor_fleet::harness::{discovery, process_guard};
 use lotusmoor_fleet::load;
 use lotusmoor_fleet::model::{Figures, Policy, Run, World};
 use lotusmoor_fleet::scenario::Scenario;
@@ -212,10 +212,10 @@
     let runtime = tokio::runtime::Builder::new_current_thread().enable_all().build()?;
     match part {
         StandIn::Ledger { name, listen, notes, conduct, cores } => {
-            runtime.block_on(ledger::serve(name, listen, notes.as_deref(), conduct, cores))
+            runtime.block_on(backend::serve(name, listen, notes.as_deref(), conduct, cores))
         }
         StandIn::Discovery { sidecar, control, notes } => {
-            runtime.block_on(list::serve(sidecar, control, &notes))
+            runtime.block_on(discovery::serve(sidecar, control, &notes))
         }
         StandIn::Hollow { .. } => Ok(()),
     }
@@ -324,7 +324,7 @@
             Ok(())
         }
         Command::Reaper => {
-            reaper::serve(std::io::stdin().lock());
+            process_guard::run(std::io::stdin().lock());
             Ok(())
         }
         Command::Report { results, out, measures } => {
--- a/crates/lotusmoor/tests/fleet_rules.rs
+++ b/crates/lotusmoor/tests/fleet_rules.rs
@@ -1,15 +1,21 @@
 //! Rules that hold over the sum of many real sidecars: cold servers under all of them together, and a herd of them that
 //! starts at once.
 
-use lotusmoor_fleet::harness::check::{Came, Kind, cold_peaks};
-use lotusmoor_fleet::harness::ledger::Conduct;
-use lotusmoor_fleet::harness::{Clients, Cluster, ClusterError, Link, Shape, Traffic};
+use lotusmoor_fleet::harness::backend::Conduct;
+use lotusmoor_fleet::harness::check::{Idempotency, Outcome, slow_start_peaks};
+use lotusmoor_fleet::harness::{Clients, Cluster, ClusterConfig, ClusterError, Link, Traffic};
 use std::time::Duration;
 
 const WAIT: Duration = Duration::from_secs(2);
 
 fn traffic(rate: f64, seed: u64) -> Traffic {
-    Traffic { rate, classes: vec![("look".into(), Kind::Safe, WAIT, 1.0)], leaving: 0.0, bodies: 0.0, seed }
+    Traffic {
+        rate,
+        classes: vec![("look".into(), Idempotency::Idempotent, WAIT, 1.0)],
+        disconnect_share: 0.0,
+        body_share: 0.0,
+        seed,
+    }
 }
 
 fn or_all_that_was_seen<T>(played: Result<T, ClusterError>) -> T {
@@ -17,8 +23,8 @@
 }
 
 fn more(cluster: &Cluster, clients: &Clients, n: usize) -> Result<(), ClusterError> {
-    let before = clients.over();
-    cluster.wait("more is asked", || clients.over() >= before + n)
+    let before = clients.finished_count();
+    cluster.wait("more is asked", || clients.finished_count() >= before + n)
 }
 
 // ---- Cold servers ----
@@ -35,11 +41,11 @@
 /// answer as fast as warm ones: nothing but the list tells the sidecars to hold back.
 fn cold_under_a_burst(seed: u64) {
     let played = || {
-        let mut shape = Shape::plain(SIDECARS, SERVERS, 0, seed);
+        let mut shape = ClusterConfig::plain(SIDECARS, SERVERS, 0, seed);
         // 40 requests a second for each server. N is 43 at its start, and with the slack the 59th is its fall.
         (shape.cores, shape.conduct) = (2, Conduct { work_us: 50_000, ..Conduct::default() });
         let mut cluster = Cluster::start(shape)?;
-        let usual = cluster.ask(&traffic(RATE, seed));
+        let usual = cluster.start_clients(&traffic(RATE, seed));
         more(&cluster, &usual, 1_000)?;
         for server in COLD {
             cluster.kill_server(server)?;
@@ -48,14 +54,14 @@
         for server in COLD {
             cluster.restart_server(server)?;
         }
-        let burst = cluster.ask(&traffic(BURST, !seed));
+        let burst = cluster.start_clients(&traffic(BURST, !seed));
         // Some eight seconds, in which they become half warm.
         more(&cluster, &usual, 2_000)?;
         let Some(asks) = burst.finish() else { return Err(cluster.failed("the burst never ended".into())) };
         cluster.finish_with(usual, asks)
     };
     let history = or_all_that_was_seen(played());
-    let peaks = cold_peaks(&history);
+    let peaks = slow_start_peaks(&history);
     println!("seed {seed}: server, most in 3 s, in all: {peaks:?}");
     assert_eq!(peaks.len(), COLD.len());
     // They are used, each of them, if within what they bear: the checker saw to that.
@@ -79,23 +85,23 @@
 #[test]
 fn what_a_client_left_is_not_sent_on() {
     let played = || {
-        let cluster = Cluster::start(Shape::plain(6, 8, 0, 5))?;
-        let clients = cluster.ask(&Traffic { leaving: 0.5, ..traffic(40.0, 5) });
-        cluster.wait("all are served", || clients.served(|_| true) > 200)?;
+        let cluster = Cluster::start(ClusterConfig::plain(6, 8, 0, 5))?;
+        let clients = cluster.start_clients(&Traffic { disconnect_share: 0.5, ..traffic(40.0, 5) });
+        cluster.wait("all are served", || clients.served_count(|_| true) > 200)?;
         let slow = Conduct { first_byte_us: 700_000, ..Conduct::default() };
         for server in 0..4 {
             cluster.set_conduct(server, &slow)?;
         }
         cluster.set_conduct(4, &Conduct { turns_away: true, ..Conduct::default() })?;
         cluster.set_conduct(5, &Conduct { errors: 0.5, ..Conduct::default() })?;
-        (0..6).for_each(|sidecar| cluster.link(sidecar, 6, Link::cut()));
+        (0..6).for_each(|sidecar| cluster.set_link(sidecar, 6, Link::cut()));
         more(&cluster, &clients, 1_000)?;
-        (0..6).for_each(|sidecar| cluster.link(sidecar, 6, Link::default()));
+        (0..6).for_each(|sidecar| cluster.set_link(sidecar, 6, Link::default()));
         more(&cluster, &clients, 400)?;
         cluster.finish(clients)
     };
     let history = or_all_that_was_seen(played());
-    let left = history.asks.iter().filter(|a| matches!(a.came, Came::Left { .. })).count();
+    let left = history.requests.iter().filter(|a| matches!(a.outcome, Outcome::Disconnected { .. })).count();
     println!("{left} left");
     assert!(left > 50, "{left}");
 }
@@ -108,16 +114,16 @@
 /// ten of those that start are ready within 10 s.
 fn herd(seed: u64, trouble: impl FnOnce(&Cluster) -> Result<(), ClusterError>) {
     let played = || {
-        let mut cluster = Cluster::start(Shape::plain(HERD, 8, 0, seed))?;
-        let clients = cluster.ask(&traffic(10.0, seed));
-        cluster.wait("all are served", || clients.served(|_| true) > 200)?;
+        let mut cluster = Cluster::start(ClusterConfig::plain(HERD, 8, 0, seed))?;
+        let clients = cluster.start_clients(&traffic(10.0, seed));
+        cluster.wait("all are served", || clients.served_count(|_| true) > 200)?;
         trouble(&cluster)?;
         let restarted: Vec<usize> = (0..HERD * 9 / 10).collect();
         let took = cluster.restart_together(&restarted)?;
         // They serve by the list that they were given.
-        let of_them = |a: &lotusmoor_fleet::harness::check::Ask| a.sidecar < HERD * 9 / 10;
-        let before = clients.served(of_them);
-        cluster.wait("they serve", || clients.served(of_them) > before + 500)?;
+        let of_them = |a: &lotusmoor_fleet::harness::check::ClientRequest| a.sidecar < HERD * 9 / 10;
+        let before = clients.served_count(of_them);
+        cluster.wait("they serve", || clients.served_count(of_them) > before + 500)?;
         cluster.finish(clients)?;
         Ok(took)
     };
@@ -130,7 +136,7 @@
 
 #[test]
 fn a_herd_that_starts_while_discovery_is_away_is_ready_in_time() {
-    herd(3, |cluster| cluster.silence_discovery(true));
+    herd(3, |cluster| cluster.set_discovery_silent(true));
 }
 
 #[test]
@@ -138,7 +144,7 @@
     herd(4, |cluster| {
         // No list comes in less than 12 s.
         let slow = Link { delay: Duration::from_secs(6), ..Link::default() };
-        (0..HERD).for_each(|sidecar| cluster.discovery_link(sidecar, slow.clone()));
+        (0..HERD).for_each(|sidecar| cluster.set_discovery_link(sidecar, slow.clone()));
         Ok(())
     });
 }
--- a/crates/lotusmoor/tests/processes.rs
+++ b/crates/lotusmoor/tests/processes.rs
@@ -1,9 +1,9 @@
 //! Several real processes with faults between them: the protocol's rules hold on every request, as the checker reads
 //! them from what clients and servers each saw.
 
-use lotusmoor_fleet::harness::check::{History, Kind, Rule, check, spoil};
-use lotusmoor_fleet::harness::ledger::Conduct;
-use lotusmoor_fleet::harness::{Cluster, ClusterError, Link, Shape, Traffic, reaper, until};
+use lotusmoor_fleet::harness::backend::Conduct;
+use lotusmoor_fleet::harness::check::{History, Idempotency, Rule, check, inject_violation};
+use lotusmoor_fleet::harness::{Cluster, ClusterConfig, ClusterError, Link, Traffic, process_guard, until};
 use std::io::{BufRead, BufReader};
 use std::process::{Command, Stdio};
 use std::time::Duration;
@@ -12,19 +12,20 @@
 const WINDOW_MS: i64 = 7_500;
 
 fn traffic(seed: u64) -> Traffic {
-    let keyed = Kind::Keyed { window: WINDOW_MS * 1000 };
+    let keyed = Idempotency::Keyed { window: WINDOW_MS * 1000 };
     let classes = vec![
-        ("look".into(), Kind::Safe, WAIT, 0.5),
+        ("look".into(), Idempotency::Idempotent, WAIT, 0.5),
         ("pay".into(), keyed, WAIT, 0.3),
-        ("book".into(), Kind::Unsafe, WAIT, 0.2),
+        ("book".into(), Idempotency::NonIdempotent, WAIT, 0.2),
     ];
-    Traffic { rate: 40.0, classes, leaving: 0.0, bodies: 0.0, seed }
+    Traffic { rate: 40.0, classes, disconnect_share: 0.0, body_share: 0.0, seed }
 }
 
 fn served(history: &History) -> f64 {
-    use lotusmoor_fleet::harness::check::Came;
-    let served = history.asks.iter().filter(|a| matches!(a.came, Came::Answer { status: 200, .. })).count();
-    served as f64 / history.asks.len().max(1) as f64
+    use lotusmoor_fleet::harness::check::Outcome;
+    let served =
+        history.requests.iter().filter(|a| matches!(a.outcome, Outcome::Answer { status: 200, .. })).count();
+    served as f64 / history.requests.len().max(1) as f64
 }
 
 /// Plays something, and shows what was seen if it fails.
@@ -33,9 +34,9 @@
     part: impl FnOnce(&mut Cluster, &lotusmoor_fleet::harness::Clients) -> Result<(), ClusterError>,
 ) -> History {
     let whole = || {
-        let mut cluster = Cluster::start(Shape::plain(6, 8, 0, seed))?;
-        let clients = cluster.ask(&traffic(seed));
-        cluster.wait("all are served", || clients.served(|_| true) > 200)?;
+        let mut cluster = Cluster::start(ClusterConfig::plain(6, 8, 0, seed))?;
+        let clients = cluster.start_clients(&traffic(seed));
+        cluster.wait("all are served", || clients.served_count(|_| true) > 200)?;
         part(&mut cluster, &clients)?;
         cluster.finish(clients)
     };
@@ -48,23 +49,25 @@
     clients: &lotusmoor_fleet::harness::Clients,
     n: usize,
 ) -> Result<(), ClusterError> {
-    let before = clients.over();
-    cluster.wait("more is asked", || clients.over() >= before + n)
+    let before = clients.finished_count();
+    cluster.wait("more is asked", || clients.finished_count() >= before + n)
 }
 
 #[test]
 fn a_server_is_held_then_killed_then_back_cold() {
     let history = play(1, |cluster, clients| {
-        cluster.hold_server(3)?;
+        cluster.pause_server(3)?;
         // Some two seconds of traffic.
         more(cluster, clients, 500)?;
-        cluster.let_server_go_on(3)?;
+        cluster.resume_server(3)?;
         more(cluster, clients, 200)?;
         cluster.kill_server(3)?;
         more(cluster, clients, 500)?;
         cluster.restart_server(3)?;
-        let before = cluster.seen_by(3)?;
-        cluster.wait("the server is used again", || cluster.seen_by(3).is_ok_and(|n| n > before + 20))
+        let before = cluster.requests_received_by(3)?;
+        cluster.wait("the server is used again", || {
+            cluster.requests_received_by(3).is_ok_and(|n| n > before + 20)
+        })
     });
     assert!(served(&history) > 0.9, "{}", served(&history));
 }
@@ -73,19 +76,21 @@
 fn discovery_is_cut_one_way_while_a_server_leaves() {
     let history = play(2, |cluster, clients| {
         for i in 0..3 {
-            cluster.discovery_link(i, Link { cut_down: true, ..Link::default() });
+            cluster.set_discovery_link(i, Link { cut_down: true, ..Link::default() });
         }
         cluster.set_status(5, "leaving")?;
         more(cluster, clients, 400)?;
         for i in 0..3 {
-            cluster.discovery_link(i, Link::default());
+            cluster.set_discovery_link(i, Link::default());
         }
-        cluster.wait_told()?;
+        cluster.wait_until_notified()?;
         // Past the grace nobody sends there: the checker sees to that.
         more(cluster, clients, 800)?;
         cluster.set_status(5, "active")?;
-        let before = cluster.seen_by(5)?;
-        cluster.wait("the server is used again", || cluster.seen_by(5).is_ok_and(|n| n > before + 20))
+        let before = cluster.requests_received_by(5)?;
+        cluster.wait("the server is used again", || {
+            cluster.requests_received_by(5).is_ok_and(|n| n > before + 20)
+        })
     });
     assert!(served(&history) > 0.99, "{}", served(&history));
 }
@@ -97,14 +102,14 @@
             cluster.kill_sidecar(2)?;
             more(cluster, clients, 200)?;
             cluster.start_sidecar(2)?;
-            let before = clients.served(|a| a.sidecar == 2);
-            cluster.wait("it serves again", || clients.served(|a| a.sidecar == 2) > before + 50)?;
+            let before = clients.served_count(|a| a.sidecar == 2);
+            cluster.wait("it serves again", || clients.served_count(|a| a.sidecar == 2) > before + 50)?;
         }
         Ok(())
     });
     // Nobody else notices.
     let others = History {
-        asks: history.asks.iter().filter(|a| a.sidecar != 2).cloned().collect(),
+        requests: history.requests.iter().filter(|a| a.sidecar != 2).cloned().collect(),
         ..History::default()
     };
     assert!(served(&others) > 0.99, "{}", served(&others));
@@ -117,8 +122,10 @@
         cluster.set_conduct(1, &Conduct { first_byte_us: 2_500_000, ..Conduct::default() })?;
         more(cluster, clients, 1_000)?;
         cluster.set_conduct(1, &Conduct::default())?;
-        let before = cluster.seen_by(1)?;
-        cluster.wait("the server is used again", || cluster.seen_by(1).is_ok_and(|n| n > before + 20))
+        let before = cluster.requests_received_by(1)?;
+        cluster.wait("the server is used again", || {
+            cluster.requests_received_by(1).is_ok_and(|n| n > before + 20)
+        })
     });
     assert!(served(&history) > 0.9, "{}", served(&history));
 }
@@ -128,14 +135,14 @@
     let history = play(5, |cluster, clients| {
         cluster.set_conduct(0, &Conduct { resets: 0.2, halves: 0.2, errors: 0.2, ..Conduct::default() })?;
         cluster.set_conduct(2, &Conduct { turns_away: true, ..Conduct::default() })?;
-        cluster.link(0, 4, Link { delay: Duration::from_millis(30), ..Link::default() });
-        cluster.link(1, 4, Link::cut());
-        cluster.link(2, 4, Link { cut_up: true, ..Link::default() });
-        cluster.link(3, 4, Link { half_open: true, ..Link::default() });
+        cluster.set_link(0, 4, Link { delay: Duration::from_millis(30), ..Link::default() });
+        cluster.set_link(1, 4, Link::cut());
+        cluster.set_link(2, 4, Link { cut_up: true, ..Link::default() });
+        cluster.set_link(3, 4, Link { half_open: true, ..Link::default() });
         more(cluster, clients, 400)?;
-        (0..6).for_each(|sidecar| cluster.reset(sidecar, 6));
+        (0..6).for_each(|sidecar| cluster.reset_connections(sidecar, 6));
         more(cluster, clients, 400)?;
-        (0..6).for_each(|sidecar| cluster.link(sidecar, 4, Link::default()));
+        (0..6).for_each(|sidecar| cluster.set_link(sidecar, 4, Link::default()));
         cluster.set_conduct(0, &Conduct::default())?;
         cluster.set_conduct(2, &Conduct::default())?;
         more(cluster, clients, 400)
@@ -148,7 +155,7 @@
     let history = play(6, |cluster, clients| more(cluster, clients, 300));
     for rule in Rule::ALL {
         for seed in 0..5 {
-            let spoilt = spoil(&history, rule, seed).expect("requests of each kind were served");
+            let spoilt = inject_violation(&history, rule, seed).expect("requests of each kind were served");
             let seen = check(&spoilt);
             assert!(seen.iter().any(|b| b.rule == rule), "{rule:?} broken unseen, seed {seed}: {seen:?}");
         }
@@ -161,8 +168,8 @@
 #[test]
 #[ignore = "a part of the tests below, which start it"]
 fn part_of_others_a_harness_that_ends_badly() {
-    let cluster = Cluster::start(Shape::plain(2, 2, 0, 7)).unwrap_or_else(|e| panic!("{e}"));
-    for id in cluster.children() {
+    let cluster = Cluster::start(ClusterConfig::plain(2, 2, 0, 7)).unwrap_or_else(|e| panic!("{e}"));
+    for id in cluster.child_pids() {
         println!("child {id}");
     }
     println!("ready");
@@ -196,7 +203,7 @@
     }
     harness.wait().expect("it ends");
     for id in children {
-        assert!(until(|| reaper::started(id).is_none()), "child {id} is left");
+        assert!(until(|| process_guard::start_ticks(id).is_none()), "child {id} is left");
     }
 }
 
--- a/crates/lotusmoor/tests/registry_log.rs
+++ b/crates/lotusmoor/tests/registry_log.rs
@@ -1,6 +1,6 @@
 //! A replica of the registry whose log nobody reads.
 
-use lotusmoor_fleet::harness::rosters::call;
+use lotusmoor_fleet::harness::registry_replicas::call;
 use lotusmoor_fleet::harness::{Programs, until, unused_address};
 use serde_json::json;
 use std::io::{PipeReader, Write};
--- a/crates/lotusmoor/tests/roster.rs
+++ b/crates/lotusmoor/tests/roster.rs
@@ -1,8 +1,8 @@
 //! Three replicas of a roster as real processes with faults between them: what was acknowledged stays, what is told
 //! only goes forward, and a replica that can't know says so.
 
-use lotusmoor_fleet::harness::rosters::{Answer, Rosters, call, voters};
-use lotusmoor_fleet::harness::{Link, Programs, Timeline, reaper::Reaper, until};
+use lotusmoor_fleet::harness::registry_replicas::{Answer, RegistryReplicas, call, voter_count};
+use lotusmoor_fleet::harness::{Link, Programs, Timeline, process_guard::ProcessGuard, until};
 use serde_json::{Value, json};
 use std::collections::BTreeMap;
 use std::io::{Read, Write};
@@ -11,22 +11,22 @@
 
 /// Replicas, with what they need.
 struct Play {
-    rosters: Rosters,
+    rosters: RegistryReplicas,
     _runtime: tokio::runtime::Runtime,
     folder: tempfile::TempDir,
 }
 
 fn start(count: usize, arguments: &[&str]) -> Play {
     let programs = Programs::find().expect("the programs are built");
-    let reaper = Reaper::start(&programs.lotusmoor).expect("a reaper");
+    let reaper = ProcessGuard::start(&programs.lotusmoor).expect("a reaper");
     let folder = tempfile::tempdir().expect("a folder");
     let runtime = tokio::runtime::Builder::new_multi_thread().worker_threads(2).enable_all().build();
     let runtime = runtime.expect("a runtime");
     let mut rosters =
-        Rosters::new(programs, folder.path(), runtime.handle().clone(), reaper, Timeline::default());
+        RegistryReplicas::new(programs, folder.path(), runtime.handle().clone(), reaper, Timeline::default());
     rosters.start(count, arguments).unwrap_or_else(|e| panic!("{e}"));
     if count > 1 {
-        rosters.relay_all().unwrap_or_else(|e| panic!("{e}"));
+        rosters.restart_with_proxies().unwrap_or_else(|e| panic!("{e}"));
     }
     for at in 0..count {
         let tells = || rosters.call(at, "GET", "/v1/list", "").is_ok_and(|a| a.status == 200);
@@ -116,7 +116,7 @@
     let old = play.wait_leader();
     let first = play.must_register("before", 1);
     play.wait_alike(&[0, 1, 2]);
-    play.rosters.hold(old).expect("it is held");
+    play.rosters.pause(old).expect("it is held");
     let others: Vec<usize> = (0..3).filter(|at| *at != old).collect();
     let mut last = first;
     for i in 0..20 {
@@ -128,7 +128,7 @@
         play.check(index > Some(last), "versions go forward");
         last = index.unwrap_or(last);
     }
-    play.rosters.go_on(old).expect("it goes on");
+    play.rosters.resume(old).expect("it goes on");
     let mut seen = Seen::default();
     let mut newest = 0;
     play.wait("the old leader has come up to date", || {
@@ -163,7 +163,7 @@
     let alone = (leader + 1) % 3;
     let before = play.must_register("before", 1);
     play.wait_alike(&[0, 1, 2]);
-    play.rosters.isolate(alone, true);
+    play.rosters.set_isolated(alone, true);
     let cut = Instant::now();
     play.must_register("after", 1);
     let (mut marked, mut plain) = (0, 0);
@@ -187,7 +187,7 @@
     // Neither is a write taken there, nor a consistent read.
     let list = play.rosters.call(alone, "GET", "/v1/list?consistent=true", "").expect("it answers");
     play.check(list.status == 503 && play.register(alone, "never", 1).is_none(), "a minority takes nothing");
-    play.rosters.isolate(alone, false);
+    play.rosters.set_isolated(alone, false);
     play.wait_alike(&[0, 1, 2]);
     play.check(
         play.names(alone).is_some_and(|n| !n.contains(&"never".to_owned())),
@@ -202,11 +202,11 @@
     let other = (leader + 1) % 3;
     // The leader hears of nobody who asks it, then nobody hears of it.
     for (from, to) in [(other, leader), (leader, other)] {
-        play.rosters.link(from, to, Link { cut_up: true, ..Link::default() });
+        play.rosters.set_link(from, to, Link { cut_up: true, ..Link::default() });
         for i in 0..5 {
             play.must_register(&format!("cut-{from}-{i}"), 1);
         }
-        play.rosters.link(from, to, Link::default());
+        play.rosters.set_link(from, to, Link::default());
     }
     play.wait_alike(&[0, 1, 2]);
     play.check(play.names(0).is_some_and(|n| n.len() == 10), "all are there");
@@ -233,14 +233,14 @@
         let up = play.rosters.call(leader, "GET", "/up", "");
         acknowledged.len() > 5 && up.is_ok_and(|a| a.status == 503 && a.retry_after().is_some())
     });
-    let said = play.rosters.said(leader);
+    let said = play.rosters.log_text(leader);
     play.check(said.contains("the replica has stopped"), "it says why");
     play.check(said.contains("the store is opened anew in"), "it says what it does about it");
     play.check(!said.contains("panicked"), "it does not panic");
     play.wait_leader();
     play.must_register("without", 1);
     acknowledged.push("without".into());
-    play.check(!play.rosters.ended(leader), "it waits for room");
+    play.check(!play.rosters.has_exited(leader), "it waits for room");
     // With room again it comes back to itself, with no operator.
     room(None);
     play.wait_alike(&[0, 1, 2]);
@@ -276,7 +276,7 @@
         std::thread::sleep(Duration::from_millis(20 + 10 * round));
         play.rosters.kill(0).expect("it is killed");
         let _ = writing.join();
-        play.rosters.go(0).expect("it starts");
+        play.rosters.start_replica(0).expect("it starts");
         play.wait_leader();
     }
     let names = play.names(0).expect("it answers");
@@ -294,7 +294,7 @@
     let want = play.rosters.status(0).map(|s| (s["index"].clone(), s["digest"].clone()));
     let victim = (play.wait_leader() + 1) % 3;
     play.rosters.kill(victim).expect("it is killed");
-    let file = play.rosters.file(victim);
+    let file = play.rosters.database_file(victim);
     let whole = std::fs::read(&file).expect("it is read");
     let mark = file.with_file_name("roster.mark");
     let marked = std::fs::read(&mark).expect("it is read");
@@ -313,17 +313,17 @@
         }
         std::fs::write(&file, &spoilt).expect("it is written");
         std::fs::write(&mark, &marked).expect("it is written");
-        play.rosters.go(victim).expect("it starts");
+        play.rosters.start_replica(victim).expect("it starts");
         let mut state = None;
         let came = until(|| {
             let view = play.rosters.status(victim).map(|s| (s["index"].clone(), s["digest"].clone()));
-            state = Some(play.rosters.ended(victim));
+            state = Some(play.rosters.has_exited(victim));
             state == Some(true) || view == want
         });
         play.check(came, &format!("byte {at}, flipped {flip}: it neither serves nor ends"));
         if state == Some(true) {
             refused += 1;
-            let said = play.rosters.said(victim);
+            let said = play.rosters.log_text(victim);
             let last = said.lines().last().unwrap_or_default();
             play.check(!said.contains("panicked"), "it does not panic");
             play.check(
@@ -345,7 +345,7 @@
     });
     let new = play.rosters.add(&[]).unwrap_or_else(|e| panic!("{e}"));
     play.wait("the new one votes", || {
-        play.rosters.status(new).is_some_and(|s| voters(&s) == 3 && s["servers"] == 31)
+        play.rosters.status(new).is_some_and(|s| voter_count(&s) == 3 && s["servers"] == 31)
     });
 }
 
@@ -378,19 +378,19 @@
     };
     let taken = (leader + 1) % 3;
     let mut second = run(taken + 1, &fresh, "second.log");
-    play.wait("the second one ends", || second.ended().is_some());
-    play.check(second.said().contains("a number of its own"), &second.said());
+    play.wait("the second one ends", || second.exit_status().is_some());
+    play.check(second.log_text().contains("a number of its own"), &second.log_text());
     // A copy of the folder of one that runs: it is told apart by its address.
     play.rosters.kill(taken).expect("it is killed");
     let copy = play.folder.path().join("copy");
     std::fs::create_dir(&copy).expect("a folder");
-    std::fs::copy(play.rosters.file(taken), copy.join("roster.redb")).expect("it is copied");
-    play.rosters.go(taken).expect("it starts");
+    std::fs::copy(play.rosters.database_file(taken), copy.join("roster.redb")).expect("it is copied");
+    play.rosters.start_replica(taken).expect("it starts");
     play.wait_alike(&[0, 1, 2]);
     let copied = run(taken + 1, &copy, "copy.log");
     let term = |s: Option<Value>| s.and_then(|s| s["term"].as_u64());
     play.wait("the copy is noticed", || {
-        (0..3).any(|at| play.rosters.said(at).contains("two replicas have the number"))
+        (0..3).any(|at| play.rosters.log_text(at).contains("two replicas have the number"))
     });
     let before = term(play.rosters.status(leader));
     for i in 0..10 {
@@ -414,14 +414,14 @@
             }
             play.rosters.kill(at).expect("it is killed");
             play.rosters.set_arguments(at, &["--format", format]);
-            play.rosters.go(at).expect("it starts");
+            play.rosters.start_replica(at).expect("it starts");
             play.wait_alike(&[0, 1, 2]);
         }
         acknowledged.len()
     };
-    let bare = std::fs::read(play.rosters.file(0)).expect("it is read");
+    let bare = std::fs::read(play.rosters.database_file(0)).expect("it is read");
     round(&play, "2");
-    let sealed = std::fs::read(play.rosters.file(0)).expect("it is read");
+    let sealed = std::fs::read(play.rosters.database_file(0)).expect("it is read");
     assert_ne!(bare, sealed);
     let all = round(&play, "1");
     for at in 0..3 {
@@ -429,12 +429,12 @@
     }
     // A file of a form that is not known yet is left alone.
     play.rosters.kill(0).expect("it is killed");
-    let config = play.rosters.file(0).with_file_name("newer.toml");
+    let config = play.rosters.database_file(0).with_file_name("newer.toml");
     std::fs::write(&config, "format = 4\n").expect("it is written");
     play.rosters.set_arguments(0, &["--config", &config.display().to_string()]);
-    play.rosters.go(0).expect("it starts");
-    play.wait("it refuses", || play.rosters.ended(0));
-    play.check(play.rosters.said(0).contains("format: must be 1, 2 or 3"), "it names the key");
+    play.rosters.start_replica(0).expect("it starts");
+    play.wait("it refuses", || play.rosters.has_exited(0));
+    play.check(play.rosters.log_text(0).contains("format: must be 1, 2 or 3"), "it names the key");
 }
 
 #[test]
@@ -467,13 +467,13 @@
     // Those that are heard of stay, over a change of leader as well.
     let leader = play.wait_leader();
     play.rosters.kill(leader).expect("it is killed");
-    play.rosters.go(leader).expect("it starts");
+    play.rosters.start_replica(leader).expect("it starts");
     play.wait_leader();
     std::thread::sleep(Duration::from_secs(3));
     for name in ["k-0", "k-2", "k-3"] {
         play.wait("the others stay", || status(name).as_deref() == Some(active));
     }
-    kept[2].tell_to_stop().expect("it is told");
+    kept[2].terminate().expect("it is told");
     play.wait("one that is told to stop takes itself off", || status("k-2").as_deref() == Some("404"));
     // Ten times a second.
     let mut taken = 0;
--- a/crates/lotusmoor/tests/roster_faults.rs
+++ b/crates/lotusmoor/tests/roster_faults.rs
@@ -1,8 +1,10 @@
 //! Replicas of a roster whose disks fail for a while: what was acknowledged stays, and they come back by themselves.
 
 use lotusmoor_faults::{Call, FaultTable, Rule, errno};
-use lotusmoor_fleet::harness::rosters::{Rosters, call};
-use lotusmoor_fleet::harness::{Process, Programs, Timeline, reaper::Reaper, until, unused_address};
+use lotusmoor_fleet::harness::registry_replicas::{RegistryReplicas, call};
+use lotusmoor_fleet::harness::{
+    Process, Programs, Timeline, process_guard::ProcessGuard, until, unused_address,
+};
 use serde_json::{Value, json};
 use std::path::Path;
 use std::process::Command;
@@ -10,7 +12,7 @@
 
 /// Three replicas, each with a fault table of its own.
 struct Play {
-    rosters: Rosters,
+    rosters: RegistryReplicas,
     tables: Vec<FaultTable>,
     _runtime: tokio::runtime::Runtime,
     _folder: tempfile::TempDir,
@@ -18,12 +20,12 @@
 
 fn start() -> Play {
     let programs = Programs::find().expect("the programs are built");
-    let reaper = Reaper::start(&programs.lotusmoor).expect("a reaper");
+    let reaper = ProcessGuard::start(&programs.lotusmoor).expect("a reaper");
     let folder = tempfile::tempdir().expect("a folder");
     let runtime = tokio::runtime::Builder::new_multi_thread().worker_threads(2).enable_all().build();
     let runtime = runtime.expect("a runtime");
     let mut rosters =
-        Rosters::new(programs, folder.path(), runtime.handle().clone(), reaper, Timeline::default());
+        RegistryReplicas::new(programs, folder.path(), runtime.handle().clone(), reaper, Timeline::default());
     rosters.start(3, &[]).unwrap_or_else(|e| panic!("{e}"));
     let mut tables = Vec::new();
     for at in 0..3 {
@@ -32,7 +34,7 @@
         tables.push(table);
     }
     // They start anew, and then have them.
-    rosters.relay_all().unwrap_or_else(|e| panic!("{e}"));
+    rosters.restart_with_proxies().unwrap_or_else(|e| panic!("{e}"));
     Play { rosters, tables, _runtime: runtime, _folder: folder }
 }
 
@@ -77,7 +79,7 @@
             self.wait(&format!("replica {at} has all that was acknowledged"), || {
                 self.names(at).is_some_and(|names| acknowledged.iter().all(|name| names.contains(name)))
             });
-            assert!(!self.rosters.ended(at), "replica {at} ended\n{}", self.rosters.logs());
+            assert!(!self.rosters.has_exited(at), "replica {at} ended\n{}", self.rosters.logs());
         }
         let views: Vec<Option<Value>> = (0..3).map(|at| self.rosters.status(at)).collect();
         assert!(views.iter().all(Option::is_some), "{views:?}");
@@ -105,7 +107,7 @@
 #[test]
 fn a_replica_whose_log_cannot_be_written_either_comes_back_all_the_same() {
     let programs = Programs::find().expect("the programs are built");
-    let reaper = Reaper::start(&programs.lotusmoor).expect("a reaper");
+    let reaper = ProcessGuard::start(&programs.lotusmoor).expect("a reaper");
     let folder = tempfile::tempdir().expect("a folder");
     let table = FaultTable::create(&folder.path().join("faults")).expect("a table");
     let listen = unused_address();
@@ -123,6 +125,6 @@
     let rule = table.arm(Rule::lasting(300_000, Call::Sync, errno::EIO)).expect("a rule");
     let drain = || call(listen, "POST", "/v1/servers/s-1/drain", "", Duration::from_secs(2));
     assert!(until(|| drain().is_ok() && table.hits(rule).is_ok_and(|hits| hits > 0)), "it meets its faults");
-    assert!(until(|| register() || replica.ended().is_some()), "it takes a write again");
-    assert!(replica.ended().is_none(), "it goes on");
+    assert!(until(|| register() || replica.exit_status().is_some()), "it takes a write again");
+    assert!(replica.exit_status().is_none(), "it goes on");
 }
--- a/crates/lotusmoor/tests/roster_services.rs
+++ b/crates/lotusmoor/tests/roster_services.rs
@@ -1,8 +1,10 @@
 //! Lists by service, told by replicas that are real processes: readers of a service get all of it and nothing else,
 //! whoever leads, whoever else reads, and whichever version a replica had before.
 
-use lotusmoor_fleet::harness::rosters::{Answer, Rosters, call};
-use lotusmoor_fleet::harness::{Process, Programs, Timeline, reaper::Reaper, until, unused_address};
+use lotusmoor_fleet::harness::registry_replicas::{Answer, RegistryReplicas, call};
+use lotusmoor_fleet::harness::{
+    Process, Programs, Timeline, process_guard::ProcessGuard, until, unused_address,
+};
 use serde_json::{Value, json};
 use std::collections::{BTreeMap, BTreeSet};
 use std::io::{Read, Write};
@@ -17,7 +19,7 @@
 
 /// Replicas, with what they need.
 struct Play {
-    rosters: Rosters,
+    rosters: RegistryReplicas,
     programs: Programs,
     _runtime: tokio::runtime::Runtime,
     folder: tempfile::TempDir,
@@ -25,12 +27,13 @@
 
 fn start(count: usize, arguments: &[&str]) -> Play {
     let programs = Programs::find().expect("the programs are built");
-    let reaper = Reaper::start(&programs.lotusmoor).expect("a reaper");
+    let reaper = ProcessGuard::start(&programs.lotusmoor).expect("a reaper");
     let folder = tempfile::tempdir().expect("a folder");
     let runtime = tokio::runtime::Builder::new_multi_thread().worker_threads(2).enable_all().build();
     let runtime = runtime.expect("a runtime");
     let handle = runtime.handle().clone();
-    let mut rosters = Rosters::new(programs.clone(), folder.path(), handle, reaper, Timeline::default());
+    let mut rosters =
+        RegistryReplicas::new(programs.clone(), folder.path(), handle, reaper, Timeline::default());
     rosters.start(count, arguments).unwrap_or_else(|e| panic!("{e}"));
     let play = Play { rosters, programs, _runtime: runtime, folder };
     for at in 0..count {
@@ -239,7 +242,7 @@
         });
     }
     play.check(reader.wholes == 1, &format!("{} wholes, {} older", reader.wholes, reader.older));
-    play.rosters.go(leader).expect("it starts");
+    play.rosters.start_replica(leader).expect("it starts");
     let want = add("after".into());
     play.wait_alike();
     for at in 0..3 {
@@ -370,7 +373,7 @@
             });
         }
         play.rosters.set_arguments(rolled, &[]);
-        play.rosters.go(rolled).expect("it starts");
+        play.rosters.start_replica(rolled).expect("it starts");
         play.wait_alike();
         let want = plain(format!("rolled-{rolled}"));
         play.wait_alike();
