--- a/crates/lotusmoor/tests/roster_sidecars.rs
+++ b/crates/lotusmoor/tests/roster_sidecars.rs
@@ -1,26 +1,26 @@
 //! Sidecars that ride a roster of three real replicas, under load and faults: the protocol's rules hold on every
 //! request, and a roster that is away costs nothing.
 
-use lotusmoor_fleet::harness::check::{Came, History, Kind};
-use lotusmoor_fleet::harness::{Clients, Cluster, ClusterError, Link, Shape, Traffic};
+use lotusmoor_fleet::harness::check::{History, Idempotency, Outcome};
+use lotusmoor_fleet::harness::{Clients, Cluster, ClusterConfig, ClusterError, Link, Traffic};
 use std::time::{Duration, Instant};
 
 const WAIT: Duration = Duration::from_secs(2);
 const WINDOW_MS: i64 = 7_500;
 
 fn traffic(seed: u64) -> Traffic {
-    let keyed = Kind::Keyed { window: WINDOW_MS * 1000 };
-    let classes = vec![("look".into(), Kind::Safe, WAIT, 0.6), ("pay".into(), keyed, WAIT, 0.4)];
-    Traffic { rate: 40.0, classes, leaving: 0.0, bodies: 0.0, seed }
+    let keyed = Idempotency::Keyed { window: WINDOW_MS * 1000 };
+    let classes = vec![("look".into(), Idempotency::Idempotent, WAIT, 0.6), ("pay".into(), keyed, WAIT, 0.4)];
+    Traffic { rate: 40.0, classes, disconnect_share: 0.0, body_share: 0.0, seed }
 }
 
 fn play(seed: u64, part: impl FnOnce(&mut Cluster, &Clients) -> Result<(), ClusterError>) -> History {
     let whole = || {
-        let mut cluster = Cluster::start(Shape::plain(4, 6, 3, seed))?;
-        cluster.rosters.relay_all()?;
-        cluster.wait_told()?;
-        let clients = cluster.ask(&traffic(seed));
-        cluster.wait("all are served", || clients.served(|_| true) > 200)?;
+        let mut cluster = Cluster::start(ClusterConfig::plain(4, 6, 3, seed))?;
+        cluster.registry.restart_with_proxies()?;
+        cluster.wait_until_notified()?;
+        let clients = cluster.start_clients(&traffic(seed));
+        cluster.wait("all are served", || clients.served_count(|_| true) > 200)?;
         part(&mut cluster, &clients)?;
         cluster.finish(clients)
     };
@@ -29,13 +29,13 @@
 }
 
 fn more(cluster: &Cluster, clients: &Clients, n: usize) -> Result<(), ClusterError> {
-    let before = clients.over();
-    cluster.wait("more is asked", || clients.over() >= before + n)
+    let before = clients.finished_count();
+    cluster.wait("more is asked", || clients.finished_count() >= before + n)
 }
 
 fn served(history: &History, from: i64, to: i64) -> f64 {
-    let asked = || history.asks.iter().filter(|a| (from..to).contains(&a.sent));
-    let served = asked().filter(|a| matches!(a.came, Came::Answer { status: 200, .. })).count();
+    let asked = || history.requests.iter().filter(|a| (from..to).contains(&a.sent_at));
+    let served = asked().filter(|a| matches!(a.outcome, Outcome::Answer { status: 200, .. })).count();
     served as f64 / asked().count().max(1) as f64
 }
 
@@ -44,31 +44,33 @@
 }
 
 fn leader(cluster: &Cluster) -> Result<usize, ClusterError> {
-    cluster.wait("somebody leads", || cluster.rosters.leader().is_some())?;
-    Ok(cluster.rosters.leader().unwrap_or(0))
+    cluster.wait("somebody leads", || cluster.registry.leader().is_some())?;
+    Ok(cluster.registry.leader().unwrap_or(0))
 }
 
 #[test]
 fn servers_drain_and_come_back_while_the_leader_is_killed_and_a_replica_is_held() {
     let history = play(1, |cluster, clients| {
         let first = leader(cluster)?;
-        cluster.rosters.kill(first)?;
+        cluster.registry.kill(first)?;
         cluster.set_status(2, "leaving")?;
-        cluster.wait_told()?;
+        cluster.wait_until_notified()?;
         // Past the grace nobody sends there: the checker sees to that.
         more(cluster, clients, 600)?;
-        cluster.rosters.go(first)?;
+        cluster.registry.start_replica(first)?;
         let second = leader(cluster)?;
-        cluster.rosters.hold(second)?;
+        cluster.registry.pause(second)?;
         cluster.set_status(3, "left")?;
-        cluster.wait_told()?;
+        cluster.wait_until_notified()?;
         more(cluster, clients, 500)?;
-        cluster.rosters.go_on(second)?;
+        cluster.registry.resume(second)?;
         cluster.set_status(2, "left")?;
         cluster.restart_server(2)?;
-        cluster.wait_told()?;
-        let before = cluster.seen_by(2)?;
-        cluster.wait("the server is used again", || cluster.seen_by(2).is_ok_and(|n| n > before + 10))
+        cluster.wait_until_notified()?;
+        let before = cluster.requests_received_by(2)?;
+        cluster.wait("the server is used again", || {
+            cluster.requests_received_by(2).is_ok_and(|n| n > before + 10)
+        })
     });
     assert!(all(&history) > 0.99, "{}", all(&history));
 }
@@ -77,13 +79,17 @@
 fn links_to_replicas_that_are_cut_one_way_slow_or_reset_delay_the_news_by_seconds_at_most() {
     let history = play(2, |cluster, clients| {
         for sidecar in 0..4 {
-            cluster.roster_link(sidecar, 0, Link { cut_down: true, ..Link::default() });
-            cluster.roster_link(sidecar, 1, Link { delay: Duration::from_millis(200), ..Link::default() });
+            cluster.set_registry_link(sidecar, 0, Link { cut_down: true, ..Link::default() });
+            cluster.set_registry_link(
+                sidecar,
+                1,
+                Link { delay: Duration::from_millis(200), ..Link::default() },
+            );
         }
         for (i, status) in [(1, "leaving"), (4, "leaving"), (1, "active")] {
             let began = Instant::now();
             cluster.set_status(i, status)?;
-            cluster.wait_told()?;
+            cluster.wait_until_notified()?;
             let took = began.elapsed();
             if took > Duration::from_secs(30) {
                 return Err(cluster.failed(format!("the news took {took:?}")));
@@ -100,23 +106,23 @@
     let mut span = (0, 0);
     let history = play(3, |cluster, clients| {
         more(cluster, clients, 1500)?;
-        let before = lotusmoor_fleet::harness::clock();
-        (0..3).try_for_each(|at| cluster.rosters.kill(at))?;
+        let before = lotusmoor_fleet::harness::now_micros();
+        (0..3).try_for_each(|at| cluster.registry.kill(at))?;
         cluster.timeline.note("the roster is away");
         let began = Instant::now();
         more(cluster, clients, 1000)?;
         cluster.kill_sidecar(0)?;
         cluster.start_sidecar(0)?;
-        let stale = |i: usize| cluster.sidecar_said(i).contains("and stays in use");
+        let stale = |i: usize| cluster.sidecar_log(i).contains("and stays in use");
         cluster.wait("all say that their list is stale", || (0..4).all(stale))?;
         while began.elapsed() < Duration::from_secs(60) {
             more(cluster, clients, 50)?;
         }
-        span = (before, lotusmoor_fleet::harness::clock());
-        (0..3).try_for_each(|at| cluster.rosters.go(at))?;
+        span = (before, lotusmoor_fleet::harness::now_micros());
+        (0..3).try_for_each(|at| cluster.registry.start_replica(at))?;
         cluster.set_status(5, "leaving")?;
-        cluster.wait_told()?;
-        let fresh = |i: usize| cluster.sidecar_said(i).contains("up to date again");
+        cluster.wait_until_notified()?;
+        let fresh = |i: usize| cluster.sidecar_log(i).contains("up to date again");
         cluster.wait("all say that it is up to date", || (0..4).all(fresh))?;
         more(cluster, clients, 500)
     });
@@ -129,7 +135,7 @@
 // Without a roster in its configuration a sidecar is what it was: one thread, and no socket beside those that it had.
 #[test]
 fn a_sidecar_without_a_roster_has_no_thread_and_no_socket_for_one() {
-    let cluster = Cluster::start(Shape::plain(1, 1, 0, 4)).unwrap_or_else(|e| panic!("{e}"));
+    let cluster = Cluster::start(ClusterConfig::plain(1, 1, 0, 4)).unwrap_or_else(|e| panic!("{e}"));
     let pid = cluster.sidecar_pid(0).expect("it runs");
     // Sockets of the network among the process's descriptors, by their numbers.
     let sockets = || {
@@ -150,5 +156,5 @@
     cluster.wait("two sockets are left", || sockets() == 2).unwrap_or_else(|e| panic!("{e}"));
     let threads = std::fs::read_dir(format!("/proc/{pid}/task")).expect("it is listed").count();
     assert_eq!(threads, 1);
-    assert!(!cluster.sidecar_said(0).contains("roster"), "{}", cluster.sidecar_said(0));
+    assert!(!cluster.sidecar_log(0).contains("roster"), "{}", cluster.sidecar_log(0));
 }
--- a/crates/lotusmoor/tests/scale.rs
+++ b/crates/lotusmoor/tests/scale.rs
@@ -2,7 +2,7 @@
 //! sidecars, and a run that is killed.
 
 use indicatif::ProgressBar;
-use lotusmoor_fleet::harness::{reaper, until};
+use lotusmoor_fleet::harness::{process_guard, until};
 use lotusmoor_fleet::scale::deployment::{Deployment, REPLICAS, START, name};
 use lotusmoor_fleet::scale::lines::{Line, Lines, Role, Sweep};
 use lotusmoor_fleet::scale::{Mode, Plan, play};
@@ -216,7 +216,7 @@
     for (turn, server) in concerned.iter().cycle().take(9).enumerate() {
         match turn {
             3 => deployment.rosters.kill(killed).expect("it is killed"),
-            6 => deployment.rosters.go(killed).expect("it starts"),
+            6 => deployment.rosters.start_replica(killed).expect("it starts"),
             _ => {}
         }
         let path = format!("/v1/servers/{}", name(*server));
@@ -257,7 +257,9 @@
         let text = std::fs::read_to_string(format!("/proc/{id}/stat")).ok()?;
         text.rsplit_once(')')?.1.split_whitespace().nth(1)?.parse().ok()
     };
-    ids.filter(|id| parent(*id) == Some(of)).filter_map(|id| Some((id, reaper::started(id)?))).collect()
+    ids.filter(|id| parent(*id) == Some(of))
+        .filter_map(|id| Some((id, process_guard::start_ticks(id)?)))
+        .collect()
 }
 
 #[test]
@@ -280,6 +282,6 @@
     run.wait().expect("it ends");
     assert!(all, "{left:?}");
     for (id, started) in left {
-        assert!(until(|| reaper::started(id) != Some(started)), "child {id} is left");
+        assert!(until(|| process_guard::start_ticks(id) != Some(started)), "child {id} is left");
     }
 }
--- a/crates/lotusmoor/tests/scale_sidecar.rs
+++ b/crates/lotusmoor/tests/scale_sidecar.rs
@@ -1,6 +1,6 @@
 //! `lotusmoor fleet sidecar-scale` with real processes: its lines, a step that fails, and runs that are interrupted.
 
-use lotusmoor_fleet::harness::{reaper, until};
+use lotusmoor_fleet::harness::{process_guard, until};
 use lotusmoor_fleet::scale::lines::{Line, Lines, Mode, Role, Sweep};
 use std::path::Path;
 use std::process::{Command, Stdio};
@@ -102,7 +102,9 @@
         let text = std::fs::read_to_string(format!("/proc/{id}/stat")).ok()?;
         text.rsplit_once(')')?.1.split_whitespace().nth(1)?.parse().ok()
     };
-    ids.filter(|id| parent(*id) == Some(of)).filter_map(|id| Some((id, reaper::started(id)?))).collect()
+    ids.filter(|id| parent(*id) == Some(of))
+        .filter_map(|id| Some((id, process_guard::start_ticks(id)?)))
+        .collect()
 }
 
 #[test]
@@ -122,6 +124,6 @@
     run.wait().expect("it ends");
     assert!(all, "{left:?}");
     for (id, started) in left {
-        assert!(until(|| reaper::started(id) != Some(started)), "child {id} is left");
+        assert!(until(|| process_guard::start_ticks(id) != Some(started)), "child {id} is left");
     }
 }
--- a/crates/lotusmoor/tests/versions_side_by_side/process.rs
+++ b/crates/lotusmoor/tests/versions_side_by_side/process.rs
@@ -41,7 +41,7 @@
         let log = stage.folder.path().join(format!("sidecar-{number}.log"));
         let name = format!("sidecar {build:?}");
         let process =
-            Process::start_with(command, socket, &name, &log, Some(&stage.reaper)).expect("it starts");
+            Process::start_with_input(command, socket, &name, &log, Some(&stage.reaper)).expect("it starts");
         let listen = listener.local_addr().expect("an address");
         let sidecar = Self { build, listen, management, process };
         sidecar.wait("can serve", || sidecar.operator("health") == "OK");
@@ -49,7 +49,7 @@
     }
 
     pub fn wait(&self, what: &str, holds: impl FnMut() -> bool) {
-        assert!(until(holds), "{:?}: it never came that it {what}\n{}", self.build, self.process.said());
+        assert!(until(holds), "{:?}: it never came that it {what}\n{}", self.build, self.process.log_text());
     }
 
     pub fn operator(&self, line: &str) -> String {
@@ -62,17 +62,22 @@
     }
 
     pub fn must(&self, line: &str) {
-        assert_eq!(self.operator(line), "OK", "{:?}: {line}\n{}", self.build, self.process.said());
+        assert_eq!(self.operator(line), "OK", "{:?}: {line}\n{}", self.build, self.process.log_text());
     }
 
     pub fn stop(mut self) {
-        self.process.tell_to_stop().expect("it is told");
+        self.process.terminate().expect("it is told");
         let mut status = None;
         assert!(until(|| {
-            status = self.process.ended();
+            status = self.process.exit_status();
             status.is_some()
         }));
-        assert!(status.is_some_and(|s| s.success()), "{:?}: {status:?}\n{}", self.build, self.process.said());
+        assert!(
+            status.is_some_and(|s| s.success()),
+            "{:?}: {status:?}\n{}",
+            self.build,
+            self.process.log_text()
+        );
     }
 }
 
--- a/crates/lotusmoor/tests/versions_side_by_side/registry.rs
+++ b/crates/lotusmoor/tests/versions_side_by_side/registry.rs
@@ -2,7 +2,7 @@
 
 use crate::process::{PATIENCE, Sidecar, sidecar_config};
 use crate::stage::{Build, Stage};
-use lotusmoor_fleet::harness::rosters::{Answer, Rosters, call, voters};
+use lotusmoor_fleet::harness::registry_replicas::{Answer, RegistryReplicas, call, voter_count};
 use lotusmoor_fleet::harness::{Timeline, until};
 use serde_json::{Value, json};
 use std::collections::BTreeSet;
@@ -28,7 +28,7 @@
 /// A registry of replicas of both builds, with a sidecar of each build that watches it.
 struct MixedRegistry {
     stage: Stage,
-    rosters: Rosters,
+    rosters: RegistryReplicas,
     builds: Vec<Build>,
     sidecars: Vec<Sidecar>,
     written: BTreeSet<String>,
@@ -41,7 +41,7 @@
         let stage = Stage::new();
         let runtime = tokio::runtime::Builder::new_multi_thread().worker_threads(2).enable_all().build();
         let runtime = runtime.expect("a runtime");
-        let mut rosters = Rosters::new(
+        let mut rosters = RegistryReplicas::new(
             stage.programs.clone(),
             stage.folder.path(),
             runtime.handle().clone(),
@@ -49,7 +49,7 @@
             Timeline::default(),
         );
         for build in builds {
-            rosters.add_running(stage.registry_program(*build), &[]).unwrap_or_else(|e| panic!("{e}"));
+            rosters.add_with_program(stage.registry_program(*build), &[]).unwrap_or_else(|e| panic!("{e}"));
         }
         let mut mixed = Self {
             stage,
@@ -59,7 +59,7 @@
             written: BTreeSet::new(),
             _runtime: runtime,
         };
-        mixed.wait("all vote", |m| m.rosters.status(0).is_some_and(|s| voters(&s) == m.builds.len()));
+        mixed.wait("all vote", |m| m.rosters.status(0).is_some_and(|s| voter_count(&s) == m.builds.len()));
         mixed.sidecars = vec![mixed.start_sidecar(Build::Earlier), mixed.start_sidecar(Build::Present)];
         mixed
     }
@@ -138,7 +138,7 @@
             self.rosters.kill(leader).expect("it is killed");
             let other = (leader + 1) % self.builds.len();
             self.register(other, &format!("without-{}", self.written.len()));
-            self.rosters.go(leader).expect("it starts");
+            self.rosters.start_replica(leader).expect("it starts");
             self.check_alike();
         }
         panic!("no {build:?} replica came to lead\n{}", self.rosters.logs());
@@ -147,7 +147,7 @@
     /// All are killed and started again with what is on their disks.
     fn restart_all(&self) {
         (0..self.builds.len()).for_each(|at| self.rosters.kill(at).expect("it is killed"));
-        (0..self.builds.len()).for_each(|at| self.rosters.go(at).expect("it starts"));
+        (0..self.builds.len()).for_each(|at| self.rosters.start_replica(at).expect("it starts"));
         self.wait("somebody leads", |m| m.rosters.leader().is_some());
     }
 
@@ -158,7 +158,7 @@
             self.builds[at] = build;
             self.rosters.set_program(at, self.stage.registry_program(build));
             self.rosters.kill(at).expect("it is killed");
-            self.rosters.go(at).expect("it starts");
+            self.rosters.start_replica(at).expect("it starts");
             self.check_alike();
         }
     }
--- a/crates/lotusmoor/tests/versions_side_by_side/sidecars.rs
+++ b/crates/lotusmoor/tests/versions_side_by_side/sidecars.rs
@@ -60,9 +60,9 @@
 
 /// Runs something while only one of two processes accepts connections.
 fn alone<T>(other: &Sidecar, run: impl FnOnce() -> T) -> T {
-    other.process.hold().expect("it is held");
+    other.process.pause().expect("it is held");
     let result = run();
-    other.process.go_on().expect("it goes on");
+    other.process.resume().expect("it goes on");
     result
 }
 
--- a/crates/lotusmoor/tests/versions_side_by_side/stage.rs
+++ b/crates/lotusmoor/tests/versions_side_by_side/stage.rs
@@ -1,8 +1,8 @@
 //! The programs of both builds.
 
 use lotusmoor_fleet::harness::Programs;
-use lotusmoor_fleet::harness::reaper::Reaper;
-use lotusmoor_fleet::harness::rosters::RegistryProgram;
+use lotusmoor_fleet::harness::process_guard::ProcessGuard;
+use lotusmoor_fleet::harness::registry_replicas::RegistryProgram;
 use serde_json::Value;
 use std::path::PathBuf;
 
@@ -20,7 +20,7 @@
     pub programs: Programs,
     earlier: PathBuf,
     pub folder: tempfile::TempDir,
-    pub reaper: Reaper,
+    pub reaper: ProcessGuard,
 }
 
 impl Stage {
@@ -28,7 +28,7 @@
         let earlier =
             std::env::var_os(EARLIER_BUILD).expect("EARLIER_BUILD names the earlier programs' folder");
         let programs = Programs::find().expect("the programs are built");
-        let reaper = Reaper::start(&programs.lotusmoor).expect("a reaper");
+        let reaper = ProcessGuard::start(&programs.lotusmoor).expect("a reaper");
         Self { programs, earlier: earlier.into(), folder: tempfile::tempdir().expect("a folder"), reaper }
     }
 
