--- a/crates/fleet/src/harness/backend.rs
+++ b/crates/fleet/src/harness/backend.rs
@@ -1,5 +1,6 @@
-//! The stand-in ledger server: answers requests as PROTOCOL has it, misbehaves as it is told, and writes down what it
-//! saw. It runs as a process of its own, so that it can be held and killed.
+//! The fake backend server: it answers requests as the protocol describes, misbehaves as configured, and records the
+//! requests that it receives. It runs as a process of its own (`lotusmoor fleet stand-in ledger`), so that it can be
+//! paused and killed.
 
 use super::http::{Message, Reader, answer};
 use super::now_micros;
@@ -16,25 +17,25 @@
 use tokio::sync::Semaphore;
 use tokio::time::sleep;
 
-/// How it behaves; absent figures are as they were at the start.
+/// How a fake backend behaves. In JSON, absent fields have their default.
 #[derive(Clone, Debug, PartialEq, Deserialize, Serialize)]
 #[serde(default, deny_unknown_fields)]
 pub struct Conduct {
-    /// Time that a request takes once begun.
+    /// Time that a request takes once it is being worked on.
     pub work_us: u64,
-    /// How much longer the first byte of an answer takes.
+    /// Additional time until the first byte of the answer.
     pub first_byte_us: u64,
-    /// Share of requests answered with 500.
+    /// Fraction of requests answered with 500.
     pub errors: f64,
-    /// It turns all away.
+    /// Whether it rejects every request with 503, unprocessed.
     pub turns_away: bool,
-    /// It takes requests and never answers.
+    /// Whether it accepts requests and never answers them.
     pub silent: bool,
-    /// Share of requests under which it resets the connection.
+    /// Fraction of requests that it executes and then resets the connection instead of answering.
     pub resets: f64,
-    /// Share of answers of which only half is sent before the connection closes.
+    /// Fraction of answers whose body is truncated to half before the connection closes.
     pub halves: f64,
-    /// Connections that have been idle for so long after an answer are closed; 0 for never.
+    /// Connections that are idle for this long after an answer are closed; 0 for never.
     pub idle_us: u64,
 }
 
@@ -53,80 +54,80 @@
     }
 }
 
-/// What it saw of a request.
+/// A request that the backend received.
 #[derive(Clone, Debug, Deserialize, Serialize, PartialEq)]
 pub struct ReceivedRequest {
-    /// The number of the request at this server.
+    /// The sequence number of the request at this server.
     pub number: u64,
     /// The request's id.
     pub id: String,
-    /// Its method.
+    /// The method.
     pub method: String,
-    /// Its key, if it has one.
+    /// The idempotency key, if it has one.
     pub key: Option<String>,
-    /// When its first byte had come, and its last.
+    /// When the first and the last byte were received.
     #[serde(rename = "came")]
     pub received_at: (i64, i64),
-    /// Its sidecar had given it up before it was read.
+    /// Whether its sidecar had already closed the connection when it was read.
     pub stale: bool,
-    /// How long its sidecar said that it waits, in microseconds.
+    /// The time left that the sidecar announced, in microseconds.
     #[serde(default)]
     #[serde(rename = "told")]
     pub time_left: Option<i64>,
 }
 
-/// How a request ended there.
+/// How a request ended at the backend.
 #[derive(Clone, Debug, Deserialize, Serialize, PartialEq)]
 pub struct EndedRequest {
-    /// The number of the request at this server.
+    /// The sequence number of the request at this server.
     pub number: u64,
-    /// When.
+    /// When it ended.
     pub at: i64,
-    /// Whether it has run.
+    /// Whether it was executed.
     #[serde(rename = "ran")]
     pub executed: bool,
-    /// The status that was answered; none where the connection ended first.
+    /// The status of the answer; `None` if the connection closed first.
     pub status: Option<u16>,
-    /// The body that was answered.
+    /// The body of the answer.
     pub body: Option<String>,
 }
 
-/// A line of what it wrote down.
+/// A line of the file in which the backend records what it received and answered.
 #[derive(Clone, Debug, Deserialize, Serialize, PartialEq)]
 #[serde(rename_all = "snake_case")]
 pub enum BackendEvent {
-    /// A request has come.
+    /// A request was received.
     #[serde(rename = "seen")]
     Received(ReceivedRequest),
-    /// A request is over.
+    /// A request has ended.
     #[serde(rename = "over")]
     Ended(EndedRequest),
 }
 
-/// Where operators of a stand-in tell it how to behave.
+/// Path of the control call that sets a [`Conduct`].
 pub const CONDUCT_PATH: &str = "/stand-in/conduct";
 
-/// Longer than any play.
+/// No time limit: longer than any run.
 const NEVER: Duration = Duration::from_secs(24 * 3600);
 
 struct Backend {
     name: String,
     conduct: Mutex<Conduct>,
-    notes: Option<Mutex<File>>,
-    next: AtomicU64,
+    records: Option<Mutex<File>>,
+    next_number: AtomicU64,
     cores: Semaphore,
     connections: AtomicU32,
 }
 
 impl Backend {
-    fn note(&self, line: &BackendEvent) {
-        let Some(file) = &self.notes else { return };
-        if let Ok(mut text) = serde_json::to_vec(line) {
-            text.push(b'\n');
+    fn record(&self, event: &BackendEvent) {
+        let Some(file) = &self.records else { return };
+        if let Ok(mut line) = serde_json::to_vec(event) {
+            line.push(b'\n');
             let mut file = file.lock().unwrap_or_else(PoisonError::into_inner);
-            // One write a line: a kill tears the last one at most.
-            if file.write_all(&text).is_err() {
-                tracing::error!("{}: what it saw can't be written down", self.name);
+            // Each line is one write, so that a kill truncates at most the last line.
+            if file.write_all(&line).is_err() {
+                tracing::error!("{}: cannot write to the record file", self.name);
             }
         }
     }
@@ -136,22 +137,22 @@
     }
 }
 
-/// Serves at that address for good. What it sees goes to `notes`, if there is such a file; `cores` requests are
-/// worked on at a time.
+/// Serves at `at` until the process ends. Requests are recorded in the file `records`, if one is given; up to `cores`
+/// requests are worked on at a time.
 pub async fn serve(
     name: String,
     at: SocketAddr,
-    notes: Option<&Path>,
+    records: Option<&Path>,
     conduct: Conduct,
     cores: usize,
 ) -> io::Result<()> {
     let open = |path: &Path| File::options().create(true).append(true).open(path);
-    let notes = notes.map(open).transpose()?.map(Mutex::new);
+    let records = records.map(open).transpose()?.map(Mutex::new);
     let backend = Arc::new(Backend {
         name,
         conduct: Mutex::new(conduct),
-        notes,
-        next: AtomicU64::new(now_micros().unsigned_abs()),
+        records,
+        next_number: AtomicU64::new(now_micros().unsigned_abs()),
         cores: Semaphore::new(cores.max(1)),
         connections: AtomicU32::new(0),
     });
@@ -162,28 +163,28 @@
         let backend = backend.clone();
         tokio::spawn(async move {
             backend.connections.fetch_add(1, Ordering::Relaxed);
-            // A connection that breaks is its sidecar's affair.
-            let _ = connection(&backend, stream).await;
+            // Errors on a connection are for its sidecar to handle.
+            let _ = serve_connection(&backend, stream).await;
             backend.connections.fetch_sub(1, Ordering::Relaxed);
         });
     }
 }
 
-async fn connection(backend: &Backend, mut stream: TcpStream) -> io::Result<()> {
+async fn serve_connection(backend: &Backend, mut stream: TcpStream) -> io::Result<()> {
     let mut reader = Reader::default();
     let mut answered = false;
     loop {
         let idle = backend.conduct().idle_us;
-        let bound = if idle > 0 && answered { Duration::from_micros(idle) } else { NEVER };
-        // A request that comes as its time runs out crosses the close, and is reset.
-        let next = tokio::time::timeout(bound, reader.next(&mut stream, false)).await;
+        let limit = if idle > 0 && answered { Duration::from_micros(idle) } else { NEVER };
+        // A request that arrives just as the idle time ends races with the close, and its connection is reset.
+        let next = tokio::time::timeout(limit, reader.next(&mut stream, false)).await;
         let Some(message) = next.unwrap_or(Ok(None))? else { return Ok(()) };
         answered = true;
         let closes = message.header("connection") == Some("close");
-        let reply = match (message.start.0.as_str(), message.start.1.as_str()) {
+        let reply = match (message.start_line.0.as_str(), message.start_line.1.as_str()) {
             ("POST", CONDUCT_PATH) => match serde_json::from_slice(&message.body) {
-                Ok(told) => {
-                    *backend.conduct.lock().unwrap_or_else(PoisonError::into_inner) = told;
+                Ok(conduct) => {
+                    *backend.conduct.lock().unwrap_or_else(PoisonError::into_inner) = conduct;
                     answer(200, "", b"")
                 }
                 Err(error) => answer(400, "", error.to_string().as_bytes()),
@@ -192,7 +193,7 @@
             _ => match message.header("x-correlation-id") {
                 Some(id) => {
                     let id = id.to_owned();
-                    match request(backend, &mut stream, message, id).await? {
+                    match handle_request(backend, &mut stream, message, id).await? {
                         Some(reply) => reply,
                         None => return Ok(()),
                     }
@@ -207,21 +208,21 @@
     }
 }
 
-/// Works on a request; gives the answer, or nothing where the connection has ended.
-async fn request(
+/// Works on a request; returns the answer, or `None` if the connection has ended.
+async fn handle_request(
     backend: &Backend,
     stream: &mut TcpStream,
     message: Message,
     id: String,
 ) -> io::Result<Option<Vec<u8>>> {
     let conduct = backend.conduct();
-    let number = backend.next.fetch_add(1, Ordering::Relaxed);
-    // One that was held finds what its sidecars have long given up: that is not out any more.
+    let number = backend.next_number.fetch_add(1, Ordering::Relaxed);
+    // After a pause the server reads requests that sidecars have long abandoned: those are no longer in flight.
     let stale = matches!(stream.try_read(&mut [0]), Ok(0)) || stream.take_error()?.is_some();
     let key = message.header("idempotency-key").map(str::to_owned);
     let time_left = message.time_left();
-    let (method, received_at) = (message.start.0, message.received_at);
-    backend.note(&BackendEvent::Received(ReceivedRequest {
+    let (method, received_at) = (message.start_line.0, message.received_at);
+    backend.record(&BackendEvent::Received(ReceivedRequest {
         number,
         id: id.clone(),
         method,
@@ -230,15 +231,21 @@
         stale,
         time_left,
     }));
-    let over = |executed: bool, status: Option<u16>, body: Option<String>| {
-        backend.note(&BackendEvent::Ended(EndedRequest { number, at: now_micros(), executed, status, body }));
+    let record_end = |executed: bool, status: Option<u16>, body: Option<String>| {
+        backend.record(&BackendEvent::Ended(EndedRequest {
+            number,
+            at: now_micros(),
+            executed,
+            status,
+            body,
+        }));
     };
     if stale {
-        over(false, None, None);
+        record_end(false, None, None);
         return Ok(None);
     }
     if conduct.turns_away {
-        over(false, Some(503), None);
+        record_end(false, Some(503), None);
         return Ok(Some(answer(503, "X-Unprocessed: 1\r\n", b"")));
     }
     let chance = |of: u64| super::super::chance::unit(number ^ of << 32);
@@ -247,39 +254,39 @@
             std::future::pending::<()>().await;
         }
         let _core = backend.cores.acquire().await;
-        // The runtime's timers round up to a whole millisecond, also from nothing.
-        let takes = Duration::from_micros(conduct.work_us + conduct.first_byte_us);
-        if !takes.is_zero() {
-            sleep(takes).await;
+        // The runtime's timers round up to a whole millisecond, also a duration of zero.
+        let duration = Duration::from_micros(conduct.work_us + conduct.first_byte_us);
+        if !duration.is_zero() {
+            sleep(duration).await;
         }
     };
     let mut byte = [0];
     tokio::select! {
         () = work => {}
-        // Its sidecar gives up, or says something out of turn; either way nobody waits.
+        // The sidecar closed the connection or sent unexpected bytes; either way it no longer waits for this answer.
         _ = stream.read(&mut byte) => {
-            over(true, None, None);
+            record_end(true, None, None);
             return Ok(None);
         }
     }
     if chance(1) < conduct.resets {
-        // Closed with no time to linger, a connection is reset.
+        // With a linger time of zero, closing the connection resets it.
         socket2::SockRef::from(&*stream).set_linger(Some(Duration::ZERO))?;
-        over(true, None, None);
+        record_end(true, None, None);
         return Ok(None);
     }
     if chance(2) < conduct.errors {
-        over(true, Some(500), None);
+        record_end(true, Some(500), None);
         return Ok(Some(answer(500, "", b"")));
     }
     let body = format!("{{\"id\":\"{id}\",\"server\":\"{}\",\"number\":{number}}}", backend.name);
     let load = backend.connections.load(Ordering::Relaxed);
-    let whole = answer(200, &format!("X-Backend-Load: queue={load}\r\n"), body.as_bytes());
+    let response = answer(200, &format!("X-Backend-Load: queue={load}\r\n"), body.as_bytes());
     if chance(3) < conduct.halves {
-        over(true, None, None);
-        stream.write_all(&whole[..whole.len() - body.len() / 2]).await?;
+        record_end(true, None, None);
+        stream.write_all(&response[..response.len() - body.len() / 2]).await?;
         return Ok(None);
     }
-    over(true, Some(200), Some(body));
-    Ok(Some(whole))
+    record_end(true, Some(200), Some(body));
+    Ok(Some(response))
 }
--- a/crates/fleet/src/harness/check.rs
+++ b/crates/fleet/src/harness/check.rs
@@ -1,5 +1,6 @@
-//! The checker: reads what clients, servers and discovery each saw, and says which of the protocol's rules were broken.
-//! It opens nothing and knows no process; a history is a value.
+//! The checker: reads the history of a run, as recorded by clients, servers, fault proxies and discovery, and reports
+//! which rules of the protocol were violated. It is a pure function of that history: it opens no files and knows no
+//! processes.
 
 mod history;
 mod slow_start;
@@ -17,36 +18,36 @@
 use std::collections::{BTreeMap, BTreeSet, HashMap};
 use std::fmt;
 
-/// The rules.
+/// The rules of the protocol that the checker verifies.
 #[derive(Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
 pub enum Rule {
-    /// Every request that is taken has one final answer.
+    /// Every request that a sidecar accepts gets exactly one final answer.
     Answered,
-    /// And in time.
+    /// That answer arrives before the request's deadline.
     WithinDeadline,
-    /// What is served was made by a server for that request.
+    /// The body of a successful answer was produced by a server for that request.
     Genuine,
-    /// Only what a client asked reaches a server.
+    /// Servers receive only requests that a client sent.
     RequestedByClient,
-    /// Never two attempts at a request out at once.
+    /// A request never has two attempts in flight at once.
     OneAtATime,
-    /// What may have run goes again only as its class allows.
+    /// A request that may have been executed is retried only if its class allows that.
     NoUnsafeRetry,
-    /// A refusal says that nothing has run, or that a repeat does no harm.
+    /// A request is rejected only if it has not been executed, or if the client can safely retry it.
     SafeRejection,
-    /// Nothing new to a server that drains or is gone.
+    /// No new request is sent to a server that is draining or removed.
     RespectsDrain,
-    /// No cold server pushed over by those who had been told of its start.
+    /// Sidecars that were notified of a server's start don't overload it while it is warming up.
     RespectsSlowStart,
-    /// No attempt begins over 0.1 s after its client closed its connection.
+    /// No attempt is sent more than 0.1 s after its client closed the connection.
     NotAfterDisconnect,
-    /// An attempt tells its server no more time than its client has left.
+    /// The time left that an attempt announces to its server does not exceed what its client has left.
     DeadlineNotExtended,
-    /// Who connects and is no client gets an error or a close within 3 s.
+    /// A connection that carries no valid request gets an error answer or is closed within 3 s.
     MalformedClientRejected,
 }
 
-/// Writes the rule's name as it stands in reports and recorded results.
+/// Writes the rule's name as reports and recorded results have it, which differs from the variant's name.
 impl fmt::Debug for Rule {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         f.write_str(match self {
@@ -67,7 +68,7 @@
 }
 
 impl Rule {
-    /// All of them.
+    /// All rules, in their order.
     pub const ALL: [Self; 12] = [
         Self::Answered,
         Self::WithinDeadline,
@@ -84,256 +85,303 @@
     ];
 }
 
-/// A rule that was broken, and where.
+/// A violation of a rule.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Violation {
-    /// The rule.
+    /// The rule that was violated.
     pub rule: Rule,
-    /// The request.
+    /// The id of the request, or `none` where it had none.
     pub id: String,
-    /// What was seen.
-    pub what: String,
+    /// What was observed.
+    pub details: String,
 }
 
 impl fmt::Display for Violation {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
-        write!(f, "{:?}: request {}: {}", self.rule, self.id, self.what)
+        write!(f, "{:?}: request {}: {}", self.rule, self.id, self.details)
     }
 }
 
-/// All rules that were broken, in the order of the rules.
+/// Returns all violations in a history, ordered by rule.
 pub fn check(history: &History) -> Vec<Violation> {
     let mut attempts: HashMap<&str, Vec<&Attempt>> = HashMap::new();
     for attempt in &history.attempts {
         attempts.entry(&attempt.request.id).or_default().push(attempt);
     }
     attempts.values_mut().for_each(|all| all.sort_by_key(|a| a.request.received_at.1));
-    let mut sends: HashMap<&str, Vec<&ForwardedRequest>> = HashMap::new();
-    for send in &history.forwarded {
-        sends.entry(&send.request.id).or_default().push(send);
+    let mut forwarded_requests: HashMap<&str, Vec<&ForwardedRequest>> = HashMap::new();
+    for forwarded in &history.forwarded {
+        forwarded_requests.entry(&forwarded.request.id).or_default().push(forwarded);
     }
-    let mut broken = Vec::new();
-    let asked: BTreeSet<&str> = history.requests.iter().map(|a| a.id.as_str()).collect();
-    for attempt in history.attempts.iter().filter(|a| !asked.contains(a.request.id.as_str())) {
-        let what = format!("server {} got it, and no client sent it", attempt.server);
-        broken.push(Violation { rule: Rule::RequestedByClient, id: attempt.request.id.clone(), what });
+    let mut violations = Vec::new();
+    let client_ids: BTreeSet<&str> = history.requests.iter().map(|r| r.id.as_str()).collect();
+    for attempt in history.attempts.iter().filter(|a| !client_ids.contains(a.request.id.as_str())) {
+        let details = format!("server {} received it, but no client sent it", attempt.server);
+        violations.push(Violation { rule: Rule::RequestedByClient, id: attempt.request.id.clone(), details });
     }
-    for ask in &history.requests {
-        let attempts = attempts.get(ask.id.as_str()).map_or(&[][..], Vec::as_slice);
-        let sends = sends.get(ask.id.as_str()).map_or(&[][..], Vec::as_slice);
-        let mut note = |found: Option<(Rule, String)>| {
-            broken.extend(found.map(|(rule, what)| Violation { rule, id: ask.id.clone(), what }));
+    for request in &history.requests {
+        let attempts = attempts.get(request.id.as_str()).map_or(&[][..], Vec::as_slice);
+        let forwarded_requests = forwarded_requests.get(request.id.as_str()).map_or(&[][..], Vec::as_slice);
+        let mut report = |found: Option<(Rule, String)>| {
+            violations.extend(found.map(|(rule, details)| Violation {
+                rule,
+                id: request.id.clone(),
+                details,
+            }));
         };
-        note(answer(history, ask));
-        note(genuine(ask, attempts));
-        let own: Vec<&Attempt> = attempts.iter().copied().filter(|a| !of_killed(history, ask, a)).collect();
-        note(two_at_once(history, &own));
-        note(repeat(history, ask, &own));
-        note(refusal(ask, &own));
-        note(drained(history, ask, sends));
-        note(cordoned(history, sends));
-        note(deadline(history, ask, sends));
+        report(check_answered(history, request));
+        report(check_genuine(request, attempts));
+        let relevant: Vec<&Attempt> =
+            attempts.iter().copied().filter(|a| !sent_by_killed_process(history, request, a)).collect();
+        report(check_one_at_a_time(history, &relevant));
+        report(check_retries(history, request, &relevant));
+        report(check_rejection(request, &relevant));
+        report(check_drain(history, request, forwarded_requests));
+        report(check_cordon(history, forwarded_requests));
+        report(check_deadline(history, request, forwarded_requests));
     }
-    broken.extend(slow_start_overloads(history));
-    broken.extend(left(history, &sends));
-    broken.extend(history.malformed_clients.iter().filter_map(|s| stranger(history, s)));
-    broken.sort_by_key(|b| b.rule);
-    broken
+    violations.extend(slow_start_overloads(history));
+    violations.extend(check_after_disconnect(history, &forwarded_requests));
+    violations.extend(history.malformed_clients.iter().filter_map(|c| check_malformed_client(history, c)));
+    violations.sort_by_key(|v| v.rule);
+    violations
 }
 
-fn answer(history: &History, ask: &ClientRequest) -> Option<(Rule, String)> {
-    let end = ask.sent_at + ask.timeout;
-    // What a sidecar had that was killed, or that stood still, is for the client to repeat.
-    if history.sidecar_outages.iter().any(|a| a.overlaps(ask.sidecar, ask.sent_at, end + history.slack)) {
+fn check_answered(history: &History, request: &ClientRequest) -> Option<(Rule, String)> {
+    let deadline = request.sent_at + request.timeout;
+    // Requests in flight at a sidecar that is killed or paused are the client's to retry.
+    if history
+        .sidecar_outages
+        .iter()
+        .any(|a| a.overlaps(request.sidecar, request.sent_at, deadline + history.slack))
+    {
         return None;
     }
-    match &ask.outcome {
+    match &request.outcome {
         Outcome::ConnectFailed | Outcome::Disconnected { .. } => None,
-        Outcome::Closed { at } => {
-            Some((Rule::Answered, format!("its connection ended after {} us", at - ask.sent_at)))
-        }
-        Outcome::TimedOut => Some((Rule::Answered, "it had no answer".to_owned())),
-        Outcome::Answer { at, status, .. } => (*at > end + history.slack).then(|| {
-            (Rule::WithinDeadline, format!("its answer {status} came {} us after its time", at - end))
+        Outcome::Closed { at } => Some((
+            Rule::Answered,
+            format!("connection closed without an answer after {} us", at - request.sent_at),
+        )),
+        Outcome::TimedOut => Some((Rule::Answered, "no answer received".to_owned())),
+        Outcome::Answer { at, status, .. } => (*at > deadline + history.slack).then(|| {
+            (Rule::WithinDeadline, format!("answer {status} arrived {} us after the deadline", at - deadline))
         }),
     }
 }
 
-/// Whether an attempt is that of a process that was killed. A client whose connection ended with that has sent its request
-/// once more, to a process that knows nothing of the first.
-fn of_killed(history: &History, ask: &ClientRequest, attempt: &Attempt) -> bool {
-    let sent = history.sent_at_of(attempt);
-    sent < ask.sent_at
-        && history.sidecar_outages.iter().any(|away| away.overlaps(ask.sidecar, sent, ask.sent_at))
+/// Whether an attempt was sent by a sidecar process that was killed before the client's last try. The client saw its
+/// connection close and sent the request again, to a new process that knows nothing of the first attempt.
+fn sent_by_killed_process(history: &History, request: &ClientRequest, attempt: &Attempt) -> bool {
+    let sent_at = history.sent_at_of(attempt);
+    sent_at < request.sent_at
+        && history
+            .sidecar_outages
+            .iter()
+            .any(|outage| outage.overlaps(request.sidecar, sent_at, request.sent_at))
 }
 
-fn genuine(ask: &ClientRequest, attempts: &[&Attempt]) -> Option<(Rule, String)> {
-    let Outcome::Answer { status: 200, body, .. } = &ask.outcome else { return None };
-    let made = attempts.iter().filter_map(|a| a.end.as_ref()?.body.as_ref());
-    let genuine = made.into_iter().any(|made| made == body);
-    (!genuine).then(|| (Rule::Genuine, format!("no server made what it was served: {body}")))
+fn check_genuine(request: &ClientRequest, attempts: &[&Attempt]) -> Option<(Rule, String)> {
+    let Outcome::Answer { status: 200, body, .. } = &request.outcome else { return None };
+    let produced = attempts.iter().filter_map(|a| a.end.as_ref()?.body.as_ref());
+    let genuine = produced.into_iter().any(|produced| produced == body);
+    (!genuine).then(|| (Rule::Genuine, format!("no server produced the body of its answer: {body}")))
 }
 
-/// Until when an attempt was out. A server that stood still wrote that down late, and is believed in nothing.
-fn out(history: &History, attempt: &Attempt) -> Option<(i64, i64)> {
-    let over = attempt.end.as_ref()?;
-    let (from, to) = (attempt.request.received_at.1, over.at);
+/// From when to when an attempt was in flight at its server; `None` if the server was paused then, as it recorded the
+/// end late, or if the sidecar had already abandoned the attempt when the server read it.
+fn in_flight_span(history: &History, attempt: &Attempt) -> Option<(i64, i64)> {
+    let end = attempt.end.as_ref()?;
+    let (from, to) = (attempt.request.received_at.1, end.at);
     let late = history.server_outages.iter().any(|a| a.overlaps(attempt.server, from - history.slack, to));
     (!late && !attempt.request.stale).then_some((from, to))
 }
 
-fn two_at_once(history: &History, attempts: &[&Attempt]) -> Option<(Rule, String)> {
-    let spans: Vec<_> = attempts.iter().filter_map(|a| Some((a.server, out(history, a)?))).collect();
+fn check_one_at_a_time(history: &History, attempts: &[&Attempt]) -> Option<(Rule, String)> {
+    let spans: Vec<_> =
+        attempts.iter().filter_map(|a| Some((a.server, in_flight_span(history, a)?))).collect();
     spans.windows(2).find_map(|pair| {
         let [(a, (_, end)), (b, (begin, _))] = [pair[0], pair[1]];
-        // The news of a closed connection takes its way as well.
-        let over = end - begin;
-        (over > history.slack).then(|| {
-            (Rule::OneAtATime, format!("server {b} got it while it was out at server {a} for {over} us more"))
+        // Closing an abandoned attempt's connection takes time to reach its server: `slack` allows for it.
+        let overlap = end - begin;
+        (overlap > history.slack).then(|| {
+            (
+                Rule::OneAtATime,
+                format!("server {b} received it {overlap} us before the attempt at server {a} ended"),
+            )
         })
     })
 }
 
-fn repeat(history: &History, ask: &ClientRequest, attempts: &[&Attempt]) -> Option<(Rule, String)> {
-    let ran = |a: &Attempt| a.end.as_ref().is_none_or(|o| o.executed);
-    let first = attempts.iter().find(|a| ran(a))?;
-    let next = attempts
+fn check_retries(
+    history: &History,
+    request: &ClientRequest,
+    attempts: &[&Attempt],
+) -> Option<(Rule, String)> {
+    let may_have_run = |a: &Attempt| a.end.as_ref().is_none_or(|end| end.executed);
+    let first = attempts.iter().find(|a| may_have_run(a))?;
+    let retries = attempts
         .iter()
         .filter(|a| a.request.received_at.1 > first.request.received_at.1)
         .filter(|a| !a.request.stale);
-    match ask.idempotency {
+    match request.idempotency {
         Idempotency::Idempotent => None,
-        Idempotency::NonIdempotent => next.into_iter().next().map(|a| {
+        Idempotency::NonIdempotent => retries.into_iter().next().map(|a| {
             (
                 Rule::NoUnsafeRetry,
-                format!("server {} got it after it may have run at server {}", a.server, first.server),
+                format!("server {} received it after server {} may have executed it", a.server, first.server),
             )
         }),
-        // One that its server read late, as it stood still, was sent in time for all that is known.
-        Idempotency::Keyed { window } => next.into_iter().filter(|a| !read_late(history, a)).find_map(|a| {
-            let after = history.sent_at_of(a) - first.request.received_at.0;
-            (after > window + history.slack).then(|| {
-                (
-                    Rule::NoUnsafeRetry,
-                    format!("it was sent to server {} {after} us after the first came", a.server),
-                )
+        // If the server was paused when it read the retry, the time of sending is unknown: it counts as in time.
+        Idempotency::Keyed { window } => {
+            retries.into_iter().filter(|a| !read_late(history, a)).find_map(|a| {
+                let after = history.sent_at_of(a) - first.request.received_at.0;
+                (after > window + history.slack).then(|| {
+                    (
+                        Rule::NoUnsafeRetry,
+                        format!(
+                            "sent to server {} {after} us after the first attempt was received",
+                            a.server
+                        ),
+                    )
+                })
             })
-        }),
+        }
     }
 }
 
-/// Whether a server stood still, or came to itself, as it read a request.
+/// Whether a server was paused, or just resuming, when it read a request.
 fn read_late(history: &History, attempt: &Attempt) -> bool {
-    let came = attempt.request.received_at.0;
-    history.server_outages.iter().any(|away| away.overlaps(attempt.server, came, came))
+    let received_at = attempt.request.received_at.0;
+    history.server_outages.iter().any(|outage| outage.overlaps(attempt.server, received_at, received_at))
 }
 
-fn refusal(ask: &ClientRequest, attempts: &[&Attempt]) -> Option<(Rule, String)> {
-    let Outcome::Answer { status: status @ (429 | 503), at, .. } = &ask.outcome else { return None };
-    let ran = attempts.iter().find(|a| a.end.as_ref().is_some_and(|o| o.executed))?;
-    let harmless = match ask.idempotency {
+fn check_rejection(request: &ClientRequest, attempts: &[&Attempt]) -> Option<(Rule, String)> {
+    let Outcome::Answer { status: status @ (429 | 503), at, .. } = &request.outcome else { return None };
+    let executed = attempts.iter().find(|a| a.end.as_ref().is_some_and(|end| end.executed))?;
+    let safe = match request.idempotency {
         Idempotency::Idempotent => true,
-        Idempotency::Keyed { window } => at - ran.request.received_at.0 < window,
+        Idempotency::Keyed { window } => at - executed.request.received_at.0 < window,
         Idempotency::NonIdempotent => false,
     };
-    (!harmless).then(|| {
-        (Rule::SafeRejection, format!("it was refused with {status}, and server {} ran it", ran.server))
+    (!safe).then(|| {
+        (Rule::SafeRejection, format!("rejected with {status}, but server {} executed it", executed.server))
     })
 }
 
-fn drained(history: &History, ask: &ClientRequest, sends: &[&ForwardedRequest]) -> Option<(Rule, String)> {
-    let last = |told: &[(usize, usize, i64)], server: usize, before: i64| {
-        let of = told.iter().filter(|t| t.0 == ask.sidecar && t.1 == server && t.2 <= before);
-        of.map(|t| t.2).max()
+fn check_drain(
+    history: &History,
+    request: &ClientRequest,
+    forwarded_requests: &[&ForwardedRequest],
+) -> Option<(Rule, String)> {
+    let last = |notifications: &[(usize, usize, i64)], server: usize, before: i64| {
+        let matching =
+            notifications.iter().filter(|n| n.0 == request.sidecar && n.1 == server && n.2 <= before);
+        matching.map(|n| n.2).max()
     };
-    sends.iter().find_map(|send| {
-        let (server, at) = (send.server, send.request.sent_at);
-        let gone = last(&history.notified_unavailable, server, at)?;
-        let back = last(&history.notified_available, server, at);
-        let broken = back.is_none_or(|b| b < gone) && at > gone + history.drain_grace + history.slack;
-        broken.then(|| {
-            let after = at - gone;
+    forwarded_requests.iter().find_map(|forwarded| {
+        let (server, at) = (forwarded.server, forwarded.request.sent_at);
+        let unavailable = last(&history.notified_unavailable, server, at)?;
+        let available = last(&history.notified_available, server, at);
+        let violated = available.is_none_or(|a| a < unavailable)
+            && at > unavailable + history.drain_grace + history.slack;
+        violated.then(|| {
+            let after = at - unavailable;
             (
                 Rule::RespectsDrain,
-                format!("it was sent to server {server} {after} us after sidecar {} was told", ask.sidecar),
+                format!("sent to server {server} {after} us after sidecar {} was notified", request.sidecar),
             )
         })
     })
 }
 
-/// From an operator's yes on the server counts as draining, whatever discovery lists.
-fn cordoned(history: &History, sends: &[&ForwardedRequest]) -> Option<(Rule, String)> {
-    sends.iter().find_map(|send| {
-        let at = send.request.sent_at;
-        let broken = |c: &&Cordon| {
+/// Once a cordon is acknowledged, the server counts as draining at that sidecar, whatever status discovery lists.
+fn check_cordon(history: &History, forwarded_requests: &[&ForwardedRequest]) -> Option<(Rule, String)> {
+    forwarded_requests.iter().find_map(|forwarded| {
+        let at = forwarded.request.sent_at;
+        let violated = |c: &&Cordon| {
             let from = c.span.0 + history.drain_grace + history.slack;
-            (c.sidecar, c.server) == (send.sidecar, send.server) && at > from && at < c.span.1
+            (c.sidecar, c.server) == (forwarded.sidecar, forwarded.server) && at > from && at < c.span.1
         };
-        let cordon = history.cordons.iter().find(broken)?;
+        let cordon = history.cordons.iter().find(violated)?;
         let after = at - cordon.span.0;
         Some((
             Rule::RespectsDrain,
-            format!("it was sent to server {} {after} us after it was taken out", send.server),
+            format!("sent to server {} {after} us after it was cordoned", forwarded.server),
         ))
     })
 }
 
-/// An attempt that begins later than this after its client closed is one too late.
-const LEFT_GRACE: i64 = 100_000;
+/// How long after its client closed the connection an attempt may still be sent, in microseconds.
+const DISCONNECT_GRACE_US: i64 = 100_000;
 
-/// By how much the time that is told may be over what is left.
-const DEADLINE_SLACK: i64 = 150_000;
+/// By how much the announced time left may exceed what the client really has left, in microseconds.
+const DEADLINE_SLACK_US: i64 = 150_000;
 
-fn deadline(history: &History, ask: &ClientRequest, sends: &[&ForwardedRequest]) -> Option<(Rule, String)> {
-    sends.iter().find_map(|send| {
-        let left = ask.sent_at + ask.timeout - send.request.sent_at;
-        let told = send.request.time_left?;
-        (told > left + DEADLINE_SLACK + history.max_link_delay).then(|| {
+fn check_deadline(
+    history: &History,
+    request: &ClientRequest,
+    forwarded_requests: &[&ForwardedRequest],
+) -> Option<(Rule, String)> {
+    forwarded_requests.iter().find_map(|forwarded| {
+        let left = request.sent_at + request.timeout - forwarded.request.sent_at;
+        let announced = forwarded.request.time_left?;
+        (announced > left + DEADLINE_SLACK_US + history.max_link_delay).then(|| {
             (
                 Rule::DeadlineNotExtended,
-                format!("server {} was told {told} us, where {left} were left", send.server),
+                format!(
+                    "server {} was told that {announced} us were left, instead of {left}",
+                    forwarded.server
+                ),
             )
         })
     })
 }
 
-/// What peers that are no clients are owed comes within this time.
-const TURNED_AWAY_WITHIN: i64 = 3_000_000;
+/// Time within which a malformed client gets an error or a close, in microseconds.
+const REJECTED_WITHIN_US: i64 = 3_000_000;
 
-fn stranger(history: &History, stranger: &MalformedClient) -> Option<Violation> {
-    let until = stranger.connected_at + TURNED_AWAY_WITHIN + history.slack;
-    let away =
-        history.sidecar_outages.iter().any(|a| a.overlaps(stranger.sidecar, stranger.connected_at, until));
-    let late = stranger.rejected_at.is_none_or(|at| at > until) && !away;
-    (late || stranger.served).then(|| Violation {
+fn check_malformed_client(history: &History, client: &MalformedClient) -> Option<Violation> {
+    let deadline = client.connected_at + REJECTED_WITHIN_US + history.slack;
+    let outage =
+        history.sidecar_outages.iter().any(|a| a.overlaps(client.sidecar, client.connected_at, deadline));
+    let late = client.rejected_at.is_none_or(|at| at > deadline) && !outage;
+    (late || client.served).then(|| Violation {
         rule: Rule::MalformedClientRejected,
         id: "none".to_owned(),
-        what: format!("{stranger:?}"),
+        details: format!("{client:?}"),
     })
 }
 
-fn left(history: &History, sends: &HashMap<&str, Vec<&ForwardedRequest>>) -> Vec<Violation> {
-    let late = |ask: &ClientRequest| {
-        let Outcome::Disconnected { at } = ask.outcome else { return Vec::new() };
-        let all = sends.get(ask.id.as_str()).map_or(&[][..], Vec::as_slice);
-        let late = all.iter().filter(|send| send.request.sent_at > at + LEFT_GRACE + history.max_link_delay);
-        late.map(|send| (send.request.sent_at, send.server, send.request.sent_at - at, ask.id.clone()))
-            .collect()
+fn check_after_disconnect(
+    history: &History,
+    forwarded_requests: &HashMap<&str, Vec<&ForwardedRequest>>,
+) -> Vec<Violation> {
+    let late = |request: &ClientRequest| {
+        let Outcome::Disconnected { at } = request.outcome else { return Vec::new() };
+        let all = forwarded_requests.get(request.id.as_str()).map_or(&[][..], Vec::as_slice);
+        let late = all.iter().filter(|forwarded| {
+            forwarded.request.sent_at > at + DISCONNECT_GRACE_US + history.max_link_delay
+        });
+        late.map(|forwarded| {
+            (forwarded.request.sent_at, forwarded.server, forwarded.request.sent_at - at, request.id.clone())
+        })
+        .collect()
     };
     let mut all: Vec<(i64, usize, i64, String)> = history.requests.iter().flat_map(late).collect();
     all.sort();
-    let broken = all.into_iter().map(|(_, server, after, id)| Violation {
+    let violations = all.into_iter().map(|(_, server, after, id)| Violation {
         rule: Rule::NotAfterDisconnect,
         id,
-        what: format!("it was sent to server {server} {after} us after its client had closed"),
+        details: format!("sent to server {server} {after} us after its client closed the connection"),
     });
-    broken.collect()
+    violations.collect()
 }
 
-/// Broken rules by count, for the reader of a failure.
-pub fn count_by_rule(broken: &[Violation]) -> BTreeMap<Rule, usize> {
+/// Counts violations by rule, for failure messages.
+pub fn count_by_rule(violations: &[Violation]) -> BTreeMap<Rule, usize> {
     let mut counts = BTreeMap::new();
-    broken.iter().for_each(|b| *counts.entry(b.rule).or_default() += 1);
+    violations.iter().for_each(|v| *counts.entry(v.rule).or_default() += 1);
     counts
 }
 
--- a/crates/fleet/src/harness/check/history.rs
+++ b/crates/fleet/src/harness/check/history.rs
@@ -1,104 +1,104 @@
-//! What clients, servers, relays and discovery saw of a run.
+//! The history of a run, as recorded by clients, servers, fault proxies and discovery.
 
 use super::super::backend::{EndedRequest, ReceivedRequest};
 use super::super::sent_requests::SentRequest;
 use super::slow_start_limit::SlowStartLimit;
 use std::collections::HashMap;
 
-/// What running a request twice would do.
+/// Whether a request may be executed more than once.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Idempotency {
-    /// Nothing.
+    /// Repeating it has no further effect.
     Idempotent,
-    /// Servers drop repeats of its key for so long, in microseconds.
+    /// It carries an idempotency key, by which servers drop repeats for a while.
     Keyed {
-        /// For how long.
+        /// How long servers remember the key, in microseconds.
         window: i64,
     },
-    /// Harm.
+    /// Repeating it does harm.
     NonIdempotent,
 }
 
-/// What came back to a client.
+/// How a request ended, as its client saw it.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Outcome {
-    /// No connection came up: nothing was taken.
+    /// No connection could be established, so no request was accepted.
     ConnectFailed,
-    /// The connection ended without an answer.
+    /// The sidecar closed the connection without an answer.
     Closed {
-        /// When.
+        /// When it was closed.
         at: i64,
     },
-    /// A whole answer.
+    /// A complete answer.
     Answer {
         /// Its status.
         status: u16,
-        /// When its last byte came.
+        /// When its last byte arrived.
         at: i64,
         /// Its body.
         body: String,
     },
-    /// Nothing at all, long past its time.
+    /// Nothing was received until well after the deadline.
     TimedOut,
-    /// The client closed its connection early.
+    /// The client closed its connection before it had an answer.
     Disconnected {
-        /// When.
+        /// When it closed it.
         at: i64,
     },
 }
 
-/// A client's request.
+/// A request, as its client recorded it.
 #[derive(Clone, Debug)]
 pub struct ClientRequest {
     /// Its id.
     pub id: String,
-    /// The sidecar that it went to.
+    /// The sidecar that it was sent to.
     pub sidecar: usize,
-    /// What a repeat would do.
+    /// Whether it may be executed more than once.
     pub idempotency: Idempotency,
-    /// How long its client waits, in microseconds.
+    /// How long its client waits for the answer, in microseconds.
     pub timeout: i64,
-    /// When its last byte was written.
+    /// When its last byte was written, on the last connection that it was sent on.
     pub sent_at: i64,
-    /// What came back.
+    /// How it ended.
     pub outcome: Outcome,
 }
 
 impl ClientRequest {
-    /// Whether it was served.
+    /// Whether it was answered with 200.
     pub fn is_served(&self) -> bool {
         matches!(self.outcome, Outcome::Answer { status: 200, .. })
     }
 }
 
-/// A request as a server saw it.
+/// An attempt at a request, as its server recorded it.
 #[derive(Clone, Debug)]
 pub struct Attempt {
     /// The server.
     pub server: usize,
-    /// What came.
+    /// The request, as received.
     pub request: ReceivedRequest,
-    /// How it ended; none where the server was killed first.
+    /// How it ended; `None` if the server was killed first.
     pub end: Option<EndedRequest>,
 }
 
-/// A request as it left its sidecar, whenever its server read it, if ever.
+/// A request as it left a sidecar, recorded by the fault proxy, whether or not a server ever read it.
 #[derive(Clone, Debug)]
 pub struct ForwardedRequest {
     /// The sidecar.
     pub sidecar: usize,
-    /// The server that it was for.
+    /// The server that it was sent to.
     pub server: usize,
     /// The request.
     pub request: SentRequest,
 }
 
-/// A stretch of time in which a process stood still or was away.
+/// A period in which a process was paused or not running.
 #[derive(Clone, Copy, Debug)]
 pub struct Outage {
-    /// Which sidecar, or which server.
+    /// The number of the sidecar or server.
     pub instance: usize,
-    /// From its beginning to its end.
+    /// Start and end.
     pub span: (i64, i64),
 }
 
@@ -108,61 +108,62 @@
     }
 }
 
-/// A server that operators have taken out at a sidecar.
+/// A server that operators have cordoned at a sidecar.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Cordon {
     /// The sidecar.
     pub sidecar: usize,
     /// The server.
     pub server: usize,
-    /// From the sidecar's yes to the call that gives it back.
+    /// From the sidecar's acknowledgement of the cordon to the uncordon call.
     pub span: (i64, i64),
 }
 
-/// All that was seen of a run. Times are microseconds on one clock.
+/// Everything that was recorded of a run. Times are microseconds on one clock.
 #[derive(Clone, Debug, Default)]
 pub struct History {
-    /// Requests.
+    /// Requests, as clients recorded them.
     pub requests: Vec<ClientRequest>,
-    /// Attempts, as servers read them.
+    /// Attempts, as servers recorded them.
     pub attempts: Vec<Attempt>,
-    /// The same as they left their sidecars. A link may hold one back, and a server that stands still reads it late.
+    /// The same attempts as they left the sidecars. A link may delay an attempt, and a paused server reads it late.
     pub forwarded: Vec<ForwardedRequest>,
-    /// When each sidecar (first) was told that a server (second) drains or is gone.
+    /// When a sidecar (first) was notified that a server (second) is draining or removed.
     pub notified_unavailable: Vec<(usize, usize, i64)>,
-    /// What operators have taken out, and been promised that it is.
+    /// Cordons that sidecars have acknowledged.
     pub cordons: Vec<Cordon>,
-    /// When it was told that the server is back.
+    /// When a sidecar (first) was notified that a server (second) is active again.
     pub notified_available: Vec<(usize, usize, i64)>,
-    /// Stretches in which sidecars were away.
+    /// Periods in which sidecars were not running.
     pub sidecar_outages: Vec<Outage>,
-    /// Stretches in which servers were away or stood still, when what they write down is late.
+    /// Periods in which servers were not running or paused; a paused server records events late.
     pub server_outages: Vec<Outage>,
-    /// How much later than a rule's own figure is still in order: what the machine itself may add.
+    /// Tolerance added to the time limits of rules, for delays of the test machine itself.
     pub slack: i64,
-    /// Sends to a server that drains may go on for so long.
+    /// How long requests may still be sent to a server that has begun to drain.
     pub drain_grace: i64,
-    /// When each server started anew, cold.
+    /// When servers were restarted, and began to warm up.
     pub server_starts: Vec<(usize, i64)>,
-    /// What a cold one bears; absent, any number.
+    /// How many requests a server that is warming up can take; `None` for no limit.
     pub slow_start_limit: Option<SlowStartLimit>,
-    /// The most that links between sidecars and servers delay what is sent.
+    /// The longest delay that links between sidecars and servers add.
     pub max_link_delay: i64,
-    /// Peers that were no clients.
+    /// Connections that carried no valid request.
     pub malformed_clients: Vec<MalformedClient>,
 }
 
 impl History {
-    /// Takes for the sends what servers have read, where nobody stood behind the sidecars to see them leave. What a
-    /// server read late, or as it was given up, is left out: when that was sent is not known.
+    /// Derives the forwarded requests from the attempts that servers recorded, for runs without fault proxies behind
+    /// the sidecars. Attempts that a paused server read late, or that were already abandoned when it read them, are
+    /// left out: when they were sent is not known.
     pub fn use_attempts_as_forwarded(&mut self) {
         let sidecars: HashMap<&str, usize> =
-            self.requests.iter().map(|a| (a.id.as_str(), a.sidecar)).collect();
-        let in_time = |a: &&Attempt| {
+            self.requests.iter().map(|r| (r.id.as_str(), r.sidecar)).collect();
+        let read_in_time = |a: &&Attempt| {
             let (from, to) = a.request.received_at;
-            !a.request.stale && !self.server_outages.iter().any(|away| away.overlaps(a.server, from, to))
+            !a.request.stale && !self.server_outages.iter().any(|outage| outage.overlaps(a.server, from, to))
         };
-        let send = |a: &Attempt| {
+        let forwarded = |a: &Attempt| {
             let request = SentRequest {
                 id: a.request.id.clone(),
                 sent_at: a.request.received_at.0,
@@ -174,29 +175,32 @@
                 request,
             })
         };
-        self.forwarded = self.attempts.iter().filter(in_time).filter_map(send).collect();
+        self.forwarded = self.attempts.iter().filter(read_in_time).filter_map(forwarded).collect();
     }
 
-    /// When an attempt that a server has read left its sidecar, as far as that was seen: the last time that it did so
-    /// before it was read.
+    /// When the attempt that a server received had left its sidecar: the last time that the request was forwarded to
+    /// this server before it was read, or else the time when it was read.
     pub(super) fn sent_at_of(&self, attempt: &Attempt) -> i64 {
-        let came = attempt.request.received_at.0;
-        let of_it = |s: &&ForwardedRequest| {
-            s.server == attempt.server && s.request.id == attempt.request.id && s.request.sent_at <= came
+        let received_at = attempt.request.received_at.0;
+        let matching = |f: &&ForwardedRequest| {
+            f.server == attempt.server
+                && f.request.id == attempt.request.id
+                && f.request.sent_at <= received_at
         };
-        self.forwarded.iter().filter(of_it).map(|s| s.request.sent_at).max().unwrap_or(came)
+        self.forwarded.iter().filter(matching).map(|f| f.request.sent_at).max().unwrap_or(received_at)
     }
 }
 
-/// A peer that connected to a sidecar and sent no proper request, or none.
+/// A connection to a sidecar that carried an invalid or incomplete request, or none.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct MalformedClient {
     /// The sidecar.
     pub sidecar: usize,
-    /// When its connection was up.
+    /// When the connection was established.
     pub connected_at: i64,
-    /// When it got an error or a close; none where it got neither for as long as it stayed.
+    /// When the sidecar sent an error or closed the connection; `None` if neither happened while the client stayed
+    /// connected.
     pub rejected_at: Option<i64>,
-    /// Its request was answered as if it had run.
+    /// Whether the sidecar answered with a status below 400, as if the request were valid.
     pub served: bool,
 }
--- a/crates/fleet/src/harness/check/slow_start.rs
+++ b/crates/fleet/src/harness/check/slow_start.rs
@@ -1,84 +1,87 @@
-//! Cold servers: what each bears, and whether all sidecars together have sent it more.
+//! The rule for servers that are warming up: whether all sidecars together have sent one more than it can take.
 
 use super::history::History;
 use super::{Rule, Violation};
 use std::collections::HashMap;
 
-/// What came to a server from one of its starts to the next, in order: when, and whether its sidecar had been told of
-/// the start by then.
+/// The requests that a server received between one of its starts and the next, in order of time. Each has the time,
+/// whether its sidecar had been notified of the start by then, and the request's id.
 fn since_start(history: &History, server: usize, start: i64) -> Vec<(i64, bool, &str)> {
     let next = history.server_starts.iter().filter(|s| s.0 == server && s.1 > start).map(|s| s.1).min();
     let sidecars: HashMap<&str, usize> =
-        history.requests.iter().map(|a| (a.id.as_str(), a.sidecar)).collect();
-    let mut told: HashMap<usize, i64> = HashMap::new();
-    for (sidecar, _, at) in history.notified_available.iter().filter(|t| t.1 == server && t.2 >= start) {
-        told.entry(*sidecar).and_modify(|first| *first = (*at).min(*first)).or_insert(*at);
+        history.requests.iter().map(|r| (r.id.as_str(), r.sidecar)).collect();
+    let mut notified: HashMap<usize, i64> = HashMap::new();
+    for (sidecar, _, at) in history.notified_available.iter().filter(|n| n.1 == server && n.2 >= start) {
+        notified.entry(*sidecar).and_modify(|first| *first = (*at).min(*first)).or_insert(*at);
     }
-    let own = history.attempts.iter().filter(|a| a.server == server);
-    let mut came: Vec<_> = own
+    let attempts = history.attempts.iter().filter(|a| a.server == server);
+    let mut received: Vec<_> = attempts
         .filter(|a| {
             a.request.received_at.1 >= start && next.is_none_or(|next| a.request.received_at.1 < next)
         })
         .map(|a| {
             let (at, id) = (a.request.received_at.1, a.request.id.as_str());
-            let knew = sidecars.get(id).and_then(|s| told.get(s)).is_some_and(|told| *told <= at);
-            (at, knew, id)
+            let was_notified =
+                sidecars.get(id).and_then(|s| notified.get(s)).is_some_and(|notified| *notified <= at);
+            (at, was_notified, id)
         })
         .collect();
-    came.sort_by_key(|c| c.0);
-    came
+    received.sort_by_key(|r| r.0);
+    received
 }
 
-/// The first fall of a server after each of its starts of which over two thirds came from those who had been told. By
-/// the operators' page there is no more slack in it than its own.
+/// The first overload of a server after each of its starts, if more than two thirds of the requests in the window came
+/// from sidecars that had been notified of the start. The limit has a tolerance of its own; `slack` does not apply
+/// here, as the rule for operators allows no more.
 pub(super) fn slow_start_overloads(history: &History) -> Vec<Violation> {
-    let Some(rule) = &history.slow_start_limit else { return Vec::new() };
-    let fall = |(server, start): &(usize, i64)| {
-        let came = since_start(history, *server, *start);
+    let Some(limit) = &history.slow_start_limit else { return Vec::new() };
+    let overload = |(server, start): &(usize, i64)| {
+        let received = since_start(history, *server, *start);
         let mut first = 0;
-        came.iter().enumerate().find_map(|(last, (at, _, id))| {
-            while came[first].0 <= at - rule.window {
+        received.iter().enumerate().find_map(|(last, (at, _, id))| {
+            while received[first].0 <= at - limit.window {
                 first += 1;
             }
-            let window = &came[first..=last];
-            let (n, most) = (window.len(), rule.max_requests(at - start)?);
-            let knew = window.iter().filter(|c| c.1).count();
-            (n as f64 > most && 3 * knew > 2 * n).then(|| Violation {
+            let window = &received[first..=last];
+            let (n, max) = (window.len(), limit.max_requests(at - start)?);
+            let notified = window.iter().filter(|r| r.1).count();
+            (n as f64 > max && 3 * notified > 2 * n).then(|| Violation {
                 rule: Rule::RespectsSlowStart,
                 id: (*id).to_owned(),
-                what: format!(
-                    "the {n}th within {} us at server {server}, {} us after its start, where it bears {most:.1}; \
-                     {knew} came from sidecars that had been told",
-                    rule.window,
+                details: format!(
+                    "request {n} within {} us at server {server}, {} us after its start, where the limit is {max:.1}; \
+                     {notified} came from sidecars that had been notified of the start",
+                    limit.window,
                     at - start
                 ),
             })
         })
     };
-    history.server_starts.iter().filter_map(fall).collect()
+    history.server_starts.iter().filter_map(overload).collect()
 }
 
-/// For each start of a server: its number, the most requests that came within one window while it was cold, and all
-/// that came in that time.
+/// For each start of a server: its number, the most requests that it received within one window while it was warming
+/// up, and all requests that it received in that time.
 pub fn slow_start_peaks(history: &History) -> Vec<(usize, usize, usize)> {
-    let Some(rule) = &history.slow_start_limit else { return Vec::new() };
+    let Some(limit) = &history.slow_start_limit else { return Vec::new() };
     let peak = |(server, start): &(usize, i64)| {
-        let mut came = since_start(history, *server, *start);
-        came.retain(|c| rule.max_requests(c.0 - start).is_some());
-        let within = |to: i64| came.iter().filter(|c| c.0 <= to && c.0 > to - rule.window).count();
-        (*server, came.iter().map(|c| within(c.0)).max().unwrap_or(0), came.len())
+        let mut received = since_start(history, *server, *start);
+        received.retain(|r| limit.max_requests(r.0 - start).is_some());
+        let within = |to: i64| received.iter().filter(|r| r.0 <= to && r.0 > to - limit.window).count();
+        (*server, received.iter().map(|r| within(r.0)).max().unwrap_or(0), received.len())
     };
     history.server_starts.iter().map(peak).collect()
 }
 
-/// How near cold servers came to their falls: the most that one was sent within a window, as a part of what it bears at
-/// that age; none where no server was cold.
+/// The peak load of servers that were warming up: the most requests that one received within a window, as a fraction of
+/// the limit at that age; `None` if no server was warming up.
 pub fn peak_slow_start_load(history: &History) -> Option<f64> {
-    let rule = history.slow_start_limit.as_ref()?;
+    let limit = history.slow_start_limit.as_ref()?;
     let load = |(server, start): &(usize, i64)| {
-        let came = since_start(history, *server, *start);
-        let within = |to: i64| came.iter().filter(|c| c.0 <= to && c.0 > to - rule.window).count();
-        let loads = came.iter().filter_map(|c| Some(within(c.0) as f64 / rule.max_requests(c.0 - start)?));
+        let received = since_start(history, *server, *start);
+        let within = |to: i64| received.iter().filter(|r| r.0 <= to && r.0 > to - limit.window).count();
+        let loads =
+            received.iter().filter_map(|r| Some(within(r.0) as f64 / limit.max_requests(r.0 - start)?));
         loads.max_by(f64::total_cmp)
     };
     history.server_starts.iter().filter_map(load).max_by(f64::total_cmp)
--- a/crates/fleet/src/harness/check/slow_start_limit.rs
+++ b/crates/fleet/src/harness/check/slow_start_limit.rs
@@ -1,30 +1,32 @@
-//! What a cold server bears.
+//! How many requests a server can take while it is warming up.
 
-/// What a cold server bears, as the settings tell it. Each request of the stand-ins takes the mean work.
+/// The capacity of a server that is warming up, from the settings. Each request to a fake backend takes the mean work,
+/// so requests are simply counted.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct SlowStartLimit {
-    /// Requests a second that a warm server does.
+    /// Requests a second that a warm server can serve.
     pub per_s: f64,
-    /// Multiple of what it can do that pushes it over ...
+    /// Multiple of its capacity that overloads a server when it is sustained over `window`.
     pub factor: f64,
-    /// ... when it is sent that for so long, in microseconds.
+    /// How long that load has to last, in microseconds.
     pub window: i64,
-    /// Share of its capacity at its start.
+    /// Fraction of its capacity that a server has when it starts.
     pub share: f64,
-    /// Time until it is warm, in microseconds.
+    /// Time from its start until it has its full capacity, in microseconds.
     pub warm: i64,
 }
 
-/// Under so many requests chance counts for more.
+/// Below this number of requests random variation weighs more, so the tolerance is wider.
 const SMALL_SAMPLE: f64 = 30.0;
 
 impl SlowStartLimit {
-    /// Requests within the window beyond which a server of that age falls; `None` where it is warm.
+    /// The most requests within the window that a server of this age can take, tolerance included; `None` once it is
+    /// warm.
     pub fn max_requests(&self, age: i64) -> Option<f64> {
         let age = age.max(0) as f64 / self.warm as f64;
         (age < 1.0).then(|| {
-            let warmth = self.share + (1.0 - self.share) * age;
-            let n = self.factor * self.per_s * warmth * self.window as f64 / 1e6;
+            let capacity = self.share + (1.0 - self.share) * age;
+            let n = self.factor * self.per_s * capacity * self.window as f64 / 1e6;
             n + if n < SMALL_SAMPLE { 3.0 * n.sqrt() + 3.0 } else { 2.0 * n.sqrt() + 2.0 }
         })
     }
--- a/crates/fleet/src/harness/clients.rs
+++ b/crates/fleet/src/harness/clients.rs
@@ -1,4 +1,5 @@
-//! Clients of the sidecars: requests by a schedule, whatever became of earlier ones, and all that came back.
+//! Clients of the sidecars: an open-loop load generator, which sends requests on a fixed schedule and records how each
+//! one ended.
 
 use super::check::{ClientRequest, Idempotency, Outcome};
 use super::http::Reader;
@@ -14,28 +15,29 @@
 use tokio::runtime::Handle;
 use tokio::time::{Instant, sleep_until, timeout};
 
-/// What clients ask for.
+/// The load that clients generate.
 #[derive(Clone, Debug)]
 pub struct Traffic {
     /// Requests a second to each sidecar.
     pub rate: f64,
-    /// Classes: name, kind, time that the client waits, and share.
+    /// Request classes: name, idempotency, timeout of the client, and relative share of the requests.
     pub classes: Vec<(String, Idempotency, Duration, f64)>,
-    /// Share of clients that close their connection within a quarter of their time, if they have no answer by then.
+    /// Fraction of requests whose client disconnects within the first quarter of its timeout, if it has no answer by
+    /// then.
     pub disconnect_share: f64,
-    /// Share of requests that may have one that come with a body, some of them a long one, in pieces.
+    /// Fraction of requests other than GET that carry a body; some bodies are long, and they are sent in pieces.
     pub body_share: f64,
-    /// Fixes ids and the order of classes.
+    /// Seed of request ids and of the order of classes.
     pub seed: u64,
 }
 
-/// Clients at work. They stop when told, or when this is dropped.
+/// Running clients. They stop on request, or when this is dropped.
 pub struct Clients {
     stop: Arc<AtomicBool>,
     requests: Arc<Mutex<Vec<ClientRequest>>>,
-    open: Arc<AtomicU64>,
-    /// Sidecars to which no new connection is made.
-    barred: Arc<Vec<AtomicBool>>,
+    in_flight: Arc<AtomicU64>,
+    /// For each sidecar, whether clients make no new connections to it.
+    blocked: Arc<Vec<AtomicBool>>,
 }
 
 impl Drop for Clients {
@@ -47,36 +49,39 @@
 /// Idle connections to one sidecar.
 type Pool = Arc<Mutex<Vec<(TcpStream, Reader)>>>;
 
-/// How much longer than its own time a client listens, to see what comes late.
-const LISTENS: Duration = Duration::from_secs(3);
+/// How long after its timeout a client still waits, to record late answers.
+const LATE_ANSWER_WAIT: Duration = Duration::from_secs(3);
 
 impl Clients {
-    /// Begins to ask these sidecars, in the order of their numbers.
+    /// Starts sending requests to these sidecars, given in the order of their numbers.
     pub fn start(runtime: &Handle, sidecars: &[SocketAddr], traffic: &Traffic) -> Self {
-        let barred = Arc::new(sidecars.iter().map(|_| AtomicBool::default()).collect());
-        let clients = Self { stop: Arc::default(), requests: Arc::default(), open: Arc::default(), barred };
+        let blocked = Arc::new(sidecars.iter().map(|_| AtomicBool::default()).collect());
+        let clients =
+            Self { stop: Arc::default(), requests: Arc::default(), in_flight: Arc::default(), blocked };
         for (sidecar, at) in sidecars.iter().copied().enumerate() {
             let (traffic, stop) = (traffic.clone(), clients.stop.clone());
-            let (asks, open, handle) = (clients.requests.clone(), clients.open.clone(), runtime.clone());
-            let barred = clients.barred.clone();
+            let (requests, in_flight, handle) =
+                (clients.requests.clone(), clients.in_flight.clone(), runtime.clone());
+            let blocked = clients.blocked.clone();
             runtime.spawn(async move {
-                let (begun, pool) = (Instant::now(), Pool::default());
+                let (started, pool) = (Instant::now(), Pool::default());
                 for n in 0u64.. {
-                    // Evenly spaced, each sidecar's at instants of its own.
+                    // Evenly spaced, with a phase of its own for each sidecar.
                     let shift = unit(traffic.seed ^ sidecar as u64);
-                    sleep_until(begun + Duration::from_secs_f64((n as f64 + shift) / traffic.rate)).await;
+                    sleep_until(started + Duration::from_secs_f64((n as f64 + shift) / traffic.rate)).await;
                     if stop.load(Ordering::SeqCst) {
                         return;
                     }
-                    let name = mix(traffic.seed ^ mix((sidecar as u64) << 40 | n));
-                    let (asks, open, pool) = (asks.clone(), open.clone(), pool.clone());
-                    let barred = barred.clone();
+                    let raw_id = mix(traffic.seed ^ mix((sidecar as u64) << 40 | n));
+                    let (requests, in_flight, pool) = (requests.clone(), in_flight.clone(), pool.clone());
+                    let blocked = blocked.clone();
                     let traffic = traffic.clone();
-                    open.fetch_add(1, Ordering::SeqCst);
+                    in_flight.fetch_add(1, Ordering::SeqCst);
                     handle.spawn(async move {
-                        let ask = one(sidecar, at, &traffic, name, &pool, &barred[sidecar]).await;
-                        asks.lock().unwrap_or_else(PoisonError::into_inner).push(ask);
-                        open.fetch_sub(1, Ordering::SeqCst);
+                        let request =
+                            send_request(sidecar, at, &traffic, raw_id, &pool, &blocked[sidecar]).await;
+                        requests.lock().unwrap_or_else(PoisonError::into_inner).push(request);
+                        in_flight.fetch_sub(1, Ordering::SeqCst);
                     });
                 }
             });
@@ -84,34 +89,37 @@
         clients
     }
 
-    /// Makes no new connections to a sidecar, as it is about to end, or does again.
-    pub fn block_connections(&self, sidecar: usize, barred: bool) {
-        self.barred[sidecar].store(barred, Ordering::SeqCst);
+    /// Stops or allows new connections to a sidecar; they are stopped while it is about to end.
+    pub fn block_connections(&self, sidecar: usize, blocked: bool) {
+        self.blocked[sidecar].store(blocked, Ordering::SeqCst);
     }
 
-    /// How many requests are over.
+    /// How many requests have ended.
     pub fn finished_count(&self) -> usize {
         self.requests.lock().unwrap_or_else(PoisonError::into_inner).len()
     }
 
-    /// How many were served so far, of those that hold.
-    pub fn served_count(&self, of: impl Fn(&ClientRequest) -> bool) -> usize {
-        let asks = self.requests.lock().unwrap_or_else(PoisonError::into_inner);
-        asks.iter().filter(|a| of(a) && matches!(a.outcome, Outcome::Answer { status: 200, .. })).count()
+    /// How many of the requests that satisfy the predicate have been answered with 200 so far.
+    pub fn served_count(&self, predicate: impl Fn(&ClientRequest) -> bool) -> usize {
+        let requests = self.requests.lock().unwrap_or_else(PoisonError::into_inner);
+        requests
+            .iter()
+            .filter(|r| predicate(r) && matches!(r.outcome, Outcome::Answer { status: 200, .. }))
+            .count()
     }
 
-    /// All that was asked so far.
+    /// Stops the clients and returns the requests that have ended so far.
     pub fn into_requests(self) -> Vec<ClientRequest> {
         std::mem::take(&mut self.requests.lock().unwrap_or_else(PoisonError::into_inner))
     }
 
-    /// Asks nothing more and waits for what is open; whether that ended.
+    /// Sends no more requests and waits for those in flight; returns whether all of them ended.
     pub fn stop_and_wait(&self) -> bool {
         self.stop.store(true, Ordering::SeqCst);
-        super::until(|| self.open.load(Ordering::SeqCst) == 0)
+        super::until(|| self.in_flight.load(Ordering::SeqCst) == 0)
     }
 
-    /// Asks nothing more, waits for what is open, and gives all of it; `None` if that does not end.
+    /// Sends no more requests, waits for those in flight, and returns all requests; `None` if some never ended.
     pub fn finish(self) -> Option<Vec<ClientRequest>> {
         if !self.stop_and_wait() {
             return None;
@@ -120,54 +128,54 @@
     }
 }
 
-/// One request, from its writing to all that comes of it.
-async fn one(
+/// Sends one request and waits until it has ended.
+async fn send_request(
     sidecar: usize,
     at: SocketAddr,
     traffic: &Traffic,
-    name: u64,
+    raw_id: u64,
     pool: &Pool,
-    barred: &AtomicBool,
+    blocked: &AtomicBool,
 ) -> ClientRequest {
-    let mut pick = unit(name) * traffic.classes.iter().map(|c| c.3).sum::<f64>();
+    let mut pick = unit(raw_id) * traffic.classes.iter().map(|c| c.3).sum::<f64>();
     let found = traffic.classes.iter().find(|c| {
         pick -= c.3;
         pick <= 0.0
     });
-    let (class, kind, wait, _) = found.unwrap_or(&traffic.classes[0]);
-    let id = format!("{name:016x}");
-    let (method, key) = match kind {
+    let (class, idempotency, client_timeout, _) = found.unwrap_or(&traffic.classes[0]);
+    let id = format!("{raw_id:016x}");
+    let (method, key) = match idempotency {
         Idempotency::Idempotent => ("GET", String::new()),
         Idempotency::Keyed { .. } => ("POST", format!("Idempotency-Key: k{id}\r\n")),
         Idempotency::NonIdempotent => ("POST", String::new()),
     };
-    let body = body(name, method, traffic.body_share);
+    let body = body(raw_id, method, traffic.body_share);
     let text = format!(
         "{method} /api HTTP/1.1\r\nHost: api.internal\r\nX-Correlation-Id: {id}\r\nX-Service-Class: {class}\r\n\
          X-Time-Left: {}m\r\n{key}Content-Length: {}\r\n\r\n",
-        wait.as_millis(),
+        client_timeout.as_millis(),
         body.len()
     );
-    let mut ask = ClientRequest {
+    let mut request = ClientRequest {
         id,
         sidecar,
-        idempotency: *kind,
-        timeout: wait.as_micros() as i64,
+        idempotency: *idempotency,
+        timeout: client_timeout.as_micros() as i64,
         sent_at: now_micros(),
         outcome: Outcome::ConnectFailed,
     };
-    let kept = pool.lock().unwrap_or_else(PoisonError::into_inner).pop();
-    let reused = kept.is_some();
-    let mut next = kept;
+    let pooled = pool.lock().unwrap_or_else(PoisonError::into_inner).pop();
+    let reused = pooled.is_some();
+    let mut next = pooled;
     loop {
         let connection = match next.take() {
             Some(connection) => Some(connection),
-            // What it had kept has closed under its request, unread: there is nowhere to send it again.
-            None if barred.load(Ordering::SeqCst) => {
-                ask.outcome = Outcome::ConnectFailed;
-                return ask;
+            // The pooled connection closed before the request was read, and no new connection may be made.
+            None if blocked.load(Ordering::SeqCst) => {
+                request.outcome = Outcome::ConnectFailed;
+                return request;
             }
-            None => match timeout(*wait, TcpStream::connect(at)).await {
+            None => match timeout(*client_timeout, TcpStream::connect(at)).await {
                 Ok(Ok(stream)) => {
                     let _ = stream.set_nodelay(true);
                     Some((stream, Reader::default()))
@@ -175,86 +183,90 @@
                 _ => None,
             },
         };
-        let Some((mut stream, mut reader)) = connection else { return ask };
-        ask.sent_at = now_micros();
-        if write(&mut stream, text.as_bytes(), &body, name).await.is_err() {
-            if reused && ask.outcome == Outcome::ConnectFailed {
-                ask.outcome = Outcome::Closed { at: now_micros() };
+        let Some((mut stream, mut reader)) = connection else { return request };
+        request.sent_at = now_micros();
+        if write(&mut stream, text.as_bytes(), &body, raw_id).await.is_err() {
+            if reused && request.outcome == Outcome::ConnectFailed {
+                request.outcome = Outcome::Closed { at: now_micros() };
                 continue;
             }
-            ask.outcome = Outcome::Closed { at: now_micros() };
-            return ask;
+            request.outcome = Outcome::Closed { at: now_micros() };
+            return request;
         }
-        ask.sent_at = now_micros();
-        let leaves = unit(mix(name)) < traffic.disconnect_share;
-        let listens = if leaves { wait.mul_f64(0.25 * unit(!name)) } else { *wait + LISTENS };
-        let answer = timeout(listens, reader.next(&mut stream, true)).await;
+        request.sent_at = now_micros();
+        let disconnects = unit(mix(raw_id)) < traffic.disconnect_share;
+        let read_timeout = if disconnects {
+            client_timeout.mul_f64(0.25 * unit(!raw_id))
+        } else {
+            *client_timeout + LATE_ANSWER_WAIT
+        };
+        let answer = timeout(read_timeout, reader.next(&mut stream, true)).await;
         match answer {
             Ok(Ok(Some(m))) => {
                 let body = String::from_utf8_lossy(&m.body).into_owned();
                 let closes = m.header("connection").is_some_and(|c| c.eq_ignore_ascii_case("close"));
-                ask.outcome = Outcome::Answer { status: m.status(), at: m.received_at.1, body };
-                if !closes && !reader.holds_more() {
+                request.outcome = Outcome::Answer { status: m.status(), at: m.received_at.1, body };
+                if !closes && !reader.has_buffered() {
                     pool.lock().unwrap_or_else(PoisonError::into_inner).push((stream, reader));
                 }
-                return ask;
+                return request;
             }
-            // A kept connection that closes as it is written to: once more, on a new one.
-            Ok(_) if reused && ask.outcome == Outcome::ConnectFailed => {
-                ask.outcome = Outcome::Closed { at: now_micros() }
+            // A pooled connection closed while the request was being sent: send it again on a new one.
+            Ok(_) if reused && request.outcome == Outcome::ConnectFailed => {
+                request.outcome = Outcome::Closed { at: now_micros() }
             }
             Ok(_) => {
-                ask.outcome = Outcome::Closed { at: now_micros() };
-                return ask;
+                request.outcome = Outcome::Closed { at: now_micros() };
+                return request;
             }
-            Err(_) if leaves => {
+            Err(_) if disconnects => {
                 drop(stream);
-                ask.outcome = Outcome::Disconnected { at: now_micros() };
-                return ask;
+                request.outcome = Outcome::Disconnected { at: now_micros() };
+                return request;
             }
             Err(_) => {
-                ask.outcome = Outcome::TimedOut;
-                return ask;
+                request.outcome = Outcome::TimedOut;
+                return request;
             }
         }
     }
 }
 
-/// Lengths of bodies: what is kept whole, and what flows on while it comes.
-const LENGTHS: [usize; 4] = [200, 20_000, 64 << 10, 200_000];
+/// Lengths of bodies in bytes: some that a sidecar buffers whole, and some that it streams.
+const BODY_LENGTHS: [usize; 4] = [200, 20_000, 64 << 10, 200_000];
 
-/// The body of a request, by its name.
-fn body(name: u64, method: &str, share: f64) -> Vec<u8> {
-    if method == "GET" || unit(name ^ 0xb0d1) >= share {
+/// The body of a request, derived from its id.
+fn body(raw_id: u64, method: &str, share: f64) -> Vec<u8> {
+    if method == "GET" || unit(raw_id ^ 0xb0d1) >= share {
         return Vec::new();
     }
-    let length = LENGTHS[mix(name ^ 0x1e47) as usize % LENGTHS.len()];
-    (0..length).map(|at| (mix(name ^ at as u64) & 0xff) as u8).collect()
+    let length = BODY_LENGTHS[mix(raw_id ^ 0x1e47) as usize % BODY_LENGTHS.len()];
+    (0..length).map(|at| (mix(raw_id ^ at as u64) & 0xff) as u8).collect()
 }
 
-/// Writes a request; one with a body in pieces, with short pauses between them.
-async fn write(stream: &mut TcpStream, head: &[u8], body: &[u8], name: u64) -> std::io::Result<()> {
+/// Writes a request. One with a body is written in pieces, with short pauses between them.
+async fn write(stream: &mut TcpStream, head: &[u8], body: &[u8], raw_id: u64) -> std::io::Result<()> {
     if body.is_empty() {
         return stream.write_all(head).await;
     }
-    let whole: Vec<u8> = head.iter().chain(body).copied().collect();
-    let pieces = 1 + mix(name) as usize % 5;
-    for piece in whole.chunks(whole.len().div_ceil(pieces)) {
+    let message: Vec<u8> = head.iter().chain(body).copied().collect();
+    let pieces = 1 + mix(raw_id) as usize % 5;
+    for piece in message.chunks(message.len().div_ceil(pieces)) {
         stream.write_all(piece).await?;
-        tokio::time::sleep(Duration::from_millis(mix(name ^ 7) % 4)).await;
+        tokio::time::sleep(Duration::from_millis(mix(raw_id ^ 7) % 4)).await;
     }
     Ok(())
 }
 
-/// Counts by what came, for the reader of a failure.
-pub fn counts(asks: &[ClientRequest]) -> HashMap<String, usize> {
+/// Counts requests by outcome, for failure messages.
+pub fn count_by_outcome(requests: &[ClientRequest]) -> HashMap<String, usize> {
     let mut counts = HashMap::new();
-    for ask in asks {
-        let what = match &ask.outcome {
+    for request in requests {
+        let outcome = match &request.outcome {
             Outcome::Answer { status, .. } => status.to_string(),
             other => format!("{other:?}").split([' ', '{']).next().unwrap_or_default().to_owned(),
         };
-        *counts.entry(what).or_default() += 1;
+        *counts.entry(outcome).or_default() += 1;
     }
     counts
 }
--- a/crates/fleet/src/harness/cluster.rs
+++ b/crates/fleet/src/harness/cluster.rs
@@ -1,4 +1,5 @@
-//! A cluster of real processes: sidecars, servers, discovery, a relay on each link between them, and clients.
+//! A cluster of real processes: sidecars, servers and discovery, with a fault proxy on each link between them, and
+//! clients.
 
 use super::check::History;
 use super::fault_proxy::FaultProxy;
@@ -32,65 +33,67 @@
 use notification_deadline::Interruptions;
 pub use operators::{OperatorCall, PendingCall};
 
-/// Why a cluster can't be played with: what failed, with all that was seen.
+/// An error of a run on a cluster, with everything that was recorded.
 #[derive(Debug, thiserror::Error)]
 pub enum ClusterError {
-    /// Something of the machine's.
+    /// An I/O error.
     #[error("{0}")]
     Io(#[from] io::Error),
-    /// A condition never came to hold, or a rule was broken.
+    /// A wait timed out, or a rule was violated.
     #[error("{what}\nseed {seed}\n{timeline}{logs}")]
     Failed {
-        /// What.
+        /// What failed.
         what: String,
         /// The seed of the run.
         seed: u64,
-        /// What was done when.
+        /// The timeline of the run.
         timeline: String,
-        /// The log of each process.
+        /// The last lines of the log of each process.
         logs: String,
     },
 }
 
-/// A cluster. All of it ends when this is dropped.
+/// A running cluster. All of its processes are killed when this is dropped.
 pub struct Cluster {
     config: ClusterConfig,
     programs: Programs,
     folder: tempfile::TempDir,
-    /// What was done when.
+    /// The timeline of the run.
     pub timeline: Timeline,
     runtime: Runtime,
     sidecars: Vec<Sidecar>,
     servers: Vec<Server>,
     discovery: Discovery,
-    /// Replicas of a roster, where the shape has some.
+    /// The registry replicas, if the configuration has any.
     pub registry: RegistryReplicas,
-    /// When each sidecar was first seen to have a version, by version.
+    /// When a sidecar (first) was first observed to have a version of the list (second).
     notified: BTreeMap<(usize, u64), i64>,
-    /// What stood between discovery and sidecars.
+    /// Periods in which sidecars could not be notified of changes of the list.
     interruptions: Interruptions,
     history: History,
-    // Last: it ends what the others leave.
+    // Dropped last: it kills the processes that are left.
     process_guard: ProcessGuard,
 }
 
 struct Sidecar {
     address: SocketAddr,
-    /// The socket that is passed on to its processes, where the platform holds it.
+    /// The listening socket that the harness holds and passes on to each process, if the configuration says so.
     inherited_socket: Option<TcpListener>,
     process: Option<Process>,
-    /// The process before that, until it has ended.
+    /// The previous process during a hand-over, until it has ended.
     previous_process: Option<Process>,
-    /// Two ways to discovery, and the one that its configuration names.
+    /// Two proxies to discovery, between which a reload switches.
     discovery_proxies: [FaultProxy; 2],
+    /// The proxy that the sidecar's configuration names.
     discovery_proxy_index: usize,
     faults: Option<FaultTable>,
+    /// Since when its process, being stopped or killed, has not been notified of changes of the list.
     updates_interrupted_since: Option<i64>,
     registry_proxies: Vec<FaultProxy>,
     management: SocketAddr,
     server_proxies: Vec<FaultProxy>,
     unavailable_since: Option<i64>,
-    /// Holds the pipe that it logs to open, and reads nothing.
+    /// Keeps the read end of its log pipe open without reading from it.
     log_reader: Option<File>,
 }
 
@@ -99,6 +102,7 @@
     zone: usize,
     address: SocketAddr,
     process: Option<Process>,
+    /// The file in which it records what it received.
     records: PathBuf,
     status: &'static str,
     since_ms: i64,
@@ -108,13 +112,14 @@
 struct Discovery {
     process: Process,
     control: SocketAddr,
+    /// The file in which it records the versions that it delivered.
     records: PathBuf,
-    /// Servers whose status each version changed: version, when, server, whether it is gone from then on.
+    /// Changes of status: the version of the list, the time, the server, and whether it is unavailable from then on.
     changes: Vec<(u64, i64, usize, bool)>,
 }
 
 impl Cluster {
-    /// Starts all of it, and waits until each sidecar serves.
+    /// Starts all processes, and waits until each sidecar is ready.
     pub fn start(config: ClusterConfig) -> Result<Self, ClusterError> {
         let programs = Programs::find()?;
         let process_guard = ProcessGuard::start(&programs.lotusmoor)?;
@@ -133,13 +138,13 @@
                 unavailable_since: None,
             });
         }
-        let told: Vec<SocketAddr> = (0..config.sidecars).map(|_| unused_address()).collect();
+        let discovery_addresses: Vec<SocketAddr> = (0..config.sidecars).map(|_| unused_address()).collect();
         let control = unused_address();
         let records = folder.path().join("discovery.notes");
         let mut command = Command::new(&programs.lotusmoor);
         command.args(["--log", "error", "fleet", "stand-in", "discovery", "--control", &control.to_string()]);
         command.arg("--notes").arg(&records);
-        told.iter().for_each(|at| {
+        discovery_addresses.iter().for_each(|at| {
             command.args(["--sidecar", &at.to_string()]);
         });
         let log = folder.path().join("discovery.log");
@@ -157,7 +162,7 @@
             registry.start(config.registry_replicas, &[])?;
         }
         let mut sidecars = Vec::new();
-        for (n, at) in told.into_iter().enumerate() {
+        for (number, at) in discovery_addresses.into_iter().enumerate() {
             let server_proxies = servers.iter().map(|s| FaultProxy::start(runtime.handle(), s.address));
             let address = unused_address();
             sidecars.push(Sidecar {
@@ -172,7 +177,7 @@
                 discovery_proxy_index: 0,
                 faults: config
                     .fault_injection
-                    .then(|| create_fault_table(folder.path(), n, &config.initial_faults))
+                    .then(|| create_fault_table(folder.path(), number, &config.initial_faults))
                     .transpose()?,
                 updates_interrupted_since: None,
                 registry_proxies: (0..config.registry_replicas)
@@ -218,19 +223,19 @@
         Ok(cluster)
     }
 
-    /// Waits until something holds, or fails with all that was seen.
-    pub fn wait(&self, what: &str, holds: impl FnMut() -> bool) -> Result<(), ClusterError> {
-        if until(holds) { Ok(()) } else { Err(self.failed(format!("it never came that {what}"))) }
+    /// Waits until a condition holds; if it times out, fails with everything that was recorded.
+    pub fn wait(&self, what: &str, condition: impl FnMut() -> bool) -> Result<(), ClusterError> {
+        if until(condition) { Ok(()) } else { Err(self.failed(format!("timed out waiting until {what}"))) }
     }
 
-    /// A failure with all that was seen.
+    /// An error with the timeline and the logs of all processes.
     pub fn failed(&self, what: String) -> ClusterError {
         let sidecars = self.sidecars.iter().filter_map(|s| s.process.as_ref());
         let servers = self.servers.iter().filter_map(|s| s.process.as_ref());
         let mut logs = String::new();
         for process in sidecars.chain(servers).chain([&self.discovery.process]) {
-            let said = process.log_text();
-            let tail: Vec<&str> = said.lines().rev().take(40).collect();
+            let log = process.log_text();
+            let tail: Vec<&str> = log.lines().rev().take(40).collect();
             logs.push_str(&format!("--- {}, last lines first\n{}\n", process.name, tail.join("\n")));
         }
         logs.push_str(&self.registry.logs());
@@ -239,10 +244,10 @@
     }
 }
 
-fn create_fault_table(folder: &Path, sidecar: usize, fails: &[Rule]) -> io::Result<FaultTable> {
+fn create_fault_table(folder: &Path, sidecar: usize, faults: &[Rule]) -> io::Result<FaultTable> {
     let path = folder.join(format!("sidecar-{sidecar}.faults"));
-    let other = |e: lotusmoor_faults::TableError| io::Error::other(e.to_string());
-    let table = FaultTable::create(&path).map_err(other)?;
-    fails.iter().try_for_each(|rule| table.arm(*rule).map(drop).map_err(other))?;
+    let to_io = |e: lotusmoor_faults::TableError| io::Error::other(e.to_string());
+    let table = FaultTable::create(&path).map_err(to_io)?;
+    faults.iter().try_for_each(|rule| table.arm(*rule).map(drop).map_err(to_io))?;
     Ok(table)
 }
--- a/crates/fleet/src/harness/cluster/config.rs
+++ b/crates/fleet/src/harness/cluster/config.rs
@@ -1,4 +1,4 @@
-//! What a cluster is made of.
+//! The configuration of a cluster.
 
 use super::super::backend::Conduct;
 use super::super::check::SlowStartLimit;
@@ -6,55 +6,56 @@
 use lotusmoor_faults::Rule;
 use serde_json::{Value, json};
 
-/// How much later than a rule's figure something may be on a slow machine.
-pub(super) const SLACK: i64 = 1_000_000;
+/// Default tolerance added to the time limits of rules on a slow machine, in microseconds.
+pub(super) const SLACK_US: i64 = 1_000_000;
 
-/// What a cluster is made of.
+/// The configuration of a cluster.
 #[derive(Clone, Debug)]
 pub struct ClusterConfig {
-    /// Sidecars.
+    /// Number of sidecars.
     pub sidecars: usize,
-    /// Servers.
+    /// Number of servers.
     pub servers: usize,
-    /// Names of the zones; sidecars and servers are dealt out to them in turn.
+    /// Names of the zones, to which sidecars and servers are assigned in round-robin order.
     pub zones: Vec<String>,
-    /// How servers behave at first.
+    /// How servers behave when they start.
     pub conduct: Conduct,
-    /// Requests that a server works on at a time.
+    /// Number of requests that a server works on at a time.
     pub cores: usize,
-    /// The settings object of the sidecars, without their own place in it.
+    /// The settings object of the sidecars, without each one's own index and zone.
     pub settings: Value,
-    /// Replicas of a roster, which takes the stand-in discovery's place; 0 for none. With one, sidecars reach
-    /// servers at their own addresses, as a roster has one for each server.
+    /// Number of replicas of a registry that replaces the fake discovery service; 0 for none. With a registry sidecars
+    /// connect to servers directly and not through proxies, as it lists a single address for each server.
     pub registry_replicas: usize,
-    /// System calls of sidecars can be made to fail, and their wall clocks to step.
+    /// Whether faults can be injected into system calls of sidecars, and steps into their wall clocks.
     pub fault_injection: bool,
-    /// Calls that fail from the start of each sidecar on, where they can.
+    /// Faults of system calls that are active from the start of each sidecar on, with `fault_injection`.
     pub initial_faults: Vec<Rule>,
-    /// Sidecars listen on sockets that are passed on to them, so that new processes can take over.
+    /// Whether sidecars inherit their listening sockets from the harness, so that a new process can take over.
     pub inherited_sockets: bool,
-    /// Sidecars whose log nobody reads, by a reader that stands still, and by one that is gone.
+    /// Sidecars that log to a pipe whose reader has stalled, and those that log to a pipe whose reader is gone.
     pub unread_logs: (Vec<usize>, Vec<usize>),
-    /// How much later than a rule's figure something may be, in microseconds: what the machine itself may add.
+    /// Tolerance added to the time limits of rules, for delays of the test machine itself, in microseconds.
     pub slack: i64,
-    /// Fixes ids, classes and everything else that is drawn.
+    /// Seed of ids, classes and everything else that is random.
     pub seed: u64,
 }
 
 impl ClusterConfig {
-    /// Servers that answer at once, in three zones, with classes of each kind and the figures of the site's own rules.
+    /// A configuration with well-behaved servers in three zones, a request class of each kind of idempotency, and the
+    /// limits that sites use by default.
     pub fn plain(sidecars: usize, servers: usize, registry_replicas: usize, seed: u64) -> Self {
-        let lane = |name: &str, effect: &str, aim: i64| {
-            json!({"Name": name, "AimUs": aim, "DeadlineUs": 2_000_000, "Effect": effect, "DedupScope": "all",
+        let class = |name: &str, effect: &str, objective_us: i64| {
+            json!({"Name": name, "AimUs": objective_us, "DeadlineUs": 2_000_000, "Effect": effect, "DedupScope": "all",
                 "KeyTtlUs": 7_500_000, "Worth": 1.0})
         };
-        let lanes = [
-            lane("look", "pure", 400_000),
-            lane("pay", "token", 1_000_000),
-            lane("book", "side_effect", 1_000_000),
+        let classes = [
+            class("look", "pure", 400_000),
+            class("pay", "token", 1_000_000),
+            class("book", "side_effect", 1_000_000),
         ];
         let settings = json!({
-            "Discovery": "pushed", "WeightSource": "rough", "TickUs": 1000, "CountedBy": "request", "Lanes": lanes,
+            "Discovery": "pushed", "WeightSource": "rough", "TickUs": 1000, "CountedBy": "request", "Lanes": classes,
             "Limits": {"DialTimeoutUs": 150_000, "IdleCloseUs": 10_000_000, "MaxAttempts": 5,
                 "MaxRetryAfterUs": 2_500_000, "MayCancel": true, "MayDuplicate": false, "Peers": false,
                 "Probes": true, "RetryAfter": true},
@@ -65,7 +66,7 @@
         let zones = ["a", "b", "c"].map(str::to_owned).to_vec();
         let conduct = Conduct::default();
         let (cores, fault_injection, initial_faults, inherited_sockets, slack) =
-            (64, false, Vec::new(), false, SLACK);
+            (64, false, Vec::new(), false, SLACK_US);
         Self {
             sidecars,
             servers,
@@ -83,16 +84,17 @@
         }
     }
 
-    /// Who reads a sidecar's log, where that is a pipe.
+    /// The state of the reader of a sidecar's log, if it logs to a pipe.
     pub(super) fn log_reader(&self, sidecar: usize) -> Option<LogReader> {
-        let (unread, lost) = &self.unread_logs;
-        if unread.contains(&sidecar) {
+        let (stalled, gone) = &self.unread_logs;
+        if stalled.contains(&sidecar) {
             return Some(LogReader::Stalled);
         }
-        lost.contains(&sidecar).then_some(LogReader::Gone)
+        gone.contains(&sidecar).then_some(LogReader::Gone)
     }
 
-    /// What a cold server bears, by the settings and what a warm one does; none where a request takes no time.
+    /// How many requests a server can take while it is warming up, from the settings and its capacity when warm; `None`
+    /// if requests take no time.
     pub(super) fn slow_start_limit(&self) -> Option<SlowStartLimit> {
         let rules = &self.settings["Rules"];
         Some(SlowStartLimit {
--- a/crates/fleet/src/harness/cluster/fake_services.rs
+++ b/crates/fleet/src/harness/cluster/fake_services.rs
@@ -1,4 +1,4 @@
-//! Calls to stand-ins and sidecars, and what stand-ins have written down.
+//! HTTP calls to fake services and sidecars, and the record files of fake services.
 
 use super::WAIT_TIMEOUT;
 use serde::Serialize;
@@ -8,8 +8,8 @@
 use std::path::Path;
 use std::time::Duration;
 
-/// Lines of JSON; one that a kill has torn is left out.
-pub(super) fn lines<T: DeserializeOwned>(path: &Path) -> io::Result<Vec<T>> {
+/// Reads the records of a file, one JSON value a line. A line that a kill has truncated is skipped.
+pub(super) fn read_records<T: DeserializeOwned>(path: &Path) -> io::Result<Vec<T>> {
     let text = match std::fs::read(path) {
         Ok(text) => text,
         Err(error) if error.kind() == io::ErrorKind::NotFound => Vec::new(),
@@ -18,8 +18,8 @@
     Ok(text.split(|b| *b == b'\n').filter_map(|line| serde_json::from_slice(line).ok()).collect())
 }
 
-fn call(at: SocketAddr, request: &str) -> io::Result<String> {
-    let mut stream = TcpStream::connect_timeout(&at, Duration::from_secs(5))?;
+fn call(address: SocketAddr, request: &str) -> io::Result<String> {
+    let mut stream = TcpStream::connect_timeout(&address, Duration::from_secs(5))?;
     stream.set_read_timeout(Some(WAIT_TIMEOUT))?;
     stream.write_all(request.as_bytes())?;
     let mut answer = String::new();
@@ -31,23 +31,24 @@
     answer.split(' ').nth(1).and_then(|s| s.parse().ok()).unwrap_or(0)
 }
 
-fn get(at: SocketAddr, path: &str) -> io::Result<u16> {
-    let answer = call(at, &format!("GET {path} HTTP/1.1\r\nHost: x\r\nConnection: close\r\n\r\n"))?;
+fn get(address: SocketAddr, path: &str) -> io::Result<u16> {
+    let answer = call(address, &format!("GET {path} HTTP/1.1\r\nHost: x\r\nConnection: close\r\n\r\n"))?;
     Ok(status_of(&answer))
 }
 
-/// Whether a sidecar says that it is ready.
-pub(super) fn ready(at: SocketAddr) -> bool {
-    get(at, "/up").is_ok_and(|status| status == 200)
+/// Whether a sidecar reports that it is ready.
+pub(super) fn is_ready(address: SocketAddr) -> bool {
+    get(address, "/up").is_ok_and(|status| status == 200)
 }
 
-pub(super) fn post(at: SocketAddr, path: &str, value: &impl Serialize) -> io::Result<String> {
+/// Posts a JSON value; returns the body of the answer, or an error unless its status is 200.
+pub(super) fn post(address: SocketAddr, path: &str, value: &impl Serialize) -> io::Result<String> {
     let body = serde_json::to_string(value)?;
     let head = format!(
         "POST {path} HTTP/1.1\r\nHost: x\r\nConnection: close\r\nContent-Length: {}\r\n\r\n",
         body.len()
     );
-    let answer = call(at, &(head + &body))?;
+    let answer = call(address, &(head + &body))?;
     if status_of(&answer) != 200 {
         return Err(io::Error::new(io::ErrorKind::InvalidData, answer));
     }
--- a/crates/fleet/src/harness/cluster/faults.rs
+++ b/crates/fleet/src/harness/cluster/faults.rs
@@ -1,8 +1,8 @@
-//! Troubles of sidecars' processes: system calls that fail, clocks that step, signals.
+//! Faults of sidecar processes: failing system calls, clock steps, signals, kills and reloads.
 
 use super::super::fault_proxy::Link;
 use super::super::process::Process;
-use super::fake_services::ready;
+use super::fake_services::is_ready;
 use super::notification_deadline::{Interruption, InterruptionCause};
 use super::{Cluster, ClusterError, now_micros};
 use lotusmoor_faults::{Call, Rule};
@@ -10,7 +10,7 @@
 use std::net::SocketAddr;
 use tokio::runtime::Handle;
 
-/// A process that ended in one of these ways told to stop has done as it should.
+/// The exit code of a process that has stopped as requested.
 const CLEAN_EXIT: Option<i32> = Some(0);
 
 impl Cluster {
@@ -18,48 +18,48 @@
         ClusterError::Io(io::Error::other(error.to_string()))
     }
 
-    /// System calls of a sidecar fail by that rule from now on.
+    /// Makes system calls of a sidecar fail by this rule.
     pub fn fail_calls(&self, sidecar: usize, rule: Rule) -> Result<(), ClusterError> {
         self.timeline.note(format!("sidecar {sidecar}: {rule:?}"));
         let Some(table) = &self.sidecars[sidecar].faults else { return Ok(()) };
         table.arm(rule).map(drop).map_err(|e| Self::table_error(&e))
     }
 
-    /// No system call of a sidecar fails any more.
+    /// Ends all faults of system calls of a sidecar.
     pub fn clear_call_faults(&self, sidecar: usize) -> Result<(), ClusterError> {
-        self.timeline.note(format!("sidecar {sidecar}: calls go well again"));
+        self.timeline.note(format!("sidecar {sidecar}: system call faults cleared"));
         let Some(table) = &self.sidecars[sidecar].faults else { return Ok(()) };
         table.disarm_all().map_err(|e| Self::table_error(&e))
     }
 
-    /// The wall clock of a sidecar is ahead by so many microseconds from now on.
+    /// Sets the wall clock of a sidecar ahead by `ahead_us` microseconds.
     pub fn step_wall_clock(&self, sidecar: usize, ahead_us: i64) -> Result<(), ClusterError> {
         self.timeline.note(format!("sidecar {sidecar}: wall clock ahead by {ahead_us} us"));
         let Some(table) = &self.sidecars[sidecar].faults else { return Ok(()) };
         table.step_wall_clock(ahead_us).map_err(|e| Self::table_error(&e))
     }
 
-    /// A sidecar stands still.
+    /// Pauses a sidecar (SIGSTOP).
     pub fn pause_sidecar(&self, sidecar: usize) -> Result<(), ClusterError> {
-        self.timeline.note(format!("sidecar {sidecar} held"));
+        self.timeline.note(format!("sidecar {sidecar} paused"));
         Ok(self.sidecars[sidecar].process.as_ref().map_or(Ok(()), Process::pause)?)
     }
 
-    /// It goes on.
+    /// Resumes a sidecar (SIGCONT).
     pub fn resume_sidecar(&self, sidecar: usize) -> Result<(), ClusterError> {
-        self.timeline.note(format!("sidecar {sidecar} goes on"));
+        self.timeline.note(format!("sidecar {sidecar} resumed"));
         Ok(self.sidecars[sidecar].process.as_ref().map_or(Ok(()), Process::resume)?)
     }
 
-    /// A sidecar is told to stop.
+    /// Asks a sidecar to stop (SIGTERM).
     pub fn terminate_sidecar(&mut self, sidecar: usize) -> Result<(), ClusterError> {
-        self.timeline.note(format!("sidecar {sidecar} told to stop"));
+        self.timeline.note(format!("sidecar {sidecar} asked to stop"));
         let sidecar = &mut self.sidecars[sidecar];
         sidecar.updates_interrupted_since.get_or_insert_with(now_micros);
         Ok(sidecar.process.as_ref().map_or(Ok(()), Process::terminate)?)
     }
 
-    /// A sidecar is interrupted, as from a terminal.
+    /// Interrupts a sidecar, as from a terminal (SIGINT).
     pub fn interrupt_sidecar(&mut self, sidecar: usize) -> Result<(), ClusterError> {
         self.timeline.note(format!("sidecar {sidecar} interrupted"));
         let sidecar = &mut self.sidecars[sidecar];
@@ -67,7 +67,8 @@
         Ok(sidecar.process.as_ref().map_or(Ok(()), Process::interrupt)?)
     }
 
-    /// The time of a sidecar that was told to stop is over: one that still runs is killed.
+    /// Called when the time that a sidecar has to stop is over: kills it if it is still running, and fails if it ended
+    /// with an error.
     pub fn end_sidecar(&mut self, sidecar: usize) -> Result<(), ClusterError> {
         if !self.config.inherited_sockets {
             self.end_cordons_of(sidecar);
@@ -75,99 +76,100 @@
         let Some(mut process) = self.sidecars[sidecar].process.take() else { return Ok(()) };
         match process.exit_status() {
             None => {
-                self.timeline.note(format!("sidecar {sidecar} killed, as it has not ended"));
+                self.timeline.note(format!("sidecar {sidecar} killed, as it had not ended"));
                 process.kill()?;
             }
             Some(status) if status.code() == CLEAN_EXIT => {
-                self.timeline.note(format!("sidecar {sidecar} had ended"));
+                self.timeline.note(format!("sidecar {sidecar} has ended"));
             }
-            Some(status) => return Err(self.failed(format!("sidecar {sidecar} ended badly: {status}"))),
+            Some(status) => return Err(self.failed(format!("sidecar {sidecar} failed: {status}"))),
         }
         Ok(())
     }
 
-    /// A sidecar whose process is killed, until it is started again.
+    /// Kills a sidecar, which is to be started again with [`Self::begin_sidecar_start`]. Until it is ready again it is
+    /// not expected to be notified of changes of the list.
     pub fn kill_sidecar_until_restart(&mut self, sidecar: usize) -> Result<(), ClusterError> {
         self.sidecars[sidecar].updates_interrupted_since.get_or_insert_with(now_micros);
         self.kill_sidecar(sidecar)
     }
 
-    /// A sidecar's process starts; whether it serves is asked with [`Self::came_up`].
+    /// Starts a sidecar without waiting; [`Self::sidecar_is_ready`] tells when it is ready.
     pub fn begin_sidecar_start(&mut self, sidecar: usize) -> Result<(), ClusterError> {
         self.timeline.note(format!("sidecar {sidecar} starts"));
         self.launch_sidecar(sidecar)
     }
 
-    /// Whether a sidecar that was started serves by now.
+    /// Whether a sidecar that was started is ready by now; if so, its outage ends.
     pub fn sidecar_is_ready(&mut self, sidecar: usize) -> Result<bool, ClusterError> {
         if let Some(status) = self.sidecars[sidecar].process.as_mut().and_then(Process::exit_status) {
-            return Err(self.failed(format!("sidecar {sidecar} ended as it started: {status}")));
+            return Err(self.failed(format!("sidecar {sidecar} ended while starting: {status}")));
         }
-        if !ready(self.sidecars[sidecar].address) {
+        if !is_ready(self.sidecars[sidecar].address) {
             return Ok(false);
         }
         let now = now_micros();
         if let Some(since) = self.sidecars[sidecar].updates_interrupted_since.take() {
             self.interruptions.all.push(Interruption {
                 sidecar,
-                why: InterruptionCause::ProcessDown,
+                cause: InterruptionCause::ProcessDown,
                 span: (since, now),
             });
         }
-        self.record_sidecar_serving(sidecar, now);
+        self.record_sidecar_ready(sidecar, now);
         Ok(true)
     }
 
-    /// A sidecar gets a new configuration, with discovery at its other address, and is told so; the old address takes no
-    /// more connections, and its open ones are reset.
+    /// Gives a sidecar a new configuration, with discovery at its other address, and asks it to reload. The old address
+    /// accepts no more connections, and open ones are reset.
     pub fn reload_sidecar(&mut self, sidecar: usize) -> Result<(), ClusterError> {
         self.timeline.note(format!("sidecar {sidecar} reloads"));
         let now = now_micros();
-        let (to_old, to_new) = {
+        let (old, new) = {
             let sidecar = &mut self.sidecars[sidecar];
             let old = sidecar.discovery_proxy_index;
             sidecar.discovery_proxy_index = 1 - old;
             (old, sidecar.discovery_proxy_index)
         };
         self.write_config(sidecar)?;
-        let sidecar_of = &self.sidecars[sidecar];
-        sidecar_of.discovery_proxies[to_new].set_link(Link::default());
-        sidecar_of.process.as_ref().map_or(Ok(()), Process::reload)?;
-        sidecar_of.discovery_proxies[to_old].set_link(Link::cut());
-        sidecar_of.discovery_proxies[to_old].reset_connections();
+        let this_sidecar = &self.sidecars[sidecar];
+        this_sidecar.discovery_proxies[new].set_link(Link::default());
+        this_sidecar.process.as_ref().map_or(Ok(()), Process::reload)?;
+        this_sidecar.discovery_proxies[old].set_link(Link::cut());
+        this_sidecar.discovery_proxies[old].reset_connections();
         self.interruptions.all.push(Interruption {
             sidecar,
-            why: InterruptionCause::Reload,
+            cause: InterruptionCause::Reload,
             span: (now, now),
         });
         Ok(())
     }
 
-    /// Nobody was told anything in that time.
+    /// Records that discovery has been silent to all sidecars since that time.
     pub fn record_discovery_silence(&mut self, since: i64) {
         let now = now_micros();
         let silence =
-            |sidecar| Interruption { sidecar, why: InterruptionCause::DiscoverySilent, span: (since, now) };
+            |sidecar| Interruption { sidecar, cause: InterruptionCause::DiscoverySilent, span: (since, now) };
         self.interruptions.all.extend((0..self.sidecars.len()).map(silence));
     }
 
-    /// Where a sidecar listens, and the runtime of the harness.
+    /// The runtime of the harness, and the address at which a sidecar listens.
     pub fn runtime_and_address(&self, sidecar: usize) -> (Handle, SocketAddr) {
         (self.runtime.handle().clone(), self.sidecars[sidecar].address)
     }
 
-    /// Whether discovery has been asked at the address that a sidecar's configuration names.
+    /// Whether a sidecar has contacted discovery at the address that its configuration names.
     pub fn discovery_is_contacted(&self, sidecar: usize) -> bool {
         let sidecar = &self.sidecars[sidecar];
         sidecar.discovery_proxies[sidecar.discovery_proxy_index].bytes_forwarded() > 0
     }
 
-    /// System calls of that kind that a sidecar's processes have made.
+    /// The number of system calls of a kind that a sidecar's processes have made.
     pub fn system_calls(&self, sidecar: usize, call: Call) -> u64 {
         self.sidecars[sidecar].faults.as_ref().and_then(|table| table.calls(call).ok()).unwrap_or(0)
     }
 
-    /// Descriptors and kilobytes of memory that a sidecar's process holds.
+    /// The number of open file descriptors of a sidecar's process, and its resident memory in kilobytes.
     pub fn resource_usage(&self, sidecar: usize) -> Result<(usize, u64), ClusterError> {
         let Some(id) = self.sidecar_pid(sidecar) else { return Ok((0, 0)) };
         let descriptors = std::fs::read_dir(format!("/proc/{id}/fd"))?.count();
@@ -177,7 +179,7 @@
         Ok((descriptors, kb.unwrap_or(0)))
     }
 
-    /// Whether the process of a sidecar that was told to stop has ended; one that ended badly is a failure.
+    /// Whether a sidecar that was asked to stop has ended; a failure if it ended with an error.
     pub fn sidecar_has_stopped(&mut self, sidecar: usize) -> Result<bool, ClusterError> {
         let ended = self.sidecars[sidecar].process.as_mut().and_then(Process::exit_status);
         if ended.is_some() {
--- a/crates/fleet/src/harness/cluster/logs.rs
+++ b/crates/fleet/src/harness/cluster/logs.rs
@@ -1,22 +1,22 @@
-//! Where sidecars log to: a file, or a pipe whose reader stands still or is gone.
+//! The logs of sidecars: a file, or a pipe whose reader has stalled or is gone.
 
 use super::{Cluster, ClusterError};
 use std::fs::{File, OpenOptions};
 use std::path::{Path, PathBuf};
 
-/// Bytes of the smallest pipe.
+/// Size of the smallest pipe buffer.
 const PIPE_BYTES: usize = 4096;
 
-/// Who reads a sidecar's log.
+/// The state of the reader of a sidecar's log pipe.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum LogReader {
-    /// A reader that stands still.
+    /// The reader keeps the pipe open and does not read.
     Stalled,
-    /// Nobody any more.
+    /// The reader has closed the pipe.
     Gone,
 }
 
-/// A pipe that a process is about to log to.
+/// A named pipe that a process is about to log to.
 pub(super) struct LogPipe {
     pub(super) path: PathBuf,
     reader: File,
@@ -29,7 +29,7 @@
             let kind = rustix::fs::FileType::Fifo;
             rustix::fs::mknodat(rustix::fs::CWD, path, kind, mode, 0).map_err(std::io::Error::from)?;
         }
-        // Open for both, it waits for no other end.
+        // Opening a named pipe for reading and writing does not wait for a peer.
         let reader = OpenOptions::new().read(true).write(true).open(path)?;
         rustix::pipe::fcntl_setpipe_size(&reader, PIPE_BYTES).map_err(std::io::Error::from)?;
         Ok(Self { path: path.to_owned(), reader })
@@ -37,7 +37,7 @@
 }
 
 impl Cluster {
-    /// The pipe that a sidecar logs to; none where it has a file.
+    /// Opens the pipe that a sidecar logs to; `None` if it logs to a file.
     pub(super) fn log_pipe(&self, sidecar: usize) -> Result<Option<LogPipe>, ClusterError> {
         if self.config.log_reader(sidecar).is_none() {
             return Ok(None);
@@ -45,13 +45,14 @@
         LogPipe::open(&self.folder.path().join(format!("sidecar-{sidecar}.pipe"))).map(Some)
     }
 
-    /// The process that logs to that pipe has started: its reader stands still from now on, or goes.
+    /// Called once the process that logs to the pipe has started: keeps the read end open without reading, or closes
+    /// it.
     pub(super) fn keep_log_reader(&mut self, sidecar: usize, pipe: LogPipe) {
-        let stalls = self.config.log_reader(sidecar) == Some(LogReader::Stalled);
-        self.sidecars[sidecar].log_reader = stalls.then_some(pipe.reader);
+        let stalled = self.config.log_reader(sidecar) == Some(LogReader::Stalled);
+        self.sidecars[sidecar].log_reader = stalled.then_some(pipe.reader);
     }
 
-    /// Log lines that a sidecar's process has dropped; `None` where it does not answer.
+    /// The number of log lines that a sidecar's process has dropped; `None` if it does not answer.
     pub fn dropped_log_lines(&self, sidecar: usize) -> Option<u64> {
         let metrics = self.metrics(sidecar)?;
         let value =
--- a/crates/fleet/src/harness/cluster/notification_deadline.rs
+++ b/crates/fleet/src/harness/cluster/notification_deadline.rs
@@ -1,65 +1,74 @@
-//! When a change of the list counts as told to a sidecar, whether or not it was, by the operators' pages.
+//! The time by which a sidecar is expected to have been notified of a change of the list, whether or not it was. The
+//! time limits are those that operators are promised.
 
-/// A change counts as told so long after discovery had it and could be reached.
+/// Time limit for a notification, from when discovery has the change and is reachable, in microseconds.
 const NOTIFIED_WITHIN_US: i64 = 6_000_000;
-/// After a reload, everything that discovery has to report counts as told within this.
+/// Time limit for all pending notifications after a reload, in microseconds.
 const NOTIFIED_AFTER_RELOAD_US: i64 = 4_000_000;
 
-/// Why a sidecar could not be told anything for a while, or was to ask anew.
+/// Why a sidecar could not be notified for a while, or had to poll again.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) enum InterruptionCause {
-    /// Its process was away.
+    /// Its process was not running.
     ProcessDown,
-    /// Discovery was silent, and watches with it: those that were opened meanwhile stay so.
+    /// Discovery was silent. Watches that were opened in that time never get an answer.
     DiscoverySilent,
-    /// It was told to reload, and discovery is at another address from then on.
+    /// It reloaded its configuration, with discovery at another address from then on.
     Reload,
 }
 
-/// A stretch in which there was such an obstacle; a reload has no length.
+/// A period in which a sidecar could not be notified; that of a reload has no length.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) struct Interruption {
     pub(super) sidecar: usize,
-    pub(super) why: InterruptionCause,
+    pub(super) cause: InterruptionCause,
     pub(super) span: (i64, i64),
 }
 
-/// What stood between discovery and sidecars.
+/// All interruptions of a run.
 #[derive(Debug, Default)]
 pub(super) struct Interruptions {
-    /// Lists are pushed: what discovery's agent beside the sidecar has counts as told, also to a new process.
+    /// Whether lists are pushed. A change that discovery's agent beside the sidecar has then counts as delivered, also
+    /// to a new process of the sidecar.
     pub(super) pushed: bool,
     pub(super) all: Vec<Interruption>,
 }
 
 impl Interruptions {
-    /// When a change that discovery had at that time counts as told at the latest.
+    /// The latest time by which a sidecar is expected to be notified of a change that discovery had at time `at`.
     pub(super) fn notified_by(&self, sidecar: usize, at: i64) -> i64 {
         let usual = if self.pushed { 0 } else { NOTIFIED_WITHIN_US };
-        let own = || self.all.iter().filter(|o| o.sidecar == sidecar);
-        let later = |told: i64, o: &Interruption| {
-            let within = match o.why {
+        let own = || self.all.iter().filter(|interruption| interruption.sidecar == sidecar);
+        let extended = |deadline: i64, interruption: &Interruption| {
+            let within = match interruption.cause {
                 InterruptionCause::ProcessDown => usual,
                 InterruptionCause::DiscoverySilent => NOTIFIED_WITHIN_US,
-                // Where lists are asked for, it only brings that forward.
+                // A sidecar that polls is notified earlier after a reload, and never later.
                 InterruptionCause::Reload if self.pushed => NOTIFIED_AFTER_RELOAD_US,
                 InterruptionCause::Reload => return None,
             };
-            let until = o.span.1 + within;
-            (o.span.0 <= told && o.span.1 >= at && until > told).then_some(until)
+            let until = interruption.span.1 + within;
+            (interruption.span.0 <= deadline && interruption.span.1 >= at && until > deadline)
+                .then_some(until)
         };
-        let mut told = at + usual;
-        while let Some(until) = own().find_map(|o| later(told, o)) {
-            told = until;
+        let mut deadline = at + usual;
+        while let Some(until) = own().find_map(|interruption| extended(deadline, interruption)) {
+            deadline = until;
         }
-        let reloads = own().filter(|o| o.why == InterruptionCause::Reload).map(|o| o.span.1);
-        let in_peace = |from: i64| {
-            let meets = |o: &Interruption| o.span.0 <= from + NOTIFIED_AFTER_RELOAD_US && from <= o.span.1;
-            !own().any(|o| o.why != InterruptionCause::Reload && meets(o))
+        let reloads = own()
+            .filter(|interruption| interruption.cause == InterruptionCause::Reload)
+            .map(|interruption| interruption.span.1);
+        let undisturbed = |from: i64| {
+            let overlaps = |interruption: &Interruption| {
+                interruption.span.0 <= from + NOTIFIED_AFTER_RELOAD_US && from <= interruption.span.1
+            };
+            !own()
+                .any(|interruption| interruption.cause != InterruptionCause::Reload && overlaps(interruption))
         };
-        let after_reload =
-            reloads.filter(|from| *from >= at && in_peace(*from)).map(|from| from + NOTIFIED_AFTER_RELOAD_US);
-        after_reload.chain([told]).min().unwrap_or(told)
+        let after_reload = reloads
+            .filter(|from| *from >= at && undisturbed(*from))
+            .map(|from| from + NOTIFIED_AFTER_RELOAD_US);
+        after_reload.chain([deadline]).min().unwrap_or(deadline)
     }
 }
 
--- a/crates/fleet/src/harness/cluster/notification_deadline/tests.rs
+++ b/crates/fleet/src/harness/cluster/notification_deadline/tests.rs
@@ -2,56 +2,56 @@
 
 const SECOND: i64 = 1_000_000;
 
-/// What stands between discovery and the only sidecar; times are seconds.
+/// Interruptions of the only sidecar; times are in seconds.
 fn interruptions(pushed: bool, all: &[(InterruptionCause, i64, i64)]) -> Interruptions {
-    let of = |(why, from, to): &(InterruptionCause, i64, i64)| Interruption {
+    let interruption = |(cause, from, to): &(InterruptionCause, i64, i64)| Interruption {
         sidecar: 0,
-        why: *why,
+        cause: *cause,
         span: (from * SECOND, to * SECOND),
     };
-    Interruptions { pushed, all: all.iter().map(of).collect() }
+    Interruptions { pushed, all: all.iter().map(interruption).collect() }
 }
 
-fn told(interruptions: &Interruptions, at: i64) -> i64 {
+fn deadline(interruptions: &Interruptions, at: i64) -> i64 {
     interruptions.notified_by(0, at * SECOND) / SECOND
 }
 
 #[test]
-fn what_is_asked_for_counts_as_told_after_6_s_and_what_is_pushed_at_once() {
-    assert_eq!(told(&interruptions(false, &[]), 10), 16);
-    assert_eq!(told(&interruptions(true, &[]), 10), 10);
+fn polled_changes_are_due_after_6_s_and_pushed_ones_at_once() {
+    assert_eq!(deadline(&interruptions(false, &[]), 10), 16);
+    assert_eq!(deadline(&interruptions(true, &[]), 10), 10);
 }
 
 #[test]
-fn a_process_that_was_away_is_told_from_its_first_moment_on() {
-    let away = [(InterruptionCause::ProcessDown, 9, 12)];
-    assert_eq!(told(&interruptions(true, &away), 10), 12);
-    assert_eq!(told(&interruptions(false, &away), 10), 18);
-    assert_eq!(told(&interruptions(true, &away), 13), 13);
-    assert_eq!(told(&interruptions(true, &away), 8), 8);
+fn restarted_process_counts_as_notified_from_its_start_if_lists_are_pushed() {
+    let down = [(InterruptionCause::ProcessDown, 9, 12)];
+    assert_eq!(deadline(&interruptions(true, &down), 10), 12);
+    assert_eq!(deadline(&interruptions(false, &down), 10), 18);
+    assert_eq!(deadline(&interruptions(true, &down), 13), 13);
+    assert_eq!(deadline(&interruptions(true, &down), 8), 8);
 }
 
 #[test]
-fn after_a_silence_watches_have_their_time_to_be_opened_anew() {
+fn silence_of_discovery_restarts_the_time_limit_for_new_watches() {
     let silence = [(InterruptionCause::DiscoverySilent, 9, 20)];
-    assert_eq!(told(&interruptions(true, &silence), 10), 26);
-    assert_eq!(told(&interruptions(false, &silence), 10), 26);
-    // One obstacle leads into the next.
-    let then_away = [(InterruptionCause::DiscoverySilent, 9, 20), (InterruptionCause::ProcessDown, 25, 30)];
-    assert_eq!(told(&interruptions(false, &then_away), 10), 36);
+    assert_eq!(deadline(&interruptions(true, &silence), 10), 26);
+    assert_eq!(deadline(&interruptions(false, &silence), 10), 26);
+    // The deadline after one interruption falls into the next, which extends it again.
+    let then_down = [(InterruptionCause::DiscoverySilent, 9, 20), (InterruptionCause::ProcessDown, 25, 30)];
+    assert_eq!(deadline(&interruptions(false, &then_down), 10), 36);
 }
 
 #[test]
-fn after_a_reload_all_counts_as_told_within_4_s() {
+fn all_changes_are_due_4_s_after_a_reload() {
     let reload = [(InterruptionCause::Reload, 11, 11)];
-    assert_eq!(told(&interruptions(false, &reload), 10), 15);
-    assert_eq!(told(&interruptions(false, &[(InterruptionCause::Reload, 13, 13)]), 10), 16);
-    // What was pushed before it was told; what comes as it asks anew has that time.
-    assert_eq!(told(&interruptions(true, &reload), 10), 10);
-    assert_eq!(told(&interruptions(true, &reload), 11), 15);
-    // A silence that it meets holds it up.
+    assert_eq!(deadline(&interruptions(false, &reload), 10), 15);
+    assert_eq!(deadline(&interruptions(false, &[(InterruptionCause::Reload, 13, 13)]), 10), 16);
+    // A change pushed before the reload is due at once; a change that comes during it has 4 s.
+    assert_eq!(deadline(&interruptions(true, &reload), 10), 10);
+    assert_eq!(deadline(&interruptions(true, &reload), 11), 15);
+    // Silence of discovery during the 4 s extends the deadline.
     assert_eq!(
-        told(
+        deadline(
             &interruptions(
                 false,
                 &[(InterruptionCause::Reload, 11, 11), (InterruptionCause::DiscoverySilent, 12, 20)]
@@ -63,8 +63,8 @@
 }
 
 #[test]
-fn what_befell_another_sidecar_says_nothing() {
+fn interruptions_of_other_sidecars_are_ignored() {
     let mut others = interruptions(true, &[(InterruptionCause::DiscoverySilent, 9, 20)]);
     others.all[0].sidecar = 1;
-    assert_eq!(told(&others, 10), 10);
+    assert_eq!(deadline(&others, 10), 10);
 }
--- a/crates/fleet/src/harness/cluster/servers.rs
+++ b/crates/fleet/src/harness/cluster/servers.rs
@@ -1,11 +1,11 @@
-//! Servers of a cluster, and the list that tells sidecars of them.
+//! Servers of a cluster, and the list by which sidecars are notified of them.
 
 use super::super::backend::{BackendEvent, CONDUCT_PATH, Conduct};
 use super::super::check::Outage;
 use super::super::discovery::{DeliveredVersion, ENTRIES_PATH, SILENT_PATH, ServerEntry};
 use super::super::process::Process;
-use super::config::SLACK;
-use super::fake_services::{lines, post};
+use super::config::SLACK_US;
+use super::fake_services::{post, read_records};
 use super::{Cluster, ClusterError, now_micros};
 use serde_json::json;
 use std::io;
@@ -14,26 +14,26 @@
 use std::time::Duration;
 
 impl Cluster {
-    pub(super) fn start_server(&mut self, i: usize) -> Result<(), ClusterError> {
+    pub(super) fn start_server(&mut self, number: usize) -> Result<(), ClusterError> {
         let conduct = serde_json::to_string(&self.config.conduct).map_err(io::Error::from)?;
-        let server = &mut self.servers[i];
-        // The process before it has the address until it has ended.
+        let server = &mut self.servers[number];
+        // The previous process holds the address until it has ended.
         drop(server.process.take());
         let mut command = Command::new(&self.programs.lotusmoor);
         command.args(["--log", "error", "fleet", "stand-in", "ledger", "--name", &server.name]);
         command.args(["--listen", &server.address.to_string(), "--conduct", &conduct]);
         command.args(["--cores", &self.config.cores.to_string()]).arg("--notes").arg(&server.records);
-        let log = self.folder.path().join(format!("server-{i}.log"));
+        let log = self.folder.path().join(format!("server-{number}.log"));
         server.process =
-            Some(Process::start(command, &format!("server {i}"), &log, Some(&self.process_guard))?);
+            Some(Process::start(command, &format!("server {number}"), &log, Some(&self.process_guard))?);
         let address = server.address;
-        self.wait(&format!("server {i} is up"), || TcpStream::connect(address).is_ok())
+        self.wait(&format!("server {number} is up"), || TcpStream::connect(address).is_ok())
     }
 
-    /// A server's process is killed: its connections are reset.
-    pub fn kill_server(&mut self, i: usize) -> Result<(), ClusterError> {
-        self.timeline.note(format!("server {i} killed"));
-        let server = &mut self.servers[i];
+    /// Kills the process of a server; its connections are reset.
+    pub fn kill_server(&mut self, number: usize) -> Result<(), ClusterError> {
+        self.timeline.note(format!("server {number} killed"));
+        let server = &mut self.servers[number];
         server.unavailable_since.get_or_insert_with(now_micros);
         if let Some(mut process) = server.process.take() {
             process.kill()?;
@@ -41,66 +41,68 @@
         Ok(())
     }
 
-    /// It starts again, and the list says so.
-    pub fn restart_server(&mut self, i: usize) -> Result<(), ClusterError> {
+    /// Starts a server again after a kill, and lists it as active with its new start time.
+    pub fn restart_server(&mut self, number: usize) -> Result<(), ClusterError> {
         let started = now_micros();
-        self.start_server(i)?;
-        self.timeline.note(format!("server {i} back, cold"));
-        let server = &mut self.servers[i];
+        self.start_server(number)?;
+        self.timeline.note(format!("server {number} restarted, warming up"));
+        let server = &mut self.servers[number];
         server.since_ms = started / 1000;
-        self.history.server_starts.push((i, started));
+        self.history.server_starts.push((number, started));
         if let Some(since) = server.unavailable_since.take() {
-            self.history.server_outages.push(Outage { instance: i, span: (since, now_micros()) });
+            self.history.server_outages.push(Outage { instance: number, span: (since, now_micros()) });
         }
-        self.set_status(i, "active")
+        self.set_status(number, "active")
     }
 
-    /// A server stands still, with its connections open.
-    pub fn pause_server(&mut self, i: usize) -> Result<(), ClusterError> {
-        self.timeline.note(format!("server {i} held"));
-        let server = &mut self.servers[i];
+    /// Pauses a server (SIGSTOP); its connections stay open.
+    pub fn pause_server(&mut self, number: usize) -> Result<(), ClusterError> {
+        self.timeline.note(format!("server {number} paused"));
+        let server = &mut self.servers[number];
         server.unavailable_since.get_or_insert_with(now_micros);
         server.process.as_ref().map_or(Ok(()), Process::pause)?;
         Ok(())
     }
 
-    /// It goes on.
-    pub fn resume_server(&mut self, i: usize) -> Result<(), ClusterError> {
-        let server = &mut self.servers[i];
+    /// Resumes a server (SIGCONT).
+    pub fn resume_server(&mut self, number: usize) -> Result<(), ClusterError> {
+        let server = &mut self.servers[number];
         server.process.as_ref().map_or(Ok(()), Process::resume)?;
-        // What it wrote down late is late by no more than what it takes to come to itself.
+        // Until it has fully resumed, the server may still record events late; `SLACK_US` allows for that.
         if let Some(since) = server.unavailable_since.take() {
-            self.history.server_outages.push(Outage { instance: i, span: (since, now_micros() + SLACK) });
+            self.history
+                .server_outages
+                .push(Outage { instance: number, span: (since, now_micros() + SLACK_US) });
         }
-        self.timeline.note(format!("server {i} goes on"));
+        self.timeline.note(format!("server {number} resumed"));
         Ok(())
     }
 
-    /// A server behaves like this from now on.
-    pub fn set_conduct(&self, i: usize, conduct: &Conduct) -> Result<(), ClusterError> {
-        self.timeline.note(format!("server {i} behaves as {conduct:?}"));
-        post(self.servers[i].address, CONDUCT_PATH, conduct)?;
+    /// Changes how a server behaves.
+    pub fn set_conduct(&self, number: usize, conduct: &Conduct) -> Result<(), ClusterError> {
+        self.timeline.note(format!("server {number} behaves as {conduct:?}"));
+        post(self.servers[number].address, CONDUCT_PATH, conduct)?;
         Ok(())
     }
 
-    /// What a server has been seen to get so far.
-    pub fn requests_received_by(&self, i: usize) -> Result<usize, ClusterError> {
-        let notes: Vec<BackendEvent> = lines(&self.servers[i].records)?;
-        Ok(notes.iter().filter(|n| matches!(n, BackendEvent::Received(_))).count())
+    /// The number of requests that a server has recorded as received so far.
+    pub fn requests_received_by(&self, number: usize) -> Result<usize, ClusterError> {
+        let events: Vec<BackendEvent> = read_records(&self.servers[number].records)?;
+        Ok(events.iter().filter(|e| matches!(e, BackendEvent::Received(_))).count())
     }
 
     // ---- The list ----
 
-    /// The list says this of a server from now on: `active`, `leaving` or `left`.
-    pub fn set_status(&mut self, i: usize, status: &'static str) -> Result<(), ClusterError> {
-        self.timeline.note(format!("server {i} listed {status}"));
-        self.servers[i].status = status;
-        self.publish(&[i])
+    /// Sets the status of a server in the list: `active`, `leaving` or `left`.
+    pub fn set_status(&mut self, number: usize, status: &'static str) -> Result<(), ClusterError> {
+        self.timeline.note(format!("server {number} listed {status}"));
+        self.servers[number].status = status;
+        self.publish(&[number])
     }
 
-    /// Puts servers on the roster, as they are now; gives the version that has it.
-    fn update_registry(&self, i: usize) -> Result<u64, ClusterError> {
-        let server = &self.servers[i];
+    /// Writes the present state of a server to the registry; returns the version of the list that has it.
+    fn update_registry(&self, number: usize) -> Result<u64, ClusterError> {
+        let server = &self.servers[number];
         let zone = &self.config.zones[server.zone];
         let path = format!("/v1/servers/{}", server.name);
         let (method, path, body) = match server.status {
@@ -112,37 +114,43 @@
                 ("PUT", path, body.to_string())
             }
         };
-        let mut said = String::new();
-        for turn in 0..200 {
-            let at = turn % self.registry.count();
-            match self.registry.call(at, method, &path, &body) {
+        let mut last_error = String::new();
+        for attempt in 0..200 {
+            let replica = attempt % self.registry.count();
+            match self.registry.call(replica, method, &path, &body) {
                 Ok(answer) if answer.status == 200 => {
                     return Ok(answer.body["index"].as_u64().unwrap_or(0));
                 }
-                Ok(answer) => said = format!("{} {}", answer.status, answer.body),
-                Err(error) => said = error.to_string(),
+                Ok(answer) => last_error = format!("{} {}", answer.status, answer.body),
+                Err(error) => last_error = error.to_string(),
             }
             std::thread::sleep(Duration::from_millis(100));
         }
-        Err(self.failed(format!("the roster does not take {path}: {said}")))
+        Err(self.failed(format!("the registry does not accept {path}: {last_error}")))
     }
 
+    /// Publishes the present state of servers in the list, and records the version that has it.
     pub(super) fn publish(&mut self, which: &[usize]) -> Result<(), ClusterError> {
         if self.config.registry_replicas > 0 {
-            for i in which {
-                let index = self.update_registry(*i)?;
-                self.discovery.changes.push((index, now_micros(), *i, self.servers[*i].status != "active"));
+            for number in which {
+                let index = self.update_registry(*number)?;
+                self.discovery.changes.push((
+                    index,
+                    now_micros(),
+                    *number,
+                    self.servers[*number].status != "active",
+                ));
             }
             return Ok(());
         }
-        let entry = |i: &usize| {
-            let server = &self.servers[*i];
+        let entry = |number: &usize| {
+            let server = &self.servers[*number];
             ServerEntry {
                 name: server.name.clone(),
                 zone: self.config.zones[server.zone].clone(),
                 status: server.status.to_owned(),
                 since_ms: server.since_ms,
-                addresses: self.sidecars.iter().map(|s| s.server_proxies[*i].address).collect(),
+                addresses: self.sidecars.iter().map(|s| s.server_proxies[*number].address).collect(),
             }
         };
         let entries: Vec<ServerEntry> = which.iter().map(entry).collect();
@@ -153,39 +161,39 @@
             .parse()
             .map_err(|_| io::Error::from(io::ErrorKind::InvalidData))?;
         let now = now_micros();
-        let gone = |i: &usize| (index, now, *i, self.servers[*i].status != "active");
-        self.discovery.changes.extend(which.iter().map(gone));
+        let change = |number: &usize| (index, now, *number, self.servers[*number].status != "active");
+        self.discovery.changes.extend(which.iter().map(change));
         Ok(())
     }
 
-    /// Discovery answers nobody, or does again.
+    /// Makes discovery stop answering, or answer again.
     pub fn set_discovery_silent(&self, silent: bool) -> Result<(), ClusterError> {
         self.timeline.note(format!("discovery silent: {silent}"));
         post(self.discovery.control, SILENT_PATH, &silent)?;
         Ok(())
     }
 
-    /// Waits until every sidecar that is there has been told the newest version.
+    /// Waits until every running sidecar has been notified of the newest version of the list.
     pub fn wait_until_notified(&mut self) -> Result<(), ClusterError> {
         let newest = self.discovery.changes.last().map_or(0, |c| c.0);
-        let here = |i: &usize| self.sidecars[*i].process.is_some();
-        let wanted: Vec<usize> = (0..self.sidecars.len()).filter(here).collect();
+        let running = |number: &usize| self.sidecars[*number].process.is_some();
+        let wanted: Vec<usize> = (0..self.sidecars.len()).filter(running).collect();
         if self.config.registry_replicas > 0 {
-            let mut told = std::mem::take(&mut self.notified);
-            let all = self.wait("all sidecars are told", || {
+            let mut notified = std::mem::take(&mut self.notified);
+            let result = self.wait("all sidecars are notified", || {
                 wanted.iter().all(|s| {
                     let version = self.list_version(*s).unwrap_or(0);
-                    // It was told no later than it was asked.
-                    told.entry((*s, version)).or_insert_with(now_micros);
+                    // An upper bound: the sidecar was notified at some time before it answered this call.
+                    notified.entry((*s, version)).or_insert_with(now_micros);
                     version >= newest
                 })
             });
-            self.notified = told;
-            return all;
+            self.notified = notified;
+            return result;
         }
-        self.wait("all sidecars are told", || {
-            let told: Vec<DeliveredVersion> = lines(&self.discovery.records).unwrap_or_default();
-            wanted.iter().all(|s| told.iter().any(|t| t.sidecar == *s && t.index >= newest))
+        self.wait("all sidecars are notified", || {
+            let delivered: Vec<DeliveredVersion> = read_records(&self.discovery.records).unwrap_or_default();
+            wanted.iter().all(|s| delivered.iter().any(|d| d.sidecar == *s && d.index >= newest))
         })
     }
 }
--- a/crates/fleet/src/harness/disconnecting_clients.rs
+++ b/crates/fleet/src/harness/disconnecting_clients.rs
@@ -1,4 +1,5 @@
-//! Clients that write a long body as far as the system takes it, and close.
+//! Clients that disconnect in the middle of a long request body: they write as much of it as the system accepts, and
+//! close.
 
 use super::check::{ClientRequest, Idempotency, Outcome};
 use super::now_micros;
@@ -12,29 +13,29 @@
 use tokio::task::JoinHandle;
 use tokio::time::timeout;
 
-/// Lengths of their bodies, all of them beyond what a receive window takes.
-const LENGTHS: [usize; 4] = [200_000, 400_000, 1_000_000, 4_000_000];
-/// Bytes of a chunk.
+/// Lengths of the bodies in bytes, all of them larger than a receive window.
+const BODY_LENGTHS: [usize; 4] = [200_000, 400_000, 1_000_000, 4_000_000];
+/// Size of a chunk of a chunked body, in bytes.
 const CHUNK_BYTES: usize = 10_000;
-/// For so long the system may take more of a body.
-const WRITE_TIME: Duration = Duration::from_millis(20);
+/// How long a client keeps writing its body.
+const WRITE_TIME_LIMIT: Duration = Duration::from_millis(20);
 
-/// What a group of such clients does.
+/// A group of clients that connect to one sidecar.
 #[derive(Clone, Copy, Debug)]
 pub struct DisconnectingGroup {
-    /// The sidecar that they connect to.
+    /// The number of the sidecar.
     pub sidecar: usize,
-    /// Where it listens.
+    /// The address at which it listens.
     pub at: SocketAddr,
-    /// How many they are.
+    /// The number of clients.
     pub count: usize,
-    /// How long they say that they wait.
+    /// The time left that they announce to the sidecar.
     pub wait: Duration,
-    /// Fixes their ids.
+    /// Seed of their request ids.
     pub seed: u64,
 }
 
-/// Clients at work, and those that have closed.
+/// Running clients, and the requests of those that have disconnected.
 #[derive(Default)]
 pub struct DisconnectingClients {
     requests: Arc<Mutex<Vec<ClientRequest>>>,
@@ -42,37 +43,41 @@
 }
 
 impl DisconnectingClients {
-    /// A group connects, writes and closes.
+    /// Starts a group of clients, which connect, write and disconnect.
     pub fn connect(&mut self, runtime: &Handle, group: DisconnectingGroup) {
         for number in 0..group.count {
-            let asks = Arc::clone(&self.requests);
+            let requests = Arc::clone(&self.requests);
             self.tasks.push(runtime.spawn(async move {
-                if let Some(ask) = visit(group, number).await {
-                    asks.lock().unwrap_or_else(PoisonError::into_inner).push(ask);
+                if let Some(request) = run_client(group, number).await {
+                    requests.lock().unwrap_or_else(PoisonError::into_inner).push(request);
                 }
             }));
         }
     }
 
-    /// Waits until all have closed, and gives what they asked.
+    /// Waits until all clients have disconnected, and returns their requests.
     pub fn finish(&mut self, runtime: &Handle) -> Vec<ClientRequest> {
         for task in self.tasks.drain(..) {
-            // One that was cut short asked nothing that is known.
+            // A task that was aborted has recorded no request.
             let _ = runtime.block_on(task);
         }
         std::mem::take(&mut self.requests.lock().unwrap_or_else(PoisonError::into_inner))
     }
 }
 
-/// One client; none where no connection came up.
-async fn visit(group: DisconnectingGroup, number: usize) -> Option<ClientRequest> {
+/// Runs one client; returns `None` if it could not connect.
+async fn run_client(group: DisconnectingGroup, number: usize) -> Option<ClientRequest> {
     let id = format!("{:016x}", mix(group.seed ^ mix(number as u64)));
-    let request =
-        request(&id, LENGTHS[number % LENGTHS.len()], (number / LENGTHS.len()).is_multiple_of(2), group.wait);
+    let request = encode_request(
+        &id,
+        BODY_LENGTHS[number % BODY_LENGTHS.len()],
+        (number / BODY_LENGTHS.len()).is_multiple_of(2),
+        group.wait,
+    );
     let mut stream = timeout(group.wait, TcpStream::connect(group.at)).await.ok()?.ok()?;
     let sent_at = now_micros();
-    // The rest stays in the client's system, or is not written at all.
-    let _ = timeout(WRITE_TIME, stream.write_all(&request)).await;
+    // The remainder stays in the client's socket buffer or is not written at all.
+    let _ = timeout(WRITE_TIME_LIMIT, stream.write_all(&request)).await;
     drop(stream);
     let timeout = i64::try_from(group.wait.as_micros()).ok()?;
     let outcome = Outcome::Disconnected { at: now_micros() };
@@ -86,15 +91,15 @@
     })
 }
 
-fn request(id: &str, length: usize, in_chunks: bool, wait: Duration) -> Vec<u8> {
+fn encode_request(id: &str, length: usize, chunked: bool, wait: Duration) -> Vec<u8> {
     let framing =
-        if in_chunks { "Transfer-Encoding: chunked".to_owned() } else { format!("Content-Length: {length}") };
+        if chunked { "Transfer-Encoding: chunked".to_owned() } else { format!("Content-Length: {length}") };
     let head = format!(
         "POST /api HTTP/1.1\r\nHost: api.internal\r\nX-Correlation-Id: {id}\r\nX-Service-Class: book\r\n\
          X-Time-Left: {}m\r\n{framing}\r\n\r\n",
         wait.as_millis()
     );
-    if !in_chunks {
+    if !chunked {
         return [head.into_bytes(), vec![b'b'; length]].concat();
     }
     let chunk = format!("{CHUNK_BYTES:x}\r\n{}\r\n", "b".repeat(CHUNK_BYTES));
--- a/crates/fleet/src/harness/discovery.rs
+++ b/crates/fleet/src/harness/discovery.rs
@@ -1,5 +1,6 @@
-//! The stand-in discovery: serves PROTOCOL's list and watches, each sidecar at an address of its own, and writes down
-//! what it told whom. It runs as a process of its own.
+//! The fake discovery service: it serves the protocol's endpoint list and watches, to each sidecar at an address of its
+//! own, and records which version it delivered to which sidecar. It runs as a process of its own (`lotusmoor fleet
+//! stand-in discovery`).
 
 use super::http::{Message, Reader, answer};
 use super::now_micros;
@@ -17,7 +18,7 @@
 use tokio::sync::watch;
 use tokio::time::timeout;
 
-/// A server as the list has it.
+/// A server in the list.
 #[derive(Clone, Debug, Deserialize, Serialize, PartialEq)]
 pub struct ServerEntry {
     /// Its name.
@@ -26,26 +27,27 @@
     pub zone: String,
     /// `active`, `leaving` or `left`.
     pub status: String,
-    /// Unix time in milliseconds when it last started; 0 for long ago.
+    /// When it last started, in milliseconds of Unix time; 0 for long ago.
     pub since_ms: i64,
-    /// Its address for each sidecar.
+    /// Its address, as given to each sidecar.
     pub addresses: Vec<SocketAddr>,
 }
 
-/// Something that was told to a sidecar.
+/// A version of the list that was delivered to a sidecar.
 #[derive(Clone, Debug, Deserialize, Serialize, PartialEq)]
 pub struct DeliveredVersion {
     /// The sidecar.
     pub sidecar: usize,
-    /// The version.
+    /// The version of the list.
     pub index: u64,
-    /// When it had been written.
+    /// When the answer had been written.
     pub at: i64,
 }
 
-/// Where operators of the stand-in put entries: a JSON list of [`Listed`], each in place of the one of its name.
+/// Path of the control call that updates entries: a JSON list of [`ServerEntry`], each of which replaces the entry of
+/// the same name.
 pub const ENTRIES_PATH: &str = "/stand-in/list";
-/// Where they make it silent (`true`) or not.
+/// Path of the control call that makes the service stop answering (`true`) or answer again (`false`).
 pub const SILENT_PATH: &str = "/stand-in/silent";
 
 #[derive(Default)]
@@ -58,7 +60,7 @@
 struct Discovery {
     state: Mutex<State>,
     changed: watch::Sender<u64>,
-    notes: Mutex<File>,
+    records: Mutex<File>,
 }
 
 impl Discovery {
@@ -68,11 +70,11 @@
 
     fn body(&self, sidecar: usize, after: Option<u64>) -> (u64, String) {
         let state = self.state();
-        let entry = |(at, l): &(u64, ServerEntry)| -> Option<Value> {
-            let wanted = after.map_or(l.status != "left", |after| *at > after);
-            let address = l.addresses.get(sidecar).filter(|_| wanted)?;
-            Some(json!({"name": l.name, "address": address, "zone": l.zone, "type": "m", "group": 1,
-                "status": l.status, "weight": 1.0, "since_ms": l.since_ms}))
+        let entry = |(index, server): &(u64, ServerEntry)| -> Option<Value> {
+            let wanted = after.map_or(server.status != "left", |after| *index > after);
+            let address = server.addresses.get(sidecar).filter(|_| wanted)?;
+            Some(json!({"name": server.name, "address": address, "zone": server.zone, "type": "m",
+                "group": 1, "status": server.status, "weight": 1.0, "since_ms": server.since_ms}))
         };
         let entries: Vec<Value> = state.entries.values().filter_map(entry).collect();
         let body = json!({"index": state.index, "snapshot": after.is_none(), "endpoints": entries});
@@ -80,10 +82,11 @@
     }
 }
 
-/// Serves for good: one address for each sidecar, and one for those who tell it what to list.
-pub async fn serve(sidecars: Vec<SocketAddr>, control: SocketAddr, notes: &Path) -> io::Result<()> {
-    let notes = Mutex::new(File::options().create(true).append(true).open(notes)?);
-    let discovery = Arc::new(Discovery { state: Mutex::default(), changed: watch::Sender::new(0), notes });
+/// Serves until the process ends: at one address for each sidecar, and at `control` for control calls. Delivered
+/// versions are recorded in the file `records`.
+pub async fn serve(sidecars: Vec<SocketAddr>, control: SocketAddr, records: &Path) -> io::Result<()> {
+    let records = Mutex::new(File::options().create(true).append(true).open(records)?);
+    let discovery = Arc::new(Discovery { state: Mutex::default(), changed: watch::Sender::new(0), records });
     let mut listeners = Vec::new();
     for (i, at) in sidecars.iter().enumerate() {
         listeners.push((Some(i), TcpListener::bind(at).await?));
@@ -97,8 +100,8 @@
                 let discovery = discovery.clone();
                 tokio::spawn(async move {
                     let _ = stream.set_nodelay(true);
-                    // A connection that breaks is its caller's affair.
-                    let _ = connection(&discovery, stream, sidecar).await;
+                    // Errors on a connection are for its client to handle.
+                    let _ = serve_connection(&discovery, stream, sidecar).await;
                 });
             }
         });
@@ -107,21 +110,25 @@
     Ok(())
 }
 
-async fn connection(discovery: &Discovery, mut stream: TcpStream, sidecar: Option<usize>) -> io::Result<()> {
+async fn serve_connection(
+    discovery: &Discovery,
+    mut stream: TcpStream,
+    sidecar: Option<usize>,
+) -> io::Result<()> {
     let mut reader = Reader::default();
     while let Some(message) = reader.next(&mut stream, false).await? {
         let closes = message.header("connection") == Some("close");
         let reply = match sidecar {
-            None => control(discovery, &message),
+            None => handle_control_call(discovery, &message),
             Some(sidecar) => {
-                let Some((index, body)) = told(discovery, &message, sidecar).await else {
+                let Some((index, body)) = poll(discovery, &message, sidecar).await else {
                     std::future::pending::<()>().await;
                     return Ok(());
                 };
                 stream.write_all(&answer(200, "Content-Type: application/json\r\n", body.as_bytes())).await?;
-                let mut text = serde_json::to_vec(&DeliveredVersion { sidecar, index, at: now_micros() })?;
-                text.push(b'\n');
-                discovery.notes.lock().unwrap_or_else(PoisonError::into_inner).write_all(&text)?;
+                let mut line = serde_json::to_vec(&DeliveredVersion { sidecar, index, at: now_micros() })?;
+                line.push(b'\n');
+                discovery.records.lock().unwrap_or_else(PoisonError::into_inner).write_all(&line)?;
                 continue;
             }
         };
@@ -133,9 +140,9 @@
     Ok(())
 }
 
-fn control(discovery: &Discovery, message: &Message) -> Vec<u8> {
-    let fault = |e: serde_json::Error| answer(400, "", e.to_string().as_bytes());
-    match message.start.1.as_str() {
+fn handle_control_call(discovery: &Discovery, message: &Message) -> Vec<u8> {
+    let bad_request = |e: serde_json::Error| answer(400, "", e.to_string().as_bytes());
+    match message.start_line.1.as_str() {
         ENTRIES_PATH => match serde_json::from_slice::<Vec<ServerEntry>>(&message.body) {
             Ok(entries) => {
                 let index = {
@@ -148,30 +155,30 @@
                 discovery.changed.send_replace(index);
                 answer(200, "", index.to_string().as_bytes())
             }
-            Err(error) => fault(error),
+            Err(error) => bad_request(error),
         },
         SILENT_PATH => match serde_json::from_slice(&message.body) {
             Ok(silent) => {
                 discovery.state().silent = silent;
                 answer(200, "", b"")
             }
-            Err(error) => fault(error),
+            Err(error) => bad_request(error),
         },
         _ => answer(404, "", b""),
     }
 }
 
-/// What a call is answered; nothing while discovery is silent.
-async fn told(discovery: &Discovery, message: &Message, sidecar: usize) -> Option<(u64, String)> {
-    let query = message.start.1.split_once('?').map_or("", |(_, q)| q);
-    let figure = |name: &str| {
+/// Answers a poll or a watch, with the version and the body; `None` while discovery is silent.
+async fn poll(discovery: &Discovery, message: &Message, sidecar: usize) -> Option<(u64, String)> {
+    let query = message.start_line.1.split_once('?').map_or("", |(_, q)| q);
+    let parameter = |name: &str| {
         query.split('&').find_map(|p| p.strip_prefix(name)?.strip_prefix('=')?.parse::<u64>().ok())
     };
-    let after = figure("after");
-    let wait = Duration::from_millis(figure("wait_ms").unwrap_or(0).min(60_000));
+    let after = parameter("after");
+    let wait = Duration::from_millis(parameter("wait_ms").unwrap_or(0).min(60_000));
     if let Some(after) = after {
         let mut changed = discovery.changed.subscribe();
-        // Nothing new in that time is an answer too.
+        // A timeout is no error: the answer then has no changes.
         let _ = timeout(wait, changed.wait_for(|index| *index > after)).await;
     }
     if discovery.state().silent {
--- a/crates/fleet/src/harness/http.rs
+++ b/crates/fleet/src/harness/http.rs
@@ -1,77 +1,78 @@
-//! As much HTTP/1.1 as stand-ins and clients of our own need: heads, and bodies of a told length.
+//! A minimal HTTP/1.1 implementation for the harness's fake services and clients: heads, and bodies with a
+//! `Content-Length`.
 
 use std::io;
 use tokio::io::{AsyncRead, AsyncReadExt};
 
-/// Longest head and body that a stand-in takes.
-const LONGEST_HEAD: usize = 16 << 10;
-const LONGEST_BODY: usize = 1 << 20;
+/// Limits on the size of a message, in bytes.
+const MAX_HEAD_BYTES: usize = 16 << 10;
+const MAX_BODY_BYTES: usize = 1 << 20;
 
-/// A request or an answer.
+/// A request or a response.
 #[derive(Clone, Debug, Default)]
 pub struct Message {
-    /// Method and target, or the status.
-    pub start: (String, String),
-    /// Names in lower case.
+    /// Method and target of a request; nothing and the status code of a response.
+    pub start_line: (String, String),
+    /// Names, in lower case, and values.
     pub headers: Vec<(String, String)>,
     /// The body.
     pub body: Vec<u8>,
-    /// When its first and its last byte had come, on the shared clock.
+    /// When the first and the last byte were received, on the shared clock.
     pub received_at: (i64, i64),
 }
 
 impl Message {
-    /// The value of a header, by its name in lower case.
+    /// The value of the header with this name, in lower case.
     pub fn header(&self, name: &str) -> Option<&str> {
         self.headers.iter().find(|(n, _)| n == name).map(|(_, v)| v.as_str())
     }
 
-    /// How long the sender says that it waits, in microseconds.
+    /// The time left until the deadline that the sender announces, in microseconds.
     pub fn time_left(&self) -> Option<i64> {
         self.header("x-time-left").and_then(microseconds)
     }
 
-    /// The status of an answer, or 0.
+    /// The status of a response, or 0 if it is not a number.
     pub fn status(&self) -> u16 {
-        self.start.1.parse().unwrap_or(0)
+        self.start_line.1.parse().unwrap_or(0)
     }
 }
 
-/// An answer as bytes; `headers` are whole lines.
+/// Encodes a response; `headers` are complete lines.
 pub fn answer(status: u16, headers: &str, body: &[u8]) -> Vec<u8> {
-    let mut all =
+    let mut encoded =
         format!("HTTP/1.1 {status} x\r\n{headers}Content-Length: {}\r\n\r\n", body.len()).into_bytes();
-    all.extend_from_slice(body);
-    all
+    encoded.extend_from_slice(body);
+    encoded
 }
 
 /// Reads messages from one connection.
 #[derive(Default)]
 pub struct Reader {
-    held: Vec<u8>,
+    buffer: Vec<u8>,
 }
 
-fn wrong(what: &str) -> io::Error {
-    io::Error::new(io::ErrorKind::InvalidData, what.to_owned())
+fn invalid_data(reason: &str) -> io::Error {
+    io::Error::new(io::ErrorKind::InvalidData, reason.to_owned())
 }
 
 impl Reader {
-    /// The next message; `None` where the connection ended before one began.
+    /// Reads the next message, a response if `is_response`; `None` if the connection ended before one began.
     pub async fn next(
         &mut self,
         from: &mut (impl AsyncRead + Unpin),
-        answer: bool,
+        is_response: bool,
     ) -> io::Result<Option<Message>> {
-        let mut first = if self.held.is_empty() { None } else { Some(super::now_micros()) };
+        let mut first = if self.buffer.is_empty() { None } else { Some(super::now_micros()) };
         let (mut message, head, length) = loop {
-            if let Some(found) = head(&self.held, answer)? {
+            if let Some(found) = head(&self.buffer, is_response)? {
                 break found;
             }
-            if self.held.len() > LONGEST_HEAD {
-                return Err(wrong("the head is too long"));
+            if self.buffer.len() > MAX_HEAD_BYTES {
+                return Err(invalid_data("message head too long"));
             }
-            if from.read_buf(&mut self.held).await? == 0 {
-                return if self.held.is_empty() {
+            if from.read_buf(&mut self.buffer).await? == 0 {
+                return if self.buffer.is_empty() {
                     Ok(None)
                 } else {
                     Err(io::ErrorKind::UnexpectedEof.into())
@@ -79,28 +80,28 @@
             }
             first.get_or_insert_with(super::now_micros);
         };
-        if length > LONGEST_BODY {
-            return Err(wrong("the body is too long"));
+        if length > MAX_BODY_BYTES {
+            return Err(invalid_data("message body too long"));
         }
-        while self.held.len() < head + length {
-            if from.read_buf(&mut self.held).await? == 0 {
+        while self.buffer.len() < head + length {
+            if from.read_buf(&mut self.buffer).await? == 0 {
                 return Err(io::ErrorKind::UnexpectedEof.into());
             }
         }
-        message.body = self.held[head..head + length].to_vec();
-        self.held.drain(..head + length);
+        message.body = self.buffer[head..head + length].to_vec();
+        self.buffer.drain(..head + length);
         let now = super::now_micros();
         message.received_at = (first.unwrap_or(now), now);
         Ok(Some(message))
     }
 
-    /// Whether bytes of a further message are held already.
-    pub fn holds_more(&self) -> bool {
-        !self.held.is_empty()
+    /// Whether bytes of a further message have been received already.
+    pub fn has_buffered(&self) -> bool {
+        !self.buffer.is_empty()
     }
 }
 
-/// Reads a time such as `480m` (milliseconds) or `480000u` (microseconds).
+/// Parses a duration such as `480m` (milliseconds) or `480000u` (microseconds).
 fn microseconds(text: &str) -> Option<i64> {
     match text.strip_suffix('m') {
         Some(number) => number.parse::<i64>().ok()?.checked_mul(1000),
@@ -108,24 +109,24 @@
     }
 }
 
-/// A head, its length, and that of the body, once it is whole.
-pub(super) fn head(held: &[u8], answer: bool) -> io::Result<Option<(Message, usize, usize)>> {
+/// Parses a head; returns it with its length and that of the body, or `None` while it is incomplete.
+pub(super) fn head(buffer: &[u8], is_response: bool) -> io::Result<Option<(Message, usize, usize)>> {
     let mut slots = [httparse::EMPTY_HEADER; 64];
-    let (status, start, parsed) = if answer {
+    let (status, start_line, parsed) = if is_response {
         let mut head = httparse::Response::new(&mut slots);
-        let status = head.parse(held).map_err(|e| wrong(&e.to_string()))?;
-        let start = (String::new(), head.code.unwrap_or(0).to_string());
-        (status, start, headers(head.headers))
+        let status = head.parse(buffer).map_err(|e| invalid_data(&e.to_string()))?;
+        let start_line = (String::new(), head.code.unwrap_or(0).to_string());
+        (status, start_line, headers(head.headers))
     } else {
         let mut head = httparse::Request::new(&mut slots);
-        let status = head.parse(held).map_err(|e| wrong(&e.to_string()))?;
-        let start = (head.method.unwrap_or("").to_owned(), head.path.unwrap_or("").to_owned());
-        (status, start, headers(head.headers))
+        let status = head.parse(buffer).map_err(|e| invalid_data(&e.to_string()))?;
+        let start_line = (head.method.unwrap_or("").to_owned(), head.path.unwrap_or("").to_owned());
+        (status, start_line, headers(head.headers))
     };
     let httparse::Status::Complete(end) = status else { return Ok(None) };
-    let message = Message { start, headers: parsed, ..Message::default() };
+    let message = Message { start_line, headers: parsed, ..Message::default() };
     let length = message.header("content-length").map_or(Ok(0), str::parse);
-    Ok(Some((message, end, length.map_err(|_| wrong("the length is no number"))?)))
+    Ok(Some((message, end, length.map_err(|_| invalid_data("invalid Content-Length"))?)))
 }
 
 fn headers(all: &[httparse::Header]) -> Vec<(String, String)> {
--- a/crates/fleet/src/harness/malformed_clients.rs
+++ b/crates/fleet/src/harness/malformed_clients.rs
@@ -1,5 +1,5 @@
-//! Peers that are no clients: they connect to a sidecar, send what is no proper request or stop in the midst of one, and
-//! stay. Each is owed an error or a close.
+//! Malformed clients: they connect to a sidecar, send an invalid or incomplete request or nothing, and stay connected.
+//! The sidecar has to answer each with an error or close the connection.
 
 use super::check::MalformedClient;
 use super::http::Reader;
@@ -13,8 +13,8 @@
 use tokio::task::JoinHandle;
 use tokio::time::timeout;
 
-/// What strangers send, and then nothing more.
-const SAID: [&[u8]; 6] = [
+/// What malformed clients send, and then nothing more.
+const MALFORMED_REQUESTS: [&[u8]; 6] = [
     b"",
     b"GET /api HT",
     b"POST /api HTTP/1.1\r\nHost: x\r\nContent-Length: 70000\r\n\r\n",
@@ -22,46 +22,48 @@
     b"GET /api HTTP/1.1\r\nContent-Length: 5\r\nContent-Length: 6\r\n\r\nabcdef",
     b"GET /nowhere HTTP/1.1\r\n\r\nGET /nowhere HTTP/1.1\r\n\r\n",
 ];
-/// For so long they stay.
-const STAYS: Duration = Duration::from_secs(5);
+/// How long they stay connected.
+const STAY_CONNECTED: Duration = Duration::from_secs(5);
 
-/// Strangers at their sidecars, and what became of them.
+/// Running malformed clients, and the results of those that have finished.
 #[derive(Default)]
 pub struct MalformedClients {
-    seen: Arc<Mutex<Vec<MalformedClient>>>,
+    results: Arc<Mutex<Vec<MalformedClient>>>,
     tasks: Vec<JoinHandle<()>>,
 }
 
 impl MalformedClients {
-    /// So many connect to a sidecar.
+    /// Starts `count` clients that connect to a sidecar.
     pub fn connect(&mut self, runtime: &Handle, sidecar: usize, at: SocketAddr, count: usize) {
         for n in 0..count {
-            let seen = Arc::clone(&self.seen);
+            let results = Arc::clone(&self.results);
             self.tasks.push(runtime.spawn(async move {
-                if let Some(stranger) = visit(sidecar, at, SAID[n % SAID.len()]).await {
-                    seen.lock().unwrap_or_else(PoisonError::into_inner).push(stranger);
+                if let Some(client) =
+                    run_client(sidecar, at, MALFORMED_REQUESTS[n % MALFORMED_REQUESTS.len()]).await
+                {
+                    results.lock().unwrap_or_else(PoisonError::into_inner).push(client);
                 }
             }));
         }
     }
 
-    /// Waits until all have gone, and gives what became of them.
+    /// Waits until all clients have finished, and returns their results.
     pub fn finish(&mut self, runtime: &Handle) -> Vec<MalformedClient> {
         for task in self.tasks.drain(..) {
-            // One that was cut short saw nothing.
+            // A task that was aborted has no result.
             let _ = runtime.block_on(task);
         }
-        std::mem::take(&mut self.seen.lock().unwrap_or_else(PoisonError::into_inner))
+        std::mem::take(&mut self.results.lock().unwrap_or_else(PoisonError::into_inner))
     }
 }
 
-/// One visit; none where no connection came up.
-async fn visit(sidecar: usize, at: SocketAddr, says: &[u8]) -> Option<MalformedClient> {
+/// Runs one client; returns `None` if it could not connect.
+async fn run_client(sidecar: usize, at: SocketAddr, request: &[u8]) -> Option<MalformedClient> {
     let mut stream = TcpStream::connect(at).await.ok()?;
     let connected_at = now_micros();
-    // It may be turned away before it has said anything.
-    let _ = stream.write_all(says).await;
-    let answer = timeout(STAYS, Reader::default().next(&mut stream, true)).await;
+    // The sidecar may close the connection before anything is written.
+    let _ = stream.write_all(request).await;
+    let answer = timeout(STAY_CONNECTED, Reader::default().next(&mut stream, true)).await;
     let (rejected_at, served) = match answer {
         Ok(Ok(Some(answer))) => (Some(answer.received_at.1), answer.status() < 400),
         Ok(_) => (Some(now_micros()), false),
--- a/crates/fleet/src/harness/mod.rs
+++ b/crates/fleet/src/harness/mod.rs
@@ -1,9 +1,10 @@
-//! Real processes on loopback with faults between them: sidecars, stand-in ledger servers, a stand-in discovery, a
-//! relay on every link, and clients. What each side saw is checked against the rules.
+//! Test harness of real processes on loopback: sidecars, fake backends, a fake discovery service or real registry
+//! replicas, a fault proxy on every link, and clients. What each of them recorded is checked against the rules of the
+//! protocol.
 //!
-//! Everything waits for conditions; a wait that goes on too long fails with the seed, the timeline and each
-//! process's log. Children end with the harness: with it when it is dropped, as after a panic, and through
-//! [`reaper`] when its process is killed.
+//! The harness waits for conditions and never for fixed times; a wait that times out fails with the seed, the timeline
+//! and each process's log. Child processes are killed when the harness is dropped, also after a panic, and by
+//! [`process_guard`] when the harness's own process is killed.
 
 pub mod backend;
 pub mod check;
@@ -33,20 +34,20 @@
 use std::sync::atomic::{AtomicU32, Ordering};
 use std::time::{SystemTime, UNIX_EPOCH};
 
-/// Microseconds on the clock that all processes of this machine share.
+/// The current time in microseconds, on the wall clock that all processes of this machine share.
 pub fn now_micros() -> i64 {
     let since = SystemTime::now().duration_since(UNIX_EPOCH).unwrap_or_default();
     since.as_micros() as i64
 }
 
-/// A loopback address for one process or relay of this harness. Its host is used by no one else, its port lies below
-/// those that the system gives to whoever dials, and it is not tried out: a socket that is closed here lives on for a
-/// moment in every child that another thread is just starting, and whoever binds its address then is turned down.
+/// A loopback address for one process or proxy of this harness. No other process uses its host, and its port is below
+/// the range that the system uses for outgoing connections. It is not probed with a bind: a child that another thread
+/// is just starting inherits the probe's socket for a moment, and binding the address would fail in that time.
 pub fn unused_address() -> SocketAddr {
     static NEXT: AtomicU32 = AtomicU32::new(0);
     let (number, process) = (NEXT.fetch_add(1, Ordering::Relaxed), std::process::id());
-    let name = crate::chance::mix(u64::from(process) << 32 | u64::from(number));
-    let (host, port) = (number % 62_500, 10_000 + name % 20_000);
+    let hash = crate::chance::mix(u64::from(process) << 32 | u64::from(number));
+    let (host, port) = (number % 62_500, 10_000 + hash % 20_000);
     let ip = Ipv4Addr::new(127, (1 + process % 250) as u8, (1 + host / 250) as u8, (1 + host % 250) as u8);
     SocketAddr::from((ip, port as u16))
 }
--- a/crates/fleet/src/harness/process.rs
+++ b/crates/fleet/src/harness/process.rs
@@ -1,4 +1,4 @@
-//! A child process: started, held, let go on, killed, and never left behind.
+//! Child processes that can be paused, resumed and signalled, and that are never left running.
 
 use super::process_guard::ProcessGuard;
 use lotusmoor_faults::TABLE_VARIABLE;
@@ -8,19 +8,20 @@
 use std::path::{Path, PathBuf};
 use std::process::{Child, Command, ExitStatus, Stdio};
 
-/// The programs that are played with.
+/// The programs under test.
 #[derive(Clone, Debug)]
 pub struct Programs {
     /// The sidecar.
     pub sidecar: PathBuf,
-    /// The command line, which has the stand-ins.
+    /// The command-line program, which includes the registry and the fake services.
     pub lotusmoor: PathBuf,
-    /// The library that makes system calls fail; none where it is not built.
+    /// The library that injects faults into system calls; `None` if it is not built.
     pub fault_library: Option<PathBuf>,
 }
 
 impl Programs {
-    /// The ones that the build put beside this program, or that `LOTUSMOOR_SIDECAR` and `LOTUSMOOR` name.
+    /// Finds the programs beside this one, where the build puts them, or at the paths in `LOTUSMOOR_SIDECAR`,
+    /// `LOTUSMOOR` and `FAULT_LIBRARY`.
     pub fn find() -> io::Result<Self> {
         let own = std::env::current_exe()?;
         let folders: Vec<&Path> = own.ancestors().skip(1).take(2).collect();
@@ -28,8 +29,9 @@
             let named = std::env::var_os(variable).map(PathBuf::from);
             let beside = || folders.iter().map(|f| f.join(name)).find(|p| p.is_file());
             named.or_else(beside).ok_or_else(|| {
-                let said = format!("{name} is not built beside {}: build the whole workspace", own.display());
-                io::Error::new(io::ErrorKind::NotFound, said)
+                let message =
+                    format!("{name} is not built beside {}: build the whole workspace", own.display());
+                io::Error::new(io::ErrorKind::NotFound, message)
             })
         };
         Ok(Self {
@@ -39,37 +41,37 @@
         })
     }
 
-    /// The library that makes system calls fail.
+    /// The library that injects faults into system calls, or an error if it is not built.
     pub fn fault_library(&self) -> io::Result<&Path> {
         self.fault_library.as_deref().ok_or_else(|| {
             io::Error::new(io::ErrorKind::NotFound, "libfaultshim.so is not built: build the whole workspace")
         })
     }
 
-    /// A process started with this command has system calls that fail as the table says.
+    /// Makes the system calls of a process started with this command fail as the fault table says.
     pub fn preload(&self, command: &mut Command, table: &Path) -> io::Result<()> {
         command.env("LD_PRELOAD", self.fault_library()?).env(TABLE_VARIABLE, table);
         Ok(())
     }
 }
 
-/// A child. It is killed when this is dropped.
+/// A child process. It is killed when this is dropped.
 pub struct Process {
     child: Child,
-    /// Its name in timelines.
+    /// Its name in failure messages.
     pub name: String,
-    /// Where its standard output and error go.
+    /// The file that its standard output and error are appended to.
     pub log: PathBuf,
     guard: Option<ProcessGuard>,
 }
 
 impl Process {
-    /// Starts one. What it writes is added to `log`; `reaper` sees to it if this process is killed.
+    /// Starts a process whose output is appended to `log`; `guard` kills it if the harness itself is killed.
     pub fn start(command: Command, name: &str, log: &Path, guard: Option<&ProcessGuard>) -> io::Result<Self> {
         Self::start_with_input(command, Stdio::null(), name, log, guard)
     }
 
-    /// The same with that as its standard input.
+    /// Like [`Self::start`], with the given standard input.
     pub fn start_with_input(
         mut command: Command,
         input: Stdio,
@@ -97,32 +99,32 @@
         Ok(kill_process(pid, signal)?)
     }
 
-    /// It stands still, with its connections open.
+    /// Pauses it (SIGSTOP); its connections stay open.
     pub fn pause(&self) -> io::Result<()> {
         self.signal(Signal::STOP)
     }
 
-    /// It goes on.
+    /// Resumes it (SIGCONT).
     pub fn resume(&self) -> io::Result<()> {
         self.signal(Signal::CONT)
     }
 
-    /// It is told to stop.
+    /// Asks it to stop (SIGTERM).
     pub fn terminate(&self) -> io::Result<()> {
         self.signal(Signal::TERM)
     }
 
-    /// It is interrupted, as from a terminal.
+    /// Interrupts it, as from a terminal (SIGINT).
     pub fn interrupt(&self) -> io::Result<()> {
         self.signal(Signal::INT)
     }
 
-    /// It is told that its configuration has changed.
+    /// Asks it to read its configuration again (SIGHUP).
     pub fn reload(&self) -> io::Result<()> {
         self.signal(Signal::HUP)
     }
 
-    /// It is killed; its end has been seen when this returns.
+    /// Kills it and waits for its end.
     pub fn kill(&mut self) -> io::Result<ExitStatus> {
         self.child.kill()?;
         let status = self.child.wait()?;
@@ -132,12 +134,12 @@
         Ok(status)
     }
 
-    /// How it ended, if it has.
+    /// Its exit status, if it has ended.
     pub fn exit_status(&mut self) -> Option<ExitStatus> {
         self.child.try_wait().ok().flatten()
     }
 
-    /// What it wrote.
+    /// What it has written to its log.
     pub fn log_text(&self) -> String {
         std::fs::read(&self.log).map(|b| String::from_utf8_lossy(&b).into_owned()).unwrap_or_default()
     }
@@ -145,7 +147,7 @@
 
 impl Drop for Process {
     fn drop(&mut self) {
-        // It may have ended by itself.
+        // Killing it fails if it has already ended.
         let _ = self.kill();
     }
 }
--- a/crates/fleet/src/harness/process_guard.rs
+++ b/crates/fleet/src/harness/process_guard.rs
@@ -1,6 +1,6 @@
-//! Ends children whose harness was killed. It is a process of its own that reads from the harness: when that pipe
-//! ends, so does every process that was named in it. A process is known by its id and the time of its start, so
-//! that another one that has got the id since is left alone.
+//! Kills the child processes of a harness that was itself killed. The guard is a process of its own that reads from a
+//! pipe from the harness; at end of file it kills every process that is registered. A process is identified by its id
+//! and its start time, so that another process that was given the same id since is left alone.
 
 use std::collections::BTreeMap;
 use std::io::{BufRead, Write};
@@ -8,7 +8,7 @@
 use std::process::{Child, ChildStdin, Command, Stdio};
 use std::sync::{Arc, Mutex, PoisonError};
 
-/// The harness's end.
+/// Handle of the harness to its guard process.
 #[derive(Clone)]
 pub struct ProcessGuard(Arc<Mutex<Inner>>);
 
@@ -18,7 +18,7 @@
 }
 
 impl ProcessGuard {
-    /// Starts one: `lotusmoor fleet reaper`.
+    /// Starts the guard process, `lotusmoor fleet reaper`.
     pub fn start(lotusmoor: &Path) -> std::io::Result<Self> {
         let mut command = Command::new(lotusmoor);
         let mut child = command.args(["fleet", "reaper"]).stdin(Stdio::piped()).spawn()?;
@@ -29,19 +29,19 @@
     fn send_line(&self, line: String) {
         let mut inner = self.0.lock().unwrap_or_else(PoisonError::into_inner);
         if let Some(pipe) = &mut inner.pipe {
-            // Without it, only what survives a kill of the harness is lost.
+            // If this fails, children are merely left running when the harness is killed.
             let _ = pipe.write_all(line.as_bytes());
         }
     }
 
-    /// That process ends with the harness.
+    /// Registers a process to be killed if the harness is killed.
     pub fn register(&self, id: u32) {
-        if let Some(started) = start_ticks(id) {
-            self.send_line(format!("+{id} {started}\n"));
+        if let Some(ticks) = start_ticks(id) {
+            self.send_line(format!("+{id} {ticks}\n"));
         }
     }
 
-    /// That process has ended.
+    /// Unregisters a process that has ended.
     pub fn unregister(&self, id: u32) {
         self.send_line(format!("-{id}\n"));
     }
@@ -54,28 +54,28 @@
     }
 }
 
-/// When a process started, in the system's ticks since its own start: field 22 of its `stat`, of which the second may
-/// hold spaces and ends with the last bracket.
+/// When a process started, in clock ticks since the system booted: field 22 of its `stat` file. Field 2, the program's
+/// name, may contain spaces and ends with the last closing parenthesis.
 pub fn start_ticks(id: u32) -> Option<u64> {
     let text = std::fs::read_to_string(format!("/proc/{id}/stat")).ok()?;
     text.rsplit_once(')')?.1.split_whitespace().nth(19)?.parse().ok()
 }
 
-/// Reads what is to be watched until the harness ends, and then ends what is left.
+/// Runs the guard: reads registrations until the harness ends, and then kills the processes that are still registered.
 pub fn run(input: impl BufRead) {
-    let mut watched: BTreeMap<u32, u64> = BTreeMap::new();
+    let mut registered: BTreeMap<u32, u64> = BTreeMap::new();
     for line in input.lines().map_while(Result::ok) {
         if let Some(id) = line.strip_prefix('-').and_then(|id| id.parse().ok()) {
-            watched.remove(&id);
-        } else if let Some((id, at)) = line.strip_prefix('+').and_then(|l| l.split_once(' '))
-            && let (Ok(id), Ok(at)) = (id.parse(), at.parse())
+            registered.remove(&id);
+        } else if let Some((id, ticks)) = line.strip_prefix('+').and_then(|l| l.split_once(' '))
+            && let (Ok(id), Ok(ticks)) = (id.parse(), ticks.parse())
         {
-            watched.insert(id, at);
+            registered.insert(id, ticks);
         }
     }
-    for (id, at) in watched {
+    for (id, ticks) in registered {
         let pid = i32::try_from(id).ok().and_then(rustix::process::Pid::from_raw);
-        if let Some(pid) = pid.filter(|_| start_ticks(id) == Some(at)) {
+        if let Some(pid) = pid.filter(|_| start_ticks(id) == Some(ticks)) {
             let _ = rustix::process::kill_process(pid, rustix::process::Signal::KILL);
         }
     }
@@ -86,25 +86,25 @@
     use super::*;
 
     #[test]
-    fn only_the_process_that_was_named_is_ended() {
-        let sleeps = || Command::new("sleep").arg("600").spawn().expect("it starts");
-        let (mut named, mut other, mut forgotten) = (sleeps(), sleeps(), sleeps());
-        let at = start_ticks(named.id()).expect("it runs");
-        // The second is named with the start of another process, the third has been taken back.
+    fn kills_only_registered_process_with_same_start_time() {
+        let sleep = || Command::new("sleep").arg("600").spawn().expect("sleep starts");
+        let (mut killed, mut other, mut unregistered) = (sleep(), sleep(), sleep());
+        let ticks = start_ticks(killed.id()).expect("the process runs");
+        // The second process is registered with a different start time, the third was unregistered.
         let lines = format!(
-            "+{} {at}\n+{} {}\n+{} {at}\n-{}\n",
-            named.id(),
+            "+{} {ticks}\n+{} {}\n+{} {ticks}\n-{}\n",
+            killed.id(),
             other.id(),
-            at + 12345,
-            forgotten.id(),
-            forgotten.id()
+            ticks + 12345,
+            unregistered.id(),
+            unregistered.id()
         );
         run(lines.as_bytes());
-        assert!(!named.wait().expect("it ends").success());
-        for left in [&mut other, &mut forgotten] {
-            assert_eq!(left.try_wait().expect("it is asked"), None);
-            left.kill().expect("it ends");
-            left.wait().expect("it ends");
+        assert!(!killed.wait().expect("the process ends").success());
+        for spared in [&mut other, &mut unregistered] {
+            assert_eq!(spared.try_wait().expect("the process can be polled"), None);
+            spared.kill().expect("the process ends");
+            spared.wait().expect("the process ends");
         }
     }
 }
--- a/crates/fleet/src/harness/registry_replicas.rs
+++ b/crates/fleet/src/harness/registry_replicas.rs
@@ -1,4 +1,4 @@
-//! Replicas of a roster as real processes, with a relay on each way from one to another.
+//! Registry replicas as real processes, with a fault proxy on the link from each replica to each other one.
 
 use super::fault_proxy::{FaultProxy, Link};
 use super::process::{Process, Programs};
@@ -15,59 +15,59 @@
 use std::time::Duration;
 use tokio::runtime::Handle;
 
-/// The program of a replica. Versions differ in the command that serves.
+/// The program of a replica. Older versions have another subcommand for the registry.
 #[derive(Clone, Debug)]
 pub struct RegistryProgram {
-    /// The command line.
+    /// The path of the command-line program.
     pub path: PathBuf,
-    /// Its subcommand for the registry.
+    /// The subcommand for the registry.
     pub subcommand: String,
 }
 
-/// A replica.
+/// One replica, running or not.
 struct Replica {
     id: u64,
-    listen: SocketAddr,
+    address: SocketAddr,
     folder: PathBuf,
     log: PathBuf,
     process: Mutex<Option<Process>>,
     program: Mutex<RegistryProgram>,
-    /// Its way to each other replica, by number.
+    /// Its links to the other replicas, by their ids.
     proxies: BTreeMap<u64, FaultProxy>,
-    /// What it is started with beside that.
+    /// Further command-line arguments.
     arguments: Mutex<Vec<String>>,
-    /// The fault table that it is started with.
+    /// The table of system-call faults that it is started with.
     faults: Mutex<Option<PathBuf>>,
 }
 
-/// Replicas of a roster. They end when this is dropped.
+/// The replicas of one registry. They are killed when this is dropped.
 pub struct RegistryReplicas {
     programs: Programs,
     folder: PathBuf,
     runtime: Handle,
     process_guard: ProcessGuard,
-    /// What was done when.
+    /// The timeline of the run.
     pub timeline: Timeline,
     replicas: Vec<Replica>,
 }
 
-/// An answer: its status, its headers as they came, and its body.
+/// An answer of a replica.
 #[derive(Clone, Debug)]
 pub struct Answer {
-    /// The status.
+    /// The HTTP status.
     pub status: u16,
-    /// The headers.
+    /// The head, as received.
     pub head: String,
-    /// The body, `null` where it is no JSON.
+    /// The body, `null` if it is not JSON.
     pub body: Value,
 }
 
-fn lock<V>(of: &Mutex<V>) -> MutexGuard<'_, V> {
-    of.lock().unwrap_or_else(PoisonError::into_inner)
+fn lock<V>(mutex: &Mutex<V>) -> MutexGuard<'_, V> {
+    mutex.lock().unwrap_or_else(PoisonError::into_inner)
 }
 
 impl Answer {
-    /// The time to come again, in seconds.
+    /// The value of the `Retry-After` header, in seconds.
     pub fn retry_after(&self) -> Option<f64> {
         let line = self.head.lines().find(|l| l.to_ascii_lowercase().starts_with("retry-after:"))?;
         line.split_once(':')?.1.trim().parse().ok()
@@ -75,7 +75,7 @@
 }
 
 impl RegistryReplicas {
-    /// None yet.
+    /// Creates the set, without replicas.
     pub fn new(
         programs: Programs,
         folder: &Path,
@@ -87,83 +87,98 @@
         Self { programs, folder, runtime, process_guard, timeline, replicas: Vec::new() }
     }
 
-    /// Starts so many: the first founds a list, the others are taken in. Returns once all vote.
+    /// Starts `count` replicas: the first bootstraps the registry, the others join it. Returns once all are voters.
     pub fn start(&mut self, count: usize, arguments: &[&str]) -> io::Result<()> {
         for _ in 0..count {
             self.add(arguments)?;
         }
         let all = until(|| self.status(0).is_some_and(|s| voter_count(&s) == count));
-        if all { Ok(()) } else { Err(io::Error::other(format!("not all vote\n{}", self.logs()))) }
+        if all {
+            Ok(())
+        } else {
+            Err(io::Error::other(format!("not all replicas became voters\n{}", self.logs())))
+        }
     }
 
-    /// Starts a further one, with a number that no other had.
+    /// Starts another replica, with an id that no other had; returns its position.
     pub fn add(&mut self, arguments: &[&str]) -> io::Result<usize> {
         let program =
             RegistryProgram { path: self.programs.lotusmoor.clone(), subcommand: "registry".to_owned() };
         self.add_with_program(program, arguments)
     }
 
-    /// The same with a program of the caller's.
+    /// Like [`Self::add`], with the given program.
     pub fn add_with_program(&mut self, program: RegistryProgram, arguments: &[&str]) -> io::Result<usize> {
-        let (at, id) = (self.replicas.len(), self.replicas.len() as u64 + 1);
-        let listen = unused_address();
+        let (index, id) = (self.replicas.len(), self.replicas.len() as u64 + 1);
+        let address = unused_address();
         let mut proxies = BTreeMap::new();
         for other in &mut self.replicas {
-            proxies.insert(other.id, FaultProxy::start(&self.runtime, other.listen)?);
+            proxies.insert(other.id, FaultProxy::start(&self.runtime, other.address)?);
         }
         let folder = self.folder.join(format!("roster-{id}"));
         let log = self.folder.join(format!("roster-{id}.log"));
         let arguments = Mutex::new(arguments.iter().map(|a| (*a).to_owned()).collect());
         let (process, program, faults) = (Mutex::default(), Mutex::new(program), Mutex::default());
-        self.replicas.push(Replica { id, listen, folder, log, process, program, proxies, arguments, faults });
-        // Those who were there before learn the way to it at their next start; until then they go straight there.
-        self.start_replica(at)?;
-        let up = until(|| self.call(at, "GET", "/up", "").is_ok_and(|a| a.status == 200));
+        self.replicas.push(Replica {
+            id,
+            address,
+            folder,
+            log,
+            process,
+            program,
+            proxies,
+            arguments,
+            faults,
+        });
+        // Earlier replicas reach it through a proxy only from their next start on, and directly until then.
+        self.start_replica(index)?;
+        let up = until(|| self.call(index, "GET", "/up", "").is_ok_and(|a| a.status == 200));
         if !up {
-            return Err(io::Error::other(format!("replica {id} is not up\n{}", self.logs())));
+            return Err(io::Error::other(format!("replica {id} did not come up\n{}", self.logs())));
         }
-        let member = until(|| self.status(at).is_some_and(|s| s["epoch"].as_u64() > Some(0)));
+        let member = until(|| self.status(index).is_some_and(|s| s["epoch"].as_u64() > Some(0)));
         if member {
-            Ok(at)
+            Ok(index)
         } else {
-            Err(io::Error::other(format!("replica {id} has no list\n{}", self.logs())))
+            Err(io::Error::other(format!("replica {id} did not join the registry\n{}", self.logs())))
         }
     }
 
-    /// Starts all anew, one after the other, so that each goes through relays to all others.
+    /// Restarts all replicas, one after the other, so that each reaches all others through proxies.
     pub fn restart_with_proxies(&mut self) -> io::Result<()> {
-        for at in 0..self.replicas.len() {
+        for index in 0..self.replicas.len() {
             for other in 0..self.replicas.len() {
-                let (id, listen) = (self.replicas[other].id, self.replicas[other].listen);
-                if other != at && !self.replicas[at].proxies.contains_key(&id) {
-                    let relay = FaultProxy::start(&self.runtime, listen)?;
-                    self.replicas[at].proxies.insert(id, relay);
+                let (id, address) = (self.replicas[other].id, self.replicas[other].address);
+                if other != index && !self.replicas[index].proxies.contains_key(&id) {
+                    let proxy = FaultProxy::start(&self.runtime, address)?;
+                    self.replicas[index].proxies.insert(id, proxy);
                 }
             }
-            self.kill(at)?;
-            self.start_replica(at)?;
-            if !until(|| self.leader().is_some() && self.status(at).is_some_and(|s| s["leader"].is_u64())) {
-                return Err(io::Error::other(format!("nobody leads\n{}", self.logs())));
+            self.kill(index)?;
+            self.start_replica(index)?;
+            if !until(|| self.leader().is_some() && self.status(index).is_some_and(|s| s["leader"].is_u64()))
+            {
+                return Err(io::Error::other(format!("no leader was elected\n{}", self.logs())));
             }
         }
         Ok(())
     }
 
-    /// Starts one that does not run, with the folder that it had.
-    pub fn start_replica(&self, at: usize) -> io::Result<()> {
-        let join = self.replicas.iter().enumerate().find(|(i, _)| *i != at).map(|(_, r)| r.listen);
-        let first = at == 0;
-        let r = &self.replicas[at];
+    /// Starts a replica that is not running, with the data folder that it had.
+    pub fn start_replica(&self, index: usize) -> io::Result<()> {
+        let join = self.replicas.iter().enumerate().find(|(i, _)| *i != index).map(|(_, r)| r.address);
+        let first = index == 0;
+        let r = &self.replicas[index];
         self.timeline.note(format!("replica {} starts", r.id));
         let program = lock(&r.program).clone();
         let mut command = Command::new(&program.path);
         command.args(["--log", "info,openraft=error", &program.subcommand, "serve"]);
         command.args(["--id", &r.id.to_string()]);
-        command.args(["--listen", &r.listen.to_string(), "--folder"]).arg(&r.folder);
-        for (id, relay) in &r.proxies {
-            command.args(["--via", &format!("{id}={}", relay.address)]);
+        command.args(["--listen", &r.address.to_string(), "--folder"]).arg(&r.folder);
+        for (id, proxy) in &r.proxies {
+            command.args(["--via", &format!("{id}={}", proxy.address)]);
         }
-        // The first founds the list, once; from then on nobody does.
+        // Only the first start of the first replica bootstraps the registry; all others join it.
         if let Some(join) = join.filter(|_| !first || r.folder.exists()) {
             command.args(["--join", &join.to_string()]);
         }
@@ -176,24 +191,24 @@
         Ok(())
     }
 
-    /// Which program one runs from its next start on.
-    pub fn set_program(&self, at: usize, program: RegistryProgram) {
-        *lock(&self.replicas[at].program) = program;
+    /// Sets the program that a replica runs from its next start on.
+    pub fn set_program(&self, index: usize, program: RegistryProgram) {
+        *lock(&self.replicas[index].program) = program;
     }
 
-    /// What one is started with from its next start on.
-    pub fn set_arguments(&self, at: usize, arguments: &[&str]) {
-        *lock(&self.replicas[at].arguments) = arguments.iter().map(|a| (*a).to_owned()).collect();
+    /// Sets the further command-line arguments of a replica from its next start on.
+    pub fn set_arguments(&self, index: usize, arguments: &[&str]) {
+        *lock(&self.replicas[index].arguments) = arguments.iter().map(|a| (*a).to_owned()).collect();
     }
 
-    /// From its next start on, one's system calls fail as that table says.
-    pub fn set_faults(&self, at: usize, table: &Path) {
-        *lock(&self.replicas[at].faults) = Some(table.to_owned());
+    /// Makes the system calls of a replica fail as the table says, from its next start on.
+    pub fn set_faults(&self, index: usize, table: &Path) {
+        *lock(&self.replicas[index].faults) = Some(table.to_owned());
     }
 
-    /// Kills one.
-    pub fn kill(&self, at: usize) -> io::Result<()> {
-        let r = &self.replicas[at];
+    /// Kills a replica.
+    pub fn kill(&self, index: usize) -> io::Result<()> {
+        let r = &self.replicas[index];
         self.timeline.note(format!("replica {} killed", r.id));
         if let Some(mut process) = lock(&r.process).take() {
             process.kill()?;
@@ -201,100 +216,100 @@
         Ok(())
     }
 
-    /// One stands still.
-    pub fn pause(&self, at: usize) -> io::Result<()> {
-        self.timeline.note(format!("replica {} held", self.replicas[at].id));
-        lock(&self.replicas[at].process).as_ref().map_or(Ok(()), Process::pause)
+    /// Pauses a replica (SIGSTOP).
+    pub fn pause(&self, index: usize) -> io::Result<()> {
+        self.timeline.note(format!("replica {} paused", self.replicas[index].id));
+        lock(&self.replicas[index].process).as_ref().map_or(Ok(()), Process::pause)
     }
 
-    /// It goes on.
-    pub fn resume(&self, at: usize) -> io::Result<()> {
-        self.timeline.note(format!("replica {} goes on", self.replicas[at].id));
-        lock(&self.replicas[at].process).as_ref().map_or(Ok(()), Process::resume)
+    /// Resumes a replica (SIGCONT).
+    pub fn resume(&self, index: usize) -> io::Result<()> {
+        self.timeline.note(format!("replica {} resumed", self.replicas[index].id));
+        lock(&self.replicas[index].process).as_ref().map_or(Ok(()), Process::resume)
     }
 
-    /// Whether one has ended by itself.
-    pub fn has_exited(&self, at: usize) -> bool {
-        lock(&self.replicas[at].process).as_mut().is_some_and(|p| p.exit_status().is_some())
+    /// Whether a replica has ended by itself.
+    pub fn has_exited(&self, index: usize) -> bool {
+        lock(&self.replicas[index].process).as_mut().is_some_and(|p| p.exit_status().is_some())
     }
 
-    /// The process id of one.
-    pub fn pid(&self, at: usize) -> Option<u32> {
-        lock(&self.replicas[at].process).as_ref().map(Process::id)
+    /// The process id of a replica, if it is running.
+    pub fn pid(&self, index: usize) -> Option<u32> {
+        lock(&self.replicas[index].process).as_ref().map(Process::id)
     }
 
-    /// The way from one replica to another is like this from now on.
+    /// Sets the conditions of the link from one replica to another.
     pub fn set_link(&self, from: usize, to: usize, link: Link) {
         let (id, other) = (self.replicas[from].id, self.replicas[to].id);
-        self.timeline.note(format!("way of replica {id} to {other}: {link:?}"));
-        if let Some(relay) = self.replicas[from].proxies.get(&other) {
-            relay.set_link(link);
+        self.timeline.note(format!("link of replica {id} to {other}: {link:?}"));
+        if let Some(proxy) = self.replicas[from].proxies.get(&other) {
+            proxy.set_link(link);
         }
     }
 
-    /// Nothing passes between one replica and the others, or all does again.
-    pub fn set_isolated(&self, at: usize, cut: bool) {
-        for other in (0..self.replicas.len()).filter(|o| *o != at) {
-            for (from, to) in [(at, other), (other, at)] {
+    /// Cuts a replica off from the others in both directions, or restores its links.
+    pub fn set_isolated(&self, index: usize, cut: bool) {
+        for other in (0..self.replicas.len()).filter(|o| *o != index) {
+            for (from, to) in [(index, other), (other, index)] {
                 self.set_link(from, to, if cut { Link::cut() } else { Link::default() });
             }
         }
     }
 
-    /// Where one listens.
-    pub fn address(&self, at: usize) -> SocketAddr {
-        self.replicas[at].listen
+    /// The address at which a replica listens.
+    pub fn address(&self, index: usize) -> SocketAddr {
+        self.replicas[index].address
     }
 
-    /// Where one's file lies.
-    pub fn database_file(&self, at: usize) -> PathBuf {
-        self.replicas[at].folder.join("roster.redb")
+    /// The path of the database file of a replica.
+    pub fn database_file(&self, index: usize) -> PathBuf {
+        self.replicas[index].folder.join("roster.redb")
     }
 
-    /// How many there are, running or not.
+    /// The number of replicas, running or not.
     pub fn count(&self) -> usize {
         self.replicas.len()
     }
 
-    /// What one wrote.
-    pub fn log_text(&self, at: usize) -> String {
-        std::fs::read_to_string(&self.replicas[at].log).unwrap_or_default()
+    /// The log of a replica.
+    pub fn log_text(&self, index: usize) -> String {
+        std::fs::read_to_string(&self.replicas[index].log).unwrap_or_default()
     }
 
-    /// What all wrote, the last lines.
+    /// The last lines of the logs of all replicas.
     pub fn logs(&self) -> String {
         let mut all = String::new();
-        for at in 0..self.replicas.len() {
-            let said = self.log_text(at);
-            let tail: Vec<&str> = said.lines().rev().take(25).collect();
-            all.push_str(&format!("--- replica {}, last lines first\n{}\n", at + 1, tail.join("\n")));
+        for index in 0..self.replicas.len() {
+            let log = self.log_text(index);
+            let tail: Vec<&str> = log.lines().rev().take(25).collect();
+            all.push_str(&format!("--- replica {}, last lines first\n{}\n", index + 1, tail.join("\n")));
         }
         all
     }
 
-    /// One's own view of things.
-    pub fn status(&self, at: usize) -> Option<Value> {
-        let answer = self.call(at, "GET", "/v1/status", "").ok()?;
+    /// The answer of a replica to `/v1/status`.
+    pub fn status(&self, index: usize) -> Option<Value> {
+        let answer = self.call(index, "GET", "/v1/status", "").ok()?;
         (answer.status == 200).then_some(answer.body)
     }
 
-    /// The one that leads, as it says itself.
+    /// The running replica that reports itself as leader.
     pub fn leader(&self) -> Option<usize> {
-        let running = (0..self.replicas.len()).filter(|at| lock(&self.replicas[*at].process).is_some());
-        running.into_iter().find(|at| {
-            self.status(*at).is_some_and(|s| {
+        let running = (0..self.replicas.len()).filter(|index| lock(&self.replicas[*index].process).is_some());
+        running.into_iter().find(|index| {
+            self.status(*index).is_some_and(|s| {
                 s["leader"].is_u64() && s["leader"] == s["id"] && s["age_ms"].as_i64() < Some(2000)
             })
         })
     }
 
-    /// Calls one. The connection is closed after the answer.
-    pub fn call(&self, at: usize, method: &str, path: &str, body: &str) -> io::Result<Answer> {
-        call(self.replicas[at].listen, method, path, body, Duration::from_secs(10))
+    /// Calls a replica. The connection is closed after the answer.
+    pub fn call(&self, index: usize, method: &str, path: &str, body: &str) -> io::Result<Answer> {
+        call(self.replicas[index].address, method, path, body, Duration::from_secs(10))
     }
 }
 
-/// Voters, as a status has them; 0 while who belongs is being changed.
+/// The number of voters in a status; 0 during a membership change.
 pub fn voter_count(status: &Value) -> usize {
     if status["joint"] == true {
         return 0;
@@ -302,13 +317,19 @@
     status["replicas"].as_array().map_or(0, |all| all.iter().filter(|r| r["votes"] == true).count())
 }
 
-/// One HTTP call.
-pub fn call(at: SocketAddr, method: &str, path: &str, body: &str, patience: Duration) -> io::Result<Answer> {
-    let mut stream = TcpStream::connect_timeout(&at, Duration::from_secs(2))?;
-    stream.set_read_timeout(Some(patience))?;
+/// Makes one HTTP call on a connection of its own.
+pub fn call(
+    address: SocketAddr,
+    method: &str,
+    path: &str,
+    body: &str,
+    timeout: Duration,
+) -> io::Result<Answer> {
+    let mut stream = TcpStream::connect_timeout(&address, Duration::from_secs(2))?;
+    stream.set_read_timeout(Some(timeout))?;
     let length = body.len();
     let head = format!(
-        "{method} {path} HTTP/1.1\r\nHost: {at}\r\nConnection: close\r\nContent-Type: application/json\r\nContent-Length: {length}\r\n\r\n"
+        "{method} {path} HTTP/1.1\r\nHost: {address}\r\nConnection: close\r\nContent-Type: application/json\r\nContent-Length: {length}\r\n\r\n"
     );
     stream.write_all(head.as_bytes())?;
     stream.write_all(body.as_bytes())?;
