--- a/crates/fleet/src/harness/sent_requests.rs
+++ b/crates/fleet/src/harness/sent_requests.rs
@@ -1,62 +1,63 @@
-//! Requests as they leave a sidecar: read by the relay behind it, whatever the link then does to them and however late
-//! their server reads them.
+//! Requests as they leave a sidecar. The fault proxy behind the sidecar parses them from the bytes that it reads, so
+//! that the time of sending is known whatever the link then does to them and however late the server reads them.
 
 use super::http;
 
-/// Most bytes of a head that has not ended. What is longer is no request of a sidecar's.
-const LONGEST_HEAD: usize = 64 << 10;
+/// Size limit for a head, in bytes; sidecars send no longer ones.
+const MAX_HEAD_BYTES: usize = 64 << 10;
 
 /// A request that a sidecar has sent.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct SentRequest {
     /// The request's id.
     pub id: String,
-    /// When its first byte came out of the sidecar, on the shared clock.
+    /// When its first byte left the sidecar, on the shared clock.
     pub sent_at: i64,
-    /// How long the sidecar says that it waits, in microseconds.
+    /// The time left that the sidecar announces, in microseconds.
     pub time_left: Option<i64>,
 }
 
-/// Finds requests in what one connection carries.
+/// Finds the requests in the bytes of one connection.
 #[derive(Debug, Default)]
 pub struct SentRequestParser {
-    /// What came of a head that has not ended, and when its first byte did.
+    /// The part of an incomplete head that has been received.
     head: Vec<u8>,
-    began: i64,
-    /// What is still to come of a body.
+    /// When the first byte of that head was received.
+    head_started_at: i64,
+    /// Bytes of a body that are still to come.
     body_left: usize,
-    /// What came is no HTTP: nothing behind it is looked at.
+    /// The bytes are not HTTP; the rest of the connection is ignored.
     unreadable: bool,
 }
 
 impl SentRequestParser {
-    /// Takes what came at that time; gives the requests whose heads are whole by now. Those without an id are no
-    /// client's.
+    /// Takes bytes that were received at `now`, and returns the requests whose heads are now complete. Requests without
+    /// an id are not from clients, and are skipped.
     pub fn read(&mut self, mut bytes: &[u8], now: i64) -> Vec<SentRequest> {
         let mut sent = Vec::new();
         while !bytes.is_empty() && !self.unreadable {
-            let of_body = self.body_left.min(bytes.len());
-            self.body_left -= of_body;
-            bytes = &bytes[of_body..];
+            let body_bytes = self.body_left.min(bytes.len());
+            self.body_left -= body_bytes;
+            bytes = &bytes[body_bytes..];
             if bytes.is_empty() {
                 break;
             }
             if self.head.is_empty() {
-                self.began = now;
+                self.head_started_at = now;
             }
-            let before = self.head.len();
+            let buffered = self.head.len();
             self.head.extend_from_slice(bytes);
             match http::head(&self.head, false) {
                 Ok(Some((message, length, body))) => {
-                    bytes = &bytes[length - before..];
+                    bytes = &bytes[length - buffered..];
                     (self.head, self.body_left) = (Vec::new(), body);
                     sent.extend(message.header("x-correlation-id").map(|id| SentRequest {
                         id: id.to_owned(),
-                        sent_at: self.began,
+                        sent_at: self.head_started_at,
                         time_left: message.time_left(),
                     }));
                 }
-                Ok(None) if self.head.len() <= LONGEST_HEAD => break,
+                Ok(None) if self.head.len() <= MAX_HEAD_BYTES => break,
                 _ => self.unreadable = true,
             }
         }
--- a/crates/fleet/src/harness/wait.rs
+++ b/crates/fleet/src/harness/wait.rs
@@ -1,16 +1,16 @@
-//! Waiting for conditions, and the timeline that is told when one never comes.
+//! Waiting for conditions, and the timeline that is printed when a wait times out.
 
 use std::sync::{Arc, Mutex, PoisonError};
 use std::time::{Duration, Instant};
 
-/// Longer than anything that is waited for takes on a slow machine.
+/// Time limit for a wait: longer than any awaited condition takes on a slow machine.
 pub const WAIT_TIMEOUT: Duration = Duration::from_secs(60);
 
-/// Waits until something holds; `false` where it did not come to hold in [`LONG`].
-pub fn until(mut holds: impl FnMut() -> bool) -> bool {
-    let end = Instant::now() + WAIT_TIMEOUT;
-    while !holds() {
-        if Instant::now() > end {
+/// Waits until a condition holds; returns `false` if it did not within [`WAIT_TIMEOUT`].
+pub fn until(mut condition: impl FnMut() -> bool) -> bool {
+    let deadline = Instant::now() + WAIT_TIMEOUT;
+    while !condition() {
+        if Instant::now() > deadline {
             return false;
         }
         std::thread::sleep(Duration::from_millis(5));
@@ -18,11 +18,11 @@
     true
 }
 
-/// What was done when, for the reader of a failure.
+/// A timeline of the actions of a run, for failure messages.
 #[derive(Clone)]
 pub struct Timeline {
     start: Instant,
-    /// The same on the clock that all processes share.
+    /// The same instant in microseconds on the clock that all processes share.
     started_at: i64,
     lines: Arc<Mutex<Vec<(Duration, String)>>>,
 }
@@ -34,12 +34,12 @@
 }
 
 impl Timeline {
-    /// When it began, on the clock that all processes share.
+    /// When the timeline started, in microseconds on the clock that all processes share.
     pub fn started_at(&self) -> i64 {
         self.started_at
     }
 
-    /// Notes something that happens now.
+    /// Adds an action that happens now.
     pub fn note(&self, what: impl Into<String>) {
         let mut lines = self.lines.lock().unwrap_or_else(PoisonError::into_inner);
         lines.push((self.start.elapsed(), what.into()));
