--- a/crates/fleet/src/harness/backend.rs
+++ b/crates/fleet/src/harness/backend.rs
@@ -2,7 +2,7 @@
 //! requests that it receives. It runs as a process of its own (`lotusmoor fleet stand-in ledger`), so that it can be
 //! paused and killed.
 
-use super::http::{Message, Reader, answer};
+use super::http::{Message, Reader, encode_response};
 use super::now_micros;
 use serde::{Deserialize, Serialize};
 use std::fs::File;
@@ -185,11 +185,11 @@
             ("POST", CONDUCT_PATH) => match serde_json::from_slice(&message.body) {
                 Ok(conduct) => {
                     *backend.conduct.lock().unwrap_or_else(PoisonError::into_inner) = conduct;
-                    answer(200, "", b"")
+                    encode_response(200, "", b"")
                 }
-                Err(error) => answer(400, "", error.to_string().as_bytes()),
+                Err(error) => encode_response(400, "", error.to_string().as_bytes()),
             },
-            ("GET", "/alive" | "/metrics/load") => answer(200, "", b""),
+            ("GET", "/alive" | "/metrics/load") => encode_response(200, "", b""),
             _ => match message.header("x-correlation-id") {
                 Some(id) => {
                     let id = id.to_owned();
@@ -198,7 +198,7 @@
                         None => return Ok(()),
                     }
                 }
-                None => answer(404, "", b""),
+                None => encode_response(404, "", b""),
             },
         };
         stream.write_all(&reply).await?;
@@ -246,7 +246,7 @@
     }
     if conduct.turns_away {
         record_end(false, Some(503), None);
-        return Ok(Some(answer(503, "X-Unprocessed: 1\r\n", b"")));
+        return Ok(Some(encode_response(503, "X-Unprocessed: 1\r\n", b"")));
     }
     let chance = |of: u64| super::super::chance::unit(number ^ of << 32);
     let work = async {
@@ -277,11 +277,11 @@
     }
     if chance(2) < conduct.errors {
         record_end(true, Some(500), None);
-        return Ok(Some(answer(500, "", b"")));
+        return Ok(Some(encode_response(500, "", b"")));
     }
     let body = format!("{{\"id\":\"{id}\",\"server\":\"{}\",\"number\":{number}}}", backend.name);
     let load = backend.connections.load(Ordering::Relaxed);
-    let response = answer(200, &format!("X-Backend-Load: queue={load}\r\n"), body.as_bytes());
+    let response = encode_response(200, &format!("X-Backend-Load: queue={load}\r\n"), body.as_bytes());
     if chance(3) < conduct.halves {
         record_end(true, None, None);
         stream.write_all(&response[..response.len() - body.len() / 2]).await?;
--- a/crates/fleet/src/harness/check/history.rs
+++ b/crates/fleet/src/harness/check/history.rs
@@ -198,8 +198,7 @@
     pub sidecar: usize,
     /// When the connection was established.
     pub connected_at: i64,
-    /// When the sidecar sent an error or closed the connection; `None` if neither happened while the client stayed
-    /// connected.
+    /// When the sidecar answered or closed the connection; `None` if it did neither while the client stayed connected.
     pub rejected_at: Option<i64>,
     /// Whether the sidecar answered with a status below 400, as if the request were valid.
     pub served: bool,
--- a/crates/fleet/src/harness/check/slow_start_limit.rs
+++ b/crates/fleet/src/harness/check/slow_start_limit.rs
@@ -5,15 +5,15 @@
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct SlowStartLimit {
     /// Requests a second that a warm server can serve.
-    pub per_s: f64,
+    pub requests_per_s: f64,
     /// Multiple of its capacity that overloads a server when it is sustained over `window`.
-    pub factor: f64,
+    pub overload_factor: f64,
     /// How long that load has to last, in microseconds.
     pub window: i64,
     /// Fraction of its capacity that a server has when it starts.
-    pub share: f64,
+    pub initial_share: f64,
     /// Time from its start until it has its full capacity, in microseconds.
-    pub warm: i64,
+    pub warm_up_time: i64,
 }
 
 /// Below this number of requests random variation weighs more, so the tolerance is wider.
@@ -23,10 +23,10 @@
     /// The most requests within the window that a server of this age can take, tolerance included; `None` once it is
     /// warm.
     pub fn max_requests(&self, age: i64) -> Option<f64> {
-        let age = age.max(0) as f64 / self.warm as f64;
+        let age = age.max(0) as f64 / self.warm_up_time as f64;
         (age < 1.0).then(|| {
-            let capacity = self.share + (1.0 - self.share) * age;
-            let n = self.factor * self.per_s * capacity * self.window as f64 / 1e6;
+            let capacity = self.initial_share + (1.0 - self.initial_share) * age;
+            let n = self.overload_factor * self.requests_per_s * capacity * self.window as f64 / 1e6;
             n + if n < SMALL_SAMPLE { 3.0 * n.sqrt() + 3.0 } else { 2.0 * n.sqrt() + 2.0 }
         })
     }
--- a/crates/fleet/src/harness/check/tests.rs
+++ b/crates/fleet/src/harness/check/tests.rs
@@ -46,11 +46,11 @@
         // At its start the limit is 3.0 x 10 requests/s x 0.1 x 3 s = 9 requests; the tolerance 3 x sqrt(9) + 3 makes
         // 21.
         slow_start_limit: Some(SlowStartLimit {
-            per_s: 10.0,
-            factor: 3.0,
+            requests_per_s: 10.0,
+            overload_factor: 3.0,
             window: 3_000_000,
-            share: 0.1,
-            warm: 30_000_000,
+            initial_share: 0.1,
+            warm_up_time: 30_000_000,
         }),
         ..History::default()
     }
--- a/crates/fleet/src/harness/cluster/config.rs
+++ b/crates/fleet/src/harness/cluster/config.rs
@@ -98,12 +98,12 @@
     pub(super) fn slow_start_limit(&self) -> Option<SlowStartLimit> {
         let rules = &self.settings["Rules"];
         Some(SlowStartLimit {
-            per_s: (self.conduct.work_us > 0)
+            requests_per_s: (self.conduct.work_us > 0)
                 .then(|| self.cores as f64 * 1e6 / self.conduct.work_us as f64)?,
-            factor: rules["OverloadFactor"].as_f64()?,
+            overload_factor: rules["OverloadFactor"].as_f64()?,
             window: rules["TipAfterUs"].as_i64()?,
-            share: rules["ColdShare"].as_f64()?,
-            warm: rules["WarmWithinUs"].as_i64()?,
+            initial_share: rules["ColdShare"].as_f64()?,
+            warm_up_time: rules["WarmWithinUs"].as_i64()?,
         })
     }
 }
--- a/crates/fleet/src/harness/cluster/servers.rs
+++ b/crates/fleet/src/harness/cluster/servers.rs
@@ -91,7 +91,7 @@
         Ok(events.iter().filter(|e| matches!(e, BackendEvent::Received(_))).count())
     }
 
-    // ---- The list ----
+    // ---- The endpoint list ----
 
     /// Sets the status of a server in the list: `active`, `leaving` or `left`.
     pub fn set_status(&mut self, number: usize, status: &'static str) -> Result<(), ClusterError> {
--- a/crates/fleet/src/harness/discovery.rs
+++ b/crates/fleet/src/harness/discovery.rs
@@ -2,7 +2,7 @@
 //! own, and records which version it delivered to which sidecar. It runs as a process of its own (`lotusmoor fleet
 //! stand-in discovery`).
 
-use super::http::{Message, Reader, answer};
+use super::http::{Message, Reader, encode_response};
 use super::now_micros;
 use serde::{Deserialize, Serialize};
 use serde_json::{Value, json};
@@ -125,7 +125,9 @@
                     std::future::pending::<()>().await;
                     return Ok(());
                 };
-                stream.write_all(&answer(200, "Content-Type: application/json\r\n", body.as_bytes())).await?;
+                stream
+                    .write_all(&encode_response(200, "Content-Type: application/json\r\n", body.as_bytes()))
+                    .await?;
                 let mut line = serde_json::to_vec(&DeliveredVersion { sidecar, index, at: now_micros() })?;
                 line.push(b'\n');
                 discovery.records.lock().unwrap_or_else(PoisonError::into_inner).write_all(&line)?;
@@ -141,7 +143,7 @@
 }
 
 fn handle_control_call(discovery: &Discovery, message: &Message) -> Vec<u8> {
-    let bad_request = |e: serde_json::Error| answer(400, "", e.to_string().as_bytes());
+    let bad_request = |e: serde_json::Error| encode_response(400, "", e.to_string().as_bytes());
     match message.start_line.1.as_str() {
         ENTRIES_PATH => match serde_json::from_slice::<Vec<ServerEntry>>(&message.body) {
             Ok(entries) => {
@@ -153,18 +155,18 @@
                     index
                 };
                 discovery.changed.send_replace(index);
-                answer(200, "", index.to_string().as_bytes())
+                encode_response(200, "", index.to_string().as_bytes())
             }
             Err(error) => bad_request(error),
         },
         SILENT_PATH => match serde_json::from_slice(&message.body) {
             Ok(silent) => {
                 discovery.state().silent = silent;
-                answer(200, "", b"")
+                encode_response(200, "", b"")
             }
             Err(error) => bad_request(error),
         },
-        _ => answer(404, "", b""),
+        _ => encode_response(404, "", b""),
     }
 }
 
--- a/crates/fleet/src/harness/http.rs
+++ b/crates/fleet/src/harness/http.rs
@@ -39,7 +39,7 @@
 }
 
 /// Encodes a response; `headers` are complete lines.
-pub fn answer(status: u16, headers: &str, body: &[u8]) -> Vec<u8> {
+pub fn encode_response(status: u16, headers: &str, body: &[u8]) -> Vec<u8> {
     let mut encoded =
         format!("HTTP/1.1 {status} x\r\n{headers}Content-Length: {}\r\n\r\n", body.len()).into_bytes();
     encoded.extend_from_slice(body);
--- a/crates/fleet/src/harness/mod.rs
+++ b/crates/fleet/src/harness/mod.rs
@@ -2,8 +2,8 @@
 //! replicas, a fault proxy on every link, and clients. What each of them recorded is checked against the rules of the
 //! protocol.
 //!
-//! The harness waits for conditions and never for fixed times; a wait that times out fails with the seed, the timeline
-//! and each process's log. Child processes are killed when the harness is dropped, also after a panic, and by
+//! All waits are for conditions; one that times out fails with the seed, the timeline and each process's log. Child
+//! processes are killed when the harness is dropped, also after a panic, and by
 //! [`process_guard`] when the harness's own process is killed.
 
 pub mod backend;
--- a/crates/fleet/src/harness/process.rs
+++ b/crates/fleet/src/harness/process.rs
@@ -139,7 +139,7 @@
         self.child.try_wait().ok().flatten()
     }
 
-    /// What it has written to its log.
+    /// The contents of its log.
     pub fn log_text(&self) -> String {
         std::fs::read(&self.log).map(|b| String::from_utf8_lossy(&b).into_owned()).unwrap_or_default()
     }
--- a/crates/fleet/src/harness/registry_replicas.rs
+++ b/crates/fleet/src/harness/registry_replicas.rs
@@ -187,7 +187,7 @@
             self.programs.preload(&mut command, table)?;
         }
         *lock(&r.process) =
-            Some(Process::start(command, &format!("roster {}", r.id), &r.log, Some(&self.process_guard))?);
+            Some(Process::start(command, &format!("replica {}", r.id), &r.log, Some(&self.process_guard))?);
         Ok(())
     }
 
