--- a/crates/faults/src/lib.rs
+++ b/crates/faults/src/lib.rs
@@ -13,7 +13,7 @@
 pub use layout::{
     BYTES, CALLS_AT, MAGIC, MAGIC_AT, MOST_RULES, RULE_WORDS, RULES_AT, RuleWord, WALL_OFFSET_AT, rule_word,
 };
-pub use table::{Fault, FaultTable, Rule, Span, TableError};
+pub use table::{CallFault, FaultTable, Rule, Span, TableError};
 
 /// Environment variable that names the table's file to the preloaded library.
 pub const TABLE_VARIABLE: &str = "FAULT_TABLE";
--- a/crates/faults/src/table.rs
+++ b/crates/faults/src/table.rs
@@ -20,7 +20,7 @@
 
 /// How a call fails.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Fault {
+pub enum CallFault {
     /// With this error number.
     Errno(i32),
     /// It moves a byte alone.
@@ -42,7 +42,7 @@
     /// The kind of call.
     pub call: Call,
     /// How it fails.
-    pub fault: Fault,
+    pub fault: CallFault,
     /// Calls of that kind that pass first, counted from now.
     pub skip: u64,
     /// Of the calls after those, one in so many fails.
@@ -54,7 +54,7 @@
 impl Rule {
     /// The next call of that kind fails so.
     pub fn once(call: Call, errno: i32) -> Self {
-        Self { call, fault: Fault::Errno(errno), skip: 0, every: 1, span: Span::Calls(1) }
+        Self { call, fault: CallFault::Errno(errno), skip: 0, every: 1, span: Span::Calls(1) }
     }
 
     /// One in so many calls of that kind fails so, for good.
@@ -115,8 +115,8 @@
         let free = |at: &usize| self.get(rule_word(*at, RuleWord::Call)).is_ok_and(|call| call == 0);
         let at = (0..MOST_RULES).find(free).ok_or(TableError::Full)?;
         let errno = match rule.fault {
-            Fault::Errno(errno) => u64::from(errno.unsigned_abs()),
-            Fault::Short => 0,
+            CallFault::Errno(errno) => u64::from(errno.unsigned_abs()),
+            CallFault::Short => 0,
         };
         let (most, lasts) = match rule.span {
             Span::Calls(most) => (most, 0),
--- a/crates/fleet/src/soak/further.rs
+++ b/crates/fleet/src/soak/extra_faults.rs
@@ -1,7 +1,7 @@
 //! Faults that came to the soak later, drawn from chances of their own, so that a seed draws the same troubles as before
 //! beside them: clients that leave with long bodies under way, signals in series, and logs that nobody reads.
 
-use super::plan::{Plan, Trouble, Window};
+use super::plan::{Fault, FaultWindow, Plan};
 use crate::chance::stream;
 use rand::RngExt;
 use rand::seq::IndexedRandom;
@@ -39,17 +39,17 @@
 
 impl Plan {
     /// Draws one, with the faults that came later.
-    pub fn draw_all(seed: u64) -> Self {
+    pub fn draw_with_extra_faults(seed: u64) -> Self {
         let mut plan = Self::draw(seed);
         let mut rng = stream(seed, "soak clients and signals", 0);
         let ends = plan.ends_ms();
         plan.draw_leaving_clients(&mut rng, ends);
-        if !plan.passed {
+        if !plan.socket_passing {
             plan.draw_signal_series(&mut rng, ends);
         }
         if rng.random_bool(UNREAD_LOGS) {
-            plan.windows.push(window(0, 0, Trouble::UnreadLog(rng.random_range(0..plan.sidecars))));
-            plan.windows.push(window(0, 0, Trouble::LostLog(rng.random_range(0..plan.sidecars))));
+            plan.windows.push(window(0, 0, Fault::UnreadLog(rng.random_range(0..plan.sidecars))));
+            plan.windows.push(window(0, 0, Fault::LostLog(rng.random_range(0..plan.sidecars))));
         }
         plan.windows.sort_by_key(|window| window.at_ms);
         plan
@@ -59,14 +59,14 @@
     fn draw_leaving_clients(&mut self, rng: &mut ChaCha8Rng, ends_ms: u64) {
         let sidecar = rng.random_range(0..self.sidecars);
         let at_ms = rng.random_range(ends_ms / 2..ends_ms + 1_000);
-        let (away, lasts_ms) = if self.passed {
-            (Trouble::KillSidecar(sidecar), rng.random_range(AWAY_MS))
+        let (away, lasts_ms) = if self.socket_passing {
+            (Fault::KillSidecar(sidecar), rng.random_range(AWAY_MS))
         } else {
-            (Trouble::HoldSidecar(sidecar), HOLD_MS)
+            (Fault::PauseSidecar(sidecar), HOLD_MS)
         };
         self.windows.push(window(at_ms, lasts_ms, away));
         let count = rng.random_range(4..=12);
-        let leave = Trouble::LeavingBodies { sidecar, count };
+        let leave = Fault::LeavingBodies { sidecar, count };
         self.windows.push(window(at_ms + rng.random_range(1..20), 0, leave));
     }
 
@@ -79,22 +79,22 @@
                 signal: *all.choose(rng).unwrap_or(&ProcessSignal::Terminate),
             })
             .collect();
-        if self.rosters > 0 {
+        if self.registry_replicas > 0 {
             // Where lists come from a registry, no configuration moves discovery.
             signals.retain(|signal| signal.signal != ProcessSignal::Hangup);
         }
         signals.sort_by_key(|signal| signal.after_ms);
         let at_ms = rng.random_range(ends_ms / 2..ends_ms + 1_000);
-        self.windows.push(window(at_ms, 0, Trouble::SignalSeries { sidecar, signals }));
+        self.windows.push(window(at_ms, 0, Fault::SignalSeries { sidecar, signals }));
     }
 
     /// Sidecars whose log nobody reads, by a reader that stands still and by one that is gone.
     pub(super) fn unread_logs(&self) -> (Vec<usize>, Vec<usize>) {
         let (mut unread, mut lost) = (Vec::new(), Vec::new());
         for window in &self.windows {
-            match window.trouble {
-                Trouble::UnreadLog(sidecar) => unread.push(sidecar),
-                Trouble::LostLog(sidecar) => lost.push(sidecar),
+            match window.fault {
+                Fault::UnreadLog(sidecar) => unread.push(sidecar),
+                Fault::LostLog(sidecar) => lost.push(sidecar),
                 _ => {}
             }
         }
@@ -102,6 +102,6 @@
     }
 }
 
-fn window(at_ms: u64, lasts_ms: u64, trouble: Trouble) -> Window {
-    Window { at_ms, lasts_ms, trouble }
+fn window(at_ms: u64, lasts_ms: u64, fault: Fault) -> FaultWindow {
+    FaultWindow { at_ms, lasts_ms, fault }
 }
--- a/crates/fleet/src/soak/mod.rs
+++ b/crates/fleet/src/soak/mod.rs
@@ -2,13 +2,13 @@
 //! in time, and the protocol's rules checked over all that was seen. A seed draws the fleet, its settings and the
 //! troubles; a failing one can be played again, and be shrunk to the troubles that it needs.
 
-mod further;
+mod extra_faults;
 mod plan;
-mod play;
+mod run;
 
-pub use further::{ProcessSignal, SeriesSignal};
-pub use plan::{LinkKind, Plan, Trouble, Window};
-pub use play::{Seen, play};
+pub use extra_faults::{ProcessSignal, SeriesSignal};
+pub use plan::{Fault, FaultWindow, LinkKind, Plan};
+pub use run::{RunSummary, run_plan};
 
 use crate::harness::ClusterError;
 
@@ -20,7 +20,7 @@
     while at < least.windows.len() {
         let mut without = least.clone();
         without.windows.remove(at);
-        match (0..plays).find_map(|_| play(&without).err()) {
+        match (0..plays).find_map(|_| run_plan(&without).err()) {
             Some(error) => (least, failure) = (without, error),
             None => at += 1,
         }
--- a/crates/fleet/src/soak/plan.rs
+++ b/crates/fleet/src/soak/plan.rs
@@ -1,6 +1,6 @@
 //! What a run of the soak is: a fleet, and troubles on one timeline, all drawn from a seed.
 
-use super::further::SeriesSignal;
+use super::extra_faults::SeriesSignal;
 use crate::chance::stream;
 use crate::harness::Shape;
 use crate::harness::ledger::Conduct;
@@ -21,13 +21,14 @@
 /// One trouble.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
-pub enum Trouble {
+pub enum Fault {
     /// A sidecar is killed, and starts again at its end.
     KillSidecar(usize),
     /// A sidecar is told to stop, and starts again once it has ended.
     StopSidecar(usize),
     /// Sidecars are told to stop, one after the other.
-    RollSidecars(Vec<usize>),
+    #[serde(rename = "roll_sidecars")]
+    StopSidecars(Vec<usize>),
     /// A sidecar reads a new configuration, twice in a row where that is said, with a file that can't be read for a
     /// while where that is said.
     ReloadSidecar {
@@ -39,9 +40,11 @@
         unreadable_ms: u64,
     },
     /// A sidecar stands still.
-    HoldSidecar(usize),
+    #[serde(rename = "hold_sidecar")]
+    PauseSidecar(usize),
     /// Calls of a sidecar to the system fail.
-    Calls {
+    #[serde(rename = "calls")]
+    FailSystemCalls {
         /// Which sidecar.
         sidecar: usize,
         /// The place of the call in [`Call::ALL`].
@@ -52,18 +55,21 @@
         every: u64,
     },
     /// The wall clock of a sidecar steps, and back at its end.
-    WallClock {
+    #[serde(rename = "wall_clock")]
+    StepWallClock {
         /// Which sidecar.
         sidecar: usize,
         /// By how much it is ahead.
         ahead_us: i64,
     },
     /// A server drains, and is back at its end.
-    Drain(usize),
+    #[serde(rename = "drain")]
+    DrainServer(usize),
     /// A server is killed, and back cold at its end.
     KillServer(usize),
     /// A server stands still.
-    HoldServer(usize),
+    #[serde(rename = "hold_server")]
+    PauseServer(usize),
     /// A server misbehaves.
     Misbehaves {
         /// Which.
@@ -72,7 +78,8 @@
         conduct: Conduct,
     },
     /// Discovery says nothing.
-    Silence,
+    #[serde(rename = "silence")]
+    DiscoveryOutage,
     /// The link of a sidecar to a server is bad.
     Link {
         /// Which sidecar.
@@ -83,7 +90,8 @@
         kind: LinkKind,
     },
     /// All connections of a sidecar to servers are reset.
-    Resets(usize),
+    #[serde(rename = "resets")]
+    ResetConnections(usize),
     /// A new process of a sidecar takes over.
     HandOver(usize),
     /// Operators take a server out at a sidecar, and give it back at its end.
@@ -94,7 +102,8 @@
         server: usize,
     },
     /// Operators drain a sidecar, which serves again at its end.
-    Quiesce(usize),
+    #[serde(rename = "quiesce")]
+    DrainSidecar(usize),
     /// Clients write long bodies as far as the system takes them, and close.
     LeavingBodies {
         /// Which sidecar.
@@ -114,7 +123,8 @@
     /// The same with a reader that is gone.
     LostLog(usize),
     /// Peers that are no clients connect to a sidecar, and stay.
-    Strangers {
+    #[serde(rename = "strangers")]
+    MalformedClients {
         /// Which sidecar.
         sidecar: usize,
         /// How many.
@@ -129,7 +139,8 @@
     /// Nothing passes.
     Cut,
     /// Nothing comes back.
-    CutBack,
+    #[serde(rename = "cut_back")]
+    CutResponses,
     /// All takes a while longer.
     Slow,
     /// Few bytes a second pass.
@@ -162,24 +173,25 @@
 
 /// A trouble and its time.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
-pub struct Window {
+pub struct FaultWindow {
     /// When it begins, in milliseconds from the first request on.
     pub at_ms: u64,
     /// How long it lasts.
     pub lasts_ms: u64,
     /// What it is.
-    pub trouble: Trouble,
+    #[serde(rename = "trouble")]
+    pub fault: Fault,
 }
 
-impl Window {
+impl FaultWindow {
     /// The same with new versions in place of stops: a platform that holds the sockets stops no sidecar without one.
     fn with_hand_overs(self) -> Vec<Self> {
-        let sidecars = match &self.trouble {
-            Trouble::StopSidecar(sidecar) => vec![*sidecar],
-            Trouble::RollSidecars(sidecars) => sidecars.clone(),
+        let sidecars = match &self.fault {
+            Fault::StopSidecar(sidecar) => vec![*sidecar],
+            Fault::StopSidecars(sidecars) => sidecars.clone(),
             _ => return vec![self],
         };
-        let hand_over = |sidecar| Self { trouble: Trouble::HandOver(sidecar), ..self.clone() };
+        let hand_over = |sidecar| Self { fault: Fault::HandOver(sidecar), ..self.clone() };
         sidecars.into_iter().map(hand_over).collect()
     }
 }
@@ -194,22 +206,28 @@
     /// Servers.
     pub servers: usize,
     /// Replicas of a roster, which takes discovery's place; 0 for none.
-    pub rosters: usize,
+    #[serde(rename = "rosters")]
+    pub registry_replicas: usize,
     /// Zones.
     pub zones: usize,
     /// Lists are pushed, or asked for.
-    pub pushed: bool,
+    #[serde(rename = "pushed")]
+    pub pushed_lists: bool,
     /// How long clients wait, in milliseconds.
-    pub wait_ms: u64,
+    #[serde(rename = "wait_ms")]
+    pub client_timeout_ms: u64,
     /// For how long servers drop repeats of a key, in milliseconds.
-    pub window_ms: i64,
+    #[serde(rename = "window_ms")]
+    pub dedup_window_ms: i64,
     /// Requests a second to each sidecar.
     pub rate: f64,
     /// Share of clients that close early.
-    pub leaving: f64,
+    #[serde(rename = "leaving")]
+    pub early_close_share: f64,
     /// Share of requests that may have one that come with a body.
     #[serde(default)]
-    pub bodies: f64,
+    #[serde(rename = "bodies")]
+    pub body_share: f64,
     /// How servers behave at first: time for a request ...
     pub work_us: u64,
     /// ... and after which they close idle connections; 0 for never.
@@ -220,9 +238,10 @@
     pub cores: usize,
     /// The platform holds clients' sockets, and passes them on from process to process.
     #[serde(default)]
-    pub passed: bool,
+    #[serde(rename = "passed")]
+    pub socket_passing: bool,
     /// The troubles, by their beginning.
-    pub windows: Vec<Window>,
+    pub windows: Vec<FaultWindow>,
 }
 
 fn many_cores() -> usize {
@@ -237,34 +256,34 @@
             seed,
             sidecars: rng.random_range(10..=14),
             servers: rng.random_range(5..=9),
-            rosters: if rng.random_bool(0.15) { 3 } else { 0 },
+            registry_replicas: if rng.random_bool(0.15) { 3 } else { 0 },
             zones: rng.random_range(1..=3),
-            pushed: rng.random_bool(0.7),
-            wait_ms: *[800, 1_500, 2_000].choose(&mut rng).unwrap_or(&2_000),
-            window_ms: *[1_300, 3_000, 7_500].choose(&mut rng).unwrap_or(&7_500),
+            pushed_lists: rng.random_bool(0.7),
+            client_timeout_ms: *[800, 1_500, 2_000].choose(&mut rng).unwrap_or(&2_000),
+            dedup_window_ms: *[1_300, 3_000, 7_500].choose(&mut rng).unwrap_or(&7_500),
             rate: f64::from(rng.random_range(8..20)),
-            leaving: *[0.0, 0.1, 0.3].choose(&mut rng).unwrap_or(&0.1),
+            early_close_share: *[0.0, 0.1, 0.3].choose(&mut rng).unwrap_or(&0.1),
             work_us: *[2_000, 10_000, 30_000].choose(&mut rng).unwrap_or(&10_000),
-            bodies: *[0.0, 0.3, 0.8].choose(&mut rng).unwrap_or(&0.3),
+            body_share: *[0.0, 0.3, 0.8].choose(&mut rng).unwrap_or(&0.3),
             idle_us: *[0, 30_000, 150_000, 700_000].choose(&mut rng).unwrap_or(&0),
             cores: many_cores(),
-            passed: false,
+            socket_passing: false,
             windows: Vec::new(),
         };
         let mut at = *QUIET_MS.choose(&mut rng).unwrap_or(&QUIET_MS[0]);
         for _ in 0..rng.random_range(MEETINGS) {
             let mut busy = Busy::default();
             for _ in 0..rng.random_range(AT_EACH) {
-                let Some(trouble) = plan.draw_trouble(&mut rng, &mut busy) else { continue };
+                let Some(fault) = plan.draw_trouble(&mut rng, &mut busy) else { continue };
                 // Within milliseconds of each other, most of them.
                 let shift =
                     if rng.random_bool(0.7) { rng.random_range(0..15) } else { rng.random_range(0..400) };
-                let lasts_ms = match trouble {
-                    Trouble::HoldSidecar(_) => rng.random_range(20..=LONGEST_HOLD_MS),
-                    Trouble::Calls { every: 1, .. } => rng.random_range(20..=LONGEST_OUTAGE_MS),
+                let lasts_ms = match fault {
+                    Fault::PauseSidecar(_) => rng.random_range(20..=LONGEST_HOLD_MS),
+                    Fault::FailSystemCalls { every: 1, .. } => rng.random_range(20..=LONGEST_OUTAGE_MS),
                     _ => rng.random_range(200..2_500),
                 };
-                plan.windows.push(Window { at_ms: at + shift, lasts_ms, trouble });
+                plan.windows.push(FaultWindow { at_ms: at + shift, lasts_ms, fault });
             }
             at += rng.random_range(BETWEEN_MS);
         }
@@ -283,52 +302,52 @@
         if rng.random_bool(FEW_CORES) {
             (self.cores, self.work_us) = (CORES, SLOW_WORK_US);
         }
-        self.passed = self.rosters == 0 && rng.random_bool(PASSED);
-        if self.passed {
+        self.socket_passing = self.registry_replicas == 0 && rng.random_bool(PASSED);
+        if self.socket_passing {
             let windows = std::mem::take(&mut self.windows);
-            self.windows = windows.into_iter().flat_map(Window::with_hand_overs).collect();
+            self.windows = windows.into_iter().flat_map(FaultWindow::with_hand_overs).collect();
         }
         for _ in 0..rng.random_range(1..=2) {
             let sidecar = rng.random_range(0..self.sidecars);
-            let trouble = match rng.random_range(0..3) {
-                0 if self.passed => Trouble::HandOver(sidecar),
-                1 => Trouble::Quiesce(sidecar),
-                _ => Trouble::Cordon { sidecar, server: rng.random_range(0..self.servers) },
+            let fault = match rng.random_range(0..3) {
+                0 if self.socket_passing => Fault::HandOver(sidecar),
+                1 => Fault::DrainSidecar(sidecar),
+                _ => Fault::Cordon { sidecar, server: rng.random_range(0..self.servers) },
             };
             // Beside another trouble, where there is one.
             let beside = self.windows.choose(&mut rng).map_or(ends_ms, |w| w.at_ms);
             let at_ms = beside + rng.random_range(0..15);
-            self.windows.push(Window { at_ms, lasts_ms: rng.random_range(200..2_500), trouble });
+            self.windows.push(FaultWindow { at_ms, lasts_ms: rng.random_range(200..2_500), fault });
         }
     }
 
-    fn draw_trouble(&self, rng: &mut ChaCha8Rng, busy: &mut Busy) -> Option<Trouble> {
+    fn draw_trouble(&self, rng: &mut ChaCha8Rng, busy: &mut Busy) -> Option<Fault> {
         let sidecar = rng.random_range(0..self.sidecars);
         let server = rng.random_range(0..self.servers);
-        let trouble = match rng.random_range(0..22) {
-            0 => Trouble::KillSidecar(busy.sidecar(sidecar)?),
-            1 | 2 => Trouble::StopSidecar(busy.sidecar(sidecar)?),
+        let fault = match rng.random_range(0..22) {
+            0 => Fault::KillSidecar(busy.sidecar(sidecar)?),
+            1 | 2 => Fault::StopSidecar(busy.sidecar(sidecar)?),
             3 => {
                 let three = (0..3).map(|n| (sidecar + n) % self.sidecars);
-                Trouble::RollSidecars(three.filter_map(|s| busy.sidecar(s)).collect())
+                Fault::StopSidecars(three.filter_map(|s| busy.sidecar(s)).collect())
             }
-            4 | 5 if self.rosters == 0 => Trouble::ReloadSidecar {
+            4 | 5 if self.registry_replicas == 0 => Fault::ReloadSidecar {
                 sidecar: busy.sidecar(sidecar)?,
                 twice: rng.random_bool(0.5),
                 unreadable_ms: if rng.random_bool(0.3) { 300 } else { 0 },
             },
-            6 => Trouble::HoldSidecar(sidecar),
+            6 => Fault::PauseSidecar(sidecar),
             7..=10 => {
                 let (call, errno, every) = draw_calls(rng)?;
-                Trouble::Calls { sidecar, call, errno, every }
+                Fault::FailSystemCalls { sidecar, call, errno, every }
             }
             11 => {
                 let steps = [3_600_000_000, -3_600_000_000, 5_000_000, -5_000_000];
-                Trouble::WallClock { sidecar, ahead_us: *steps.choose(rng)? }
+                Fault::StepWallClock { sidecar, ahead_us: *steps.choose(rng)? }
             }
-            12 | 13 => Trouble::Drain(busy.server(server)?),
-            14 => Trouble::KillServer(busy.server(server)?),
-            15 => Trouble::HoldServer(busy.server(server)?),
+            12 | 13 => Fault::DrainServer(busy.server(server)?),
+            14 => Fault::KillServer(busy.server(server)?),
+            15 => Fault::PauseServer(busy.server(server)?),
             16 | 17 => {
                 let usual = self.conduct();
                 let conduct = match rng.random_range(0..6) {
@@ -339,13 +358,13 @@
                     4 => Conduct { turns_away: true, ..usual },
                     _ => Conduct { first_byte_us: 400_000, ..usual },
                 };
-                Trouble::Misbehaves { server: busy.server(server)?, conduct }
+                Fault::Misbehaves { server: busy.server(server)?, conduct }
             }
-            18 if self.rosters == 0 => Trouble::Silence,
+            18 if self.registry_replicas == 0 => Fault::DiscoveryOutage,
             19 => {
                 let kinds = [
                     LinkKind::Cut,
-                    LinkKind::CutBack,
+                    LinkKind::CutResponses,
                     LinkKind::Slow,
                     LinkKind::Narrow,
                     LinkKind::HalfOpen,
@@ -353,15 +372,15 @@
                 ];
                 let kind = match *kinds.choose(rng)? {
                     // What a body waits for on a narrow link has no bound that the checker could allow for.
-                    LinkKind::Narrow if self.bodies > 0.0 => LinkKind::Slow,
+                    LinkKind::Narrow if self.body_share > 0.0 => LinkKind::Slow,
                     kind => kind,
                 };
-                Trouble::Link { sidecar, server, kind }
+                Fault::Link { sidecar, server, kind }
             }
-            20 => Trouble::Resets(sidecar),
-            _ => Trouble::Strangers { sidecar, count: rng.random_range(3..30) },
+            20 => Fault::ResetConnections(sidecar),
+            _ => Fault::MalformedClients { sidecar, count: rng.random_range(3..30) },
         };
-        Some(trouble)
+        Some(fault)
     }
 
     /// How servers behave when all is well.
@@ -376,23 +395,23 @@
 
     /// The fleet that it is played on.
     pub fn shape(&self) -> Shape {
-        let mut shape = Shape::plain(self.sidecars, self.servers, self.rosters, self.seed);
+        let mut shape = Shape::plain(self.sidecars, self.servers, self.registry_replicas, self.seed);
         shape.faults = true;
-        shape.passed = self.passed;
+        shape.passed = self.socket_passing;
         shape.cores = self.cores;
         shape.unread_logs = self.unread_logs();
         shape.slack = SLACK_US;
         shape.conduct = self.conduct();
         shape.zones = ["a", "b", "c"][..self.zones].iter().map(|z| (*z).to_owned()).collect();
         let settings = &mut shape.settings;
-        if !self.pushed && self.rosters == 0 {
+        if !self.pushed_lists && self.registry_replicas == 0 {
             settings["Discovery"] = json!("on_request");
             settings["Rules"]["AskWithinUs"] = json!(3_000_000);
         }
         for lane in settings["Lanes"].as_array_mut().into_iter().flatten() {
-            lane["DeadlineUs"] = json!(self.wait_ms * 1000);
-            lane["AimUs"] = json!(self.wait_ms * 500);
-            lane["KeyTtlUs"] = json!(self.window_ms * 1000);
+            lane["DeadlineUs"] = json!(self.client_timeout_ms * 1000);
+            lane["AimUs"] = json!(self.client_timeout_ms * 500);
+            lane["KeyTtlUs"] = json!(self.dedup_window_ms * 1000);
         }
         shape
     }
--- a/crates/fleet/src/soak/play.rs
+++ b/crates/fleet/src/soak/run.rs
@@ -2,8 +2,8 @@
 
 mod faults;
 
-use super::further::{ProcessSignal, SeriesSignal};
-use super::plan::{Plan, SLOW_MS, Trouble, Window};
+use super::extra_faults::{ProcessSignal, SeriesSignal};
+use super::plan::{Fault, FaultWindow, Plan, SLOW_MS};
 use crate::chance::mix;
 use crate::harness::check::{Kind, cold_load};
 use crate::harness::{
@@ -34,7 +34,7 @@
 
 /// What was seen of a run in which no rule was broken.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub struct Seen {
+pub struct RunSummary {
     /// Requests.
     pub requests: usize,
     /// Those that were served.
@@ -42,9 +42,9 @@
     /// Times that servers were asked.
     pub attempts: usize,
     /// Peers that were no clients.
-    pub strangers: usize,
+    pub malformed_clients: usize,
     /// Clients that left with long bodies under way.
-    pub left_with_bodies: usize,
+    pub aborted_uploads: usize,
     /// Signals that came in series.
     pub series_signals: usize,
     /// Log lines that sidecars dropped, as nobody read them.
@@ -56,8 +56,8 @@
 /// Something that is to be done.
 #[derive(Clone, Debug)]
 enum Step {
-    Begin(Trouble),
-    End(Trouble),
+    Begin(Fault),
+    End(Fault),
     Bar(usize),
     EndSidecar(usize),
     EndOldProcess(usize),
@@ -66,7 +66,7 @@
 }
 
 /// A run under way.
-struct Play<'a> {
+struct Run<'a> {
     plan: &'a Plan,
     cluster: Cluster,
     clients: Clients,
@@ -92,19 +92,19 @@
 }
 
 /// Plays a plan; the failure says what was broken, with the timeline, the way of each request, and the logs.
-pub fn play(plan: &Plan) -> Result<Seen, ClusterError> {
+pub fn run_plan(plan: &Plan) -> Result<RunSummary, ClusterError> {
     let cluster = Cluster::start(plan.shape())?;
     let clients = cluster.ask(&traffic(plan));
     let begun = Instant::now();
     let mut due = Vec::new();
-    for Window { at_ms, lasts_ms, trouble } in &plan.windows {
+    for FaultWindow { at_ms, lasts_ms, fault } in &plan.windows {
         let at = begun + Duration::from_millis(*at_ms);
-        due.push((at, Step::Begin(trouble.clone())));
-        due.push((at + Duration::from_millis(*lasts_ms), Step::End(trouble.clone())));
+        due.push((at, Step::Begin(fault.clone())));
+        due.push((at + Duration::from_millis(*lasts_ms), Step::End(fault.clone())));
     }
     let up_since = vec![begun; plan.sidecars];
     let (strangers, starting) = (Strangers::default(), Vec::new());
-    let mut play = Play {
+    let mut run = Run {
         plan,
         cluster,
         clients,
@@ -121,34 +121,40 @@
         drained: Vec::new(),
     };
     let ends = begun + Duration::from_millis(plan.ends_ms());
-    while !play.due.is_empty()
-        || !play.starting.is_empty()
-        || !play.handing_over.is_empty()
-        || !play.calls.is_empty()
+    while !run.due.is_empty()
+        || !run.starting.is_empty()
+        || !run.handing_over.is_empty()
+        || !run.calls.is_empty()
         || Instant::now() < ends + SETTLES
     {
-        play.turn()?;
+        run.turn()?;
         if Instant::now() > ends + LONGEST_END {
-            let open = (&play.due, &play.starting, &play.handing_over, play.calls.len());
-            return Err(play.cluster.failed(format!("the run never ends: {open:?}")));
+            let open = (&run.due, &run.starting, &run.handing_over, run.calls.len());
+            return Err(run.cluster.failed(format!("the run never ends: {open:?}")));
         }
         sleep(TICK);
     }
-    play.finish()
+    run.finish()
 }
 
 fn traffic(plan: &Plan) -> Traffic {
-    let wait = Duration::from_millis(plan.wait_ms);
-    let keyed = Kind::Keyed { window: plan.window_ms * 1000 };
+    let wait = Duration::from_millis(plan.client_timeout_ms);
+    let keyed = Kind::Keyed { window: plan.dedup_window_ms * 1000 };
     let classes = vec![
         ("look".into(), Kind::Safe, wait, 0.5),
         ("pay".into(), keyed, wait, 0.3),
         ("book".into(), Kind::Unsafe, wait, 0.2),
     ];
-    Traffic { rate: plan.rate, classes, leaving: plan.leaving, bodies: plan.bodies, seed: plan.seed }
+    Traffic {
+        rate: plan.rate,
+        classes,
+        leaving: plan.early_close_share,
+        bodies: plan.body_share,
+        seed: plan.seed,
+    }
 }
 
-impl Play<'_> {
+impl Run<'_> {
     /// Does what is due by now.
     fn turn(&mut self) -> Result<(), ClusterError> {
         let now = Instant::now();
@@ -160,8 +166,8 @@
                 continue;
             }
             match step {
-                Step::Begin(trouble) => self.begin(&trouble)?,
-                Step::End(trouble) => self.end(&trouble)?,
+                Step::Begin(fault) => self.begin(&fault)?,
+                Step::End(fault) => self.end(&fault)?,
                 Step::Bar(sidecar) => self.clients.bar(sidecar, true),
                 Step::EndSidecar(sidecar) => {
                     self.cluster.end_sidecar(sidecar)?;
@@ -225,7 +231,7 @@
 
     /// The longest that clients wait, as a stop counts it.
     fn longest(&self) -> Duration {
-        Duration::from_millis(self.plan.wait_ms).min(Duration::from_secs(3))
+        Duration::from_millis(self.plan.client_timeout_ms).min(Duration::from_secs(3))
     }
 
     /// One reason for which a server was away is over.
@@ -237,8 +243,8 @@
 
     /// Whether a step speaks to a server that is away.
     fn waits_for_server(&self, step: &Step) -> bool {
-        let (Step::Begin(trouble) | Step::End(trouble)) = step else { return false };
-        matches!(trouble, Trouble::Misbehaves { server, .. } if self.away.contains(server))
+        let (Step::Begin(fault) | Step::End(fault)) = step else { return false };
+        matches!(fault, Fault::Misbehaves { server, .. } if self.away.contains(server))
     }
 
     fn start(&mut self, sidecar: usize) -> Result<(), ClusterError> {
@@ -302,7 +308,7 @@
 
     fn leave(&mut self, sidecar: usize, count: usize) {
         let (runtime, at) = self.cluster.way_to(sidecar);
-        let wait = Duration::from_millis(self.plan.wait_ms);
+        let wait = Duration::from_millis(self.plan.client_timeout_ms);
         let seed = mix(self.plan.seed ^ mix(LEAVING_CLIENTS ^ sidecar as u64));
         self.leaving_clients.visit(&runtime, LeavingGroup { sidecar, at, count, wait, seed });
     }
@@ -319,7 +325,7 @@
     }
 
     /// All is well again: what everyone saw is read and checked.
-    fn finish(mut self) -> Result<Seen, ClusterError> {
+    fn finish(mut self) -> Result<RunSummary, ClusterError> {
         for sidecar in 0..self.plan.sidecars {
             self.cluster.mend_calls(sidecar)?;
         }
@@ -343,16 +349,16 @@
         }
         let dropped = (0..self.plan.sidecars).filter_map(|sidecar| self.cluster.dropped_log_lines(sidecar));
         let dropped_log_lines = dropped.sum();
-        let left_with_bodies = left.len();
+        let aborted_uploads = left.len();
         let visits = strangers.len();
         let slow = i64::try_from(1000 * SLOW_MS).unwrap_or(0);
         let history = self.cluster.finish_soak(self.clients, left, strangers, slow)?;
-        Ok(Seen {
+        Ok(RunSummary {
             requests: history.asks.len(),
             served: history.asks.iter().filter(|a| a.is_served()).count(),
             attempts: history.attempts.len(),
-            strangers: visits,
-            left_with_bodies,
+            malformed_clients: visits,
+            aborted_uploads,
             series_signals: self.series_signals,
             dropped_log_lines,
             cold_load: cold_load(&history),
--- a/crates/fleet/src/soak/play/faults.rs
+++ b/crates/fleet/src/soak/run/faults.rs
@@ -1,102 +1,104 @@
 //! How each fault of a plan begins and ends.
 
-use super::Play;
+use super::Run;
 use crate::harness::{ClusterError, Link, OperatorCall, clock};
-use crate::soak::plan::{LinkKind, SLOW_MS, Trouble};
-use lotusmoor_faults::{Call, Fault, Rule, Span, errno};
+use crate::soak::plan::{Fault, LinkKind, SLOW_MS};
+use lotusmoor_faults::{Call, CallFault, Rule, Span, errno};
 use std::time::{Duration, Instant};
 
-impl Play<'_> {
-    pub(super) fn begin(&mut self, trouble: &Trouble) -> Result<(), ClusterError> {
-        match trouble {
-            Trouble::KillSidecar(sidecar) => self.kill_sidecar(*sidecar)?,
-            Trouble::StopSidecar(sidecar) => self.stop(*sidecar)?,
-            Trouble::RollSidecars(sidecars) => sidecars.iter().try_for_each(|sidecar| self.stop(*sidecar))?,
-            Trouble::ReloadSidecar { sidecar, twice, unreadable_ms } => {
+impl Run<'_> {
+    pub(super) fn begin(&mut self, fault: &Fault) -> Result<(), ClusterError> {
+        match fault {
+            Fault::KillSidecar(sidecar) => self.kill_sidecar(*sidecar)?,
+            Fault::StopSidecar(sidecar) => self.stop(*sidecar)?,
+            Fault::StopSidecars(sidecars) => sidecars.iter().try_for_each(|sidecar| self.stop(*sidecar))?,
+            Fault::ReloadSidecar { sidecar, twice, unreadable_ms } => {
                 self.reload(*sidecar, *twice, *unreadable_ms)?;
             }
-            Trouble::HandOver(sidecar) => self.begin_hand_over(*sidecar)?,
-            Trouble::Cordon { sidecar, server } => self.cordon(*sidecar, *server),
-            Trouble::Quiesce(sidecar) => self.quiesce(*sidecar),
-            Trouble::HoldSidecar(sidecar) => self.cluster.hold_sidecar(*sidecar)?,
-            Trouble::Calls { sidecar, call, errno, every } => {
+            Fault::HandOver(sidecar) => self.begin_hand_over(*sidecar)?,
+            Fault::Cordon { sidecar, server } => self.cordon(*sidecar, *server),
+            Fault::DrainSidecar(sidecar) => self.quiesce(*sidecar),
+            Fault::PauseSidecar(sidecar) => self.cluster.hold_sidecar(*sidecar)?,
+            Fault::FailSystemCalls { sidecar, call, errno, every } => {
                 self.fail_calls(*sidecar, *call, *errno, *every)?;
             }
-            Trouble::WallClock { sidecar, ahead_us } => self.cluster.step_wall_clock(*sidecar, *ahead_us)?,
-            Trouble::Drain(server) => self.cluster.set_status(*server, "leaving")?,
-            Trouble::KillServer(server) => {
+            Fault::StepWallClock { sidecar, ahead_us } => {
+                self.cluster.step_wall_clock(*sidecar, *ahead_us)?
+            }
+            Fault::DrainServer(server) => self.cluster.set_status(*server, "leaving")?,
+            Fault::KillServer(server) => {
                 self.away.push(*server);
                 self.cluster.kill_server(*server)?;
             }
-            Trouble::HoldServer(server) => {
+            Fault::PauseServer(server) => {
                 self.away.push(*server);
                 self.cluster.hold_server(*server)?;
             }
-            Trouble::Misbehaves { server, conduct } => self.cluster.set_conduct(*server, conduct)?,
-            Trouble::Silence => {
+            Fault::Misbehaves { server, conduct } => self.cluster.set_conduct(*server, conduct)?,
+            Fault::DiscoveryOutage => {
                 self.silent_since.get_or_insert_with(clock);
                 self.cluster.silence_discovery(true)?;
             }
-            Trouble::Link { sidecar, server, kind } => self.cluster.link(*sidecar, *server, link(*kind)),
-            Trouble::Resets(sidecar) => {
+            Fault::Link { sidecar, server, kind } => self.cluster.link(*sidecar, *server, link(*kind)),
+            Fault::ResetConnections(sidecar) => {
                 (0..self.plan.servers).for_each(|server| self.cluster.reset(*sidecar, server));
             }
-            Trouble::LeavingBodies { sidecar, count } => self.leave(*sidecar, *count),
-            Trouble::SignalSeries { sidecar, signals } => self.begin_series(*sidecar, signals),
+            Fault::LeavingBodies { sidecar, count } => self.leave(*sidecar, *count),
+            Fault::SignalSeries { sidecar, signals } => self.begin_series(*sidecar, signals),
             // The fleet was started so.
-            Trouble::UnreadLog(_) | Trouble::LostLog(_) => {}
-            Trouble::Strangers { sidecar, count } => self.visit(*sidecar, *count),
+            Fault::UnreadLog(_) | Fault::LostLog(_) => {}
+            Fault::MalformedClients { sidecar, count } => self.visit(*sidecar, *count),
         }
         Ok(())
     }
 
-    pub(super) fn end(&mut self, trouble: &Trouble) -> Result<(), ClusterError> {
-        match trouble {
-            Trouble::KillSidecar(sidecar) => match self.cluster.sidecar_pid(*sidecar) {
+    pub(super) fn end(&mut self, fault: &Fault) -> Result<(), ClusterError> {
+        match fault {
+            Fault::KillSidecar(sidecar) => match self.cluster.sidecar_pid(*sidecar) {
                 Some(_) => Ok(()),
                 None => self.start(*sidecar),
             },
-            Trouble::HoldSidecar(sidecar) => self.cluster.let_sidecar_go_on(*sidecar),
-            Trouble::Calls { sidecar, .. } => self.cluster.mend_calls(*sidecar),
-            Trouble::WallClock { sidecar, .. } => self.cluster.step_wall_clock(*sidecar, 0),
-            Trouble::Drain(server) => self.cluster.set_status(*server, "active"),
-            Trouble::KillServer(server) => {
+            Fault::PauseSidecar(sidecar) => self.cluster.let_sidecar_go_on(*sidecar),
+            Fault::FailSystemCalls { sidecar, .. } => self.cluster.mend_calls(*sidecar),
+            Fault::StepWallClock { sidecar, .. } => self.cluster.step_wall_clock(*sidecar, 0),
+            Fault::DrainServer(server) => self.cluster.set_status(*server, "active"),
+            Fault::KillServer(server) => {
                 self.is_back(*server);
                 self.cluster.restart_server(*server)
             }
-            Trouble::HoldServer(server) => {
+            Fault::PauseServer(server) => {
                 self.is_back(*server);
                 self.cluster.let_server_go_on(*server)
             }
-            Trouble::Misbehaves { server, .. } => self.cluster.set_conduct(*server, &self.plan.conduct()),
-            Trouble::Silence => {
+            Fault::Misbehaves { server, .. } => self.cluster.set_conduct(*server, &self.plan.conduct()),
+            Fault::DiscoveryOutage => {
                 if let Some(since) = self.silent_since.take() {
                     self.cluster.note_silence(since);
                 }
                 self.cluster.silence_discovery(false)
             }
-            Trouble::Link { sidecar, server, .. } => {
+            Fault::Link { sidecar, server, .. } => {
                 self.cluster.link(*sidecar, *server, Link::default());
                 Ok(())
             }
-            Trouble::Cordon { sidecar, server } => {
+            Fault::Cordon { sidecar, server } => {
                 self.tell(*sidecar, OperatorCall::Uncordon(*server));
                 Ok(())
             }
-            Trouble::Quiesce(sidecar) => {
+            Fault::DrainSidecar(sidecar) => {
                 self.resume(*sidecar);
                 Ok(())
             }
-            Trouble::StopSidecar(_)
-            | Trouble::HandOver(_)
-            | Trouble::RollSidecars(_)
-            | Trouble::ReloadSidecar { .. }
-            | Trouble::Resets(_)
-            | Trouble::LeavingBodies { .. }
-            | Trouble::SignalSeries { .. }
-            | Trouble::UnreadLog(_)
-            | Trouble::LostLog(_)
-            | Trouble::Strangers { .. } => Ok(()),
+            Fault::StopSidecar(_)
+            | Fault::HandOver(_)
+            | Fault::StopSidecars(_)
+            | Fault::ReloadSidecar { .. }
+            | Fault::ResetConnections(_)
+            | Fault::LeavingBodies { .. }
+            | Fault::SignalSeries { .. }
+            | Fault::UnreadLog(_)
+            | Fault::LostLog(_)
+            | Fault::MalformedClients { .. } => Ok(()),
         }
     }
 
@@ -151,7 +153,7 @@
         errno: i32,
         every: u64,
     ) -> Result<(), ClusterError> {
-        let fault = if errno == 0 { Fault::Short } else { Fault::Errno(errno) };
+        let fault = if errno == 0 { CallFault::Short } else { CallFault::Errno(errno) };
         let call = Call::ALL[call % Call::ALL.len()];
         let span = Span::Calls(u64::MAX);
         self.cluster.fail_calls(sidecar, Rule { call, fault, skip: 0, every, span })
@@ -166,7 +168,7 @@
 fn link(kind: LinkKind) -> Link {
     match kind {
         LinkKind::Cut => Link::cut(),
-        LinkKind::CutBack => Link { cut_down: true, ..Link::default() },
+        LinkKind::CutResponses => Link { cut_down: true, ..Link::default() },
         LinkKind::Slow => Link { delay: Duration::from_millis(SLOW_MS), ..Link::default() },
         LinkKind::Narrow => Link { bandwidth: 20_000, ..Link::default() },
         LinkKind::HalfOpen => Link { half_open: true, ..Link::default() },
--- a/crates/fleet/src/sweep/mod.rs
+++ b/crates/fleet/src/sweep/mod.rs
@@ -5,13 +5,13 @@
 //! A call that is interrupted is so by a signal, and made again at once: of those that are interrupted for a while it is
 //! every second one. Were it all of them, the process would stand still in the standard library's own loops.
 
-mod life;
 mod replica;
+mod sidecar;
 
-pub use life::{Counts, play};
-pub use replica::play_replica;
+pub use replica::run_replica_scenario;
+pub use sidecar::{CallCounts, run_sidecar_scenario};
 
-use lotusmoor_faults::{Call, Fault, Rule, Span, errno};
+use lotusmoor_faults::{Call, CallFault, Rule, Span, errno};
 use serde::{Deserialize, Serialize};
 use std::fmt;
 
@@ -54,7 +54,7 @@
             Extent::ForAWhile => Span::Lasts(WHILE_US),
         };
         let every = if self.errno == errno::EINTR { 2 } else { 1 };
-        Rule { call: self.call(), fault: Fault::Errno(self.errno), skip: self.number - 1, every, span }
+        Rule { call: self.call(), fault: CallFault::Errno(self.errno), skip: self.number - 1, every, span }
     }
 
     /// Whether the calls that fail are those on files.
@@ -80,7 +80,7 @@
 }
 
 /// Cases over calls that were counted: for each kind of call, error and extent at most `most` of them, evenly spaced.
-pub fn cases(counts: &Counts, most: u64) -> Vec<Case> {
+pub fn cases(counts: &CallCounts, most: u64) -> Vec<Case> {
     let of_call = |(call, count): (usize, u64)| {
         let step = count.div_ceil(most.max(1)).max(1);
         let numbers = (1..=count).step_by(usize::try_from(step).unwrap_or(usize::MAX));
--- a/crates/fleet/src/sweep/replica.rs
+++ b/crates/fleet/src/sweep/replica.rs
@@ -1,7 +1,7 @@
 //! The life of a replica of the roster with its file: it founds a list, takes writes, is killed and started again, takes
 //! more, and is told to stop. What it has acknowledged is there in the end, and it is of use again by itself.
 
-use super::{Case, Counts};
+use super::{CallCounts, Case};
 use crate::harness::rosters::call;
 use crate::harness::{Process, Programs, reaper::Reaper, until, unused_address};
 use lotusmoor_faults::{Call, FaultTable};
@@ -48,7 +48,7 @@
 }
 
 /// Plays the life; with a case, that call fails. Gives the calls that were made.
-pub fn play_replica(case: Option<&Case>) -> Result<Counts, ReplicaError> {
+pub fn run_replica_scenario(case: Option<&Case>) -> Result<CallCounts, ReplicaError> {
     let programs = Programs::find()?;
     let reaper = Reaper::start(&programs.lotusmoor)?;
     let folder = tempfile::tempdir()?;
@@ -173,7 +173,7 @@
     }
 
     /// It ends as it is told.
-    fn end(mut self) -> Result<Counts, ReplicaError> {
+    fn end(mut self) -> Result<CallCounts, ReplicaError> {
         let calls = Call::ALL.iter().map(|call| self.table.calls(*call).unwrap_or(0)).collect();
         self.process.tell_to_stop()?;
         let mut status = None;
@@ -182,7 +182,7 @@
             status.is_some()
         });
         match status {
-            Some(status) if status.success() => Ok(Counts(calls)),
+            Some(status) if status.success() => Ok(CallCounts(calls)),
             other => Err(self.failed(format!("told to stop, it ended as {other:?}"))),
         }
     }
--- a/crates/fleet/src/sweep/life.rs
+++ b/crates/fleet/src/sweep/sidecar.rs
@@ -32,10 +32,10 @@
 
 /// Calls of each kind, in the order of [`Call::ALL`].
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct Counts(pub Vec<u64>);
+pub struct CallCounts(pub Vec<u64>);
 
 /// Plays the life; with a case, that call fails. Gives the calls that were made.
-pub fn play(case: Option<&Case>, seed: u64) -> Result<Counts, ClusterError> {
+pub fn run_sidecar_scenario(case: Option<&Case>, seed: u64) -> Result<CallCounts, ClusterError> {
     let mut shape = Shape::plain(1, 3, 0, seed);
     shape.faults = true;
     shape.passed = true;
@@ -45,12 +45,12 @@
     shape.conduct = usual.clone();
     let cluster = Cluster::start(shape)?;
     let clients = cluster.ask(&traffic(seed));
-    let mut life = Life { cluster, clients, usual };
-    life.requests()?;
-    life.operators()?;
-    life.list_and_reload()?;
-    life.hand_over()?;
-    life.end(case)
+    let mut scenario = SidecarScenario { cluster, clients, usual };
+    scenario.requests()?;
+    scenario.operators()?;
+    scenario.list_and_reload()?;
+    scenario.hand_over()?;
+    scenario.end(case)
 }
 
 fn traffic(seed: u64) -> Traffic {
@@ -63,13 +63,13 @@
     Traffic { rate: RATE, classes, leaving: 0.05, bodies: 0.2, seed }
 }
 
-struct Life {
+struct SidecarScenario {
     cluster: Cluster,
     clients: Clients,
     usual: Conduct,
 }
 
-impl Life {
+impl SidecarScenario {
     fn more(&self) -> Result<(), ClusterError> {
         let before = self.clients.over();
         self.cluster.wait("more is asked", || self.clients.over() >= before + BETWEEN)
@@ -157,7 +157,7 @@
     }
 
     /// Everything is over: what all saw is checked, and the process ends as it is told.
-    fn end(mut self, case: Option<&Case>) -> Result<Counts, ClusterError> {
+    fn end(mut self, case: Option<&Case>) -> Result<CallCounts, ClusterError> {
         if !self.clients.settle() {
             return Err(self.cluster.failed("clients' requests never ended".into()));
         }
@@ -180,7 +180,7 @@
                 .cluster
                 .failed(format!("it holds {descriptors} descriptors and {memory_kb} kB")));
         }
-        let calls = Counts(Call::ALL.iter().map(|call| self.cluster.calls(0, *call)).collect());
+        let calls = CallCounts(Call::ALL.iter().map(|call| self.cluster.calls(0, *call)).collect());
         self.cluster.tell_sidecar_to_stop(0)?;
         self.ends("the process", |cluster| cluster.sidecar_ended_well(0))?;
         let mut asks = self.clients.finish_early();
--- a/crates/fleet/tests/stored_forms.rs
+++ b/crates/fleet/tests/stored_forms.rs
@@ -13,7 +13,7 @@
 use lotusmoor_fleet::model::Figures;
 use lotusmoor_fleet::scale::hollow::{Ask, Assignment, Hollow, Lease, Standing, Taken};
 use lotusmoor_fleet::scale::lines::{At, Line as ScaleLine, Lines, Mode, Role, Sweep};
-use lotusmoor_fleet::soak::{LinkKind, Plan, Trouble, Window};
+use lotusmoor_fleet::soak::{Fault, FaultWindow, LinkKind, Plan};
 use lotusmoor_fleet::sweep::Case;
 use serde::Serialize;
 use serde::de::DeserializeOwned;
@@ -357,52 +357,52 @@
 
 /// A plan with every trouble and every kind of link.
 fn plan_of_all_troubles() -> Plan {
-    let link = |kind| Trouble::Link { sidecar: 2, server: 3, kind };
+    let link = |kind| Fault::Link { sidecar: 2, server: 3, kind };
     let troubles = [
-        Trouble::KillSidecar(1),
-        Trouble::StopSidecar(2),
-        Trouble::RollSidecars(vec![3, 4, 5]),
-        Trouble::ReloadSidecar { sidecar: 6, twice: true, unreadable_ms: 300 },
-        Trouble::HoldSidecar(7),
-        Trouble::Calls { sidecar: 8, call: 3, errno: errno::EINTR, every: 4 },
-        Trouble::WallClock { sidecar: 9, ahead_us: -3_600_000_000 },
-        Trouble::Drain(1),
-        Trouble::KillServer(2),
-        Trouble::HoldServer(3),
-        Trouble::Misbehaves { server: 4, conduct: full_conduct() },
-        Trouble::Silence,
+        Fault::KillSidecar(1),
+        Fault::StopSidecar(2),
+        Fault::StopSidecars(vec![3, 4, 5]),
+        Fault::ReloadSidecar { sidecar: 6, twice: true, unreadable_ms: 300 },
+        Fault::PauseSidecar(7),
+        Fault::FailSystemCalls { sidecar: 8, call: 3, errno: errno::EINTR, every: 4 },
+        Fault::StepWallClock { sidecar: 9, ahead_us: -3_600_000_000 },
+        Fault::DrainServer(1),
+        Fault::KillServer(2),
+        Fault::PauseServer(3),
+        Fault::Misbehaves { server: 4, conduct: full_conduct() },
+        Fault::DiscoveryOutage,
         link(LinkKind::Cut),
-        link(LinkKind::CutBack),
+        link(LinkKind::CutResponses),
         link(LinkKind::Slow),
         link(LinkKind::Narrow),
         link(LinkKind::HalfOpen),
         link(LinkKind::Stalls),
-        Trouble::Resets(5),
-        Trouble::HandOver(6),
-        Trouble::Cordon { sidecar: 7, server: 0 },
-        Trouble::Quiesce(8),
-        Trouble::Strangers { sidecar: 9, count: 29 },
+        Fault::ResetConnections(5),
+        Fault::HandOver(6),
+        Fault::Cordon { sidecar: 7, server: 0 },
+        Fault::DrainSidecar(8),
+        Fault::MalformedClients { sidecar: 9, count: 29 },
     ];
-    let window = |(number, trouble): (usize, Trouble)| {
+    let window = |(number, fault): (usize, Fault)| {
         let number = number as u64;
-        Window { at_ms: 500 + 15 * number, lasts_ms: 200 + number, trouble }
+        FaultWindow { at_ms: 500 + 15 * number, lasts_ms: 200 + number, fault }
     };
     Plan {
         seed: 17,
         sidecars: 12,
         servers: 7,
-        rosters: 3,
+        registry_replicas: 3,
         zones: 2,
-        pushed: true,
-        wait_ms: 1_500,
-        window_ms: 7_500,
+        pushed_lists: true,
+        client_timeout_ms: 1_500,
+        dedup_window_ms: 7_500,
         rate: 12.0,
-        leaving: 0.3,
-        bodies: 0.8,
+        early_close_share: 0.3,
+        body_share: 0.8,
         work_us: 10_000,
         idle_us: 30_000,
         cores: 2,
-        passed: true,
+        socket_passing: true,
         windows: troubles.into_iter().enumerate().map(window).collect(),
     }
 }
@@ -423,7 +423,8 @@
         assert!(keys.remove(added_later).is_some(), "{added_later}");
     }
     let plan: Plan = serde_json::from_value(older).expect("it can be read");
-    let wanted = Plan { bodies: 0.0, idle_us: 0, cores: 64, passed: false, ..plan_of_all_troubles() };
+    let wanted =
+        Plan { body_share: 0.0, idle_us: 0, cores: 64, socket_passing: false, ..plan_of_all_troubles() };
     assert_eq!(plan, wanted);
 }
 
--- a/crates/lotusmoor/src/registry.rs
+++ b/crates/lotusmoor/src/registry.rs
@@ -4,7 +4,7 @@
 use hyper::{Method, StatusCode};
 use lotusmoor_registry::config::Config;
 use lotusmoor_registry::core::parse_services;
-use lotusmoor_registry::explore::{explore, play};
+use lotusmoor_registry::explore::{explore, run_schedule};
 use lotusmoor_registry::http::Client;
 use lotusmoor_registry::node::unix_ms;
 use lotusmoor_registry::process;
@@ -337,7 +337,7 @@
 
 fn explored(seed: u64, schedules: u64, cores: usize, timeline: bool) -> Result<(), Failure> {
     if timeline {
-        play(seed, None).timeline.iter().for_each(|line| println!("{line}"));
+        run_schedule(seed, None).timeline.iter().for_each(|line| println!("{line}"));
     }
     let all = std::thread::available_parallelism().map_or(1, usize::from);
     let explored = explore(seed, schedules, if cores > 0 { cores } else { all }, None);
--- a/crates/lotusmoor/src/soak.rs
+++ b/crates/lotusmoor/src/soak.rs
@@ -3,7 +3,7 @@
 use crate::Failure;
 use indicatif::{ProgressBar, ProgressStyle};
 use lotusmoor_fleet::harness::ClusterError;
-use lotusmoor_fleet::soak::{Plan, Seen, play, shrink};
+use lotusmoor_fleet::soak::{Plan, RunSummary, run_plan, shrink};
 use serde_json::json;
 use std::fs::File;
 use std::io::Write;
@@ -63,7 +63,7 @@
                 serde_json::from_str(&text).map_err(|e| Failure::Said(format!("{}: {e}", path.display())))?;
             (Box::new(std::iter::repeat_n(plan, usize::try_from(seeds).unwrap_or(1))), seeds)
         }
-        None => (Box::new((first..first + seeds).map(Plan::draw_all)), seeds),
+        None => (Box::new((first..first + seeds).map(Plan::draw_with_extra_faults)), seeds),
     };
     let bar = ProgressBar::new(count);
     if let Ok(style) = ProgressStyle::with_template("{bar:40} {pos}/{len} {elapsed} {msg}") {
@@ -99,7 +99,7 @@
         while self.began.elapsed().as_secs() < self.seconds
             && let Some(plan) = self.plans.lock().ok().and_then(|mut plans| plans.next())
         {
-            match play(&plan) {
+            match run_plan(&plan) {
                 Ok(seen) => self.passed(&plan, seen),
                 Err(failure) => self.failed(&plan, failure),
             }
@@ -108,12 +108,12 @@
         }
     }
 
-    fn passed(&self, plan: &Plan, seen: Seen) {
+    fn passed(&self, plan: &Plan, seen: RunSummary) {
         self.requests.fetch_add(seen.requests as u64, Ordering::Relaxed);
         self.note(
             &json!({"seed": plan.seed, "passed": true, "requests": seen.requests, "served": seen.served,
-            "attempts": seen.attempts, "strangers": seen.strangers, "cold_load": seen.cold_load,
-            "left_with_bodies": seen.left_with_bodies, "series_signals": seen.series_signals,
+            "attempts": seen.attempts, "strangers": seen.malformed_clients, "cold_load": seen.cold_load,
+            "left_with_bodies": seen.aborted_uploads, "series_signals": seen.series_signals,
             "dropped_log_lines": seen.dropped_log_lines, "plan": plan}),
         );
     }
--- a/crates/lotusmoor/src/sweep.rs
+++ b/crates/lotusmoor/src/sweep.rs
@@ -2,7 +2,7 @@
 
 use crate::Failure;
 use indicatif::{ProgressBar, ProgressStyle};
-use lotusmoor_fleet::sweep::{Case, Counts, cases, play, play_replica};
+use lotusmoor_fleet::sweep::{CallCounts, Case, cases, run_replica_scenario, run_sidecar_scenario};
 use serde_json::json;
 use std::fs::File;
 use std::io::Write;
@@ -53,11 +53,11 @@
 }
 
 /// Plays a life once; gives the calls that were made, or what went wrong.
-fn one(replica: bool, case: Option<&Case>, seed: u64) -> Result<Counts, String> {
+fn one(replica: bool, case: Option<&Case>, seed: u64) -> Result<CallCounts, String> {
     if replica {
-        play_replica(case).map_err(|e| e.to_string())
+        run_replica_scenario(case).map_err(|e| e.to_string())
     } else {
-        play(case, seed).map_err(|e| e.to_string())
+        run_sidecar_scenario(case, seed).map_err(|e| e.to_string())
     }
 }
 
--- a/crates/registry/src/explore/mod.rs
+++ b/crates/registry/src/explore/mod.rs
@@ -20,7 +20,7 @@
 pub use history::{
     Call, CallResult, Completion, History, ListedChange, Observation, Operation, ReaderUpdate,
 };
-pub use schedule::{PlayedSchedule, play};
+pub use schedule::{ScheduleResult, run_schedule};
 pub use violation::Violation;
 
 use std::sync::atomic::{AtomicU64, Ordering};
@@ -71,7 +71,7 @@
 }
 
 impl Exploration {
-    fn add_schedule(&mut self, seed: u64, played: PlayedSchedule) {
+    fn add_schedule(&mut self, seed: u64, played: ScheduleResult) {
         self.schedules += 1;
         self.totals.add(played.totals);
         let violations = played.violations.iter();
@@ -95,7 +95,7 @@
             if seed >= first_seed + schedules {
                 return exploration;
             }
-            exploration.add_schedule(seed, play(seed, defect));
+            exploration.add_schedule(seed, run_schedule(seed, defect));
         }
     };
     let mut all = Exploration::default();
--- a/crates/registry/src/explore/schedule.rs
+++ b/crates/registry/src/explore/schedule.rs
@@ -42,7 +42,7 @@
 
 /// The result of a schedule.
 #[derive(Debug)]
-pub struct PlayedSchedule {
+pub struct ScheduleResult {
     /// What happened.
     pub totals: Totals,
     /// Violated invariants.
@@ -72,7 +72,7 @@
 }
 
 /// Plays the schedule of a seed.
-pub fn play(seed: u64, defect: Option<Defect>) -> PlayedSchedule {
+pub fn run_schedule(seed: u64, defect: Option<Defect>) -> ScheduleResult {
     let mut schedule = Schedule::new(seed, defect);
     schedule.set_up();
     while schedule.violations.is_empty() && schedule.now < FAULT_STEPS {
@@ -108,7 +108,7 @@
     }
 
     /// Checks the history and sums up.
-    fn into_result(mut self) -> PlayedSchedule {
+    fn into_result(mut self) -> ScheduleResult {
         let mut history = std::mem::take(&mut self.history);
         history.calls = std::mem::take(&mut *self.calls.lock().unwrap_or_else(PoisonError::into_inner));
         history.reader_updates = self.readers.take_updates();
@@ -116,7 +116,7 @@
         if self.violations.is_empty() {
             self.violations = check(&history);
         }
-        PlayedSchedule {
+        ScheduleResult {
             totals: totals(&history, self.faults),
             violations: self.violations,
             timeline: self.timeline,
--- a/crates/registry/tests/explore.rs
+++ b/crates/registry/tests/explore.rs
@@ -1,6 +1,6 @@
 //! Random schedules of faults over three replicas, in simulated time; `lotusmoor registry explore` plays thousands.
 
-use lotusmoor_registry::explore::{Defect, explore, play};
+use lotusmoor_registry::explore::{Defect, explore, run_schedule};
 
 fn threads() -> usize {
     std::thread::available_parallelism().map_or(2, usize::from)
@@ -38,7 +38,7 @@
 #[test]
 fn schedule_is_determined_by_its_seed() {
     for seed in 1..=4 {
-        let (one, two) = (play(seed, None), play(seed, None));
+        let (one, two) = (run_schedule(seed, None), run_schedule(seed, None));
         assert_eq!(one.timeline, two.timeline);
         assert_eq!(
             (one.totals.answered_calls, one.totals.unanswered_calls),
