--- a/crates/registry/src/explore/check/order.rs
+++ b/crates/registry/src/explore/check/order.rs
@@ -17,18 +17,18 @@
     }
 }
 
-/// An index that was observed at a time.
+/// An index with the start or end of a call that bounds when the index came to exist.
 struct IndexAt {
     at: Step,
     index: u64,
 }
 
-/// What calls tell about the indexes that existed at a time.
+/// Bounds on the indexes that existed at a time, as calls show them.
 struct Bounds {
     first_index: u64,
-    /// Indexes that existed for certain.
+    /// Indexes that calls returned, by the end of the call: from then on they existed for certain.
     reached: Vec<IndexAt>,
-    /// Indexes that were requested only then.
+    /// Indexes of acknowledged changes, by the start of the call: before it they did not exist.
     requested: Vec<IndexAt>,
 }
 
@@ -58,13 +58,14 @@
     }
 
     /// The highest index that existed for certain before a step.
-    fn least(&self, step: Step) -> u64 {
+    fn lower(&self, step: Step) -> u64 {
         let before = self.reached.iter().filter(|seen| seen.at < step).map(|seen| seen.index);
         before.max().unwrap_or(self.first_index)
     }
 
-    /// The lowest index that was requested only after a step.
-    fn most(&self, step: Step) -> u64 {
+    /// The lowest index that was requested only after a step; `u64::MAX` if there is none. Indexes that existed at the step
+    /// are below it.
+    fn upper(&self, step: Step) -> u64 {
         let after = self.requested.iter().filter(|seen| seen.at > step).map(|seen| seen.index);
         after.min().unwrap_or(u64::MAX)
     }
@@ -80,35 +81,35 @@
 
 impl CallCheck<'_> {
     fn check(&mut self, completion: &Completion) {
-        let least = self.bounds.least(self.call.started_at);
-        let most = self.bounds.most(completion.at);
+        let lower = self.bounds.lower(self.call.started_at);
+        let upper = self.bounds.upper(completion.at);
         match (&self.call.operation, &completion.result) {
             (Operation::Write { name, expect, .. }, CallResult::Written { version, changed }) => {
                 let index = version.index;
-                if index < least || index >= most && *changed || index > most {
-                    self.report(OrderViolation::Write { name: name.clone(), index, least, most });
+                if index < lower || index >= upper && *changed || index > upper {
+                    self.report(OrderViolation::Write { name: name.clone(), index, lower, upper });
                 }
                 self.check_condition(name, expect.filter(|_| *changed), index);
             }
             (Operation::Write { name, .. }, CallResult::IndexMismatch(found))
-                if !was_at(self.history, name, least, most, *found) =>
+                if !was_at(self.history, name, lower, upper, *found) =>
             {
                 let (name, found) = (name.clone(), *found);
-                self.report(OrderViolation::WrongMismatch { name, found, least, most });
+                self.report(OrderViolation::WrongMismatch { name, found, lower, upper });
             }
             (Operation::Write { name, .. }, CallResult::NotListed)
-                if !was_at(self.history, name, least, most, 0) =>
+                if !was_at(self.history, name, lower, upper, 0) =>
             {
-                self.report(OrderViolation::WasListed { name: name.clone(), least, most });
+                self.report(OrderViolation::WasListed { name: name.clone(), lower, upper });
             }
             (Operation::LinearizableRead, CallResult::Read { version, .. }) => {
                 let index = version.index;
-                if index < least || index >= most {
-                    self.report(OrderViolation::Read { index, least, most });
+                if index < lower || index >= upper {
+                    self.report(OrderViolation::Read { index, lower, upper });
                 }
             }
             (Operation::LocalRead { .. }, CallResult::Read { version, age, .. }) => {
-                self.check_local_read(*version, *age, most);
+                self.check_local_read(*version, *age, upper);
             }
             _ => {}
         }
@@ -123,14 +124,14 @@
         }
     }
 
-    fn check_local_read(&mut self, version: Version, age: Step, most: u64) {
+    fn check_local_read(&mut self, version: Version, age: Step, upper: u64) {
         // The age is as of when the answer was made, which is no earlier than the start of the call.
         let complete_as_of = self.call.started_at.saturating_sub(age + AGE_TOLERANCE);
-        if version.index < self.bounds.least(complete_as_of) {
+        if version.index < self.bounds.lower(complete_as_of) {
             self.violations.push(Violation::AgeExceeded { version, age });
         }
-        if version.index >= most {
-            self.report(OrderViolation::ReadFuture { index: version.index, requested: most });
+        if version.index >= upper {
+            self.report(OrderViolation::ReadFuture { index: version.index, requested: upper });
         }
     }
 
@@ -147,9 +148,9 @@
 }
 
 /// Whether an endpoint's last change was at `found` at some point in a range of indexes.
-fn was_at(history: &History, name: &str, least: u64, most: u64, found: u64) -> bool {
+fn was_at(history: &History, name: &str, lower: u64, upper: u64, found: u64) -> bool {
     let is_within =
-        |change: &&ListedChange| change.name == name && change.index > least && change.index < most;
+        |change: &&ListedChange| change.name == name && change.index > lower && change.index < upper;
     let points = history.changes.iter().filter(is_within).map(|change| change.index);
-    std::iter::once(least).chain(points).any(|point| last_change(history, name, point) == found)
+    std::iter::once(lower).chain(points).any(|point| last_change(history, name, point) == found)
 }
--- a/crates/registry/src/explore/check/tests.rs
+++ b/crates/registry/src/explore/check/tests.rs
@@ -1,11 +1,11 @@
-//! The invariants, on a history that holds and on altered ones.
+//! The checks, on a valid history and on altered copies of it.
 
 use super::*;
 use crate::explore::clock::Step;
 use crate::explore::history::{Call, CallResult, Completion, ListedChange, Observation, Operation};
 use lotusmoor_registry_client::{Status, Version};
 
-fn v(index: u64) -> Version {
+fn version(index: u64) -> Version {
     Version { epoch: 1, index }
 }
 
@@ -15,11 +15,11 @@
 }
 
 fn written(name: &str, started_at: Step, at: Step, index: u64) -> Call {
-    write(name, started_at, at, CallResult::Written { version: v(index), changed: true })
+    write(name, started_at, at, CallResult::Written { version: version(index), changed: true })
 }
 
 fn read(operation: Operation, started_at: Step, at: Step, index: u64, age: Step) -> Call {
-    let result = CallResult::Read { version: v(index), digest: index, age };
+    let result = CallResult::Read { version: version(index), digest: index, age };
     Call { operation, started_at, completion: Some(Completion { at, result }) }
 }
 
@@ -27,7 +27,7 @@
     ListedChange { index, name: name.into(), status: Status::Active, expired: false }
 }
 
-fn good() -> History {
+fn valid_history() -> History {
     History {
         calls: vec![
             written("a", 1, 5, 101),
@@ -38,22 +38,27 @@
         ],
         changes: vec![change(101, "a"), change(102, "b")],
         first_index: 100,
-        observations: vec![Observation { replica: 1, at: 20, version: v(102), digest: 102 }],
+        observations: vec![Observation { replica: 1, at: 20, version: version(102), digest: 102 }],
         reader_updates: Vec::new(),
     }
 }
 
 #[test]
 fn valid_history_passes_and_each_altered_one_violates_its_invariant() {
-    assert_eq!(check(&good()), []);
+    assert_eq!(check(&valid_history()), []);
     let altered = |change: fn(&mut History)| {
-        let mut history = good();
+        let mut history = valid_history();
         change(&mut history);
         check(&history)
     };
     assert_eq!(
-        altered(|h| h.observations.push(Observation { replica: 3, at: 21, version: v(102), digest: 7 })),
-        [Violation::ContentsDiffer(v(102))]
+        altered(|h| h.observations.push(Observation {
+            replica: 3,
+            at: 21,
+            version: version(102),
+            digest: 7
+        })),
+        [Violation::ContentsDiffer(version(102))]
     );
     assert_eq!(altered(|h| drop(h.changes.pop())), [Violation::LostWrite { index: 102, name: "b".into() }]);
     assert_eq!(
@@ -62,26 +67,26 @@
     );
     assert_eq!(
         altered(|h| h.calls.push(read(Operation::LocalRead { replica: 2 }, 30, 31, 101, 25))),
-        [Violation::ReadsWentBack { replica: 2, from: v(102), to: v(101) }]
+        [Violation::ReadsWentBack { replica: 2, from: version(102), to: version(101) }]
     );
     assert_eq!(
         altered(|h| h.calls.push(read(Operation::LocalRead { replica: 3 }, 30, 31, 101, 5))),
-        [Violation::AgeExceeded { version: v(101), age: 5 }]
+        [Violation::AgeExceeded { version: version(101), age: 5 }]
     );
-    let stale = altered(|h| h.calls.push(read(Operation::LinearizableRead, 30, 31, 101, 0)));
-    assert!(matches!(&stale[..], [Violation::Order(_)]), "{stale:?}");
-    let twice = altered(|h| h.calls.push(written("b", 6, 9, 102)));
-    assert!(twice.contains(&Violation::DuplicateIndex(102)), "{twice:?}");
-    // A write that was asked for after another had ended can't come before it.
-    let order = altered(|h| {
+    let stale_read = altered(|h| h.calls.push(read(Operation::LinearizableRead, 30, 31, 101, 0)));
+    assert!(matches!(&stale_read[..], [Violation::Order(_)]), "{stale_read:?}");
+    let duplicate = altered(|h| h.calls.push(written("b", 6, 9, 102)));
+    assert!(duplicate.contains(&Violation::DuplicateIndex(102)), "{duplicate:?}");
+    // A write that was requested after another one had completed cannot be ordered before it.
+    let reversed = altered(|h| {
         h.calls[0] = written("a", 10, 12, 101);
         h.calls[1] = written("b", 1, 3, 102);
     });
-    assert!(order.iter().any(|b| matches!(b, Violation::Order(_))), "{order:?}");
-    let expected = altered(|h| h.calls.push(write("a", 20, 21, CallResult::IndexMismatch(99))));
-    assert!(matches!(&expected[..], [Violation::Order(_)]), "{expected:?}");
-    let absent = altered(|h| h.calls.push(write("a", 20, 21, CallResult::NotListed)));
-    assert!(matches!(&absent[..], [Violation::Order(_)]), "{absent:?}");
-    // What was true while the call was under way is fine.
+    assert!(reversed.iter().any(|b| matches!(b, Violation::Order(_))), "{reversed:?}");
+    let wrong_mismatch = altered(|h| h.calls.push(write("a", 20, 21, CallResult::IndexMismatch(99))));
+    assert!(matches!(&wrong_mismatch[..], [Violation::Order(_)]), "{wrong_mismatch:?}");
+    let wrong_not_listed = altered(|h| h.calls.push(write("a", 20, 21, CallResult::NotListed)));
+    assert!(matches!(&wrong_not_listed[..], [Violation::Order(_)]), "{wrong_not_listed:?}");
+    // A result that was true at some point during the call is valid.
     assert_eq!(altered(|h| h.calls.push(write("a", 0, 2, CallResult::NotListed))), []);
 }
--- a/crates/registry/src/explore/disk.rs
+++ b/crates/registry/src/explore/disk.rs
@@ -1,4 +1,4 @@
-//! A simulated disk. It can be full, and in a crash it loses any part of what was not synced, as real disks write in any
+//! A simulated disk. It can be full, and in a crash it loses any part of the unsynced writes, as real disks write in any
 //! order.
 
 use rand::RngExt;
@@ -9,7 +9,7 @@
 
 /// The probability that a crash loses an unsynced write.
 const LOSS_PROBABILITY: f64 = 0.5;
-/// The probability that a crash cuts off an unsynced write that is not lost.
+/// The probability that a crash truncates (tears) an unsynced write that is not lost.
 const TEAR_PROBABILITY: f64 = 0.2;
 
 /// A write since the last sync.
@@ -28,7 +28,7 @@
     full: bool,
     /// Whether syncs do nothing, as on a defective disk.
     ignores_syncs: bool,
-    /// The number of crashes. A process of an earlier incarnation can no longer use the disk.
+    /// The number of crashes. A process of an earlier incarnation has no access to the disk any more.
     incarnation: u64,
 }
 
@@ -104,7 +104,7 @@
     fn state(&self) -> io::Result<MutexGuard<'_, State>> {
         let state = self.disk.state();
         if state.incarnation != self.incarnation {
-            return Err(io::Error::other("the process is gone"));
+            return Err(io::Error::other("the process has crashed"));
         }
         Ok(state)
     }
--- a/crates/registry/src/explore/mod.rs
+++ b/crates/registry/src/explore/mod.rs
@@ -1,4 +1,4 @@
-//! Fault exploration: replicas run the registry's own code, log and store included, under random faults on simulated
+//! Fault exploration: replicas run the registry's own code, including its log and store, under random faults on simulated
 //! clocks, and their history is checked.
 //!
 //! Each replica has its own runtime with a paused clock; all are stepped in turn on one thread. A suspended replica is
@@ -25,7 +25,7 @@
 
 use std::sync::atomic::{AtomicU64, Ordering};
 
-/// How much happened in one or several schedules.
+/// Counts of the events of one or several schedules.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct Totals {
     /// Calls with a known result.
@@ -34,7 +34,7 @@
     pub unanswered_calls: u64,
     /// Injected faults.
     pub faults: u64,
-    /// Updates that readers of services got.
+    /// Updates that readers of services received.
     pub reader_updates: u64,
     /// Updates for which a waiting reader was woken.
     pub woken_readers: u64,
@@ -53,9 +53,9 @@
 /// The result of exploring many schedules.
 #[derive(Debug, Default)]
 pub struct Exploration {
-    /// The number of schedules played.
+    /// The number of schedules that were run.
     pub schedules: u64,
-    /// What happened in them.
+    /// Counts over all of them.
     pub totals: Totals,
     /// Violations, by seed.
     pub violations: Vec<SeedViolation>,
@@ -66,15 +66,15 @@
 pub struct SeedViolation {
     /// The seed.
     pub seed: u64,
-    /// A description for people.
+    /// The violation as text.
     pub description: String,
 }
 
 impl Exploration {
-    fn add_schedule(&mut self, seed: u64, played: ScheduleResult) {
+    fn add_schedule(&mut self, seed: u64, result: ScheduleResult) {
         self.schedules += 1;
-        self.totals.add(played.totals);
-        let violations = played.violations.iter();
+        self.totals.add(result.totals);
+        let violations = result.violations.iter();
         self.violations.extend(violations.map(|v| SeedViolation { seed, description: v.to_string() }));
     }
 
@@ -85,10 +85,10 @@
     }
 }
 
-/// Plays schedules of consecutive seeds on several threads.
+/// Runs the schedules of consecutive seeds on several threads.
 pub fn explore(first_seed: u64, schedules: u64, threads: usize, defect: Option<Defect>) -> Exploration {
     let next_seed = AtomicU64::new(first_seed);
-    let play_some = || {
+    let run_some = || {
         let mut exploration = Exploration::default();
         loop {
             let seed = next_seed.fetch_add(1, Ordering::Relaxed);
@@ -100,7 +100,7 @@
     };
     let mut all = Exploration::default();
     std::thread::scope(|scope| {
-        let threads: Vec<_> = (0..threads.max(1)).map(|_| scope.spawn(play_some)).collect();
+        let threads: Vec<_> = (0..threads.max(1)).map(|_| scope.spawn(run_some)).collect();
         for thread in threads {
             match thread.join() {
                 Ok(exploration) => all.merge(exploration),
--- a/crates/registry/src/explore/network.rs
+++ b/crates/registry/src/explore/network.rs
@@ -23,7 +23,7 @@
     pub rpc: Rpc,
     /// The encoded envelope.
     pub body: Vec<u8>,
-    /// Takes the answer.
+    /// Returns the answer to the caller.
     pub reply: oneshot::Sender<Answer>,
 }
 
@@ -31,7 +31,7 @@
 pub struct Response {
     /// The answer.
     pub answer: Answer,
-    /// Takes the answer.
+    /// Returns the answer to the caller.
     pub reply: oneshot::Sender<Answer>,
 }
 
@@ -135,16 +135,16 @@
         to: &Target,
         rpc: Rpc,
         body: Vec<u8>,
-        patience: Duration,
+        call_timeout: Duration,
     ) -> Result<Vec<u8>, CallError> {
         let (reply, answer) = oneshot::channel();
         let request = Request { from: self.replica, to: to.id, rpc, body, reply };
         self.network.send(self.replica, to.id, Message::Request(request));
-        match timeout(patience, answer).await {
+        match timeout(call_timeout, answer).await {
             Ok(Ok(answer)) => answer,
-            // The caller of a lost message waits in vain, like over a real network.
+            // The message was lost: the caller waits for its whole timeout, like over a real network.
             Ok(Err(_)) => {
-                tokio::time::sleep(patience).await;
+                tokio::time::sleep(call_timeout).await;
                 Err(CallError::NoAnswer("lost".into()))
             }
             Err(_) => Err(CallError::NoAnswer("no answer in time".into())),
--- a/crates/registry/src/explore/readers.rs
+++ b/crates/registry/src/explore/readers.rs
@@ -13,17 +13,17 @@
 use std::sync::{Arc, Mutex, MutexGuard, PoisonError};
 use tokio::time::timeout;
 
-/// The services of each reader. Nobody registers with "never".
+/// The services of each reader. No endpoint registers with "never".
 const READER_SERVICES: [&[&str]; 5] = [&["a"], &["b"], &["a", "b"], &["b", "c"], &["c", "never"]];
 /// The services that endpoints register with.
 const ENDPOINT_SERVICES: [Option<&str>; 4] = [Some("a"), Some("b"), Some("c"), None];
 /// The longest wait of a reader.
 const MAX_WAIT: Step = 300;
-/// How long after its wait a call is given up.
+/// How long after its wait a call is abandoned.
 const CALL_GRACE: Step = 20;
 /// The probability of a call in a step.
 const CALL_PROBABILITY: f64 = 0.1;
-/// Keeps the readers' random numbers apart from those of the schedule.
+/// Makes the readers' random numbers independent of those of the schedule.
 const SEED_MASK: u64 = 0x7365_7276;
 /// How far behind the list a reader has to be for [`Defect::UpdateFloorIsIgnored`].
 const IGNORED_FLOOR_DISTANCE: u64 = 3;
@@ -32,7 +32,7 @@
     services: Arc<[String]>,
     list: EndpointList,
     call_number: u64,
-    /// When its current call is given up; 0 if there is none.
+    /// When its current call is abandoned; 0 if there is none.
     call_deadline: Step,
 }
 
@@ -94,7 +94,7 @@
         })
     }
 
-    /// Lets every reader read once more, after the last fault.
+    /// Lets every reader read once more at the end of the schedule.
     pub(super) fn read_all<T: Transport>(&mut self, node: &Node<T>, defect: Option<Defect>) {
         for reader in &self.readers {
             lock(&self.updates).extend(lock(reader).read(node, None, defect));
--- a/crates/registry/src/explore/schedule.rs
+++ b/crates/registry/src/explore/schedule.rs
@@ -25,9 +25,9 @@
 
 /// The replicas' ids.
 const REPLICAS: RangeInclusive<u64> = 1..=3;
-/// Steps with faults.
+/// The number of steps in which faults are injected.
 const FAULT_STEPS: Step = 1500;
-/// Steps between observations of the replicas.
+/// Steps from one observation of the replicas to the next.
 const OBSERVATION_STEPS: Step = 20;
 /// The probability of a call in a step.
 const CALL_PROBABILITY: f64 = 0.1;
@@ -37,7 +37,7 @@
 const SLOW_NETWORK_PROBABILITY: f64 = 0.2;
 /// The longest delay in a fast network.
 const FAST_NETWORK_DELAY: Step = 2;
-/// Keeps the network's random numbers apart from those of the schedule.
+/// Makes the network's random numbers independent of those of the schedule.
 const NETWORK_SEED_MASK: u64 = 0x6e65_7477;
 
 /// The result of a schedule.
@@ -71,7 +71,7 @@
     readers: Readers,
 }
 
-/// Plays the schedule of a seed.
+/// Runs the schedule of a seed.
 pub fn run_schedule(seed: u64, defect: Option<Defect>) -> ScheduleResult {
     let mut schedule = Schedule::new(seed, defect);
     schedule.set_up();
@@ -107,7 +107,7 @@
         }
     }
 
-    /// Checks the history and sums up.
+    /// Checks the history and counts its events.
     fn into_result(mut self) -> ScheduleResult {
         let mut history = std::mem::take(&mut self.history);
         history.calls = std::mem::take(&mut *self.calls.lock().unwrap_or_else(PoisonError::into_inner));
@@ -168,7 +168,7 @@
 
     fn deliver_request(&self, request: Request) {
         let Some(running) = self.running(request.to) else {
-            // Nobody listens: the connection is refused.
+            // The replica is down: the connection is refused.
             let _ = request.reply.send(Err(CallError::NotSent("refused".into())));
             return;
         };
--- a/crates/registry/src/explore/schedule/calls.rs
+++ b/crates/registry/src/explore/schedule/calls.rs
@@ -15,10 +15,10 @@
 
 /// Endpoints that clients write.
 const ENDPOINTS: i32 = 4;
-/// The probability that a write is conditional on the endpoint being new, in a quarter of the writes.
+/// The probability, in a quarter of the writes, that a write expects the endpoint to be new.
 const EXPECT_NEW_PROBABILITY: f64 = 0.3;
 
-/// What a registering endpoint reports of itself.
+/// What a registering endpoint reports about itself.
 struct Process {
     started_ms: i64,
     service: Option<String>,
--- a/crates/registry/src/explore/schedule/faults.rs
+++ b/crates/registry/src/explore/schedule/faults.rs
@@ -13,7 +13,7 @@
 const LOSS: Range<f64> = 0.0..0.4;
 /// The probability of a crash of all replicas, rather than of a full disk.
 const COMMON_CRASH_PROBABILITY: f64 = 0.4;
-/// Steps for which a replica runs on a full disk before it ends.
+/// Steps for which a replica runs on a full disk before it is crashed.
 const FULL_DISK_STEPS: Step = 50;
 
 impl Schedule {
@@ -36,12 +36,12 @@
     }
 
     fn cut_link(&mut self, from: u64, to: u64) {
-        self.note(format!("cut {from} to {to}, one way"));
+        self.note(format!("the link from {from} to {to} is cut, one way"));
         self.network.state().cut(from, to);
     }
 
     fn isolate(&mut self, id: u64) {
-        self.note(format!("replica {id} is cut off"));
+        self.note(format!("replica {id} is isolated"));
         for other in REPLICAS.filter(|other| *other != id) {
             self.network.state().cut(id, other);
             self.network.state().cut(other, id);
@@ -49,18 +49,18 @@
     }
 
     fn heal_network(&mut self) {
-        self.note("all links are whole".into());
+        self.note("the network is healed".into());
         self.network.state().heal();
     }
 
     fn lose_messages(&mut self) {
         let loss = self.rng.random_range(LOSS);
-        self.note(format!("a share of {loss:.2} is lost"));
+        self.note(format!("the network loses a share of {loss:.2}"));
         self.network.state().set_loss(loss);
     }
 
     fn crash_for(&mut self, id: u64, steps: Step) {
-        self.note(format!("replica {id} crashes, for {steps} steps"));
+        self.note(format!("replica {id} crashes for {steps} steps"));
         self.crash(id);
         self.schedule_return(id, steps);
     }
@@ -69,7 +69,7 @@
         let Some(replica) = self.replicas.get_mut(&id) else { return };
         if replica.running.is_some() && !replica.is_suspended() {
             replica.suspended_for = Some(0);
-            self.note(format!("replica {id} is held for {steps} steps"));
+            self.note(format!("replica {id} is suspended for {steps} steps"));
             self.schedule_return(id, steps);
         }
     }
@@ -84,11 +84,11 @@
     }
 
     fn fill_disk(&mut self, id: u64, steps: Step) {
-        self.note(format!("the disk of {id} is full for {steps} steps"));
+        self.note(format!("the disk of replica {id} is full for {steps} steps"));
         if let Some(replica) = self.replicas.get(&id) {
             replica.disk.configure(true, self.disks_ignore_syncs());
         }
-        // A replica ends when its disk fails, and starts again once there is space.
+        // A replica whose disk fails ends, and starts again once there is space.
         self.schedule_return(id, steps);
         if self.running(id).is_some() {
             for _ in 0..FULL_DISK_STEPS {
--- a/crates/registry/src/explore/schedule/recovery.rs
+++ b/crates/registry/src/explore/schedule/recovery.rs
@@ -4,7 +4,7 @@
 use crate::core::Change;
 use crate::explore::clock::Step;
 use crate::explore::history::{CallResult, ListedChange, Observation};
-use crate::explore::violation::{RecoveryFailure, Violation};
+use crate::explore::violation::{ClusterFailure, Violation};
 use lotusmoor_registry_client::StatusReason;
 use std::sync::PoisonError;
 
@@ -42,7 +42,7 @@
             self.step();
         }
         if !self.is_write_answered_after(last_call_at - ANSWERED_STEPS) {
-            self.violations.push(Violation::NotRecovered(RecoveryFailure::NoWriteAnswered));
+            self.violations.push(Violation::ClusterFailed(ClusterFailure::NoWriteAnswered));
         }
         self.compare_replicas();
         if let Some(running) = self.replicas.get(&LAST_READ_REPLICA).and_then(|r| r.running.as_ref()) {
@@ -91,7 +91,7 @@
         }
         let is_same = |o: &Observation| (o.version, o.digest) == (last[0].version, last[0].digest);
         if last.len() != REPLICAS.count() || !last.iter().all(is_same) {
-            self.violations.push(Violation::NotRecovered(RecoveryFailure::ReplicasDiffer(last)));
+            self.violations.push(Violation::ClusterFailed(ClusterFailure::ReplicasDiffer(last)));
         }
     }
 }
--- a/crates/registry/src/explore/schedule/replica.rs
+++ b/crates/registry/src/explore/schedule/replica.rs
@@ -5,7 +5,7 @@
 use crate::explore::defect::Defect;
 use crate::explore::disk::{Disk, OpenDisk};
 use crate::explore::network::SimulatedTransport;
-use crate::explore::violation::{RecoveryFailure, Violation};
+use crate::explore::violation::{ClusterFailure, Violation};
 use crate::node::{Node, NodeError, Settings};
 use crate::store::{Format, Store, StoreError};
 use std::io;
@@ -15,9 +15,9 @@
 const POLLS_PER_STEP: usize = 30;
 /// Memory of a store's cache in bytes.
 const STORE_CACHE_BYTES: usize = 1 << 20;
-/// Log entries between snapshots: few, so that snapshots are part of what is explored.
+/// Log entries between snapshots: few, so that schedules cover snapshots.
 const SNAPSHOT_ENTRIES: u64 = 20;
-/// Log entries that are kept after a snapshot.
+/// Log entries that are retained after a snapshot.
 const RETAINED_ENTRIES: u64 = 5;
 /// Added to a replica's id for its identity.
 const IDENTITY_OFFSET: u64 = 100;
@@ -111,10 +111,10 @@
                 replica.running = Some(running);
                 return true;
             }
-            Err(StartError::Runtime(error)) => RecoveryFailure::Runtime { error: error.to_string() },
-            Err(error) => RecoveryFailure::ReplicaStart { replica: id, error: error.to_string() },
+            Err(StartError::Runtime(error)) => ClusterFailure::Runtime { error: error.to_string() },
+            Err(error) => ClusterFailure::ReplicaStart { replica: id, error: error.to_string() },
         };
-        self.violations.push(Violation::NotRecovered(failure));
+        self.violations.push(Violation::ClusterFailed(failure));
         false
     }
 
@@ -123,7 +123,7 @@
         let Some(replica) = self.replicas.get_mut(&id) else { return };
         replica.suspended_for = None;
         if let Some(RunningReplica { runtime, node }) = replica.running.take() {
-            // The disk first: whatever the process still does must have no effect on it.
+            // The disk first: what the process still writes while it shuts down must not reach it.
             replica.disk.crash(&mut self.rng);
             runtime.shutdown_background();
             drop(node);
@@ -136,12 +136,12 @@
         replica.returns_at = None;
         if let Some(steps) = replica.suspended_for.take() {
             if let Some(running) = &replica.running {
-                // Time went on while it was suspended.
+                // Its clock jumps by the time for which it was suspended.
                 running.runtime.block_on(tokio::time::advance(duration_of(steps)));
             }
-            self.note(format!("replica {id} goes on after {steps} steps"));
+            self.note(format!("replica {id} resumes after {steps} steps"));
         } else if replica.running.is_none() {
-            self.note(format!("replica {id} starts again"));
+            self.note(format!("replica {id} restarts"));
             self.start(id);
         }
     }
--- a/crates/registry/src/explore/schedule/setup.rs
+++ b/crates/registry/src/explore/schedule/setup.rs
@@ -3,7 +3,7 @@
 use super::{REPLICAS, Schedule};
 use crate::core::EPOCH_SHIFT;
 use crate::explore::clock::Step;
-use crate::explore::violation::{RecoveryFailure, Violation};
+use crate::explore::violation::{ClusterFailure, Violation};
 use crate::node::NodeError;
 use crate::raft::Replica;
 use std::error::Error;
@@ -49,17 +49,17 @@
                     return;
                 }
                 Some(Err(error)) => {
-                    let failure = RecoveryFailure::Bootstrap { error: error.to_string() };
-                    self.violations.push(Violation::NotRecovered(failure));
+                    let failure = ClusterFailure::Bootstrap { error: error.to_string() };
+                    self.violations.push(Violation::ClusterFailed(failure));
                     return;
                 }
                 None => {}
             }
         }
-        self.violations.push(Violation::NotRecovered(RecoveryFailure::BootstrapTimeout));
+        self.violations.push(Violation::ClusterFailed(ClusterFailure::BootstrapTimeout));
     }
 
-    /// Lets the first replica bootstrap the cluster; the result is there once it has ended.
+    /// Lets the first replica bootstrap the cluster; the result is set once that has ended.
     pub(super) fn bootstrap(&self) -> SetupResult {
         let setup = SetupResult::default();
         if let Some(running) = self.running(FIRST_REPLICA) {
--- a/crates/registry/src/explore/violation.rs
+++ b/crates/registry/src/explore/violation.rs
@@ -57,11 +57,11 @@
     WrongWakeup(Version, Vec<String>),
     /// A version has two contents for a set of services.
     ServiceContentsDiffer(Version, Vec<String>),
-    /// The replicas did not recover after the last fault.
-    NotRecovered(RecoveryFailure),
+    /// The cluster was not set up, or did not recover after the last fault.
+    ClusterFailed(ClusterFailure),
 }
 
-/// How an order of changes contradicts an observation. Ranges are of indexes.
+/// How an order of changes contradicts an observation. Ranges of indexes are from `lower` up to, but not including, `upper`.
 #[derive(Clone, Debug, PartialEq)]
 pub enum OrderViolation {
     /// A write has an index outside of the range that its start and end allow.
@@ -71,9 +71,9 @@
         /// The write's index.
         index: u64,
         /// The lowest allowed index.
-        least: u64,
-        /// The highest allowed index.
-        most: u64,
+        lower: u64,
+        /// The lowest index that was requested only after the call had ended.
+        upper: u64,
     },
     /// A conditional write succeeded although its condition did not hold.
     ConditionIgnored {
@@ -91,27 +91,27 @@
         /// The reported index.
         found: u64,
         /// The lowest allowed index.
-        least: u64,
-        /// The highest allowed index.
-        most: u64,
+        lower: u64,
+        /// The lowest index that was requested only after the call had ended.
+        upper: u64,
     },
     /// A write was refused as unknown although the endpoint was listed.
     WasListed {
         /// The endpoint's name.
         name: String,
         /// The lowest allowed index.
-        least: u64,
-        /// The highest allowed index.
-        most: u64,
+        lower: u64,
+        /// The lowest index that was requested only after the call had ended.
+        upper: u64,
     },
     /// A linearizable read has a version outside of the allowed range.
     Read {
         /// The index read.
         index: u64,
         /// The lowest allowed index.
-        least: u64,
-        /// The highest allowed index.
-        most: u64,
+        lower: u64,
+        /// The lowest index that was requested only after the call had ended.
+        upper: u64,
     },
     /// A read returned a change that was requested after the read had ended.
     ReadFuture {
@@ -122,29 +122,29 @@
     },
 }
 
-/// Why a schedule is not well at its start or end.
+/// Why the cluster was not set up, or did not recover after the last fault.
 #[derive(Clone, Debug, PartialEq)]
-pub enum RecoveryFailure {
-    /// A replica did not start; the text is the error.
+pub enum ClusterFailure {
+    /// A replica did not start.
     ReplicaStart {
         /// The replica's id.
         replica: u64,
         /// The error's text.
         error: String,
     },
-    /// No runtime could be created; the text is the error.
+    /// No runtime could be created.
     Runtime {
         /// The error's text.
         error: String,
     },
     /// The cluster was not bootstrapped in time.
     BootstrapTimeout,
-    /// The bootstrap failed; the text is the error.
+    /// The bootstrap failed.
     Bootstrap {
         /// The error's text.
         error: String,
     },
-    /// No write was answered.
+    /// No write was answered during the recovery.
     NoWriteAnswered,
     /// The replicas' lists differ.
     ReplicasDiffer(Vec<Observation>),
@@ -153,34 +153,37 @@
 impl fmt::Display for Violation {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         match self {
-            Self::ContentsDiffer(version) => write!(f, "two contents of version {version}"),
+            Self::ContentsDiffer(version) => write!(f, "version {version} has two contents"),
             Self::ReadsWentBack { replica, from, to } => {
-                write!(f, "replica {replica} went back from {from} to {to}")
+                write!(f, "reads of replica {replica} went back from {from} to {to}")
             }
             Self::LostWrite { index, name } => {
-                write!(f, "the acknowledged change {index} of {name} is lost")
+                write!(f, "the acknowledged write of {name} at index {index} is lost")
             }
-            Self::DuplicateIndex(index) => write!(f, "two writes were acknowledged at {index}"),
-            Self::Order(order) => write!(f, "not in order: {order}"),
+            Self::DuplicateIndex(index) => write!(f, "two writes were acknowledged at index {index}"),
+            Self::Order(order) => write!(f, "not linearizable: {order}"),
             Self::UnrequestedChange { index, name } => {
-                write!(f, "nobody asked for change {index} of {name}")
+                write!(f, "nobody requested the change of {name} at index {index}")
             }
             Self::AgeExceeded { version, age } => {
-                write!(f, "a read of {version} is older than the {age} steps that it says")
+                write!(f, "a read of {version} is older than its reported age of {age} steps")
             }
             Self::ForeignEndpoint { version, name } => {
-                write!(f, "{name} was told at {version} to a reader of other services")
+                write!(f, "{name} was sent at {version} to a reader of other services")
             }
             Self::ReaderOutOfSync(version, services) => {
-                write!(f, "a reader of {services:?} does not have the list's part of {version}")
+                write!(f, "the list of a reader of {services:?} differs from the replica's at {version}")
             }
             Self::WrongWakeup(version, services) => {
-                write!(f, "a reader of {services:?} was woken for nothing or not for news at {version}")
+                write!(
+                    f,
+                    "a reader of {services:?} was woken without a change, or not woken by one, at {version}"
+                )
             }
             Self::ServiceContentsDiffer(version, services) => {
-                write!(f, "two contents of version {version} for {services:?}")
+                write!(f, "version {version} has two contents for {services:?}")
             }
-            Self::NotRecovered(failure) => write!(f, "not well after all faults: {failure}"),
+            Self::ClusterFailed(failure) => write!(f, "the cluster failed: {failure}"),
         }
     }
 }
@@ -188,37 +191,43 @@
 impl fmt::Display for OrderViolation {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         match self {
-            Self::Write { name, index, least, most } => {
-                write!(f, "write of {name} at {index} in {least} to {most}")
+            Self::Write { name, index, lower, upper } => {
+                write!(f, "write of {name} at {index}, outside of {lower}..{upper}")
             }
             Self::ConditionIgnored { name, expected, found } => {
-                write!(f, "{name} was expected at {expected} and was at {found}")
+                write!(f, "a write of {name} expected index {expected} and succeeded at {found}")
             }
-            Self::WrongMismatch { name, found, least, most } => {
-                write!(f, "{name} was not at {found} in {least} to {most}")
+            Self::WrongMismatch { name, found, lower, upper } => {
+                write!(
+                    f,
+                    "a write was refused as {name} was at index {found}, which it was not within {lower}..{upper}"
+                )
             }
-            Self::WasListed { name, least, most } => {
-                write!(f, "{name} was always there in {least} to {most}")
+            Self::WasListed { name, lower, upper } => {
+                write!(
+                    f,
+                    "a write was refused as {name} was unknown, but it was listed throughout {lower}..{upper}"
+                )
             }
-            Self::Read { index, least, most } => write!(f, "read of {index} in {least} to {most}"),
+            Self::Read { index, lower, upper } => write!(f, "read at {index}, outside of {lower}..{upper}"),
             Self::ReadFuture { index, requested } => {
-                write!(f, "read of {index} before {requested} was asked for")
+                write!(f, "read at {index}, though {requested} was requested only later")
             }
         }
     }
 }
 
-impl fmt::Display for RecoveryFailure {
+impl fmt::Display for ClusterFailure {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         match self {
             Self::ReplicaStart { replica, error } => write!(f, "replica {replica} does not start: {error}"),
-            Self::Runtime { error } => write!(f, "no runtime: {error}"),
-            Self::BootstrapTimeout => write!(f, "not founded"),
-            Self::Bootstrap { error } => write!(f, "not founded: {error}"),
-            Self::NoWriteAnswered => write!(f, "no write is answered"),
+            Self::Runtime { error } => write!(f, "cannot create a runtime: {error}"),
+            Self::BootstrapTimeout => write!(f, "not bootstrapped in time"),
+            Self::Bootstrap { error } => write!(f, "bootstrap failed: {error}"),
+            Self::NoWriteAnswered => write!(f, "no write was answered after the last fault"),
             Self::ReplicasDiffer(replicas) => {
                 let versions: Vec<_> = replicas.iter().map(|r| (r.replica, r.version, r.digest)).collect();
-                write!(f, "replicas differ: {versions:?}")
+                write!(f, "the replicas' lists differ: {versions:?}")
             }
         }
     }
