--- a/crates/fleet/src/soak/mod.rs
+++ b/crates/fleet/src/soak/mod.rs
@@ -1,6 +1,6 @@
-//! The randomized fault soak: real sidecars, servers and a discovery on loopback, with two or three troubles that meet
-//! in time, and the protocol's rules checked over all that was seen. A seed draws the fleet, its settings and the
-//! troubles; a failing one can be played again, and be shrunk to the troubles that it needs.
+//! The randomized fault soak: runs real sidecars, servers and a discovery on loopback, injects groups of two or three faults
+//! that overlap in time, and checks the protocol's rules over the history. A seed determines the fleet, its settings and the
+//! faults; a failing plan can be run again, and be shrunk to the faults that it needs to fail.
 
 mod extra_faults;
 mod plan;
@@ -12,18 +12,18 @@
 
 use crate::harness::ClusterError;
 
-/// Drops troubles one after the other for as long as the run still fails; gives what is left, with the last failure.
-/// Each trouble is left out `plays` times before it counts as not needed to fail.
-pub fn shrink(plan: &Plan, failure: ClusterError, plays: usize) -> (Plan, ClusterError) {
-    let (mut least, mut failure) = (plan.clone(), failure);
+/// Drops faults one after the other for as long as the run still fails; returns the remaining plan with the last failure.
+/// A fault is kept if the plan without it passes `attempts` times.
+pub fn shrink(plan: &Plan, failure: ClusterError, attempts: usize) -> (Plan, ClusterError) {
+    let (mut smallest, mut failure) = (plan.clone(), failure);
     let mut at = 0;
-    while at < least.windows.len() {
-        let mut without = least.clone();
-        without.windows.remove(at);
-        match (0..plays).find_map(|_| run_plan(&without).err()) {
-            Some(error) => (least, failure) = (without, error),
+    while at < smallest.windows.len() {
+        let mut candidate = smallest.clone();
+        candidate.windows.remove(at);
+        match (0..attempts).find_map(|_| run_plan(&candidate).err()) {
+            Some(error) => (smallest, failure) = (candidate, error),
             None => at += 1,
         }
     }
-    (least, failure)
+    (smallest, failure)
 }
--- a/crates/fleet/src/soak/plan.rs
+++ b/crates/fleet/src/soak/plan.rs
@@ -1,4 +1,4 @@
-//! What a run of the soak is: a fleet, and troubles on one timeline, all drawn from a seed.
+//! The plan of a run of the soak: a fleet, and faults on a timeline, all drawn from a seed.
 
 use super::extra_faults::SeriesSignal;
 use crate::chance::stream;
@@ -11,180 +11,189 @@
 use serde::{Deserialize, Serialize};
 use serde_json::json;
 
-/// Troubles meet at some moments of a run: so many, and so many troubles at each.
-const MEETINGS: std::ops::RangeInclusive<usize> = 2..=3;
-const AT_EACH: std::ops::RangeInclusive<usize> = 2..=3;
-/// The first meeting, in milliseconds, and the time from one to the next.
-const QUIET_MS: [u64; 2] = [500, 4_000];
-const BETWEEN_MS: std::ops::Range<u64> = 1_500..3_500;
+/// Faults come in groups, so that they overlap: the number of groups in a run.
+const FAULT_GROUPS: std::ops::RangeInclusive<usize> = 2..=3;
+/// Faults of a group.
+const FAULTS_PER_GROUP: std::ops::RangeInclusive<usize> = 2..=3;
+/// When the first group begins, in milliseconds: one of these.
+const FIRST_GROUP_AT_MS: [u64; 2] = [500, 4_000];
+/// The time from one group to the next, in milliseconds.
+const GROUP_INTERVAL_MS: std::ops::Range<u64> = 1_500..3_500;
 
-/// One trouble.
+/// A fault. Those that last end with their [`FaultWindow`].
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum Fault {
-    /// A sidecar is killed, and starts again at its end.
+    /// Kills a sidecar, and starts it again at the end of the window.
     KillSidecar(usize),
-    /// A sidecar is told to stop, and starts again once it has ended.
+    /// Stops a sidecar with SIGTERM, and starts it again once it has ended.
     StopSidecar(usize),
-    /// Sidecars are told to stop, one after the other.
+    /// Stops several sidecars like [`Self::StopSidecar`], one after the other.
     #[serde(rename = "roll_sidecars")]
     StopSidecars(Vec<usize>),
-    /// A sidecar reads a new configuration, twice in a row where that is said, with a file that can't be read for a
-    /// while where that is said.
+    /// Makes a sidecar reload a new configuration.
     ReloadSidecar {
-        /// Which.
+        /// Which sidecar.
         sidecar: usize,
-        /// Twice in a row.
+        /// Whether it reloads twice in a row.
         twice: bool,
-        /// The file can't be read for so long, in milliseconds.
+        /// How long the file cannot be read, in milliseconds; 0 if it can.
         unreadable_ms: u64,
     },
-    /// A sidecar stands still.
+    /// Pauses a sidecar with SIGSTOP.
     #[serde(rename = "hold_sidecar")]
     PauseSidecar(usize),
-    /// Calls of a sidecar to the system fail.
+    /// Makes system calls of a sidecar fail.
     #[serde(rename = "calls")]
     FailSystemCalls {
         /// Which sidecar.
         sidecar: usize,
-        /// The place of the call in [`Call::ALL`].
+        /// The index of the call in [`Call::ALL`].
         call: usize,
-        /// The error; 0 for short counts.
+        /// The error number; 0 for short reads and writes.
         errno: i32,
-        /// One in so many.
+        /// One in this many calls fails.
         every: u64,
     },
-    /// The wall clock of a sidecar steps, and back at its end.
+    /// Steps the wall clock of a sidecar, and steps it back at the end of the window.
     #[serde(rename = "wall_clock")]
     StepWallClock {
         /// Which sidecar.
         sidecar: usize,
-        /// By how much it is ahead.
+        /// How far the clock is ahead, in microseconds; negative if it is behind.
         ahead_us: i64,
     },
-    /// A server drains, and is back at its end.
+    /// Drains a server, and returns it to service at the end of the window.
     #[serde(rename = "drain")]
     DrainServer(usize),
-    /// A server is killed, and back cold at its end.
+    /// Kills a server, and starts it again, with its warm-up, at the end of the window.
     KillServer(usize),
-    /// A server stands still.
+    /// Pauses a server with SIGSTOP.
     #[serde(rename = "hold_server")]
     PauseServer(usize),
     /// A server misbehaves.
     Misbehaves {
-        /// Which.
+        /// Which server.
         server: usize,
-        /// How.
+        /// How it behaves.
         conduct: Conduct,
     },
-    /// Discovery says nothing.
+    /// Discovery answers nothing.
     #[serde(rename = "silence")]
     DiscoveryOutage,
-    /// The link of a sidecar to a server is bad.
+    /// Impairs the link from a sidecar to a server.
     Link {
         /// Which sidecar.
         sidecar: usize,
         /// Which server.
         server: usize,
-        /// How.
+        /// How the link is impaired.
         kind: LinkKind,
     },
-    /// All connections of a sidecar to servers are reset.
+    /// Resets all connections of a sidecar to servers.
     #[serde(rename = "resets")]
     ResetConnections(usize),
-    /// A new process of a sidecar takes over.
+    /// Hands a sidecar over to a new process.
     HandOver(usize),
-    /// Operators take a server out at a sidecar, and give it back at its end.
+    /// Operators cordon a server at a sidecar, and uncordon it at the end of the window.
     Cordon {
         /// Which sidecar.
         sidecar: usize,
         /// Which server.
         server: usize,
     },
-    /// Operators drain a sidecar, which serves again at its end.
+    /// Operators drain a sidecar, and resume it at the end of the window.
     #[serde(rename = "quiesce")]
     DrainSidecar(usize),
-    /// Clients write long bodies as far as the system takes them, and close.
-    LeavingBodies {
+    /// Clients send long bodies until the socket buffers are full, and close.
+    #[serde(rename = "leaving_bodies")]
+    AbortUploads {
         /// Which sidecar.
         sidecar: usize,
-        /// How many.
+        /// How many clients.
         count: usize,
     },
-    /// A sidecar gets signals in series, and starts again if it was to stop.
+    /// Sends a series of signals to a sidecar, and starts it again if one of them stopped it.
     SignalSeries {
         /// Which sidecar.
         sidecar: usize,
-        /// The signals, by their time.
+        /// The signals, ordered by time.
         signals: Vec<SeriesSignal>,
     },
-    /// From its start on, a sidecar logs to a pipe whose reader stands still.
-    UnreadLog(usize),
-    /// The same with a reader that is gone.
-    LostLog(usize),
-    /// Peers that are no clients connect to a sidecar, and stay.
+    /// From its start on, a sidecar logs to a pipe whose reader is stalled.
+    #[serde(rename = "unread_log")]
+    StalledLogReader(usize),
+    /// From its start on, a sidecar logs to a pipe whose reader is gone.
+    #[serde(rename = "lost_log")]
+    ClosedLogPipe(usize),
+    /// Malformed clients connect to a sidecar, and stay connected.
     #[serde(rename = "strangers")]
     MalformedClients {
         /// Which sidecar.
         sidecar: usize,
-        /// How many.
+        /// How many clients.
         count: usize,
     },
 }
 
-/// How a link is bad.
+/// How a link is impaired.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum LinkKind {
-    /// Nothing passes.
+    /// Nothing passes in either direction.
     Cut,
-    /// Nothing comes back.
+    /// Nothing passes from the server to the sidecar.
     #[serde(rename = "cut_back")]
     CutResponses,
-    /// All takes a while longer.
+    /// Latency is higher.
     Slow,
-    /// Few bytes a second pass.
+    /// Bandwidth is low.
     Narrow,
-    /// Ends are not passed on.
+    /// Closes and resets by the server are not passed on.
     HalfOpen,
-    /// Answers stand still in their midst.
+    /// Responses stall partway.
     Stalls,
 }
 
-/// The most that a slow link delays what is sent, in milliseconds.
-pub const SLOW_MS: u64 = 60;
-/// A held sidecar stands still for no longer than this.
-const LONGEST_HOLD_MS: u64 = 150;
+/// The delay that a slow link adds at the most, in milliseconds.
+pub const SLOW_LINK_DELAY_MS: u64 = 60;
+/// The longest pause of a sidecar, in milliseconds.
+const MAX_PAUSE_MS: u64 = 150;
 
-/// Calls that always fail do so for a moment: who can't accept for longer can't answer in time.
-const LONGEST_OUTAGE_MS: u64 = 500;
+/// The longest time for which all system calls of a kind fail, in milliseconds: a sidecar that cannot accept for longer
+/// cannot answer in time.
+const MAX_CALL_OUTAGE_MS: u64 = 500;
 
-/// Share of plans in which the platform holds clients' sockets and passes them on, of those with servers that can be pushed
-/// over when they are cold, and of those with many sidecars.
-const PASSED: f64 = 0.4;
-const FEW_CORES: f64 = 0.4;
-const LARGE: f64 = 0.05;
-/// What a server of few cores works on at a time, how long it takes, and what such a fleet asks of it.
-const CORES: usize = 2;
-const SLOW_WORK_US: u64 = 30_000;
-/// Sidecars of a large fleet, and requests a second to each.
-const MOST_SIDECARS: usize = 40;
-const LITTLE_TRAFFIC: f64 = 4.0;
+/// The share of plans in which the platform holds the clients' sockets and passes them to processes.
+const SOCKET_PASSING_SHARE: f64 = 0.4;
+/// The share of plans with small servers, which can be overloaded while they warm up.
+const SMALL_SERVER_SHARE: f64 = 0.4;
+/// The share of plans with many sidecars.
+const LARGE_FLEET_SHARE: f64 = 0.05;
+/// Requests that a small server works on at a time.
+const SMALL_SERVER_CORES: usize = 2;
+/// How long a small server works on a request, in microseconds.
+const SMALL_SERVER_WORK_US: u64 = 30_000;
+/// Sidecars of a large fleet.
+const LARGE_FLEET_SIDECARS: usize = 40;
+/// Requests a second to each sidecar of a large fleet.
+const LARGE_FLEET_RATE: f64 = 4.0;
 
-/// A trouble and its time.
+/// A fault and its time.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct FaultWindow {
-    /// When it begins, in milliseconds from the first request on.
+    /// When the fault begins, in milliseconds after the first request.
     pub at_ms: u64,
-    /// How long it lasts.
+    /// How long it lasts, in milliseconds.
     pub lasts_ms: u64,
-    /// What it is.
+    /// The fault.
     #[serde(rename = "trouble")]
     pub fault: Fault,
 }
 
 impl FaultWindow {
-    /// The same with new versions in place of stops: a platform that holds the sockets stops no sidecar without one.
+    /// The window with hand-overs in place of stops, as a platform that holds the sockets never stops a sidecar without
+    /// starting a new process.
     fn with_hand_overs(self) -> Vec<Self> {
         let sidecars = match &self.fault {
             Fault::StopSidecar(sidecar) => vec![*sidecar],
@@ -196,51 +205,51 @@
     }
 }
 
-/// A run.
+/// The plan of a run.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct Plan {
-    /// What it was drawn from.
+    /// The seed from which it was drawn.
     pub seed: u64,
-    /// Sidecars.
+    /// The number of sidecars.
     pub sidecars: usize,
-    /// Servers.
+    /// The number of servers.
     pub servers: usize,
-    /// Replicas of a roster, which takes discovery's place; 0 for none.
+    /// The number of replicas of a registry, which takes the place of discovery; 0 for none.
     #[serde(rename = "rosters")]
     pub registry_replicas: usize,
-    /// Zones.
+    /// The number of zones.
     pub zones: usize,
-    /// Lists are pushed, or asked for.
+    /// Whether discovery pushes lists, rather than sidecars poll them.
     #[serde(rename = "pushed")]
     pub pushed_lists: bool,
-    /// How long clients wait, in milliseconds.
+    /// How long clients wait for an answer, in milliseconds.
     #[serde(rename = "wait_ms")]
     pub client_timeout_ms: u64,
-    /// For how long servers drop repeats of a key, in milliseconds.
+    /// How long servers drop requests that repeat an idempotency key, in milliseconds.
     #[serde(rename = "window_ms")]
     pub dedup_window_ms: i64,
     /// Requests a second to each sidecar.
     pub rate: f64,
-    /// Share of clients that close early.
+    /// The share of clients that close their connection early.
     #[serde(rename = "leaving")]
     pub early_close_share: f64,
-    /// Share of requests that may have one that come with a body.
+    /// Of the requests that may have a body, the share that has one.
     #[serde(default)]
     #[serde(rename = "bodies")]
     pub body_share: f64,
-    /// How servers behave at first: time for a request ...
+    /// How long servers work on a request unless they misbehave, in microseconds.
     pub work_us: u64,
-    /// ... and after which they close idle connections; 0 for never.
+    /// When servers close an idle connection unless they misbehave, in microseconds; 0 for never.
     #[serde(default)]
     pub idle_us: u64,
     /// Requests that a server works on at a time.
     #[serde(default = "many_cores")]
     pub cores: usize,
-    /// The platform holds clients' sockets, and passes them on from process to process.
+    /// Whether the platform holds the clients' sockets, and passes them from process to process.
     #[serde(default)]
     #[serde(rename = "passed")]
     pub socket_passing: bool,
-    /// The troubles, by their beginning.
+    /// The faults, ordered by start.
     pub windows: Vec<FaultWindow>,
 }
 
@@ -249,7 +258,7 @@
 }
 
 impl Plan {
-    /// Draws one.
+    /// Draws a plan from a seed, without the additional faults.
     pub fn draw(seed: u64) -> Self {
         let mut rng = stream(seed, "soak", 0);
         let mut plan = Self {
@@ -270,39 +279,39 @@
             socket_passing: false,
             windows: Vec::new(),
         };
-        let mut at = *QUIET_MS.choose(&mut rng).unwrap_or(&QUIET_MS[0]);
-        for _ in 0..rng.random_range(MEETINGS) {
-            let mut busy = Busy::default();
-            for _ in 0..rng.random_range(AT_EACH) {
-                let Some(fault) = plan.draw_trouble(&mut rng, &mut busy) else { continue };
-                // Within milliseconds of each other, most of them.
+        let mut at = *FIRST_GROUP_AT_MS.choose(&mut rng).unwrap_or(&FIRST_GROUP_AT_MS[0]);
+        for _ in 0..rng.random_range(FAULT_GROUPS) {
+            let mut targets = ExclusiveTargets::default();
+            for _ in 0..rng.random_range(FAULTS_PER_GROUP) {
+                let Some(fault) = plan.draw_fault(&mut rng, &mut targets) else { continue };
+                // Most faults of a group begin within milliseconds of each other.
                 let shift =
                     if rng.random_bool(0.7) { rng.random_range(0..15) } else { rng.random_range(0..400) };
                 let lasts_ms = match fault {
-                    Fault::PauseSidecar(_) => rng.random_range(20..=LONGEST_HOLD_MS),
-                    Fault::FailSystemCalls { every: 1, .. } => rng.random_range(20..=LONGEST_OUTAGE_MS),
+                    Fault::PauseSidecar(_) => rng.random_range(20..=MAX_PAUSE_MS),
+                    Fault::FailSystemCalls { every: 1, .. } => rng.random_range(20..=MAX_CALL_OUTAGE_MS),
                     _ => rng.random_range(200..2_500),
                 };
                 plan.windows.push(FaultWindow { at_ms: at + shift, lasts_ms, fault });
             }
-            at += rng.random_range(BETWEEN_MS);
+            at += rng.random_range(GROUP_INTERVAL_MS);
         }
-        plan.draw_operation(at);
+        plan.draw_fleet_and_operator_calls(at);
         plan.windows.sort_by_key(|w| w.at_ms);
         plan
     }
 
-    /// What came to the soak later, from chances of its own, so that a seed draws the same troubles as before beside it:
-    /// passed sockets with new versions in place of stops, operators' calls, servers that can be pushed over, large fleets.
-    fn draw_operation(&mut self, ends_ms: u64) {
+    /// Draws large fleets, small servers, socket passing with hand-overs in place of stops, and operators' calls. They come
+    /// from a random stream of their own, so that the other faults of a seed do not depend on them.
+    fn draw_fleet_and_operator_calls(&mut self, ends_ms: u64) {
         let mut rng = stream(self.seed, "soak operation", 0);
-        if rng.random_bool(LARGE) {
-            (self.sidecars, self.rate) = (MOST_SIDECARS, LITTLE_TRAFFIC);
+        if rng.random_bool(LARGE_FLEET_SHARE) {
+            (self.sidecars, self.rate) = (LARGE_FLEET_SIDECARS, LARGE_FLEET_RATE);
         }
-        if rng.random_bool(FEW_CORES) {
-            (self.cores, self.work_us) = (CORES, SLOW_WORK_US);
+        if rng.random_bool(SMALL_SERVER_SHARE) {
+            (self.cores, self.work_us) = (SMALL_SERVER_CORES, SMALL_SERVER_WORK_US);
         }
-        self.socket_passing = self.registry_replicas == 0 && rng.random_bool(PASSED);
+        self.socket_passing = self.registry_replicas == 0 && rng.random_bool(SOCKET_PASSING_SHARE);
         if self.socket_passing {
             let windows = std::mem::take(&mut self.windows);
             self.windows = windows.into_iter().flat_map(FaultWindow::with_hand_overs).collect();
@@ -314,51 +323,51 @@
                 1 => Fault::DrainSidecar(sidecar),
                 _ => Fault::Cordon { sidecar, server: rng.random_range(0..self.servers) },
             };
-            // Beside another trouble, where there is one.
-            let beside = self.windows.choose(&mut rng).map_or(ends_ms, |w| w.at_ms);
-            let at_ms = beside + rng.random_range(0..15);
+            // At the time of another fault, if there is one.
+            let fault_at_ms = self.windows.choose(&mut rng).map_or(ends_ms, |w| w.at_ms);
+            let at_ms = fault_at_ms + rng.random_range(0..15);
             self.windows.push(FaultWindow { at_ms, lasts_ms: rng.random_range(200..2_500), fault });
         }
     }
 
-    fn draw_trouble(&self, rng: &mut ChaCha8Rng, busy: &mut Busy) -> Option<Fault> {
+    fn draw_fault(&self, rng: &mut ChaCha8Rng, targets: &mut ExclusiveTargets) -> Option<Fault> {
         let sidecar = rng.random_range(0..self.sidecars);
         let server = rng.random_range(0..self.servers);
         let fault = match rng.random_range(0..22) {
-            0 => Fault::KillSidecar(busy.sidecar(sidecar)?),
-            1 | 2 => Fault::StopSidecar(busy.sidecar(sidecar)?),
+            0 => Fault::KillSidecar(targets.reserve_sidecar(sidecar)?),
+            1 | 2 => Fault::StopSidecar(targets.reserve_sidecar(sidecar)?),
             3 => {
-                let three = (0..3).map(|n| (sidecar + n) % self.sidecars);
-                Fault::StopSidecars(three.filter_map(|s| busy.sidecar(s)).collect())
+                let in_turn = (0..3).map(|n| (sidecar + n) % self.sidecars);
+                Fault::StopSidecars(in_turn.filter_map(|s| targets.reserve_sidecar(s)).collect())
             }
             4 | 5 if self.registry_replicas == 0 => Fault::ReloadSidecar {
-                sidecar: busy.sidecar(sidecar)?,
+                sidecar: targets.reserve_sidecar(sidecar)?,
                 twice: rng.random_bool(0.5),
                 unreadable_ms: if rng.random_bool(0.3) { 300 } else { 0 },
             },
             6 => Fault::PauseSidecar(sidecar),
             7..=10 => {
-                let (call, errno, every) = draw_calls(rng)?;
+                let (call, errno, every) = draw_failing_calls(rng)?;
                 Fault::FailSystemCalls { sidecar, call, errno, every }
             }
             11 => {
                 let steps = [3_600_000_000, -3_600_000_000, 5_000_000, -5_000_000];
                 Fault::StepWallClock { sidecar, ahead_us: *steps.choose(rng)? }
             }
-            12 | 13 => Fault::DrainServer(busy.server(server)?),
-            14 => Fault::KillServer(busy.server(server)?),
-            15 => Fault::PauseServer(busy.server(server)?),
+            12 | 13 => Fault::DrainServer(targets.reserve_server(server)?),
+            14 => Fault::KillServer(targets.reserve_server(server)?),
+            15 => Fault::PauseServer(targets.reserve_server(server)?),
             16 | 17 => {
-                let usual = self.conduct();
+                let normal = self.normal_conduct();
                 let conduct = match rng.random_range(0..6) {
-                    0 => Conduct { errors: 0.7, ..usual },
-                    1 => Conduct { silent: true, ..usual },
-                    2 => Conduct { resets: 0.6, ..usual },
-                    3 => Conduct { halves: 0.6, ..usual },
-                    4 => Conduct { turns_away: true, ..usual },
-                    _ => Conduct { first_byte_us: 400_000, ..usual },
+                    0 => Conduct { errors: 0.7, ..normal },
+                    1 => Conduct { silent: true, ..normal },
+                    2 => Conduct { resets: 0.6, ..normal },
+                    3 => Conduct { halves: 0.6, ..normal },
+                    4 => Conduct { turns_away: true, ..normal },
+                    _ => Conduct { first_byte_us: 400_000, ..normal },
                 };
-                Fault::Misbehaves { server: busy.server(server)?, conduct }
+                Fault::Misbehaves { server: targets.reserve_server(server)?, conduct }
             }
             18 if self.registry_replicas == 0 => Fault::DiscoveryOutage,
             19 => {
@@ -371,7 +380,7 @@
                     LinkKind::Stalls,
                 ];
                 let kind = match *kinds.choose(rng)? {
-                    // What a body waits for on a narrow link has no bound that the checker could allow for.
+                    // The time that an upload takes on a narrow link has no bound that the checker could allow for.
                     LinkKind::Narrow if self.body_share > 0.0 => LinkKind::Slow,
                     kind => kind,
                 };
@@ -383,25 +392,25 @@
         Some(fault)
     }
 
-    /// How servers behave when all is well.
-    pub fn conduct(&self) -> Conduct {
+    /// How servers behave unless they misbehave.
+    pub fn normal_conduct(&self) -> Conduct {
         Conduct { work_us: self.work_us, idle_us: self.idle_us, ..Conduct::default() }
     }
 
-    /// When the last trouble is over, in milliseconds.
+    /// When the last fault ends, in milliseconds.
     pub fn ends_ms(&self) -> u64 {
         self.windows.iter().map(|w| w.at_ms + w.lasts_ms).max().unwrap_or(0)
     }
 
-    /// The fleet that it is played on.
+    /// The shape of the cluster that the plan runs on.
     pub fn shape(&self) -> Shape {
         let mut shape = Shape::plain(self.sidecars, self.servers, self.registry_replicas, self.seed);
         shape.faults = true;
         shape.passed = self.socket_passing;
         shape.cores = self.cores;
         shape.unread_logs = self.unread_logs();
-        shape.slack = SLACK_US;
-        shape.conduct = self.conduct();
+        shape.slack = TIMING_TOLERANCE_US;
+        shape.conduct = self.normal_conduct();
         shape.zones = ["a", "b", "c"][..self.zones].iter().map(|z| (*z).to_owned()).collect();
         let settings = &mut shape.settings;
         if !self.pushed_lists && self.registry_replicas == 0 {
@@ -417,35 +426,36 @@
     }
 }
 
-/// What eight fleets of real processes on one machine may add to a rule's figure, in microseconds.
-const SLACK_US: i64 = 400_000;
+/// Tolerance of the rules' time limits, in microseconds: up to eight fleets of real processes run on one machine.
+const TIMING_TOLERANCE_US: i64 = 400_000;
 
-/// Sidecars and servers that have a trouble of their own at a meeting: one that is killed is not stopped as well.
+/// Sidecars and servers that already have an exclusive fault in a group: one that is killed is not stopped as well.
 #[derive(Default)]
-struct Busy {
+struct ExclusiveTargets {
     sidecars: Vec<usize>,
     servers: Vec<usize>,
 }
 
-impl Busy {
-    fn sidecar(&mut self, sidecar: usize) -> Option<usize> {
-        Self::first(&mut self.sidecars, sidecar)
+impl ExclusiveTargets {
+    fn reserve_sidecar(&mut self, sidecar: usize) -> Option<usize> {
+        Self::reserve(&mut self.sidecars, sidecar)
     }
 
-    fn server(&mut self, server: usize) -> Option<usize> {
-        Self::first(&mut self.servers, server)
+    fn reserve_server(&mut self, server: usize) -> Option<usize> {
+        Self::reserve(&mut self.servers, server)
     }
 
-    fn first(busy: &mut Vec<usize>, number: usize) -> Option<usize> {
-        (!busy.contains(&number)).then(|| {
-            busy.push(number);
+    fn reserve(targets: &mut Vec<usize>, number: usize) -> Option<usize> {
+        (!targets.contains(&number)).then(|| {
+            targets.push(number);
             number
         })
     }
 }
 
-/// Calls that fail in ways that pass: an error that is the end of a connection has to come with its end.
-fn draw_calls(rng: &mut ChaCha8Rng) -> Option<(usize, i32, u64)> {
+/// Draws a system call, its transient error, and how often it fails. Errors that end a connection are left out, as the
+/// connection would have to end with them.
+fn draw_failing_calls(rng: &mut ChaCha8Rng) -> Option<(usize, i32, u64)> {
     let failing: [(Call, i32, u64); 14] = [
         (Call::Accept, errno::ECONNABORTED, 2),
         (Call::Accept, errno::EMFILE, 1),
--- a/crates/fleet/src/soak/run.rs
+++ b/crates/fleet/src/soak/run.rs
@@ -1,9 +1,9 @@
-//! Plays a plan on real processes and checks what all saw.
+//! Runs a plan on real processes and checks the history.
 
 mod faults;
 
 use super::extra_faults::{ProcessSignal, SeriesSignal};
-use super::plan::{Fault, FaultWindow, Plan, SLOW_MS};
+use super::plan::{Fault, FaultWindow, Plan, SLOW_LINK_DELAY_MS};
 use crate::chance::mix;
 use crate::harness::check::{Kind, cold_load};
 use crate::harness::{
@@ -13,53 +13,53 @@
 use std::thread::sleep;
 use std::time::{Duration, Instant};
 
-/// From one look at what is due to the next.
-const TICK: Duration = Duration::from_millis(1);
-/// After a sidecar was told to stop, for so long clients make new connections to it.
-const CONNECTS: Duration = Duration::from_millis(300);
-/// It is killed so long after the longest time that clients wait.
-const KILLED_AFTER: Duration = Duration::from_millis(700);
-/// What is to be said to a server that is away is tried again after this.
-const AGAIN: Duration = Duration::from_millis(50);
-/// Requests go on so long after the last trouble.
-const SETTLES: Duration = Duration::from_millis(800);
-/// After the last trouble, all is well again within this.
-const LONGEST_END: Duration = Duration::from_secs(30);
-/// A new process can serve within this.
-const SAYS_YES: Duration = Duration::from_secs(6);
-/// Sets the ids of clients that leave with bodies apart from others.
-const LEAVING_CLIENTS: u64 = 0x1ea5e5;
-/// A sidecar that was just started may be told to reload after this.
-const FIRST_SECOND: Duration = Duration::from_millis(1_100);
+/// How often due steps are looked for.
+const POLL_INTERVAL: Duration = Duration::from_millis(1);
+/// How long clients open new connections to a sidecar after it was told to stop.
+const NEW_CONNECTIONS_AFTER_STOP: Duration = Duration::from_millis(300);
+/// How long after the longest client timeout a process that was told to stop is killed.
+const KILL_GRACE: Duration = Duration::from_millis(700);
+/// When a step that could not be done is tried again.
+const RETRY_DELAY: Duration = Duration::from_millis(50);
+/// How long requests go on after the last fault.
+const SETTLE_TIME: Duration = Duration::from_millis(800);
+/// The time within which the fleet has to recover after the last fault.
+const RECOVERY_TIMEOUT: Duration = Duration::from_secs(30);
+/// The time within which a new process has to be ready.
+const READY_TIMEOUT: Duration = Duration::from_secs(6);
+/// Mixed into the seed of clients that abort uploads, so that their ids differ from those of other clients.
+const ABORTED_UPLOADS_SEED: u64 = 0x1ea5e5;
+/// How long a sidecar must have been up before it is signalled.
+const MIN_UPTIME: Duration = Duration::from_millis(1_100);
 
-/// What was seen of a run in which no rule was broken.
+/// The summary of a run in which no rule was broken.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct RunSummary {
-    /// Requests.
+    /// Requests of clients.
     pub requests: usize,
-    /// Those that were served.
+    /// Requests that were served.
     pub served: usize,
-    /// Times that servers were asked.
+    /// Attempts that servers received.
     pub attempts: usize,
-    /// Peers that were no clients.
+    /// Malformed clients that connected.
     pub malformed_clients: usize,
-    /// Clients that left with long bodies under way.
+    /// Uploads that clients aborted.
     pub aborted_uploads: usize,
-    /// Signals that came in series.
+    /// Signals that were sent in series.
     pub series_signals: usize,
     /// Log lines that sidecars dropped, as nobody read them.
     pub dropped_log_lines: u64,
-    /// The most that a cold server was sent, as a part of what it bears; none where no server was cold.
+    /// The highest load of a server that was warming up, as a fraction of what it can bear; `None` if no server was.
     pub cold_load: Option<f64>,
 }
 
-/// Something that is to be done.
+/// An action of a run.
 #[derive(Clone, Debug)]
 enum Step {
     Begin(Fault),
     End(Fault),
-    Bar(usize),
-    EndSidecar(usize),
+    BlockClients(usize),
+    RestartSidecar(usize),
     EndOldProcess(usize),
     Signal(usize, ProcessSignal),
     Call(usize, OperatorCall),
@@ -70,69 +70,69 @@
     plan: &'a Plan,
     cluster: Cluster,
     clients: Clients,
-    strangers: Strangers,
-    leaving_clients: LeavingClients,
+    malformed_clients: Strangers,
+    aborted_uploads: LeavingClients,
     series_signals: usize,
-    /// What is to be done, and when.
-    due: Vec<(Instant, Step)>,
-    /// Sidecars that were started and do not serve yet.
+    /// Steps that are not done yet, and when they are due.
+    due_steps: Vec<(Instant, Step)>,
+    /// Sidecars that were started and are not ready yet.
     starting: Vec<usize>,
-    /// When each sidecar's process last came up.
+    /// When each sidecar's process last became ready.
     up_since: Vec<Instant>,
-    /// Since when discovery has said nothing.
-    silent_since: Option<i64>,
-    /// Servers that stand still or were killed, once for each reason.
-    away: Vec<usize>,
-    /// Sidecars of which a new process was started and can't serve yet, and since when.
+    /// When discovery stopped answering, while it does not.
+    discovery_down_since: Option<i64>,
+    /// Servers that are paused or were killed, once for each of these faults.
+    unavailable_servers: Vec<usize>,
+    /// Sidecars whose new process is not ready yet, and when it was started.
     handing_over: Vec<(usize, Instant)>,
-    /// Operators' calls that may not be answered yet.
-    calls: Vec<PendingCall>,
-    /// Sidecars that were told to drain, and not to serve again.
-    drained: Vec<usize>,
+    /// Operators' calls whose result was not collected yet.
+    pending_calls: Vec<PendingCall>,
+    /// Sidecars that were told to drain, and not yet to resume.
+    drained_sidecars: Vec<usize>,
 }
 
-/// Plays a plan; the failure says what was broken, with the timeline, the way of each request, and the logs.
+/// Runs a plan. A failure names the broken rules, with the timeline, the trace of each request, and the logs.
 pub fn run_plan(plan: &Plan) -> Result<RunSummary, ClusterError> {
     let cluster = Cluster::start(plan.shape())?;
     let clients = cluster.ask(&traffic(plan));
-    let begun = Instant::now();
-    let mut due = Vec::new();
+    let started_at = Instant::now();
+    let mut due_steps = Vec::new();
     for FaultWindow { at_ms, lasts_ms, fault } in &plan.windows {
-        let at = begun + Duration::from_millis(*at_ms);
-        due.push((at, Step::Begin(fault.clone())));
-        due.push((at + Duration::from_millis(*lasts_ms), Step::End(fault.clone())));
+        let at = started_at + Duration::from_millis(*at_ms);
+        due_steps.push((at, Step::Begin(fault.clone())));
+        due_steps.push((at + Duration::from_millis(*lasts_ms), Step::End(fault.clone())));
     }
-    let up_since = vec![begun; plan.sidecars];
-    let (strangers, starting) = (Strangers::default(), Vec::new());
+    let up_since = vec![started_at; plan.sidecars];
+    let (malformed_clients, starting) = (Strangers::default(), Vec::new());
     let mut run = Run {
         plan,
         cluster,
         clients,
-        strangers,
-        leaving_clients: LeavingClients::default(),
+        malformed_clients,
+        aborted_uploads: LeavingClients::default(),
         series_signals: 0,
-        due,
+        due_steps,
         starting,
         up_since,
-        silent_since: None,
-        away: Vec::new(),
+        discovery_down_since: None,
+        unavailable_servers: Vec::new(),
         handing_over: Vec::new(),
-        calls: Vec::new(),
-        drained: Vec::new(),
+        pending_calls: Vec::new(),
+        drained_sidecars: Vec::new(),
     };
-    let ends = begun + Duration::from_millis(plan.ends_ms());
-    while !run.due.is_empty()
+    let ends_at = started_at + Duration::from_millis(plan.ends_ms());
+    while !run.due_steps.is_empty()
         || !run.starting.is_empty()
         || !run.handing_over.is_empty()
-        || !run.calls.is_empty()
-        || Instant::now() < ends + SETTLES
+        || !run.pending_calls.is_empty()
+        || Instant::now() < ends_at + SETTLE_TIME
     {
-        run.turn()?;
-        if Instant::now() > ends + LONGEST_END {
-            let open = (&run.due, &run.starting, &run.handing_over, run.calls.len());
-            return Err(run.cluster.failed(format!("the run never ends: {open:?}")));
+        run.run_due_steps()?;
+        if Instant::now() > ends_at + RECOVERY_TIMEOUT {
+            let unfinished = (&run.due_steps, &run.starting, &run.handing_over, run.pending_calls.len());
+            return Err(run.cluster.failed(format!("the run did not finish in time, open: {unfinished:?}")));
         }
-        sleep(TICK);
+        sleep(POLL_INTERVAL);
     }
     run.finish()
 }
@@ -155,99 +155,103 @@
 }
 
 impl Run<'_> {
-    /// Does what is due by now.
-    fn turn(&mut self) -> Result<(), ClusterError> {
+    /// Runs the steps that are due, and collects what has finished.
+    fn run_due_steps(&mut self) -> Result<(), ClusterError> {
         let now = Instant::now();
-        self.due.sort_by_key(|(at, _)| *at);
-        while self.due.first().is_some_and(|(at, _)| *at <= now) {
-            let (_, step) = self.due.remove(0);
-            if self.waits_for_server(&step) {
-                self.due.push((now + AGAIN, step));
+        self.due_steps.sort_by_key(|(at, _)| *at);
+        while self.due_steps.first().is_some_and(|(at, _)| *at <= now) {
+            let (_, step) = self.due_steps.remove(0);
+            if self.needs_unavailable_server(&step) {
+                self.due_steps.push((now + RETRY_DELAY, step));
                 continue;
             }
             match step {
                 Step::Begin(fault) => self.begin(&fault)?,
                 Step::End(fault) => self.end(&fault)?,
-                Step::Bar(sidecar) => self.clients.bar(sidecar, true),
-                Step::EndSidecar(sidecar) => {
+                Step::BlockClients(sidecar) => self.clients.bar(sidecar, true),
+                Step::RestartSidecar(sidecar) => {
                     self.cluster.end_sidecar(sidecar)?;
-                    self.start(sidecar)?;
+                    self.start_sidecar(sidecar)?;
                 }
                 Step::EndOldProcess(sidecar) => self.cluster.end_old_process(sidecar)?,
                 Step::Signal(sidecar, signal) => self.signal(sidecar, signal)?,
-                // One after the other, as operators make them.
-                Step::Call(sidecar, _) if self.calls.iter().any(|c| c.sidecar == sidecar) => {
-                    self.due.push((now + AGAIN, step));
+                // One at a time for each sidecar, as operators make them.
+                Step::Call(sidecar, _) if self.pending_calls.iter().any(|c| c.sidecar == sidecar) => {
+                    self.due_steps.push((now + RETRY_DELAY, step));
                 }
-                Step::Call(sidecar, call) => self.calls.push(self.cluster.begin_call(sidecar, call)),
+                Step::Call(sidecar, call) => self.pending_calls.push(self.cluster.begin_call(sidecar, call)),
             }
         }
-        self.finish_calls();
+        self.finish_operator_calls();
         self.finish_hand_overs()?;
-        let mut still = Vec::new();
+        let mut still_pending = Vec::new();
         for sidecar in std::mem::take(&mut self.starting) {
             if self.cluster.came_up(sidecar)? {
                 self.clients.bar(sidecar, false);
                 self.up_since[sidecar] = Instant::now();
             } else {
-                still.push(sidecar);
+                still_pending.push(sidecar);
             }
         }
-        self.starting = still;
+        self.starting = still_pending;
         Ok(())
     }
 
-    /// Hears what operators were answered. What ends something is called until it is answered well.
-    fn finish_calls(&mut self) {
-        let (over, open) = std::mem::take(&mut self.calls).into_iter().partition(PendingCall::is_over);
-        self.calls = open;
-        for pending in over {
+    /// Collects the results of operators' calls. Calls that end an operation (uncordon, resume) are repeated until they
+    /// succeed.
+    fn finish_operator_calls(&mut self) {
+        let (finished, unfinished) =
+            std::mem::take(&mut self.pending_calls).into_iter().partition(PendingCall::is_over);
+        self.pending_calls = unfinished;
+        for pending in finished {
             let (sidecar, call) = (pending.sidecar, pending.call);
-            let again = matches!(call, OperatorCall::Uncordon(_) | OperatorCall::Resume);
-            if !self.cluster.end_call(pending) && again {
-                self.due.push((Instant::now() + AGAIN, Step::Call(sidecar, call)));
+            let retries = matches!(call, OperatorCall::Uncordon(_) | OperatorCall::Resume);
+            if !self.cluster.end_call(pending) && retries {
+                self.due_steps.push((Instant::now() + RETRY_DELAY, Step::Call(sidecar, call)));
             }
         }
     }
 
-    /// Where a new process can serve by now, the one before it has been told to stop, and has its time for that.
+    /// Completes the hand-overs whose new process is ready: the old one has been told to stop, and is killed if it takes too
+    /// long.
     fn finish_hand_overs(&mut self) -> Result<(), ClusterError> {
-        let mut still = Vec::new();
+        let mut still_pending = Vec::new();
         for (sidecar, since) in std::mem::take(&mut self.handing_over) {
             if self.cluster.handed_over(sidecar)? {
                 let now = Instant::now();
                 self.up_since[sidecar] = now;
-                self.due.push((now + self.longest() + KILLED_AFTER, Step::EndOldProcess(sidecar)));
-            } else if since.elapsed() > SAYS_YES {
-                let said = format!("the new process of sidecar {sidecar} can't serve after {SAYS_YES:?}");
-                return Err(self.cluster.failed(said));
+                self.due_steps.push((now + self.longest_wait() + KILL_GRACE, Step::EndOldProcess(sidecar)));
+            } else if since.elapsed() > READY_TIMEOUT {
+                let message =
+                    format!("the new process of sidecar {sidecar} is not ready after {READY_TIMEOUT:?}");
+                return Err(self.cluster.failed(message));
             } else {
-                still.push((sidecar, since));
+                still_pending.push((sidecar, since));
             }
         }
-        self.handing_over = still;
+        self.handing_over = still_pending;
         Ok(())
     }
 
-    /// The longest that clients wait, as a stop counts it.
-    fn longest(&self) -> Duration {
+    /// The client timeout, capped as in the shutdown of a sidecar.
+    fn longest_wait(&self) -> Duration {
         Duration::from_millis(self.plan.client_timeout_ms).min(Duration::from_secs(3))
     }
 
-    /// One reason for which a server was away is over.
-    fn is_back(&mut self, server: usize) {
-        if let Some(at) = self.away.iter().position(|away| *away == server) {
-            self.away.swap_remove(at);
+    /// Notes the end of one fault that made a server unavailable.
+    fn mark_available(&mut self, server: usize) {
+        if let Some(at) = self.unavailable_servers.iter().position(|unavailable| *unavailable == server) {
+            self.unavailable_servers.swap_remove(at);
         }
     }
 
-    /// Whether a step speaks to a server that is away.
-    fn waits_for_server(&self, step: &Step) -> bool {
+    /// Whether a step needs a server that is unavailable.
+    fn needs_unavailable_server(&self, step: &Step) -> bool {
         let (Step::Begin(fault) | Step::End(fault)) = step else { return false };
-        matches!(fault, Fault::Misbehaves { server, .. } if self.away.contains(server))
+        matches!(fault, Fault::Misbehaves { server, .. } if self.unavailable_servers.contains(server))
     }
 
-    fn start(&mut self, sidecar: usize) -> Result<(), ClusterError> {
+    fn start_sidecar(&mut self, sidecar: usize) -> Result<(), ClusterError> {
         self.cluster.start_sidecar_for_now(sidecar)?;
         self.starting.push(sidecar);
         Ok(())
@@ -256,28 +260,29 @@
     /// Whether a sidecar has been up for long enough to be signalled.
     fn is_up(&self, sidecar: usize) -> bool {
         let stopping = |(_, step): &(Instant, Step)| match step {
-            Step::EndSidecar(s) | Step::EndOldProcess(s) | Step::Call(s, OperatorCall::Resume) => {
+            Step::RestartSidecar(s) | Step::EndOldProcess(s) | Step::Call(s, OperatorCall::Resume) => {
                 *s == sidecar
             }
             _ => false,
         };
         !self.starting.contains(&sidecar)
             && !self.handing_over.iter().any(|(s, _)| *s == sidecar)
-            && !self.due.iter().any(stopping)
+            && !self.due_steps.iter().any(stopping)
             && self.cluster.sidecar_pid(sidecar).is_some()
-            && self.up_since[sidecar].elapsed() > FIRST_SECOND
+            && self.up_since[sidecar].elapsed() > MIN_UPTIME
     }
 
-    fn stop(&mut self, sidecar: usize) -> Result<(), ClusterError> {
+    fn stop_sidecar(&mut self, sidecar: usize) -> Result<(), ClusterError> {
         if !self.is_up(sidecar) {
             return Ok(());
         }
         self.cluster.tell_sidecar_to_stop(sidecar)?;
-        self.end_after_stop(sidecar);
+        self.schedule_restart(sidecar);
         Ok(())
     }
 
-    /// One signal of a series. The first one to stop begins the stop; what comes after it has to change nothing.
+    /// Sends one signal of a series. The first one that stops the sidecar schedules its restart; those after it must have no
+    /// further effect.
     fn signal(&mut self, sidecar: usize, signal: ProcessSignal) -> Result<(), ClusterError> {
         if self.cluster.sidecar_pid(sidecar).is_none() {
             return Ok(());
@@ -288,9 +293,9 @@
             ProcessSignal::Terminate => self.cluster.tell_sidecar_to_stop(sidecar)?,
             ProcessSignal::Interrupt => self.cluster.interrupt_sidecar(sidecar)?,
         }
-        let ends = |(_, step): &(Instant, Step)| matches!(step, Step::EndSidecar(s) if *s == sidecar);
-        if !self.due.iter().any(ends) {
-            self.end_after_stop(sidecar);
+        let restarts = |(_, step): &(Instant, Step)| matches!(step, Step::RestartSidecar(s) if *s == sidecar);
+        if !self.due_steps.iter().any(restarts) {
+            self.schedule_restart(sidecar);
         }
         Ok(())
     }
@@ -303,61 +308,63 @@
         let step = |signal: &SeriesSignal| {
             (now + Duration::from_millis(signal.after_ms), Step::Signal(sidecar, signal.signal))
         };
-        self.due.extend(signals.iter().map(step));
+        self.due_steps.extend(signals.iter().map(step));
     }
 
-    fn leave(&mut self, sidecar: usize, count: usize) {
+    fn abort_uploads(&mut self, sidecar: usize, count: usize) {
         let (runtime, at) = self.cluster.way_to(sidecar);
         let wait = Duration::from_millis(self.plan.client_timeout_ms);
-        let seed = mix(self.plan.seed ^ mix(LEAVING_CLIENTS ^ sidecar as u64));
-        self.leaving_clients.visit(&runtime, LeavingGroup { sidecar, at, count, wait, seed });
+        let seed = mix(self.plan.seed ^ mix(ABORTED_UPLOADS_SEED ^ sidecar as u64));
+        self.aborted_uploads.visit(&runtime, LeavingGroup { sidecar, at, count, wait, seed });
     }
 
-    /// What comes of a sidecar that was told to stop.
-    fn end_after_stop(&mut self, sidecar: usize) {
+    /// Schedules what follows after a sidecar was told to stop: clients are blocked, and it is killed and started again.
+    fn schedule_restart(&mut self, sidecar: usize) {
         let now = Instant::now();
-        self.due.push((now + CONNECTS, Step::Bar(sidecar)));
-        self.due.push((now + self.longest() + KILLED_AFTER, Step::EndSidecar(sidecar)));
+        self.due_steps.push((now + NEW_CONNECTIONS_AFTER_STOP, Step::BlockClients(sidecar)));
+        self.due_steps.push((now + self.longest_wait() + KILL_GRACE, Step::RestartSidecar(sidecar)));
     }
 
-    fn tell(&mut self, sidecar: usize, call: OperatorCall) {
-        self.due.push((Instant::now(), Step::Call(sidecar, call)));
+    fn schedule_call(&mut self, sidecar: usize, call: OperatorCall) {
+        self.due_steps.push((Instant::now(), Step::Call(sidecar, call)));
     }
 
-    /// All is well again: what everyone saw is read and checked.
+    /// Ends the run after recovery, and checks the history.
     fn finish(mut self) -> Result<RunSummary, ClusterError> {
         for sidecar in 0..self.plan.sidecars {
             self.cluster.mend_calls(sidecar)?;
         }
         let (runtime, _) = self.cluster.way_to(0);
-        let strangers = self.strangers.finish(&runtime);
-        let left = self.leaving_clients.finish(&runtime);
+        let malformed_clients = self.malformed_clients.finish(&runtime);
+        let aborted = self.aborted_uploads.finish(&runtime);
         let served = self.clients.over();
-        // With all troubles over, what is asked is answered.
+        // After the last fault, requests are served again.
         if !until(|| self.clients.over() > served + self.plan.sidecars) {
-            return Err(self.cluster.failed("requests stand still after the troubles".into()));
+            return Err(self.cluster.failed("no requests finish after the last fault".into()));
         }
         for sidecar in 0..self.plan.sidecars {
             let counted = self.cluster.violations(sidecar);
             if counted.as_ref().is_none_or(|lines| !lines.is_empty()) {
-                return Err(self.cluster.failed(format!("sidecar {sidecar} has counted {counted:?}")));
+                return Err(self.cluster.failed(format!(
+                    "sidecar {sidecar} has counted rule violations, or has no metrics: {counted:?}"
+                )));
             }
-            let said = self.cluster.sidecar_said(sidecar);
-            if let Some(line) = said.lines().find(|l| l.contains("rule broken") || l.contains("panicked")) {
-                return Err(self.cluster.failed(format!("sidecar {sidecar} said: {line}")));
+            let log = self.cluster.sidecar_said(sidecar);
+            if let Some(line) = log.lines().find(|l| l.contains("rule broken") || l.contains("panicked")) {
+                return Err(self.cluster.failed(format!("sidecar {sidecar} logged: {line}")));
             }
         }
         let dropped = (0..self.plan.sidecars).filter_map(|sidecar| self.cluster.dropped_log_lines(sidecar));
         let dropped_log_lines = dropped.sum();
-        let aborted_uploads = left.len();
-        let visits = strangers.len();
-        let slow = i64::try_from(1000 * SLOW_MS).unwrap_or(0);
-        let history = self.cluster.finish_soak(self.clients, left, strangers, slow)?;
+        let aborted_uploads = aborted.len();
+        let malformed_count = malformed_clients.len();
+        let slow = i64::try_from(1000 * SLOW_LINK_DELAY_MS).unwrap_or(0);
+        let history = self.cluster.finish_soak(self.clients, aborted, malformed_clients, slow)?;
         Ok(RunSummary {
             requests: history.asks.len(),
             served: history.asks.iter().filter(|a| a.is_served()).count(),
             attempts: history.attempts.len(),
-            malformed_clients: visits,
+            malformed_clients: malformed_count,
             aborted_uploads,
             series_signals: self.series_signals,
             dropped_log_lines,
--- a/crates/fleet/src/soak/run/faults.rs
+++ b/crates/fleet/src/soak/run/faults.rs
@@ -1,8 +1,8 @@
-//! How each fault of a plan begins and ends.
+//! The start and the end of each fault of a plan.
 
 use super::Run;
 use crate::harness::{ClusterError, Link, OperatorCall, clock};
-use crate::soak::plan::{Fault, LinkKind, SLOW_MS};
+use crate::soak::plan::{Fault, LinkKind, SLOW_LINK_DELAY_MS};
 use lotusmoor_faults::{Call, CallFault, Rule, Span, errno};
 use std::time::{Duration, Instant};
 
@@ -10,14 +10,16 @@
     pub(super) fn begin(&mut self, fault: &Fault) -> Result<(), ClusterError> {
         match fault {
             Fault::KillSidecar(sidecar) => self.kill_sidecar(*sidecar)?,
-            Fault::StopSidecar(sidecar) => self.stop(*sidecar)?,
-            Fault::StopSidecars(sidecars) => sidecars.iter().try_for_each(|sidecar| self.stop(*sidecar))?,
+            Fault::StopSidecar(sidecar) => self.stop_sidecar(*sidecar)?,
+            Fault::StopSidecars(sidecars) => {
+                sidecars.iter().try_for_each(|sidecar| self.stop_sidecar(*sidecar))?
+            }
             Fault::ReloadSidecar { sidecar, twice, unreadable_ms } => {
                 self.reload(*sidecar, *twice, *unreadable_ms)?;
             }
             Fault::HandOver(sidecar) => self.begin_hand_over(*sidecar)?,
             Fault::Cordon { sidecar, server } => self.cordon(*sidecar, *server),
-            Fault::DrainSidecar(sidecar) => self.quiesce(*sidecar),
+            Fault::DrainSidecar(sidecar) => self.drain(*sidecar),
             Fault::PauseSidecar(sidecar) => self.cluster.hold_sidecar(*sidecar)?,
             Fault::FailSystemCalls { sidecar, call, errno, every } => {
                 self.fail_calls(*sidecar, *call, *errno, *every)?;
@@ -27,27 +29,27 @@
             }
             Fault::DrainServer(server) => self.cluster.set_status(*server, "leaving")?,
             Fault::KillServer(server) => {
-                self.away.push(*server);
+                self.unavailable_servers.push(*server);
                 self.cluster.kill_server(*server)?;
             }
             Fault::PauseServer(server) => {
-                self.away.push(*server);
+                self.unavailable_servers.push(*server);
                 self.cluster.hold_server(*server)?;
             }
             Fault::Misbehaves { server, conduct } => self.cluster.set_conduct(*server, conduct)?,
             Fault::DiscoveryOutage => {
-                self.silent_since.get_or_insert_with(clock);
+                self.discovery_down_since.get_or_insert_with(clock);
                 self.cluster.silence_discovery(true)?;
             }
             Fault::Link { sidecar, server, kind } => self.cluster.link(*sidecar, *server, link(*kind)),
             Fault::ResetConnections(sidecar) => {
                 (0..self.plan.servers).for_each(|server| self.cluster.reset(*sidecar, server));
             }
-            Fault::LeavingBodies { sidecar, count } => self.leave(*sidecar, *count),
+            Fault::AbortUploads { sidecar, count } => self.abort_uploads(*sidecar, *count),
             Fault::SignalSeries { sidecar, signals } => self.begin_series(*sidecar, signals),
-            // The fleet was started so.
-            Fault::UnreadLog(_) | Fault::LostLog(_) => {}
-            Fault::MalformedClients { sidecar, count } => self.visit(*sidecar, *count),
+            // The fleet was started with these log pipes.
+            Fault::StalledLogReader(_) | Fault::ClosedLogPipe(_) => {}
+            Fault::MalformedClients { sidecar, count } => self.connect_malformed_clients(*sidecar, *count),
         }
         Ok(())
     }
@@ -56,23 +58,25 @@
         match fault {
             Fault::KillSidecar(sidecar) => match self.cluster.sidecar_pid(*sidecar) {
                 Some(_) => Ok(()),
-                None => self.start(*sidecar),
+                None => self.start_sidecar(*sidecar),
             },
             Fault::PauseSidecar(sidecar) => self.cluster.let_sidecar_go_on(*sidecar),
             Fault::FailSystemCalls { sidecar, .. } => self.cluster.mend_calls(*sidecar),
             Fault::StepWallClock { sidecar, .. } => self.cluster.step_wall_clock(*sidecar, 0),
             Fault::DrainServer(server) => self.cluster.set_status(*server, "active"),
             Fault::KillServer(server) => {
-                self.is_back(*server);
+                self.mark_available(*server);
                 self.cluster.restart_server(*server)
             }
             Fault::PauseServer(server) => {
-                self.is_back(*server);
+                self.mark_available(*server);
                 self.cluster.let_server_go_on(*server)
             }
-            Fault::Misbehaves { server, .. } => self.cluster.set_conduct(*server, &self.plan.conduct()),
+            Fault::Misbehaves { server, .. } => {
+                self.cluster.set_conduct(*server, &self.plan.normal_conduct())
+            }
             Fault::DiscoveryOutage => {
-                if let Some(since) = self.silent_since.take() {
+                if let Some(since) = self.discovery_down_since.take() {
                     self.cluster.note_silence(since);
                 }
                 self.cluster.silence_discovery(false)
@@ -82,7 +86,7 @@
                 Ok(())
             }
             Fault::Cordon { sidecar, server } => {
-                self.tell(*sidecar, OperatorCall::Uncordon(*server));
+                self.schedule_call(*sidecar, OperatorCall::Uncordon(*server));
                 Ok(())
             }
             Fault::DrainSidecar(sidecar) => {
@@ -94,10 +98,10 @@
             | Fault::StopSidecars(_)
             | Fault::ReloadSidecar { .. }
             | Fault::ResetConnections(_)
-            | Fault::LeavingBodies { .. }
+            | Fault::AbortUploads { .. }
             | Fault::SignalSeries { .. }
-            | Fault::UnreadLog(_)
-            | Fault::LostLog(_)
+            | Fault::StalledLogReader(_)
+            | Fault::ClosedLogPipe(_)
             | Fault::MalformedClients { .. } => Ok(()),
         }
     }
@@ -125,24 +129,24 @@
         Ok(())
     }
 
-    /// A sidecar that is away is promised nothing, here and in [`Self::quiesce`].
+    /// Lets operators cordon a server. A sidecar that is down is skipped, here and in [`Self::drain`].
     fn cordon(&mut self, sidecar: usize, server: usize) {
         if self.is_up(sidecar) {
-            self.tell(sidecar, OperatorCall::Cordon(server));
+            self.schedule_call(sidecar, OperatorCall::Cordon(server));
         }
     }
 
-    fn quiesce(&mut self, sidecar: usize) {
+    fn drain(&mut self, sidecar: usize) {
         if self.is_up(sidecar) {
-            self.drained.push(sidecar);
-            self.tell(sidecar, OperatorCall::Quiesce);
+            self.drained_sidecars.push(sidecar);
+            self.schedule_call(sidecar, OperatorCall::Quiesce);
         }
     }
 
     fn resume(&mut self, sidecar: usize) {
-        if let Some(at) = self.drained.iter().position(|drained| *drained == sidecar) {
-            self.drained.swap_remove(at);
-            self.tell(sidecar, OperatorCall::Resume);
+        if let Some(at) = self.drained_sidecars.iter().position(|drained| *drained == sidecar) {
+            self.drained_sidecars.swap_remove(at);
+            self.schedule_call(sidecar, OperatorCall::Resume);
         }
     }
 
@@ -159,9 +163,9 @@
         self.cluster.fail_calls(sidecar, Rule { call, fault, skip: 0, every, span })
     }
 
-    fn visit(&mut self, sidecar: usize, count: usize) {
+    fn connect_malformed_clients(&mut self, sidecar: usize, count: usize) {
         let (runtime, at) = self.cluster.way_to(sidecar);
-        self.strangers.visit(&runtime, sidecar, at, count);
+        self.malformed_clients.visit(&runtime, sidecar, at, count);
     }
 }
 
@@ -169,7 +173,7 @@
     match kind {
         LinkKind::Cut => Link::cut(),
         LinkKind::CutResponses => Link { cut_down: true, ..Link::default() },
-        LinkKind::Slow => Link { delay: Duration::from_millis(SLOW_MS), ..Link::default() },
+        LinkKind::Slow => Link { delay: Duration::from_millis(SLOW_LINK_DELAY_MS), ..Link::default() },
         LinkKind::Narrow => Link { bandwidth: 20_000, ..Link::default() },
         LinkKind::HalfOpen => Link { half_open: true, ..Link::default() },
         LinkKind::Stalls => Link { stall_after: 40, ..Link::default() },
