--- a/crates/fleet/src/soak/extra_faults.rs
+++ b/crates/fleet/src/soak/extra_faults.rs
@@ -1,5 +1,5 @@
-//! Additional faults: clients that abort long uploads, series of signals, and logs that nobody reads. They are drawn from a
-//! random stream of their own, so that the other faults of a seed do not depend on them.
+//! Additional faults: clients that abort long uploads, series of signals, and logs that nobody reads. They are drawn
+//! from a random stream of their own, so that the other faults of a seed do not depend on them.
 
 use super::plan::{Fault, FaultWindow, Plan};
 use crate::chance::stream;
@@ -56,7 +56,7 @@
         plan
     }
 
-    /// Lets clients abort uploads to a sidecar that is down, if the platform holds its socket, or else to one that is paused.
+    /// Draws clients that abort uploads to a sidecar that is down, if the platform holds its socket, or else paused.
     fn draw_aborted_uploads(&mut self, rng: &mut ChaCha8Rng, ends_ms: u64) {
         let sidecar = rng.random_range(0..self.sidecars);
         let at_ms = rng.random_range(ends_ms / 2..ends_ms + 1_000);
--- a/crates/fleet/src/soak/plan.rs
+++ b/crates/fleet/src/soak/plan.rs
@@ -219,7 +219,7 @@
     pub registry_replicas: usize,
     /// The number of zones.
     pub zones: usize,
-    /// Whether discovery pushes lists, rather than sidecars poll them.
+    /// Whether discovery pushes lists, rather than sidecars poll them; without effect with a registry.
     #[serde(rename = "pushed")]
     pub pushed_lists: bool,
     /// How long clients wait for an answer, in milliseconds.
@@ -301,8 +301,8 @@
         plan
     }
 
-    /// Draws large fleets, small servers, socket passing with hand-overs in place of stops, and operators' calls. They come
-    /// from a random stream of their own, so that the other faults of a seed do not depend on them.
+    /// Draws large fleets, small servers, socket passing with hand-overs in place of stops, and operators' calls. They
+    /// come from a random stream of their own, so that the other faults of a seed do not depend on them.
     fn draw_fleet_and_operator_calls(&mut self, ends_ms: u64) {
         let mut rng = stream(self.seed, "soak operation", 0);
         if rng.random_bool(LARGE_FLEET_SHARE) {
--- a/crates/fleet/src/soak/run.rs
+++ b/crates/fleet/src/soak/run.rs
@@ -19,7 +19,7 @@
 const NEW_CONNECTIONS_AFTER_STOP: Duration = Duration::from_millis(300);
 /// How long after the longest client timeout a process that was told to stop is killed.
 const KILL_GRACE: Duration = Duration::from_millis(700);
-/// When a step that could not be done is tried again.
+/// The delay before a step that could not be done is tried again.
 const RETRY_DELAY: Duration = Duration::from_millis(50);
 /// How long requests go on after the last fault.
 const SETTLE_TIME: Duration = Duration::from_millis(800);
@@ -29,7 +29,7 @@
 const READY_TIMEOUT: Duration = Duration::from_secs(6);
 /// Mixed into the seed of clients that abort uploads, so that their ids differ from those of other clients.
 const ABORTED_UPLOADS_SEED: u64 = 0x1ea5e5;
-/// How long a sidecar must have been up before it is signalled.
+/// How long a sidecar must have been up, beyond its first second, before it is signalled, as for a reload.
 const MIN_UPTIME: Duration = Duration::from_millis(1_100);
 
 /// The summary of a run in which no rule was broken.
@@ -79,7 +79,7 @@
     starting: Vec<usize>,
     /// When each sidecar's process last became ready.
     up_since: Vec<Instant>,
-    /// When discovery stopped answering, while it does not.
+    /// Since when discovery has not answered; `None` if it does.
     discovery_down_since: Option<i64>,
     /// Servers that are paused or were killed, once for each of these faults.
     unavailable_servers: Vec<usize>,
@@ -130,7 +130,7 @@
         run.run_due_steps()?;
         if Instant::now() > ends_at + RECOVERY_TIMEOUT {
             let unfinished = (&run.due_steps, &run.starting, &run.handing_over, run.pending_calls.len());
-            return Err(run.cluster.failed(format!("the run did not finish in time, open: {unfinished:?}")));
+            return Err(run.cluster.failed(format!("the run did not finish in time: {unfinished:?}")));
         }
         sleep(POLL_INTERVAL);
     }
@@ -212,8 +212,8 @@
         }
     }
 
-    /// Completes the hand-overs whose new process is ready: the old one has been told to stop, and is killed if it takes too
-    /// long.
+    /// Completes the hand-overs whose new process is ready: the old one has been told to stop, and is killed if it
+    /// takes too long.
     fn finish_hand_overs(&mut self) -> Result<(), ClusterError> {
         let mut still_pending = Vec::new();
         for (sidecar, since) in std::mem::take(&mut self.handing_over) {
@@ -281,8 +281,8 @@
         Ok(())
     }
 
-    /// Sends one signal of a series. The first one that stops the sidecar schedules its restart; those after it must have no
-    /// further effect.
+    /// Sends one signal of a series. The first one that stops the sidecar schedules its restart; those after it must
+    /// have no further effect.
     fn signal(&mut self, sidecar: usize, signal: ProcessSignal) -> Result<(), ClusterError> {
         if self.cluster.sidecar_pid(sidecar).is_none() {
             return Ok(());
@@ -318,7 +318,8 @@
         self.aborted_uploads.visit(&runtime, LeavingGroup { sidecar, at, count, wait, seed });
     }
 
-    /// Schedules what follows after a sidecar was told to stop: clients are blocked, and it is killed and started again.
+    /// Schedules what follows after a sidecar was told to stop: clients are blocked, and it is killed and started
+    /// again.
     fn schedule_restart(&mut self, sidecar: usize) {
         let now = Instant::now();
         self.due_steps.push((now + NEW_CONNECTIONS_AFTER_STOP, Step::BlockClients(sidecar)));
--- a/crates/fleet/src/sweep/replica.rs
+++ b/crates/fleet/src/sweep/replica.rs
@@ -1,5 +1,6 @@
-//! The life of a replica of the roster with its file: it founds a list, takes writes, is killed and started again, takes
-//! more, and is told to stop. What it has acknowledged is there in the end, and it is of use again by itself.
+//! The scenario of a registry replica with its store: it bootstraps a list, acknowledges writes, is killed and started
+//! again, acknowledges more writes, and is told to stop. All that it acknowledged must be listed at the end, and it
+//! must recover from a fault by itself.
 
 use super::{CallCounts, Case};
 use crate::harness::rosters::call;
@@ -12,28 +13,29 @@
 use std::process::Command;
 use std::time::{Duration, Instant};
 
-/// How long a caller waits for an answer.
-const PATIENCE: Duration = Duration::from_secs(2);
-/// A replica whose fault has passed is of use again within this.
-const OF_USE_WITHIN: Duration = Duration::from_secs(20);
-/// From one try of a call to the next.
-const PAUSE: Duration = Duration::from_millis(20);
-/// Servers that are written before it is killed, and after that.
-const BEFORE: std::ops::Range<usize> = 0..6;
-const AFTER: std::ops::Range<usize> = 6..9;
+/// How long a call waits for an answer.
+const CALL_TIMEOUT: Duration = Duration::from_secs(2);
+/// The time within which a replica recovers from a fault.
+const RECOVERY_TIMEOUT: Duration = Duration::from_secs(20);
+/// The delay before a call is made again.
+const RETRY_DELAY: Duration = Duration::from_millis(20);
+/// Servers that are registered before the replica is killed.
+const SERVERS_BEFORE_KILL: std::ops::Range<usize> = 0..6;
+/// Servers that are registered after that.
+const SERVERS_AFTER_KILL: std::ops::Range<usize> = 6..9;
 
-/// Why a play failed.
+/// Why a run of the scenario failed.
 #[derive(Debug, thiserror::Error)]
 pub enum ReplicaError {
-    /// Something of the machine's.
+    /// An I/O error of the test environment.
     #[error("{0}")]
     Io(#[from] std::io::Error),
-    /// What it owed was not had.
+    /// The replica did not do what it should.
     #[error("{what}\n{log}")]
     Failed {
-        /// What.
+        /// What was expected, or what happened instead.
         what: String,
-        /// The last lines of its log.
+        /// The last lines of the replica's log.
         log: String,
     },
 }
@@ -47,32 +49,32 @@
     process: Process,
 }
 
-/// Plays the life; with a case, that call fails. Gives the calls that were made.
+/// Runs the scenario, with the system calls of the case failing, if there is one. Returns the number of system calls.
 pub fn run_replica_scenario(case: Option<&Case>) -> Result<CallCounts, ReplicaError> {
     let programs = Programs::find()?;
     let reaper = Reaper::start(&programs.lotusmoor)?;
     let folder = tempfile::tempdir()?;
-    let other = |e: lotusmoor_faults::TableError| std::io::Error::other(e.to_string());
-    let table = FaultTable::create(&folder.path().join("faults")).map_err(other)?;
+    let to_io_error = |e: lotusmoor_faults::TableError| std::io::Error::other(e.to_string());
+    let table = FaultTable::create(&folder.path().join("faults")).map_err(to_io_error)?;
     if let Some(case) = case {
-        table.arm(case.rule()).map_err(other)?;
+        table.arm(case.rule()).map_err(to_io_error)?;
     }
     let listen = unused_address();
     let process = start(&programs, &reaper, listen, &folder, &table)?;
     let mut replica = Replica { programs, reaper, listen, folder, table, process };
-    let mut owed = BTreeSet::new();
-    replica.writes(BEFORE, &mut owed)?;
-    replica.does("DELETE", &name(0))?;
-    owed.remove(&name(0));
+    let mut acknowledged = BTreeSet::new();
+    replica.write_all(SERVERS_BEFORE_KILL, &mut acknowledged)?;
+    replica.write("DELETE", &server_name(0))?;
+    acknowledged.remove(&server_name(0));
     replica.process.kill()?;
     replica.process = start(&replica.programs, &replica.reaper, listen, &replica.folder, &replica.table)?;
-    replica.holds(&owed, &name(0))?;
-    replica.writes(AFTER, &mut owed)?;
-    replica.holds(&owed, &name(0))?;
-    replica.end()
+    replica.check_list(&acknowledged, &server_name(0))?;
+    replica.write_all(SERVERS_AFTER_KILL, &mut acknowledged)?;
+    replica.check_list(&acknowledged, &server_name(0))?;
+    replica.finish()
 }
 
-fn name(number: usize) -> String {
+fn server_name(number: usize) -> String {
     format!("s-{number}")
 }
 
@@ -104,76 +106,77 @@
 
 impl Replica {
     fn failed(&self, what: String) -> ReplicaError {
-        let said = self.process.said();
-        let mut tail: Vec<&str> = said.lines().rev().take(30).collect();
+        let log = self.process.said();
+        let mut tail: Vec<&str> = log.lines().rev().take(30).collect();
         tail.reverse();
         ReplicaError::Failed { what, log: tail.join("\n") }
     }
 
-    /// Makes a call until it holds, while the process lives.
-    fn comes(&mut self, what: &str, holds: impl Fn(SocketAddr) -> bool) -> Result<(), ReplicaError> {
-        let began = Instant::now();
-        while !holds(self.listen) {
+    /// Waits until a condition holds, as long as the process runs.
+    fn wait_until(&mut self, what: &str, condition: impl Fn(SocketAddr) -> bool) -> Result<(), ReplicaError> {
+        let started_at = Instant::now();
+        while !condition(self.listen) {
             if let Some(status) = self.process.ended() {
-                return Err(self.failed(format!("it ended by itself, {status}, before {what}")));
+                return Err(self.failed(format!("the replica exited by itself ({status}) before {what}")));
             }
-            if began.elapsed() > OF_USE_WITHIN {
-                return Err(self.failed(format!("it never came that {what}")));
+            if started_at.elapsed() > RECOVERY_TIMEOUT {
+                return Err(self.failed(format!("timed out waiting until {what}")));
             }
-            std::thread::sleep(PAUSE);
+            std::thread::sleep(RETRY_DELAY);
         }
         Ok(())
     }
 
-    /// A change of a server is acknowledged.
-    fn does(&mut self, method: &str, server: &str) -> Result<(), ReplicaError> {
+    /// Makes a change to a server, repeatedly until it is acknowledged.
+    fn write(&mut self, method: &str, server: &str) -> Result<(), ReplicaError> {
         let body = match method {
             "PUT" => json!({"address": "127.0.0.1:9000", "since_ms": 1, "lease_ms": 0}).to_string(),
             _ => String::new(),
         };
         let path = format!("/v1/servers/{server}");
-        let done = |at: SocketAddr| {
-            let answer = call(at, method, &path, &body, PATIENCE);
-            // A change that was not answered may have been made all the same.
+        let is_acknowledged = |at: SocketAddr| {
+            let answer = call(at, method, &path, &body, CALL_TIMEOUT);
+            // An earlier attempt without an answer may have been applied: the server is gone then.
             answer.is_ok_and(|a| a.status == 200 || method == "DELETE" && a.status == 404)
         };
-        self.comes(&format!("{method} {server} is taken"), done)
+        self.wait_until(&format!("{method} {server} is acknowledged"), is_acknowledged)
     }
 
-    fn writes(
+    fn write_all(
         &mut self,
         servers: std::ops::Range<usize>,
-        owed: &mut BTreeSet<String>,
+        acknowledged: &mut BTreeSet<String>,
     ) -> Result<(), ReplicaError> {
         for number in servers {
-            self.does("PUT", &name(number))?;
-            owed.insert(name(number));
+            self.write("PUT", &server_name(number))?;
+            acknowledged.insert(server_name(number));
         }
         Ok(())
     }
 
-    /// It lists all that it owes, and not what was taken out.
-    fn holds(&mut self, owed: &BTreeSet<String>, gone: &str) -> Result<(), ReplicaError> {
-        let names = |at: SocketAddr| -> Option<BTreeSet<String>> {
-            let answer = call(at, "GET", "/v1/list?consistent=true", "", PATIENCE).ok()?;
+    /// Checks that the list has all acknowledged servers, and not the removed one.
+    fn check_list(&mut self, acknowledged: &BTreeSet<String>, removed: &str) -> Result<(), ReplicaError> {
+        let listed_names = |at: SocketAddr| -> Option<BTreeSet<String>> {
+            let answer = call(at, "GET", "/v1/list?consistent=true", "", CALL_TIMEOUT).ok()?;
             let list = answer.body["endpoints"].as_array().filter(|_| answer.status == 200)?.clone();
             Some(list.iter().filter_map(|e| Some(e["name"].as_str()?.to_owned())).collect())
         };
-        self.comes("it lists its servers", |at| names(at).is_some())?;
-        let listed = names(self.listen);
-        let whole = |listed: &BTreeSet<String>| owed.is_subset(listed) && !listed.contains(gone);
+        self.wait_until("the replica returns its list", |at| listed_names(at).is_some())?;
+        let listed = listed_names(self.listen);
+        let is_complete =
+            |listed: &BTreeSet<String>| acknowledged.is_subset(listed) && !listed.contains(removed);
         match listed {
-            // The fault may begin with this very call.
-            None => self.comes("it lists what it owes", |at| names(at).is_some_and(|n| whole(&n))),
-            Some(listed) if whole(&listed) => Ok(()),
-            Some(listed) => {
-                Err(self.failed(format!("it owes {owed:?} without {gone}, and lists {listed:?}")))
-            }
+            // Repeated, as the fault may have hit this call.
+            None => self
+                .wait_until("the list is complete", |at| listed_names(at).is_some_and(|n| is_complete(&n))),
+            Some(listed) if is_complete(&listed) => Ok(()),
+            Some(listed) => Err(self
+                .failed(format!("expected {acknowledged:?} without {removed}, but the list is {listed:?}"))),
         }
     }
 
-    /// It ends as it is told.
-    fn end(mut self) -> Result<CallCounts, ReplicaError> {
+    /// Tells the replica to stop, and checks that it exits with success.
+    fn finish(mut self) -> Result<CallCounts, ReplicaError> {
         let calls = Call::ALL.iter().map(|call| self.table.calls(*call).unwrap_or(0)).collect();
         self.process.tell_to_stop()?;
         let mut status = None;
@@ -183,7 +186,9 @@
         });
         match status {
             Some(status) if status.success() => Ok(CallCounts(calls)),
-            other => Err(self.failed(format!("told to stop, it ended as {other:?}"))),
+            status => {
+                Err(self.failed(format!("told to stop, the replica did not exit with success: {status:?}")))
+            }
         }
     }
 }
--- a/crates/fleet/src/sweep/sidecar.rs
+++ b/crates/fleet/src/sweep/sidecar.rs
@@ -1,5 +1,5 @@
-//! The life that is played: a start, requests of each effect under a steady load, retries, idle closes, operators' calls,
-//! a drain of a server, a reload, a hand-over to a new process, a stop.
+//! The scenario of a sidecar: a start, requests of each kind (safe, keyed, unsafe) under a steady load, retries, idle
+//! closes, operators' calls, a drain of a server, a reload, a hand-over to a new process, and a stop.
 
 use super::Case;
 use crate::harness::check::{Came, Kind};
@@ -8,57 +8,58 @@
 use lotusmoor_faults::Call;
 use std::time::{Duration, Instant};
 
-/// How long clients wait.
-const WAIT: Duration = Duration::from_secs(2);
+/// How long clients wait for an answer.
+const CLIENT_TIMEOUT: Duration = Duration::from_secs(2);
 /// Requests a second.
 const RATE: f64 = 60.0;
-/// What this machine may add to a rule's figure, in microseconds.
-const SLACK_US: i64 = 400_000;
-/// Requests between two steps.
-const BETWEEN: usize = 8;
-/// A call that operators make is repeated until it is answered well, for no longer than this.
-const CALLS_AGAIN: Duration = Duration::from_secs(4);
-const CALL_PAUSE: Duration = Duration::from_millis(50);
-/// A sidecar says whether it is in service no later than this after it was told.
-const SAYS_SO: Duration = Duration::from_secs(2);
-/// Discovery is asked at its new address no later than this after a reload.
-const ASKED_ANEW: Duration = Duration::from_secs(4);
-/// A process that was told to stop ends on its own within the longest deadline and this.
-const ENDS_AFTER: Duration = Duration::from_millis(700);
-/// Descriptors that a process may hold at the end: those of its runtime and its listeners, and of idle connections.
-const MOST_DESCRIPTORS: usize = 60;
-/// The same of memory, in kB.
-const MOST_MEMORY_KB: u64 = 32 << 10;
+/// Tolerance of the rules' time limits on a busy machine, in microseconds.
+const TIMING_TOLERANCE_US: i64 = 400_000;
+/// Requests that finish between two steps of the scenario.
+const REQUESTS_PER_STEP: usize = 8;
+/// How long an operators' call is repeated until it succeeds, and how long a hand-over may take.
+const CALL_RETRY_TIMEOUT: Duration = Duration::from_secs(4);
+/// The delay before a call is made again.
+const RETRY_DELAY: Duration = Duration::from_millis(50);
+/// The time within which a sidecar reports its new state after it was drained or resumed.
+const STATUS_TIMEOUT: Duration = Duration::from_secs(2);
+/// The time within which discovery is queried at its new address after a reload.
+const RELOAD_TIMEOUT: Duration = Duration::from_secs(4);
+/// A process that was told to stop exits within the longest deadline and this.
+const EXIT_GRACE: Duration = Duration::from_millis(700);
+/// Descriptors that a process may hold at the end: those of its runtime, its listeners and idle connections.
+const MAX_DESCRIPTORS: usize = 60;
+/// Memory that a process may hold at the end, in kB.
+const MAX_MEMORY_KB: u64 = 32 << 10;
 
-/// Calls of each kind, in the order of [`Call::ALL`].
+/// System calls of each kind, in the order of [`Call::ALL`].
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct CallCounts(pub Vec<u64>);
 
-/// Plays the life; with a case, that call fails. Gives the calls that were made.
+/// Runs the scenario, with the system calls of the case failing, if there is one. Returns the number of system calls.
 pub fn run_sidecar_scenario(case: Option<&Case>, seed: u64) -> Result<CallCounts, ClusterError> {
     let mut shape = Shape::plain(1, 3, 0, seed);
     shape.faults = true;
     shape.passed = true;
-    shape.slack = SLACK_US;
+    shape.slack = TIMING_TOLERANCE_US;
     shape.fails = case.map(Case::rule).into_iter().collect();
-    let usual = Conduct { work_us: 2_000, idle_us: 30_000, ..Conduct::default() };
-    shape.conduct = usual.clone();
+    let normal_conduct = Conduct { work_us: 2_000, idle_us: 30_000, ..Conduct::default() };
+    shape.conduct = normal_conduct.clone();
     let cluster = Cluster::start(shape)?;
     let clients = cluster.ask(&traffic(seed));
-    let mut scenario = SidecarScenario { cluster, clients, usual };
-    scenario.requests()?;
-    scenario.operators()?;
-    scenario.list_and_reload()?;
+    let mut scenario = SidecarScenario { cluster, clients, normal_conduct };
+    scenario.run_requests()?;
+    scenario.run_operator_calls()?;
+    scenario.drain_server_and_reload()?;
     scenario.hand_over()?;
-    scenario.end(case)
+    scenario.finish(case)
 }
 
 fn traffic(seed: u64) -> Traffic {
     let keyed = Kind::Keyed { window: 7_500_000 };
     let classes = vec![
-        ("look".into(), Kind::Safe, WAIT, 0.4),
-        ("pay".into(), keyed, WAIT, 0.3),
-        ("book".into(), Kind::Unsafe, WAIT, 0.3),
+        ("look".into(), Kind::Safe, CLIENT_TIMEOUT, 0.4),
+        ("pay".into(), keyed, CLIENT_TIMEOUT, 0.3),
+        ("book".into(), Kind::Unsafe, CLIENT_TIMEOUT, 0.3),
     ];
     Traffic { rate: RATE, classes, leaving: 0.05, bodies: 0.2, seed }
 }
@@ -66,126 +67,136 @@
 struct SidecarScenario {
     cluster: Cluster,
     clients: Clients,
-    usual: Conduct,
+    normal_conduct: Conduct,
 }
 
 impl SidecarScenario {
-    fn more(&self) -> Result<(), ClusterError> {
+    fn wait_for_requests(&self) -> Result<(), ClusterError> {
         let before = self.clients.over();
-        self.cluster.wait("more is asked", || self.clients.over() >= before + BETWEEN)
+        self.cluster.wait("more requests finish", || self.clients.over() >= before + REQUESTS_PER_STEP)
     }
 
-    /// Makes an operators' call until it is answered well.
-    fn call(&mut self, what: &str, mut call: impl FnMut(&mut Cluster) -> bool) -> Result<(), ClusterError> {
-        let began = Instant::now();
+    /// Repeats an operators' call until it succeeds.
+    fn retry_call(
+        &mut self,
+        what: &str,
+        mut call: impl FnMut(&mut Cluster) -> bool,
+    ) -> Result<(), ClusterError> {
+        let started_at = Instant::now();
         while !call(&mut self.cluster) {
-            if began.elapsed() > CALLS_AGAIN {
-                return Err(self.cluster.failed(format!("the call '{what}' is never answered well")));
+            if started_at.elapsed() > CALL_RETRY_TIMEOUT {
+                return Err(self.cluster.failed(format!("the call '{what}' does not succeed")));
             }
-            std::thread::sleep(CALL_PAUSE);
+            std::thread::sleep(RETRY_DELAY);
         }
         Ok(())
     }
 
     /// Requests and retries, over connections that servers close when they are idle.
-    fn requests(&mut self) -> Result<(), ClusterError> {
-        self.more()?;
-        self.cluster.set_conduct(0, &Conduct { turns_away: true, ..self.usual.clone() })?;
-        self.cluster.set_conduct(2, &Conduct { errors: 0.5, ..self.usual.clone() })?;
-        self.more()?;
-        self.cluster.set_conduct(0, &self.usual)?;
-        self.cluster.set_conduct(2, &self.usual)
+    fn run_requests(&mut self) -> Result<(), ClusterError> {
+        self.wait_for_requests()?;
+        self.cluster.set_conduct(0, &Conduct { turns_away: true, ..self.normal_conduct.clone() })?;
+        self.cluster.set_conduct(2, &Conduct { errors: 0.5, ..self.normal_conduct.clone() })?;
+        self.wait_for_requests()?;
+        self.cluster.set_conduct(0, &self.normal_conduct)?;
+        self.cluster.set_conduct(2, &self.normal_conduct)
     }
 
-    /// A server is taken out, and stays so; the sidecar is drained and serves again.
-    fn operators(&mut self) -> Result<(), ClusterError> {
-        self.call("cordon", |cluster| cluster.call(0, OperatorCall::Cordon(1)))?;
-        self.more()?;
+    /// Cordons a server for the rest of the scenario, and drains and resumes the sidecar.
+    fn run_operator_calls(&mut self) -> Result<(), ClusterError> {
+        self.retry_call("cordon", |cluster| cluster.call(0, OperatorCall::Cordon(1)))?;
+        self.wait_for_requests()?;
         for (call, in_service) in [(OperatorCall::Quiesce, false), (OperatorCall::Resume, true)] {
-            self.call(&format!("{call:?}"), |cluster| cluster.call(0, call))?;
-            if !self.cluster.comes_to_say(0, in_service, SAYS_SO) {
-                return Err(self.cluster.failed(format!("told to {call:?}, it does not say so")));
+            self.retry_call(&format!("{call:?}"), |cluster| cluster.call(0, call))?;
+            if !self.cluster.comes_to_say(0, in_service, STATUS_TIMEOUT) {
+                return Err(self
+                    .cluster
+                    .failed(format!("the sidecar does not report its new state after {call:?}")));
             }
         }
-        self.more()
+        self.wait_for_requests()
     }
 
-    /// A server drains and comes back; discovery moves.
-    fn list_and_reload(&mut self) -> Result<(), ClusterError> {
+    /// Drains a server and returns it to service; then a reload moves discovery to another address.
+    fn drain_server_and_reload(&mut self) -> Result<(), ClusterError> {
         self.cluster.set_status(2, "leaving")?;
-        self.more()?;
+        self.wait_for_requests()?;
         self.cluster.set_status(2, "active")?;
         self.cluster.reload_sidecar(0)?;
-        let began = Instant::now();
-        if !until(|| self.cluster.discovery_is_asked(0) || began.elapsed() > ASKED_ANEW)
+        let started_at = Instant::now();
+        if !until(|| self.cluster.discovery_is_asked(0) || started_at.elapsed() > RELOAD_TIMEOUT)
             || !self.cluster.discovery_is_asked(0)
         {
-            return Err(self.cluster.failed("the reload is not followed".into()));
+            return Err(self
+                .cluster
+                .failed("the reload had no effect: discovery is not queried at its new address".into()));
         }
-        self.more()
+        self.wait_for_requests()
     }
 
-    /// A new process takes over, and knows what operators have said.
+    /// Hands over to a new process, which inherits the state that operators have set.
     fn hand_over(&mut self) -> Result<(), ClusterError> {
         self.cluster.begin_hand_over(0)?;
-        let began = Instant::now();
+        let started_at = Instant::now();
         while !self.cluster.handed_over(0)? {
-            if began.elapsed() > CALLS_AGAIN {
-                return Err(self.cluster.failed("the new process can never serve".into()));
+            if started_at.elapsed() > CALL_RETRY_TIMEOUT {
+                return Err(self.cluster.failed("the new process is not ready in time".into()));
             }
-            std::thread::sleep(CALL_PAUSE);
+            std::thread::sleep(RETRY_DELAY);
         }
-        self.more()?;
-        self.ends("the old process", |cluster| cluster.old_process_ended(0))?;
-        self.more()
+        self.wait_for_requests()?;
+        self.wait_for_exit("the old process", |cluster| cluster.old_process_ended(0))?;
+        self.wait_for_requests()
     }
 
-    /// What was told to stop ends by itself, in time.
-    fn ends(
+    /// Waits until a process that was told to stop has exited by itself.
+    fn wait_for_exit(
         &mut self,
         what: &str,
-        ended: impl Fn(&mut Cluster) -> Result<bool, ClusterError>,
+        has_ended: impl Fn(&mut Cluster) -> Result<bool, ClusterError>,
     ) -> Result<(), ClusterError> {
-        let began = Instant::now();
-        while !ended(&mut self.cluster)? {
-            if began.elapsed() > WAIT + ENDS_AFTER {
-                return Err(self.cluster.failed(format!("{what} does not end")));
+        let started_at = Instant::now();
+        while !has_ended(&mut self.cluster)? {
+            if started_at.elapsed() > CLIENT_TIMEOUT + EXIT_GRACE {
+                return Err(self.cluster.failed(format!("{what} did not exit in time")));
             }
-            std::thread::sleep(CALL_PAUSE);
+            std::thread::sleep(RETRY_DELAY);
         }
         Ok(())
     }
 
-    /// Everything is over: what all saw is checked, and the process ends as it is told.
-    fn end(mut self, case: Option<&Case>) -> Result<CallCounts, ClusterError> {
+    /// Checks the metrics, the log, the resources and the history, and that the process stops cleanly.
+    fn finish(mut self, case: Option<&Case>) -> Result<CallCounts, ClusterError> {
         if !self.clients.settle() {
-            return Err(self.cluster.failed("clients' requests never ended".into()));
+            return Err(self.cluster.failed("requests of clients did not finish".into()));
         }
-        let mut counted = None;
-        // The fault may begin with one of these calls.
-        self.call("metrics", |cluster| {
-            counted = cluster.violations(0);
-            counted.is_some()
+        let mut violations = None;
+        // Repeated, as the fault may hit this call.
+        self.retry_call("metrics", |cluster| {
+            violations = cluster.violations(0);
+            violations.is_some()
         })?;
-        if counted.as_ref().is_none_or(|lines| !lines.is_empty()) {
-            return Err(self.cluster.failed(format!("the sidecar has counted {counted:?}")));
+        if violations.as_ref().is_none_or(|lines| !lines.is_empty()) {
+            return Err(self
+                .cluster
+                .failed(format!("the sidecar has counted rule violations: {violations:?}")));
         }
-        let said = self.cluster.sidecar_said(0);
-        if let Some(line) = said.lines().find(|l| l.contains("rule broken") || l.contains("panicked")) {
-            return Err(self.cluster.failed(format!("the sidecar said: {line}")));
+        let log = self.cluster.sidecar_said(0);
+        if let Some(line) = log.lines().find(|l| l.contains("rule broken") || l.contains("panicked")) {
+            return Err(self.cluster.failed(format!("the sidecar logged: {line}")));
         }
         let (descriptors, memory_kb) = self.cluster.held_by(0)?;
-        if descriptors > MOST_DESCRIPTORS || memory_kb > MOST_MEMORY_KB {
-            return Err(self
-                .cluster
-                .failed(format!("it holds {descriptors} descriptors and {memory_kb} kB")));
+        if descriptors > MAX_DESCRIPTORS || memory_kb > MAX_MEMORY_KB {
+            return Err(self.cluster.failed(format!(
+                "the sidecar holds {descriptors} descriptors and {memory_kb} kB at the end"
+            )));
         }
         let calls = CallCounts(Call::ALL.iter().map(|call| self.cluster.calls(0, *call)).collect());
         self.cluster.tell_sidecar_to_stop(0)?;
-        self.ends("the process", |cluster| cluster.sidecar_ended_well(0))?;
+        self.wait_for_exit("the process", |cluster| cluster.sidecar_ended_well(0))?;
         let mut asks = self.clients.finish_early();
         if case.is_some_and(Case::ends_connections) {
-            // The network ended them, not the sidecar.
+            // The injected error ended these connections, not the sidecar.
             for ask in asks.iter_mut().filter(|ask| matches!(ask.came, Came::Closed { .. })) {
                 ask.came = Came::Unreached;
             }
--- a/crates/registry/src/explore/check/order.rs
+++ b/crates/registry/src/explore/check/order.rs
@@ -63,8 +63,8 @@
         before.max().unwrap_or(self.first_index)
     }
 
-    /// The lowest index that was requested only after a step; `u64::MAX` if there is none. Indexes that existed at the step
-    /// are below it.
+    /// The lowest index that was requested only after a step; `u64::MAX` if there is none. Indexes that existed at the
+    /// step are below it.
     fn upper(&self, step: Step) -> u64 {
         let after = self.requested.iter().filter(|seen| seen.at > step).map(|seen| seen.index);
         after.min().unwrap_or(u64::MAX)
--- a/crates/registry/src/explore/disk.rs
+++ b/crates/registry/src/explore/disk.rs
@@ -1,5 +1,5 @@
-//! A simulated disk. It can be full, and in a crash it loses any part of the unsynced writes, as real disks write in any
-//! order.
+//! A simulated disk. It can be full, and in a crash it loses any part of the unsynced writes, as real disks write in
+//! any order.
 
 use rand::RngExt;
 use rand_chacha::ChaCha8Rng;
--- a/crates/registry/src/explore/mod.rs
+++ b/crates/registry/src/explore/mod.rs
@@ -1,5 +1,5 @@
-//! Fault exploration: replicas run the registry's own code, including its log and store, under random faults on simulated
-//! clocks, and their history is checked.
+//! Fault exploration: replicas run the registry's own code, including its log and store, under random faults on
+//! simulated clocks, and their history is checked.
 //!
 //! Each replica has its own runtime with a paused clock; all are stepped in turn on one thread. A suspended replica is
 //! not stepped, and its clock jumps when it resumes, like that of a stopped process. Disks lose any part of what was
--- a/crates/registry/src/explore/schedule/tests.rs
+++ b/crates/registry/src/explore/schedule/tests.rs
@@ -10,8 +10,8 @@
     })
 }
 
-// A membership change that nobody completes leaves the joint configuration in place for good, in which every decision needs
-// a majority of the old members and one of the new ones.
+// A membership change that nobody completes leaves the joint configuration in place for good, in which every decision
+// needs a majority of the old members and one of the new ones.
 #[test]
 fn new_leader_completes_an_interrupted_membership_change() {
     let mut schedule = Schedule::new(5, None);
--- a/crates/registry/src/explore/violation.rs
+++ b/crates/registry/src/explore/violation.rs
@@ -61,7 +61,8 @@
     ClusterFailed(ClusterFailure),
 }
 
-/// How an order of changes contradicts an observation. Ranges of indexes are from `lower` up to, but not including, `upper`.
+/// How an order of changes contradicts an observation. Ranges of indexes are from `lower` up to, but not including,
+/// `upper`.
 #[derive(Clone, Debug, PartialEq)]
 pub enum OrderViolation {
     /// A write has an index outside of the range that its start and end allow.
