--- a/crates/faults/src/call.rs
+++ b/crates/faults/src/call.rs
@@ -2,7 +2,7 @@
 
 use std::fmt;
 
-/// A kind of system call. Those on sockets mean TCP sockets alone, those on files regular files alone.
+/// A kind of system call. Calls on sockets are those on TCP sockets only, calls on files those on regular files only.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, PartialOrd, Ord)]
 #[repr(usize)]
 pub enum Call {
@@ -14,7 +14,7 @@
     Connect,
     /// `recv` and `recvfrom`.
     Receive,
-    /// The same with `MSG_PEEK`.
+    /// `recv` and `recvfrom` with `MSG_PEEK`.
     Peek,
     /// `send`, `sendto` and `writev` on a socket.
     Send,
@@ -33,7 +33,7 @@
 }
 
 impl Call {
-    /// All of them, in the order of their places in the table.
+    /// All kinds, in their order in the table.
     pub const ALL: [Self; 12] = [
         Self::Accept,
         Self::Socket,
@@ -49,8 +49,8 @@
         Self::Rename,
     ];
 
-    /// Error numbers that Linux documents for it and that may pass: those which a sound program survives.
-    pub fn documented(self) -> &'static [i32] {
+    /// The transient error numbers that Linux documents for the call: a correct program survives them.
+    pub fn transient_errors(self) -> &'static [i32] {
         match self {
             Self::Accept => {
                 &[errno::ECONNABORTED, errno::EMFILE, errno::ENFILE, errno::ENOBUFS, errno::EINTR]
@@ -77,7 +77,7 @@
     }
 }
 
-/// Error numbers of Linux on the architectures that this runs on.
+/// Error numbers of Linux on the supported architectures.
 #[allow(missing_docs)]
 pub mod errno {
     pub const EINTR: i32 = 4;
@@ -96,6 +96,6 @@
     pub const ECONNREFUSED: i32 = 111;
     pub const EHOSTUNREACH: i32 = 113;
 
-    /// Those of a call on a connection after which there is none any more.
+    /// The errors of a call on a connection that mean that the connection is gone.
     pub const ENDS_CONNECTION: [i32; 4] = [EPIPE, ECONNRESET, ETIMEDOUT, EHOSTUNREACH];
 }
--- a/crates/fleet/src/sweep/mod.rs
+++ b/crates/fleet/src/sweep/mod.rs
@@ -89,7 +89,7 @@
         let step = count.div_ceil(max_per_error.max(1)).max(1);
         let numbers = (1..=count).step_by(usize::try_from(step).unwrap_or(usize::MAX));
         let of_number = move |number: u64| {
-            let errors = Call::ALL[call].documented().iter();
+            let errors = Call::ALL[call].transient_errors().iter();
             errors.flat_map(move |errno| {
                 [CallExtent::Once, CallExtent::Outage].map(|extent| Case {
                     call,
