--- a/crates/registry-client/src/confirmation.rs
+++ b/crates/registry-client/src/confirmation.rs
@@ -34,12 +34,12 @@
 #[derive(Clone, Copy)]
 pub(crate) struct Removal {
     pub(crate) removed: usize,
-    pub(crate) of: usize,
+    pub(crate) active_before: usize,
 }
 
 impl Removal {
     fn is_excessive(self, remaining: usize, max_share: f64) -> bool {
-        remaining == 0 || self.removed as f64 > max_share * self.of as f64
+        remaining == 0 || self.removed as f64 > max_share * self.active_before as f64
     }
 }
 
@@ -52,7 +52,7 @@
 ) -> Option<Removal> {
     let removed = removed_without_naming(known, new, update);
     if new.services.is_empty() {
-        let removal = Removal { removed: removed.len(), of: known.active_count() };
+        let removal = Removal { removed: removed.len(), active_before: known.active_count() };
         return (!removed.is_empty() && removal.is_excessive(new.active_count(), max_share))
             .then_some(removal);
     }
@@ -63,10 +63,13 @@
     removed_by_service
         .into_iter()
         .filter_map(|(service, removed)| {
-            let removal = Removal { removed, of: active_count(known, service) };
+            let removal = Removal { removed, active_before: active_count(known, service) };
             removal.is_excessive(active_count(new, service), max_share).then_some(removal)
         })
-        .reduce(|sum, one| Removal { removed: sum.removed + one.removed, of: sum.of + one.of })
+        .reduce(|sum, one| Removal {
+            removed: sum.removed + one.removed,
+            active_before: sum.active_before + one.active_before,
+        })
 }
 
 /// Whether an entry says that its server drains or is removed because an operator or the server itself named it.
--- a/crates/registry-client/src/report.rs
+++ b/crates/registry-client/src/report.rs
@@ -38,7 +38,7 @@
         /// How many active servers it removes.
         removed: usize,
         /// How many active servers there were.
-        of: usize,
+        active_before: usize,
     },
     /// That replica confirmed the withheld list, which is used.
     Confirmed(usize),
--- a/crates/registry-client/src/watcher.rs
+++ b/crates/registry-client/src/watcher.rs
@@ -284,8 +284,8 @@
             }
             None => {
                 self.withheld = Some(WithheldList { replica, version, since: now });
-                let Removal { removed, of } = removal;
-                actions.push(Action::Report(Report::Withheld { replica, version, removed, of }));
+                let Removal { removed, active_before } = removal;
+                actions.push(Action::Report(Report::Withheld { replica, version, removed, active_before }));
                 self.polls.reset_failures();
                 replica
             }
--- a/crates/registry-client/tests/services/main.rs
+++ b/crates/registry-client/tests/services/main.rs
@@ -67,7 +67,7 @@
     let poll = driver.next_poll();
     let doubted = poll.replica;
     let out = driver.respond(&list);
-    let withheld = Report::Withheld { replica: doubted, version: list.version, removed: 4, of: 4 };
+    let withheld = Report::Withheld { replica: doubted, version: list.version, removed: 4, active_before: 4 };
     assert_eq!(reports(&out), [&withheld]);
     assert!(applied(&out).is_none() && driver.watcher.withholds_list() && driver.names_in_use().len() == 12);
     let poll = driver.next_poll();
--- a/crates/registry-client/tests/watcher/main.rs
+++ b/crates/registry-client/tests/watcher/main.rs
@@ -74,7 +74,7 @@
                 replica: doubted,
                 version: v(1, 11),
                 removed: lost,
-                of: 4
+                active_before: 4
             }),
             "{out:?}"
         );
--- a/crates/sidecar/src/registry_watch/report.rs
+++ b/crates/sidecar/src/registry_watch/report.rs
@@ -43,8 +43,8 @@
                 format!("{}: list {version} is not what others have as {version}", at(replica))
             }
             Report::UnreadableEntry(entry) => format!("entry left out: {entry}"),
-            Report::Withheld { replica, version, removed, of } => format!(
-                "{}: list {version} takes away {removed} of {of} servers, and is held back",
+            Report::Withheld { replica, version, removed, active_before } => format!(
+                "{}: list {version} takes away {removed} of {active_before} servers, and is held back",
                 at(replica)
             ),
             Report::Confirmed(replica) => format!("{}: what was held back is confirmed", at(replica)),
--- a/crates/sidecar/src/registry_watch/tests.rs
+++ b/crates/sidecar/src/registry_watch/tests.rs
@@ -24,7 +24,7 @@
         ),
         (Report::UnreadableEntry(entry), "entry left out: one without a name: bad"),
         (
-            Report::Withheld { replica: 0, version, removed: 3, of: 4 },
+            Report::Withheld { replica: 0, version, removed: 3, active_before: 4 },
             "127.0.0.1:7400: list 2/9 takes away 3 of 4 servers, and is held back",
         ),
         (Report::Confirmed(0), "127.0.0.1:7400: what was held back is confirmed"),
