--- a/crates/registry-client/src/action.rs
+++ b/crates/registry-client/src/action.rs
@@ -1,39 +1,39 @@
-//! Output of a watcher.
+//! Output of a watcher: the actions that its driver carries out.
 
 use crate::list::{Entry, Version};
 use crate::{Micros, Report};
 
-/// What a watcher wants done.
+/// An action for the driver of a watcher.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Action {
     /// Poll a replica.
     Poll {
-        /// Number of the poll, for its [`Event`](crate::Event) to name.
+        /// Identifies the poll in the [`Event`](crate::Event) that completes it.
         poll: u64,
-        /// The replica, by its position among the addresses.
+        /// Index of the replica among the configured addresses.
         replica: usize,
-        /// Changes after this version are wanted; `None` for the complete list.
+        /// Requests the changes after this version; `None` requests the complete list.
         after: Option<Version>,
-        /// How long the replica may wait for a change.
+        /// How long the replica may hold the poll until there is a change.
         wait: Micros,
     },
     /// Cancel that poll.
     CancelPoll(u64),
-    /// Use this list from now on.
+    /// Use this list, or these changes to the list in use, from now on.
     Apply(AppliedList),
     /// Write [`RegistryWatcher::list`](crate::RegistryWatcher::list) to the cache file.
     Save,
-    /// Log this.
+    /// Log this report.
     Report(Report),
 }
 
-/// A list to be used.
+/// A list to use, or changes to the list in use.
 #[derive(Clone, Debug, PartialEq)]
 pub struct AppliedList {
-    /// Its version.
+    /// Version of the list, with the changes applied.
     pub version: Version,
-    /// Whether it is the complete list, or changes to the one before.
+    /// Whether this is the complete list; otherwise it is changes to the previous list.
     pub full: bool,
-    /// Its entries; changes may hold removed ones.
+    /// The entries; changes may include removed ones.
     pub entries: Vec<Entry>,
 }
--- a/crates/registry-client/src/cache_file.rs
+++ b/crates/registry-client/src/cache_file.rs
@@ -1,7 +1,7 @@
-//! The last good list in a file, for a client that starts while no replica can be reached.
+//! Stores the last list in a file, for a client that starts while no replica can be reached.
 //!
-//! The file is replaced by a rename, so that a reader finds either the old list or the new one. A checksum detects what
-//! a disk changed.
+//! The file is replaced by a rename, so that a reader finds either the old list or the new one. A checksum detects
+//! corruption on disk.
 
 use crate::list::EndpointList;
 use serde::{Deserialize, Serialize};
@@ -12,33 +12,34 @@
 use std::path::{Path, PathBuf};
 use std::time::{Duration, SystemTime, UNIX_EPOCH};
 
-/// The format of a list of all servers.
+/// Format of a list of all servers.
 const FORMAT_ALL_SERVERS: u32 = 1;
-/// The format of a list of some services. A version that knows no services must not take it for a complete list.
+/// Format of a list of some services. Releases without support for services reject it, as they must not take it for a
+/// complete list.
 const FORMAT_SOME_SERVICES: u32 = 2;
 
 const FNV_OFFSET_BASIS: u64 = 0xcbf2_9ce4_8422_2325;
 const FNV_PRIME: u64 = 0x100_0000_01b3;
 
-/// A cache file that can't be used.
+/// Why a cache file can't be used, with its path.
 #[derive(Debug)]
 pub struct CacheFileError {
-    /// The file.
+    /// Path of the file.
     pub path: PathBuf,
-    /// What is wrong with it.
+    /// The cause.
     pub fault: CacheFileFault,
 }
 
-/// What is wrong with a cache file.
+/// Why a cache file can't be used.
 #[derive(Debug)]
 pub enum CacheFileFault {
-    /// It can't be read or written.
+    /// The file can't be read or written.
     Io(io::Error),
-    /// It is not the JSON of a list.
+    /// The content is not the JSON of a list.
     Json(serde_json::Error),
-    /// It has a format that this version does not know.
+    /// The file has a format that this release does not know.
     UnknownFormat(u32),
-    /// The list is not the one that was written.
+    /// The checksum does not match the list: the file was corrupted after it was written.
     ChecksumMismatch,
 }
 
@@ -68,7 +69,7 @@
             Self::UnknownFormat(format) => {
                 write!(f, "format {format} is neither {FORMAT_ALL_SERVERS} nor {FORMAT_SOME_SERVICES}")
             }
-            Self::ChecksumMismatch => f.write_str("the checksum is not that of the list"),
+            Self::ChecksumMismatch => f.write_str("the checksum does not match the list"),
         }
     }
 }
@@ -87,9 +88,9 @@
 #[derive(Deserialize, Serialize)]
 struct StoredList {
     format: u32,
-    /// Of the bytes of `list`.
+    /// Checksum of the bytes of `list`.
     checksum: u64,
-    /// Unix time in milliseconds at which it was written. It is shown to people; nothing is decided by it.
+    /// Unix time in milliseconds at which the file was written. Informational: no decision depends on it.
     saved_ms: u64,
     /// The list as JSON.
     list: String,
@@ -100,7 +101,7 @@
     write(path, list).map_err(|fault| CacheFileError { path: path.to_owned(), fault })
 }
 
-/// Reads the list of the file, and how long ago it was written by the machine's clock; `None` where there is no file.
+/// Reads the list from the file and returns it with its age by the system clock; `None` if there is no file.
 pub fn load(path: &Path) -> Result<Option<(EndpointList, Duration)>, CacheFileError> {
     read(path).map_err(|fault| CacheFileError { path: path.to_owned(), fault })
 }
@@ -110,8 +111,8 @@
     let list = serde_json::to_string(list)?;
     let stored = StoredList { format, checksum: checksum(list.as_bytes()), saved_ms: unix_millis(), list };
     let bytes = serde_json::to_vec(&stored)?;
-    // In the same folder, as a rename works within one file system only; with the process in its name, as the process
-    // of an earlier version may still run.
+    // In the same directory, as a rename works only within one file system. The name contains the process ID, as the
+    // process of an earlier release may still be running.
     let temporary = path.with_extension(format!("new-{}", std::process::id()));
     write_synced(&temporary, &bytes).and_then(|()| std::fs::rename(&temporary, path)).map_err(|error| {
         let _ = std::fs::remove_file(&temporary);
@@ -148,7 +149,7 @@
     u64::try_from(since_epoch.as_millis()).unwrap_or(u64::MAX)
 }
 
-/// FNV-1a, which detects accidental changes and no deliberate ones.
+/// FNV-1a hash, which detects accidental changes but no deliberate ones.
 fn checksum(bytes: &[u8]) -> u64 {
     bytes.iter().fold(FNV_OFFSET_BASIS, |hash, byte| (hash ^ u64::from(*byte)).wrapping_mul(FNV_PRIME))
 }
--- a/crates/registry-client/src/confirmation.rs
+++ b/crates/registry-client/src/confirmation.rs
@@ -1,14 +1,15 @@
-//! Which lists need the confirmation of a second replica.
+//! Decides which lists need the confirmation of a second replica.
 //!
-//! A replica that was cut off from the servers lets their leases expire, and must not empty the list of clients that
-//! still reach them. So a list that removes more than a share of the active servers is withheld until another
-//! replica has it as well. Drains and removals by an operator name their servers and are trusted at once.
+//! A replica that is cut off from the servers lets their leases expire, and must not empty the lists of clients that
+//! can still reach them. So a list that removes more than a configured share of the active servers is withheld until
+//! another replica has it as well. Explicit drains and removals, by an operator or by the server itself, are applied
+//! without confirmation.
 
 use crate::list::{EndpointList, Entry, ListUpdate, Status, StatusReason, Version};
 use crate::{Micros, Settings};
 use std::collections::{BTreeMap, BTreeSet};
 
-/// A list that waits for its confirmation.
+/// A list that is not used before it is confirmed.
 pub(crate) struct WithheldList {
     pub(crate) replica: usize,
     pub(crate) version: Version,
@@ -16,8 +17,8 @@
 }
 
 impl WithheldList {
-    /// Whether a list of this version from that replica confirms it. A single replica confirms itself after a while,
-    /// as there is no other that could.
+    /// Whether a list of this version from that replica confirms it. If there is only one replica, it confirms its own
+    /// list after `self_confirm_after`, as no other replica could.
     pub(crate) fn is_confirmed_by(
         &self,
         replica: usize,
@@ -30,7 +31,7 @@
     }
 }
 
-/// How many active servers a list removes, of how many.
+/// How many active servers a list removes, and how many were active before.
 #[derive(Clone, Copy)]
 pub(crate) struct Removal {
     pub(crate) removed: usize,
@@ -43,14 +44,15 @@
     }
 }
 
-/// What a list removes, where that is too much of a watched service; of all servers where no service is watched.
+/// Returns what a list removes if that is more than `max_share` of the active servers, or all of them. Each watched
+/// service is checked on its own; without a selection of services, all servers are checked together.
 pub(crate) fn excessive_removal(
     known: &EndpointList,
     new: &EndpointList,
     update: &ListUpdate,
     max_share: f64,
 ) -> Option<Removal> {
-    let removed = removed_without_naming(known, new, update);
+    let removed = implicitly_removed(known, new, update);
     if new.services.is_empty() {
         let removal = Removal { removed: removed.len(), active_before: known.active_count() };
         return (!removed.is_empty() && removal.is_excessive(new.active_count(), max_share))
@@ -72,24 +74,24 @@
         })
 }
 
-/// Whether an entry says that its server drains or is removed because an operator or the server itself named it.
-pub(crate) fn is_named_removal(entry: &Entry) -> bool {
+/// Whether an entry says that its server was drained or removed by an operator or by the server itself.
+pub(crate) fn is_explicit_removal(entry: &Entry) -> bool {
     matches!(entry.status_reason, StatusReason::Drained | StatusReason::Removed)
         && entry.status != Status::Active
 }
 
-/// Servers that are active in the known list and not in the new one, without having been named. One that moved to
-/// another watched service is still active.
-fn removed_without_naming<'a>(
+/// Servers that are active in the known list but not in the new one, and were not explicitly drained or removed. A
+/// server that moved to another watched service is still active.
+fn implicitly_removed<'a>(
     known: &'a EndpointList,
     new: &EndpointList,
     update: &ListUpdate,
 ) -> Vec<&'a Entry> {
-    let named: BTreeSet<&str> =
-        update.endpoints.iter().filter(|e| is_named_removal(e)).map(|e| e.name.as_str()).collect();
+    let explicit: BTreeSet<&str> =
+        update.endpoints.iter().filter(|e| is_explicit_removal(e)).map(|e| e.name.as_str()).collect();
     let is_removed = |entry: &&Entry| {
         let stays_active = new.entries.get(&entry.name).is_some_and(|now| now.status == Status::Active);
-        !stays_active && !named.contains(entry.name.as_str())
+        !stays_active && !explicit.contains(entry.name.as_str())
     };
     known.entries.values().filter(|e| e.status == Status::Active).filter(is_removed).collect()
 }
--- a/crates/registry-client/src/event.rs
+++ b/crates/registry-client/src/event.rs
@@ -1,31 +1,31 @@
-//! Input of a watcher.
+//! Input of a watcher: the events that its driver passes to it.
 
 use crate::list::{EndpointList, ListUpdate};
 use crate::{Micros, PollError};
 
-/// What happens to a watcher.
+/// An event that a watcher handles.
 #[derive(Clone, Debug)]
 pub enum Event {
-    /// It starts, with the list of its cache file if there is one.
+    /// The watcher starts, with the list from its cache file if there is one.
     Start(Option<EndpointList>),
     /// A replica responded to a poll.
     Response {
-        /// The poll.
+        /// ID of the poll.
         poll: u64,
         /// The response.
         update: ListUpdate,
     },
     /// A poll failed.
     PollFailed {
-        /// The poll.
+        /// ID of the poll.
         poll: u64,
-        /// The replica's `Retry-After`.
+        /// `Retry-After` of the replica's response, if any.
         retry_after: Option<Micros>,
-        /// What went wrong.
+        /// Why the poll failed.
         error: PollError,
     },
-    /// Servers of these services are watched from now on; empty means all servers.
+    /// Only servers of these services are watched from now on; empty means all servers.
     ServicesChanged(Vec<String>),
-    /// The instant of [`RegistryWatcher::next_timer`](crate::RegistryWatcher::next_timer) has come.
+    /// The instant returned by [`RegistryWatcher::next_timer`](crate::RegistryWatcher::next_timer) was reached.
     Timer,
 }
--- a/crates/registry-client/src/freshness.rs
+++ b/crates/registry-client/src/freshness.rs
@@ -1,18 +1,18 @@
-//! How old the list is, and when it counts as stale.
+//! Age of the list, and when it counts as stale.
 
 use crate::list::ListUpdate;
 use crate::{Micros, Report};
 
 const MICROS_PER_MILLISECOND: Micros = 1000;
-/// Longer times in a response are taken for this one, so that sums with them can't overflow.
+/// Times in a response are capped at this value, so that sums with them can't overflow.
 const MAX_MILLISECONDS: Micros = Micros::MAX / 2000;
 
 /// Tracks the age of the list.
 #[derive(Default)]
 pub(crate) struct Freshness {
     started_at: Micros,
-    /// The latest instant at which nothing newer than the list was acknowledged; `None` before any response.
-    current_at: Option<Micros>,
+    /// Latest instant at which the list is known to have had every acknowledged change; `None` before any response.
+    up_to_date_at: Option<Micros>,
     is_stale: bool,
 }
 
@@ -21,28 +21,28 @@
         self.started_at = now;
     }
 
-    /// Age of the list, counted from the start while there was no response.
+    /// Age of the list; counted from the start of the watcher before any response.
     pub(crate) fn age(&self, now: Micros) -> Micros {
-        now - self.reference()
+        now - self.age_reference()
     }
 
-    /// Takes the age from a response to a poll that was sent at `sent_at`.
+    /// Updates the age from the response to a poll that was sent at `sent_at`.
     ///
-    /// The replica can't have received the poll before that, and held it for `waited_ms`; so its response was made
-    /// at `sent_at + waited_ms` or later. The estimate errs towards an older list.
+    /// The replica received the poll at `sent_at` or later and held it for `waited_ms`, so it responded at
+    /// `sent_at + waited_ms` or later. The estimate errs towards an older list.
     pub(crate) fn observe(&mut self, now: Micros, sent_at: Micros, update: &ListUpdate) {
         let waited = millis(update.waited_ms);
         let age = millis(update.age_ms);
-        let current_at = (sent_at + waited - age).min(now);
-        self.current_at = Some(self.current_at.map_or(current_at, |at| at.max(current_at)));
+        let up_to_date_at = (sent_at + waited - age).min(now);
+        self.up_to_date_at = Some(self.up_to_date_at.map_or(up_to_date_at, |at| at.max(up_to_date_at)));
     }
 
-    /// When the list gets stale; `None` where it is.
+    /// When the list becomes stale; `None` if it already is.
     pub(crate) fn stale_at(&self, stale_after: Micros) -> Option<Micros> {
-        (!self.is_stale).then(|| self.reference() + stale_after)
+        (!self.is_stale).then(|| self.age_reference() + stale_after)
     }
 
-    /// A report where the list has become stale, or fresh again, since the last call.
+    /// Returns a report if the list has become stale, or fresh again, since the last call.
     pub(crate) fn change(&mut self, now: Micros, stale_after: Micros) -> Option<Report> {
         let age = self.age(now);
         let is_stale = age >= stale_after;
@@ -53,8 +53,9 @@
         Some(if is_stale { Report::Stale(age) } else { Report::Fresh })
     }
 
-    fn reference(&self) -> Micros {
-        self.current_at.unwrap_or(self.started_at)
+    /// Instant from which the age is counted.
+    fn age_reference(&self) -> Micros {
+        self.up_to_date_at.unwrap_or(self.started_at)
     }
 }
 
--- a/crates/registry-client/src/lib.rs
+++ b/crates/registry-client/src/lib.rs
@@ -1,9 +1,8 @@
-//! The client of the service registry.
+//! Client of the service registry.
 //!
 //! [`RegistryWatcher`] is a state machine without I/O: it takes `(now, event)` and returns actions. It decides which
-//! replica is polled, when and for what, and which of the lists that come back are used. A driver connects it to
-//! sockets and a clock: the sidecar does, and so does the simulation. It depends on nothing of the registry's
-//! implementation.
+//! replica is polled, when and for what, and which of the returned lists are used. A driver connects it to sockets and
+//! a clock; the sidecar has one, and so has the simulation. The crate does not depend on the registry's implementation.
 
 mod action;
 pub mod cache_file;
@@ -27,5 +26,5 @@
 pub use settings::Settings;
 pub use watcher::RegistryWatcher;
 
-/// Microseconds on the caller's own monotonic clock, from any origin.
+/// Microseconds on the caller's monotonic clock, from an arbitrary origin.
 pub type Micros = i64;
--- a/crates/registry-client/src/list.rs
+++ b/crates/registry-client/src/list.rs
@@ -1,4 +1,4 @@
-//! The endpoint list as it is sent and stored: versions, entries, and responses of a replica.
+//! The endpoint list as it is sent and stored: versions, entries, and the responses of a replica.
 
 use serde::{Deserialize, Serialize};
 use std::collections::BTreeMap;
@@ -9,7 +9,7 @@
 /// a higher epoch than all lists before it. Within an epoch each change raises the index by one.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash, Deserialize, Serialize)]
 pub struct Version {
-    /// The history that the index belongs to.
+    /// The epoch, within which indexes are comparable.
     pub epoch: u64,
     /// Number of the last change. It never decreases, not even from one epoch to the next.
     pub index: u64,
@@ -28,7 +28,7 @@
     /// Takes requests.
     #[default]
     Active,
-    /// Finishes the requests that it has and takes no new ones.
+    /// Completes the requests in flight and takes no new ones.
     #[serde(rename = "leaving")]
     Draining,
     /// Removed; appears in changes only.
@@ -47,16 +47,16 @@
     Drained,
     /// An operator or the server itself removed it.
     Removed,
-    /// Its lease expired. The server may be well and only cut off from the registry.
+    /// Its lease expired. The server may be healthy and only cut off from the registry.
     Expired,
 }
 
-/// An entry of the list.
+/// A server in the list.
 #[derive(Clone, Debug, PartialEq, Deserialize, Serialize)]
 pub struct Entry {
-    /// Its name, by which all clients know it.
+    /// Unique name of the server, the same for all clients.
     pub name: String,
-    /// The address that it serves at.
+    /// The address at which it serves requests.
     pub address: SocketAddr,
     /// Its service.
     #[serde(default, skip_serializing_if = "Option::is_none")]
@@ -76,10 +76,10 @@
     /// Its status.
     #[serde(default)]
     pub status: Status,
-    /// Its capacity relative to other servers.
+    /// Its capacity, relative to other servers.
     #[serde(default = "default_weight")]
     pub weight: f64,
-    /// Unix time of its last start in milliseconds; 0 if that was long ago.
+    /// Unix time of its last start in milliseconds; 0 if it has been running for long.
     #[serde(default, rename = "since_ms")]
     pub started_ms: i64,
     /// Why it has this status.
@@ -91,39 +91,40 @@
     1.0
 }
 
-/// A response of a replica: the complete list, or the changes since the version that the poll names.
+/// A response of a replica: the complete list, or the changes since the version in the poll.
 #[derive(Clone, Debug, Default, PartialEq, Serialize)]
 pub struct ListUpdate {
-    /// The version of the list with this update.
+    /// Version of the list with this update applied.
     #[serde(flatten)]
     pub version: Version,
-    /// Whether it is the complete list.
+    /// Whether this is the complete list.
     pub snapshot: bool,
-    /// Digest of the list's history. Two replicas with different digests at one version have diverged, which is a fault
-    /// of the registry.
+    /// Digest of the list's history. Two replicas with different digests at the same version have diverged, which is a
+    /// fault of the registry.
     pub digest: u64,
     /// The replica that responded.
     pub replica: u64,
-    /// How long before the response the replica last knew that nothing newer was acknowledged, in milliseconds.
+    /// Age of the list at the response, in milliseconds: the time since the replica last knew that its list had every
+    /// acknowledged change.
     pub age_ms: u64,
-    /// How long the replica held the poll until there was a change, in milliseconds.
+    /// How long the replica held the poll before it responded, in milliseconds.
     pub waited_ms: u64,
-    /// The services that it is limited to, sorted by name; `None` if it is of all servers.
+    /// The services that the update is limited to, sorted by name; `None` if it covers all servers.
     #[serde(skip_serializing_if = "Option::is_none")]
     pub services: Option<Vec<String>>,
     /// The entries.
     pub endpoints: Vec<Entry>,
-    /// Entries that can't be read. Known entries of these names stay as they are.
+    /// Entries that could not be decoded. Known entries with these names stay unchanged.
     #[serde(skip)]
     pub unreadable: Vec<UnreadableEntry>,
 }
 
-/// An entry that can't be read.
+/// An entry that could not be decoded.
 #[derive(Clone, Debug, PartialEq)]
 pub struct UnreadableEntry {
-    /// Its name, if that can be read.
+    /// Its name, if that could be decoded.
     pub name: Option<String>,
-    /// What is wrong with it.
+    /// Why it could not be decoded.
     pub error: String,
 }
 
@@ -133,7 +134,7 @@
     }
 }
 
-/// A response as it is sent, with its entries not yet decoded.
+/// A response with its entries not yet decoded.
 #[derive(Deserialize)]
 struct WireUpdate {
     epoch: u64,
@@ -152,8 +153,8 @@
 }
 
 impl ListUpdate {
-    /// Decodes a response. An entry that can't be decoded is set aside and the others are used, as a newer registry
-    /// may send values that this version does not know.
+    /// Decodes a response. An entry that can't be decoded is added to `unreadable` and the others are used, as a newer
+    /// registry may send values that this release does not know.
     pub fn from_json(bytes: &[u8]) -> Result<Self, serde_json::Error> {
         let wire: WireUpdate = serde_json::from_slice(bytes)?;
         let mut update = Self {
@@ -177,24 +178,24 @@
     }
 }
 
-/// The list of a watcher, as it is stored in the cache file too.
+/// The list of a watcher; it is also what the cache file stores.
 #[derive(Clone, Debug, Default, PartialEq, Deserialize, Serialize)]
 pub struct EndpointList {
-    /// Its version.
+    /// Version of the list.
     pub version: Version,
-    /// The registry's digest of it.
+    /// The registry's digest of the list.
     pub digest: u64,
-    /// The services that it is limited to, sorted by name; empty if it is of all servers.
+    /// The services that the list is limited to, sorted by name; empty if it covers all servers.
     #[serde(default, skip_serializing_if = "Vec::is_empty")]
     pub services: Vec<String>,
-    /// Its entries by name, without removed ones.
+    /// The entries by name, without removed ones.
     pub entries: BTreeMap<String, Entry>,
 }
 
 impl EndpointList {
-    /// This list with an update applied; `None` if the update is changes to another list than this.
+    /// Returns this list with an update applied; `None` if the update consists of changes to a different list.
     ///
-    /// `polled_after` is the version that the poll named.
+    /// `polled_after` is the version that the poll requested the changes after.
     pub fn updated(&self, update: &ListUpdate, polled_after: Option<Version>) -> Option<Self> {
         let services = update.services.as_deref().unwrap_or_default();
         let mut entries = if update.snapshot {
--- a/crates/registry-client/src/poll_error.rs
+++ b/crates/registry-client/src/poll_error.rs
@@ -1,4 +1,4 @@
-//! Why a poll failed.
+//! Errors of polls.
 
 use std::error::Error;
 use std::fmt;
@@ -7,22 +7,22 @@
 /// Why a poll failed.
 #[derive(Clone, Debug)]
 pub enum PollError {
-    /// No response came within the time that the watcher gives it.
+    /// The watcher's timeout expired before there was a response.
     Timeout,
-    /// The connection could not be made, or broke before the end of the response.
+    /// The connection could not be established, or was lost before the end of the response.
     Connection(Arc<dyn Error + Send + Sync>),
-    /// The replica responded with another status than 200.
+    /// The replica responded with a status other than 200.
     Status(u16),
     /// The response is not a list.
     InvalidResponse(Arc<serde_json::Error>),
-    /// The replica runs a version that knows no services: it sent the list of all servers.
+    /// The replica runs a release without support for services: it sent the list of all servers.
     ServicesUnsupported,
-    /// The response is of other services than were polled.
+    /// The response is not for the services that were polled.
     OtherServices,
 }
 
 impl PollError {
-    /// An error of the connection, of whatever type the driver has for it.
+    /// A connection error, of any type that the driver has.
     pub fn connection(cause: impl Into<Box<dyn Error + Send + Sync>>) -> Self {
         Self::Connection(Arc::from(cause.into()))
     }
@@ -42,7 +42,7 @@
             Self::Status(status) => write!(f, "status {status}"),
             Self::InvalidResponse(cause) => write!(f, "unreadable list: {cause}"),
             Self::ServicesUnsupported => f.write_str("does not know services"),
-            Self::OtherServices => f.write_str("told of other services"),
+            Self::OtherServices => f.write_str("response is for other services than polled"),
         }
     }
 }
@@ -50,7 +50,7 @@
 impl Error for PollError {
     fn source(&self) -> Option<&(dyn Error + 'static)> {
         match self {
-            // Its text is that of its cause, so the chain goes on behind the cause.
+            // It displays the text of its cause, so the chain continues with the cause's source.
             Self::Connection(cause) => cause.source(),
             Self::InvalidResponse(cause) => Some(cause.as_ref()),
             Self::Timeout | Self::Status(_) | Self::ServicesUnsupported | Self::OtherServices => None,
@@ -58,7 +58,7 @@
     }
 }
 
-/// Causes can't be compared; two errors are equal when they are of one kind and have the same text.
+/// Causes can't be compared: two errors are equal if they have the same variant and the same text.
 impl PartialEq for PollError {
     fn eq(&self, other: &Self) -> bool {
         std::mem::discriminant(self) == std::mem::discriminant(other) && self.to_string() == other.to_string()
--- a/crates/registry-client/src/polls.rs
+++ b/crates/registry-client/src/polls.rs
@@ -1,29 +1,30 @@
-//! Which replica is polled, and when.
+//! Decides which replica is polled, and when.
 //!
 //! Normally one poll is in flight: a watch, at the replica that responded last. After a failure the next replica is
-//! polled with exponential backoff and jitter, so that thousands of watchers don't return as one. That poll is
-//! hedged: where no response has come for a while, the replica after it is polled as well.
+//! polled, with exponential backoff and with jitter, so that thousands of watchers don't poll at the same instant. That
+//! poll is hedged: if there is no response within `hedge_delay`, the replica after it is polled as well.
 
 use crate::list::Version;
 use crate::{Action, Micros, Settings};
 
-/// Doublings after which the backoff grows no further; it has reached its limit long before.
+/// Maximum number of doublings of the backoff, which reaches its limit long before.
 const MAX_BACKOFF_DOUBLINGS: u32 = 16;
-/// Smallest part of a backoff that jitter leaves.
+/// Lower bound of the factor that a backoff is multiplied by.
 const MIN_BACKOFF_FACTOR: f64 = 0.5;
+/// Width of the range from which that factor is drawn.
 const BACKOFF_JITTER: f64 = 0.5;
-/// Largest part of a `Retry-After` that jitter adds to it.
+/// Largest share of a `Retry-After` that is added to it as jitter.
 const RETRY_AFTER_JITTER: f64 = 0.2;
 const MICROS_PER_MILLISECOND: Micros = 1000;
 
 /// What a poll is for.
 #[derive(Clone, Copy, PartialEq)]
 pub(crate) enum Purpose {
-    /// To wait for the next change.
+    /// Waits for the next change.
     Watch,
-    /// To get the present list without waiting.
+    /// Gets the present list without waiting.
     Read,
-    /// To compare the complete list with one that is withheld.
+    /// Gets the complete list, to compare it with the withheld one.
     Confirm,
 }
 
@@ -64,7 +65,7 @@
         }
     }
 
-    /// Whether there was a first poll, or one is scheduled.
+    /// Whether a poll is scheduled or in flight, which is so from the start of the watcher on.
     pub(crate) fn has_started(&self) -> bool {
         self.next_at.is_some() || !self.in_flight.is_empty()
     }
@@ -73,30 +74,30 @@
         self.in_flight.is_empty()
     }
 
-    /// The earliest instant at which one of these is due: a deadline, the next poll, a hedge.
+    /// The earliest instant at which a deadline, the next poll or a hedged poll is due.
     pub(crate) fn next_timer(&self) -> Option<Micros> {
         let deadline = self.in_flight.iter().map(|poll| poll.deadline).min();
         [deadline, self.next_at, self.hedge_at].into_iter().flatten().min()
     }
 
-    /// Takes a poll out of those in flight; `None` if it was cancelled or timed out before.
+    /// Removes a poll from those in flight; `None` if it was cancelled or timed out before.
     pub(crate) fn take(&mut self, id: u64) -> Option<InFlightPoll> {
         let position = self.in_flight.iter().position(|poll| poll.id == id)?;
         Some(self.in_flight.swap_remove(position))
     }
 
-    /// Takes a poll out whose deadline has passed.
+    /// Removes and returns a poll whose deadline has passed.
     pub(crate) fn take_expired(&mut self, now: Micros) -> Option<InFlightPoll> {
         let position = self.in_flight.iter().position(|poll| poll.deadline <= now)?;
         Some(self.in_flight.swap_remove(position))
     }
 
-    /// Whether the next poll is due; true once for each.
+    /// Whether the next poll is due; returns `true` once for each poll.
     pub(crate) fn take_next(&mut self, now: Micros) -> bool {
         self.next_at.take_if(|at| *at <= now).is_some()
     }
 
-    /// Sends the hedge of a single poll in flight, where it is due.
+    /// Sends a hedged poll if it is due and a single poll is in flight.
     pub(crate) fn hedge_if_due(&mut self, now: Micros, settings: &Settings, actions: &mut Vec<Action>) {
         if self.hedge_at.take_if(|at| *at <= now).is_none() {
             return;
@@ -108,7 +109,7 @@
         }
     }
 
-    /// Polls the replica whose turn it is for changes after a version, or for the complete list.
+    /// Polls the next replica for the changes after a version, or for the complete list.
     pub(crate) fn send_next(
         &mut self,
         now: Micros,
@@ -124,7 +125,7 @@
         }
     }
 
-    /// Polls the replica whose turn it is for a list to compare with the one that is withheld.
+    /// Polls the next replica for a list to compare with the withheld one.
     pub(crate) fn send_confirmation(&mut self, now: Micros, settings: &Settings, actions: &mut Vec<Action>) {
         self.send(now, self.replica, None, Purpose::Confirm, settings, actions);
     }
@@ -155,14 +156,14 @@
         self.next_at = Some(at);
     }
 
-    /// Stays with the replica that responded.
+    /// Schedules the next poll, at the replica that responded.
     pub(crate) fn succeeded(&mut self, now: Micros, poll: &InFlightPoll, settings: &Settings) {
         self.consecutive_failures = 0;
         self.replica = poll.replica;
         self.next_at = Some((poll.sent_at + settings.min_poll_interval).max(now));
     }
 
-    /// Goes on to the replica after `failed`, with backoff, and not before the end of a `Retry-After`.
+    /// Schedules a poll of the replica after `failed`, with backoff, and not before the end of a `Retry-After`.
     pub(crate) fn back_off(
         &mut self,
         now: Micros,
@@ -172,23 +173,24 @@
     ) {
         self.hedge_at = None;
         self.replica = (failed + 1) % settings.replicas;
-        let grown = settings.initial_backoff << self.consecutive_failures.min(MAX_BACKOFF_DOUBLINGS);
+        let uncapped = settings.initial_backoff << self.consecutive_failures.min(MAX_BACKOFF_DOUBLINGS);
         self.consecutive_failures += 1;
         let random = self.rng.f64();
-        let backoff = grown.min(settings.max_backoff) as f64;
+        let backoff = uncapped.min(settings.max_backoff) as f64;
         let backoff = (backoff * (MIN_BACKOFF_FACTOR + BACKOFF_JITTER * random)) as Micros;
-        // Watchers that got the same `Retry-After` must not return at one instant, and none before it.
+        // Watchers with the same `Retry-After` must not poll again at the same instant, and none may poll before it.
         let jittered = |wait: Micros| (wait as f64 * (1.0 + RETRY_AFTER_JITTER * random)) as Micros;
         let retry_after = retry_after.map_or(0, jittered);
         self.next_at = Some(now + backoff.max(retry_after));
     }
 
-    /// Forgets earlier failures, as the next poll is to confirm a list and not to get around a fault.
+    /// Resets the failure count, as the next poll confirms a list and is not a retry after a failure.
     pub(crate) fn reset_failures(&mut self) {
         self.consecutive_failures = 0;
     }
 
-    /// Goes on after a list of `replica` was withheld. The first time another replica is polled at once.
+    /// Schedules the next poll after a list of `replica` was withheld. The first time, another replica is polled
+    /// immediately.
     pub(crate) fn seek_confirmation(&mut self, now: Micros, replica: usize, settings: &Settings) {
         let is_first = self.consecutive_failures == 0;
         self.back_off(now, replica, None, settings);
@@ -197,7 +199,7 @@
         }
     }
 
-    /// Passes over a replica where there are others.
+    /// Skips a replica if there are others.
     pub(crate) fn avoid(&mut self, replica: usize, settings: &Settings) {
         if settings.replicas > 1 && self.replica == replica {
             self.replica = (self.replica + 1) % settings.replicas;
--- a/crates/registry-client/src/report.rs
+++ b/crates/registry-client/src/report.rs
@@ -1,53 +1,53 @@
-//! What a watcher reports to operators.
+//! Reports of a watcher to operators.
 
 use crate::list::{UnreadableEntry, Version};
 use crate::{Micros, PollError};
 
-/// Something to log.
+/// An observation of a watcher, for the log.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Report {
     /// A poll failed.
     PollFailed {
         /// The replica.
         replica: usize,
-        /// What went wrong.
+        /// Why the poll failed.
         error: PollError,
     },
-    /// A replica has an older list than this watcher: it is not used.
+    /// A replica has an older list than this watcher; it is not used.
     OlderVersion {
         /// The replica.
         replica: usize,
-        /// Its version.
+        /// Version of its list.
         version: Version,
     },
-    /// Two replicas have different lists of one version, which is a fault of the registry: the new one is not used.
+    /// A replica has a different list of the same version, which is a fault of the registry; it is not used.
     DigestMismatch {
         /// The replica.
         replica: usize,
         /// The version.
         version: Version,
     },
-    /// An entry can't be read and was left out.
+    /// An entry could not be decoded and is ignored.
     UnreadableEntry(UnreadableEntry),
-    /// A list removes too many servers: it is withheld until it is confirmed.
+    /// A list removes too many servers; it is withheld until it is confirmed.
     Withheld {
-        /// The replica that has it.
+        /// The replica that sent the list.
         replica: usize,
-        /// Its version.
+        /// Version of that list.
         version: Version,
-        /// How many active servers it removes.
+        /// Number of active servers that the list removes.
         removed: usize,
-        /// How many active servers there were.
+        /// Number of active servers before.
         active_before: usize,
     },
-    /// That replica confirmed the withheld list, which is used.
+    /// That replica confirmed the withheld list, which is used now.
     Confirmed(usize),
-    /// That replica does not confirm the withheld list: its own is used.
+    /// That replica did not confirm the withheld list; its own list is used instead.
     Unconfirmed(usize),
-    /// A watched service has no servers in the list that is used from now on. Reported again once it had some.
+    /// A watched service has no servers in the list. Reported again only after it has had servers in between.
     NoServers(String),
-    /// The list is this old, in microseconds, and nothing newer is known: it stays in use.
+    /// The list became stale and has this age in microseconds; it stays in use.
     Stale(Micros),
-    /// It is up to date again.
+    /// The list is up to date again.
     Fresh,
 }
--- a/crates/registry-client/src/save_schedule.rs
+++ b/crates/registry-client/src/save_schedule.rs
@@ -1,8 +1,8 @@
-//! When the list is written to the cache file.
+//! Schedules the writes of the list to the cache file.
 
 use crate::Micros;
 
-/// Spaces the writes of the cache file, so that a list that changes often does not keep the disk busy.
+/// Keeps a minimum interval between writes of the cache file, so that a list that changes often does not load the disk.
 pub(crate) struct SaveSchedule {
     due_at: Option<Micros>,
     saved_at: Micros,
@@ -10,7 +10,7 @@
 
 impl SaveSchedule {
     pub(crate) fn new() -> Self {
-        // Long ago, and far enough from the limits of the type for an interval to be added.
+        // Long ago, so that the first write is due at once, but far enough from the type's limits to add an interval.
         Self { due_at: None, saved_at: Micros::MIN / 2 }
     }
 
@@ -19,17 +19,17 @@
         self.due_at
     }
 
-    /// The list has changed.
+    /// Schedules a write, as the list has changed.
     pub(crate) fn request(&mut self, now: Micros, min_interval: Micros) {
         self.due_at.get_or_insert(now.max(self.saved_at + min_interval));
     }
 
-    /// Drops a write that is not done yet.
+    /// Cancels a pending write.
     pub(crate) fn cancel(&mut self) {
         self.due_at = None;
     }
 
-    /// Whether the list is to be written now.
+    /// Whether a write is due; returns `true` once for each write.
     pub(crate) fn take_due(&mut self, now: Micros) -> bool {
         let is_due = self.due_at.take_if(|at| *at <= now).is_some();
         if is_due {
--- a/crates/registry-client/src/settings.rs
+++ b/crates/registry-client/src/settings.rs
@@ -3,7 +3,8 @@
 use crate::Micros;
 
 const DEFAULT_WATCH_WAIT_MICROS: Micros = 4_000_000;
-/// With the wait of a watch 6 s: a sidecar has to know within that time what it missed after a watch fell silent.
+/// 6 s together with the watch wait: the time within which a sidecar has to learn of changes that it missed because a
+/// watch stopped responding.
 const DEFAULT_RESPONSE_TIMEOUT_MICROS: Micros = 2_000_000;
 const DEFAULT_MIN_POLL_INTERVAL_MICROS: Micros = 50_000;
 const DEFAULT_INITIAL_BACKOFF_MICROS: Micros = 250_000;
@@ -17,35 +18,35 @@
 /// Settings of a [`RegistryWatcher`](crate::RegistryWatcher). Times are in microseconds.
 #[derive(Clone, Debug)]
 pub struct Settings {
-    /// Number of replicas; at least one.
+    /// Number of replicas, at least one.
     pub replicas: usize,
     /// How long a replica may hold a watch open without a change.
     pub watch_wait: Micros,
-    /// How much longer than that a response may take.
+    /// How much longer than the requested wait a response may take.
     pub response_timeout: Micros,
-    /// Least time from one poll to the next.
+    /// Minimum time from one poll to the next.
     pub min_poll_interval: Micros,
-    /// Backoff after a first failure, before jitter.
+    /// Backoff after the first failure, before jitter.
     pub initial_backoff: Micros,
-    /// Longest backoff.
+    /// Maximum backoff, before jitter.
     pub max_backoff: Micros,
-    /// Time without a response after which the first poll after a failure is hedged at a second replica.
+    /// Time without a response after which a poll that follows a failure is hedged at a second replica.
     pub hedge_delay: Micros,
     /// A list that removes more than this share of the active servers needs confirmation.
     pub max_removed_share: f64,
-    /// Time after which a single replica may confirm such a list itself.
+    /// Time after which such a list is confirmed by the replica itself if it is the only one.
     pub self_confirm_after: Micros,
-    /// Age from which the list is reported stale.
+    /// Age from which the list is reported as stale.
     pub stale_after: Micros,
-    /// Least time between two writes of the cache file.
+    /// Minimum time between two writes of the cache file.
     pub min_save_interval: Micros,
-    /// Services whose servers are watched; names are made of letters, digits and `.`, `_`, `:`, `-`. Empty means all
-    /// servers.
+    /// Services whose servers are watched; empty means all servers. Names consist of letters, digits, `.`, `_`, `:` and
+    /// `-`.
     pub services: Vec<String>,
 }
 
 impl Settings {
-    /// Defaults for that many replicas.
+    /// Default settings for that number of replicas.
     pub fn new(replicas: usize) -> Self {
         Self {
             replicas,
--- a/crates/registry-client/src/watcher.rs
+++ b/crates/registry-client/src/watcher.rs
@@ -1,7 +1,8 @@
-//! The state machine: takes events, keeps the list, decides which responses are used.
+//! The state machine: handles events, holds the list and decides which responses are used.
 //!
-//! A list of an older version or epoch than the known one is never used; neither is one that removes too many servers
-//! before it is confirmed (see `confirmation`), nor a response of other services than were polled (see `services`).
+//! A list of an older version or epoch than the known one is never used, nor is a response for other services than were
+//! polled (see `services`). A list that removes too many servers is used only after it is confirmed (see
+//! `confirmation`).
 
 use crate::confirmation::{self, Removal, WithheldList};
 use crate::freshness::Freshness;
@@ -11,13 +12,13 @@
 use crate::services::{self, EmptyServices};
 use crate::{Action, AppliedList, Event, Micros, PollError, Report, Settings};
 
-/// Watches the registry's list. See the crate's documentation.
+/// Watches the registry's list; see the crate documentation.
 pub struct RegistryWatcher {
     settings: Settings,
     list: Option<EndpointList>,
-    /// The list is what remained of a list of other services. Changes can't be applied to it, its digest is compared
-    /// with none, and it is not written to the cache file.
-    is_remainder: bool,
+    /// The list was carried over from other watched services, limited to the present ones, and may be incomplete.
+    /// Changes can't be applied to it, its digest is not compared, and it is not written to the cache file.
+    is_carried_over: bool,
     polls: Polls,
     withheld: Option<WithheldList>,
     empty_services: EmptyServices,
@@ -26,14 +27,14 @@
 }
 
 impl RegistryWatcher {
-    /// A watcher that has not started. `seed` is for its jitter, and should differ between watchers.
+    /// Creates a watcher that has not started. `seed` is for its jitter and should differ between watchers.
     pub fn new(settings: Settings, seed: u64) -> Self {
         let replicas = settings.replicas.max(1);
         let services = services::normalized(settings.services);
         Self {
             settings: Settings { replicas, services, ..settings },
             list: None,
-            is_remainder: false,
+            is_carried_over: false,
             polls: Polls::new(replicas, seed),
             withheld: None,
             empty_services: EmptyServices::default(),
@@ -42,14 +43,14 @@
         }
     }
 
-    /// The list in use. After a change of services it is what remained of the list before, until a list of the new
-    /// services has come.
+    /// The list in use. After a change of services it has the entries of the previous list that are still watched,
+    /// until there is a list of the new services.
     pub fn list(&self) -> Option<&EndpointList> {
         self.list.as_ref()
     }
 
-    /// Age of the list: a change that was acknowledged longer ago than this is in it. Counted from the start of this
-    /// watcher while no replica has responded.
+    /// Age of the list: it has every change that was acknowledged longer ago than this. Counted from the start of the
+    /// watcher until a replica has responded.
     pub fn age(&self, now: Micros) -> Micros {
         self.freshness.age(now)
     }
@@ -64,20 +65,20 @@
         self.withheld.is_some()
     }
 
-    /// When [`Event::Timer`] is due, unless another event comes before.
+    /// When [`Event::Timer`] is due, unless another event is handled before.
     pub fn next_timer(&self) -> Option<Micros> {
         let stale_at = self.freshness.stale_at(self.settings.stale_after);
         [self.polls.next_timer(), self.save_schedule.due_at(), stale_at].into_iter().flatten().min()
     }
 
-    /// Handles an event that happens at `now`, and appends what is to be done.
+    /// Handles an event that happens at `now`, and appends the resulting actions.
     pub fn handle(&mut self, now: Micros, event: Event, actions: &mut Vec<Action>) {
         match event {
             Event::Start(cached) => self.start(now, cached, actions),
             Event::ServicesChanged(services) => {
                 self.change_services(now, services::normalized(services), actions);
             }
-            // A response to a poll that was given up is ignored.
+            // A response to a poll that was cancelled or timed out is ignored.
             Event::Response { poll, update } => {
                 if let Some(poll) = self.polls.take(poll) {
                     self.on_response(now, &poll, update, actions);
@@ -97,20 +98,21 @@
         self.freshness.start(now);
         self.polls.schedule(now);
         let Some(mut list) = cached else { return };
-        self.is_remainder = list.services != self.settings.services;
-        if self.is_remainder {
+        self.is_carried_over = list.services != self.settings.services;
+        if self.is_carried_over {
             services::restrict(&mut list, &self.settings.services);
         }
-        // Nothing may remain of a cache of other services; then the list that the driver starts with is better.
-        if !self.is_remainder || !list.entries.is_empty() {
+        // If a cached list of other services has no watched entry, it is not applied: the list that the driver has from
+        // elsewhere is better than an empty one.
+        if !self.is_carried_over || !list.entries.is_empty() {
             actions.push(apply_all(&list));
         }
         self.list = Some(list);
         self.report_empty_services(actions);
     }
 
-    /// Watches other services. Entries of services that stay remain in use until a complete list has come; the others
-    /// are dropped at once.
+    /// Changes the watched services. Entries of services that are still watched stay in use until there is a complete
+    /// list; the others are dropped at once.
     fn change_services(&mut self, now: Micros, services: Vec<String>, actions: &mut Vec<Action>) {
         if services == self.settings.services {
             return;
@@ -119,21 +121,21 @@
         self.empty_services.retain(&self.settings.services);
         let has_started = self.polls.has_started();
         self.polls.cancel_all(actions);
-        // The withheld list was one of other services.
+        // The withheld list was of other services.
         self.withheld = None;
         self.save_schedule.cancel();
         if has_started {
             self.polls.schedule(now);
         }
         if let Some(list) = &mut self.list {
-            self.is_remainder = true;
+            self.is_carried_over = true;
             if services::restrict(list, &self.settings.services) {
                 actions.push(apply_all(list));
             }
         }
     }
 
-    /// Does what is due by now.
+    /// Runs everything that is due: timeouts, polls, a save, the check for staleness.
     fn run_due(&mut self, now: Micros, actions: &mut Vec<Action>) {
         while let Some(poll) = self.polls.take_expired(now) {
             actions.push(Action::CancelPoll(poll.id));
@@ -154,7 +156,7 @@
         if self.withheld.is_some() {
             return self.polls.send_confirmation(now, &self.settings, actions);
         }
-        let after = self.list.as_ref().filter(|_| !self.is_remainder).map(|list| list.version);
+        let after = self.list.as_ref().filter(|_| !self.is_carried_over).map(|list| list.version);
         self.polls.send_next(now, after, &self.settings, actions);
     }
 
@@ -197,7 +199,7 @@
         let empty = EndpointList::default();
         let known = self.list.as_ref().unwrap_or(&empty);
         let Some(new) = known.updated(&update, poll.after) else {
-            // Changes to a list that this watcher does not have: it needs the complete one.
+            // The changes are to a list that this watcher does not have: it needs the complete list.
             self.polls.cancel_all(actions);
             let purpose = Purpose::Read;
             return self.polls.send(now, poll.replica, None, purpose, &self.settings, actions);
@@ -208,21 +210,21 @@
                 return self.withhold(now, poll.replica, &update, removal, actions);
             }
         } else if self.withheld.take().is_some() {
-            // Another replica's list is used even where it is older than the withheld one: if that one was right,
-            // its changes will come from this replica too, and are confirmed then.
+            // The other replica's list is used even if it is older than the withheld one: if that one was right, its
+            // changes will arrive from this replica too, and are confirmed then.
             actions.push(Action::Report(Report::Unconfirmed(poll.replica)));
         }
         self.use_list(now, poll, update, new, actions);
     }
 
-    /// Why a list can't be used whatever its entries are.
+    /// Returns why a list can't be used, regardless of its entries.
     fn reason_to_reject(&self, replica: usize, update: &ListUpdate) -> Option<Report> {
         let known = self.list.as_ref()?;
         let version = update.version;
         if version < known.version {
             return Some(Report::OlderVersion { replica, version });
         }
-        if version == known.version && update.digest != known.digest && !self.is_remainder {
+        if version == known.version && update.digest != known.digest && !self.is_carried_over {
             return Some(Report::DigestMismatch { replica, version });
         }
         None
@@ -239,13 +241,13 @@
         self.polls.cancel_all(actions);
         self.polls.succeeded(now, poll, &self.settings);
         self.freshness.observe(now, poll.sent_at, &update);
-        let was_remainder = std::mem::take(&mut self.is_remainder);
-        // At an equal version entries may still differ, where a part of a withheld list was used before.
-        let is_news = was_remainder
+        let was_carried_over = std::mem::take(&mut self.is_carried_over);
+        // At an equal version entries may still differ, if a part of a withheld list was applied before.
+        let has_changed = was_carried_over
             || self.list.as_ref().is_none_or(|known| known.version < update.version || *known != new);
         let full = update.snapshot || self.list.is_none();
         let list = self.list.insert(new);
-        if !is_news {
+        if !has_changed {
             return;
         }
         let entries = if full { list.entries.values().cloned().collect() } else { update.endpoints };
@@ -254,7 +256,7 @@
         self.report_empty_services(actions);
     }
 
-    /// Whether a list that removes too many servers confirms the one that is withheld.
+    /// Returns whether a list that removes too many servers confirms the withheld one, which then is withheld no more.
     fn confirm(&mut self, now: Micros, replica: usize, version: Version, actions: &mut Vec<Action>) -> bool {
         let settings = &self.settings;
         let confirms = |list: &mut WithheldList| list.is_confirmed_by(replica, version, now, settings);
@@ -265,7 +267,7 @@
         is_confirmed
     }
 
-    /// Withholds a list, except for what it says of servers by name.
+    /// Withholds a list, except for its explicit drains and removals, which are applied.
     fn withhold(
         &mut self,
         now: Micros,
@@ -276,8 +278,8 @@
     ) {
         let version = update.version;
         self.polls.cancel_all(actions);
-        let doubted_replica = match &mut self.withheld {
-            // The same replica again, or another one that does not have that list yet.
+        let withheld_from = match &mut self.withheld {
+            // The same replica again, or another one that does not have the withheld list yet.
             Some(withheld) => {
                 withheld.version = withheld.version.max(version);
                 withheld.replica
@@ -290,15 +292,15 @@
                 replica
             }
         };
-        self.apply_named_removals(update, actions);
+        self.apply_explicit_removals(update, actions);
         self.polls.seek_confirmation(now, replica, &self.settings);
         // A replica can't confirm its own list.
-        self.polls.avoid(doubted_replica, &self.settings);
+        self.polls.avoid(withheld_from, &self.settings);
     }
 
-    fn apply_named_removals(&mut self, update: &ListUpdate, actions: &mut Vec<Action>) {
-        let is_named = |entry: &&Entry| confirmation::is_named_removal(entry);
-        let entries: Vec<Entry> = update.endpoints.iter().filter(is_named).cloned().collect();
+    fn apply_explicit_removals(&mut self, update: &ListUpdate, actions: &mut Vec<Action>) {
+        let is_explicit = |entry: &&Entry| confirmation::is_explicit_removal(entry);
+        let entries: Vec<Entry> = update.endpoints.iter().filter(is_explicit).cloned().collect();
         let Some(list) = self.list.as_mut().filter(|_| !entries.is_empty()) else { return };
         for entry in &entries {
             if entry.status == Status::Removed {
@@ -313,8 +315,8 @@
     }
 
     fn report_empty_services(&mut self, actions: &mut Vec<Action>) {
-        // What remained of other services says nothing about those that are watched now.
-        let Some(list) = self.list.as_ref().filter(|_| !self.is_remainder) else { return };
+        // A list that was carried over does not tell which of the present services have servers.
+        let Some(list) = self.list.as_ref().filter(|_| !self.is_carried_over) else { return };
         let reports = self.empty_services.update(list, &self.settings.services);
         actions.extend(reports.into_iter().map(Action::Report));
     }
--- a/crates/registry-client/tests/services/main.rs
+++ b/crates/registry-client/tests/services/main.rs
@@ -323,7 +323,11 @@
         let poll = driver.next_poll();
         let out = driver.respond_with(&poll, list.update(&names(response), None));
         assert!(applied(&out).is_none() && driver.watcher.list().is_none());
-        assert_eq!(poll_errors(&out), ["told of other services"], "{services:?} {response:?}");
+        assert_eq!(
+            poll_errors(&out),
+            ["response is for other services than polled"],
+            "{services:?} {response:?}"
+        );
     };
     rejects(&["a", "b"], &["a"]);
     rejects(&["a"], &["a", "b"]);
@@ -333,7 +337,10 @@
     let mut driver = TestDriver::start(3, &["a"]);
     let poll = driver.next_poll();
     let mislabelled = ListUpdate { services: Some(names(&["a"])), ..list.update(&[], None) };
-    assert_eq!(poll_errors(&driver.respond_with(&poll, mislabelled)), ["told of other services"]);
+    assert_eq!(
+        poll_errors(&driver.respond_with(&poll, mislabelled)),
+        ["response is for other services than polled"]
+    );
 }
 
 #[test]
