--- a/crates/registry/src/config.rs
+++ b/crates/registry/src/config.rs
@@ -10,24 +10,24 @@
 use std::path::{Path, PathBuf};
 use std::time::Duration;
 
-/// Upper bound of every number of seconds and of rates, far beyond sensible ones.
+/// Upper bound of durations in seconds and of rates, far above any sensible value.
 const MAX_VALUE: f64 = 1e6;
 
-/// Why a configuration file can't be used; the text names file, line and key.
+/// Why a configuration file can't be used. The message names the file, and the line or the key.
 #[derive(Debug, thiserror::Error)]
 pub enum ConfigError {
-    /// It can't be read.
+    /// The file can't be read.
     #[error("{}: {source}", path.display())]
     Read {
-        /// The file.
+        /// Path of the file.
         path: PathBuf,
         /// The system's error.
         source: std::io::Error,
     },
-    /// It is no TOML, or has an unknown key or a value of the wrong type.
+    /// The file is not valid TOML, or has an unknown key or a value of the wrong type.
     #[error("{}: {source}", path.display())]
-    Form {
-        /// The file.
+    Parse {
+        /// Path of the file.
         path: PathBuf,
         /// The parser's error, with the line.
         source: Box<toml::de::Error>,
@@ -35,43 +35,43 @@
     /// A value is out of range.
     #[error("{}: {key}: {reason}", path.display())]
     Value {
-        /// The file.
+        /// Path of the file.
         path: PathBuf,
         /// The key.
         key: &'static str,
-        /// What is wrong with the value.
+        /// Which requirement the value violates.
         reason: &'static str,
     },
 }
 
-/// A replica's configuration. Serde's names of keys and tables are those of the file, which its errors quote.
+/// A replica's configuration. Serde has the names of keys and tables as in the file, as its errors quote them.
 #[derive(Clone, Debug, Deserialize)]
 #[serde(deny_unknown_fields, default)]
 pub struct Config {
-    /// The replica's number, which no other member has or had.
+    /// The replica's ID, which no other member may have or have had.
     pub id: u64,
     /// The address on which it listens.
     pub listen: SocketAddr,
-    /// The address at which other replicas reach it, where that is another.
+    /// The address at which other replicas reach it; `listen` by default.
     pub address: Option<String>,
-    /// The folder of its store.
+    /// The folder of the store.
     pub folder: PathBuf,
-    /// Members of the cluster that it joins. Without any, it bootstraps a cluster.
+    /// Addresses of members of the cluster to join. If empty, the replica bootstraps a new cluster.
     pub join: Vec<String>,
-    /// Addresses of replicas that are reached elsewhere than at the address in the membership, by number.
+    /// Addresses of replicas that are not reached at their address in the membership, by ID.
     #[serde(rename = "via")]
     pub address_overrides: BTreeMap<String, String>,
-    /// The form in which the store is written: 3, or 2 and 1, which older programs read and which have no services.
+    /// The format in which the store is written: 3, or for older releases 2 or 1, which do not support services.
     pub format: u32,
-    /// Leases.
+    /// Expiry of leases.
     pub leases: Leases,
-    /// Bounds on the age of the list.
-    pub ages: Ages,
-    /// Limits on clients.
+    /// Limits on the age of the list.
+    pub ages: AgeLimits,
+    /// Limits on the resources that clients may use.
     pub limits: LimitsTable,
-    /// Timing of Raft.
+    /// Raft intervals and timeouts.
     pub timing: Timing,
-    /// Snapshots of the log.
+    /// Raft log and snapshots.
     pub log: Log,
 }
 
@@ -86,7 +86,7 @@
             address_overrides: BTreeMap::new(),
             format: Format::NEWEST.number(),
             leases: Leases::default(),
-            ages: Ages::default(),
+            ages: AgeLimits::default(),
             limits: LimitsTable::default(),
             timing: Timing::default(),
             log: Log::default(),
@@ -94,15 +94,15 @@
     }
 }
 
-/// Expiry of leases. Within a time window, no more than a share of the list expires.
+/// Expiry of leases. No more than a share of the list expires within a time window.
 #[derive(Clone, Debug, Deserialize)]
 #[serde(deny_unknown_fields, default)]
 pub struct Leases {
-    /// The window.
+    /// Length of the window.
     pub window_s: f64,
-    /// The share.
+    /// Maximum share of the list that expires within the window.
     pub share: f64,
-    /// How long a server whose lease ran out is draining before it is removed.
+    /// How long a server with an expired lease is draining before it is removed.
     #[serde(rename = "leaving_s")]
     pub draining_s: f64,
 }
@@ -113,33 +113,33 @@
     }
 }
 
-/// Bounds on the age of the list.
+/// Limits on the age of the list.
 #[derive(Clone, Debug, Deserialize)]
-#[serde(deny_unknown_fields, default)]
-pub struct Ages {
-    /// Age above which the list is served as stale.
+#[serde(deny_unknown_fields, default, rename = "Ages")]
+pub struct AgeLimits {
+    /// Age above which the list is served, but marked as stale.
     #[serde(rename = "mark_s")]
     pub stale_after_s: f64,
-    /// Age above which the list is not served.
+    /// Age above which the list is no longer served.
     #[serde(rename = "refuse_s")]
     pub refuse_after_s: f64,
 }
 
-impl Default for Ages {
+impl Default for AgeLimits {
     fn default() -> Self {
         Self { stale_after_s: 3.0, refuse_after_s: 30.0 }
     }
 }
 
-/// Limits on clients.
+/// Limits on the resources that clients may use.
 #[derive(Clone, Debug, Deserialize)]
 #[serde(deny_unknown_fields, default, rename = "LimitsPart")]
 pub struct LimitsTable {
-    /// Concurrent connections.
+    /// Maximum number of concurrent connections.
     pub connections: usize,
-    /// Concurrent watches.
+    /// Maximum number of concurrent watches.
     pub watchers: usize,
-    /// Full lists per second.
+    /// Maximum number of full lists per second.
     #[serde(rename = "whole_lists_per_s")]
     pub full_lists_per_s: f64,
 }
@@ -151,18 +151,18 @@
     }
 }
 
-/// Timing of Raft.
+/// Raft intervals and timeouts.
 #[derive(Clone, Debug, Deserialize)]
 #[serde(deny_unknown_fields, default)]
 pub struct Timing {
-    /// Time between two heartbeats of a leader.
+    /// Interval of the leader's heartbeats.
     pub heartbeat_ms: u64,
-    /// Bounds of the randomized election timeout.
+    /// Minimum and maximum of the randomized election timeout.
     pub election_ms: [u64; 2],
-    /// Time between two requests for the leader's read index.
+    /// Interval of the requests for the leader's read index.
     #[serde(rename = "refresh_ms")]
     pub read_index_interval_ms: u64,
-    /// Timeout of a write or of a call to the leader.
+    /// Timeout of writes and of calls to the leader.
     #[serde(rename = "patience_ms")]
     pub request_timeout_ms: u64,
 }
@@ -178,13 +178,13 @@
     }
 }
 
-/// Snapshots of the log.
+/// Raft log and snapshots.
 #[derive(Clone, Debug, Deserialize)]
 #[serde(deny_unknown_fields, default)]
 pub struct Log {
-    /// Log entries between two snapshots.
+    /// Number of log entries between two snapshots.
     pub snapshot_every: u64,
-    /// Log entries retained before a snapshot.
+    /// Number of log entries that are retained before a snapshot.
     #[serde(rename = "keep")]
     pub retained_entries: u64,
 }
@@ -196,17 +196,17 @@
 }
 
 impl Config {
-    /// Reads and checks a file.
+    /// Reads and validates a file.
     pub fn read(path: &Path) -> Result<Self, ConfigError> {
         let text = std::fs::read_to_string(path)
             .map_err(|source| ConfigError::Read { path: path.to_owned(), source })?;
         let config: Self = toml::from_str(&text)
-            .map_err(|source| ConfigError::Form { path: path.to_owned(), source: Box::new(source) })?;
+            .map_err(|source| ConfigError::Parse { path: path.to_owned(), source: Box::new(source) })?;
         config.check(path)?;
         Ok(config)
     }
 
-    /// Checks the values; `path` is for the message.
+    /// Validates the values; `path` is for the error message.
     pub fn check(&self, path: &Path) -> Result<(), ConfigError> {
         let Timing { heartbeat_ms, election_ms: [min_election_ms, max_election_ms], .. } = self.timing;
         let is_positive = |value: f64| value > 0.0 && value < MAX_VALUE;
@@ -215,7 +215,7 @@
             (
                 "via",
                 self.address_overrides.keys().all(|id| id.parse::<u64>().is_ok()),
-                "must have numbers of replicas as keys",
+                "must have replica IDs as keys",
             ),
             ("format", Format::from_number(self.format).is_some(), "must be 1, 2 or 3"),
             ("leases.window_s", is_positive(self.leases.window_s), "must be above 0"),
@@ -238,7 +238,7 @@
             (
                 "timing.election_ms",
                 min_election_ms < max_election_ms,
-                "must be two figures, the smaller first",
+                "must be two numbers, the smaller one first",
             ),
             ("timing.refresh_ms", self.timing.read_index_interval_ms > 0, "must be above 0"),
             ("timing.patience_ms", self.timing.request_timeout_ms > 0, "must be above 0"),
@@ -251,12 +251,12 @@
         Ok(())
     }
 
-    /// The address at which other replicas reach it.
+    /// The address at which other replicas reach this one.
     pub fn own_address(&self) -> String {
         self.address.clone().unwrap_or_else(|| self.listen.to_string())
     }
 
-    /// The addresses of replicas that are reached elsewhere than at the address in the membership.
+    /// Addresses of replicas that are not reached at their address in the membership, by ID.
     pub fn address_overrides(&self) -> BTreeMap<u64, String> {
         self.address_overrides
             .iter()
@@ -264,7 +264,7 @@
             .collect()
     }
 
-    /// A replica's settings.
+    /// The settings of the node.
     pub fn settings(&self) -> Settings {
         let micros = |s: f64| (s * SECOND as f64) as i64;
         let ms = Duration::from_millis;
@@ -285,7 +285,7 @@
         settings
     }
 
-    /// The limits on clients.
+    /// The limits of the HTTP interface.
     pub fn limits(&self) -> Limits {
         let LimitsTable { connections, watchers, full_lists_per_s } = self.limits.clone();
         Limits { connections, watchers, full_lists_per_s, ..Limits::default() }
--- a/crates/registry/src/http/client.rs
+++ b/crates/registry/src/http/client.rs
@@ -1,4 +1,4 @@
-//! Client side of the HTTP interface: calls of replicas to each other and of the command line.
+//! HTTP client, for calls between replicas and from the command line.
 
 use crate::raft::{CallError, Rpc, Target, Transport};
 use bytes::Bytes;
@@ -15,17 +15,17 @@
 use std::time::Duration;
 use tokio::time::timeout;
 
-/// Longest response body.
+/// Maximum size of a response body.
 const MAX_BODY_BYTES: usize = 64 << 20;
 /// Time after which an idle connection is closed.
 const IDLE_TIMEOUT: Duration = Duration::from_secs(20);
 /// Timeout of a connection attempt.
 const CONNECT_TIMEOUT: Duration = Duration::from_secs(2);
 
-/// What made a call fail.
+/// Cause of a failed call.
 type Cause = Box<dyn Error + Send + Sync>;
 
-/// Why a call failed, by whether it may have taken effect.
+/// Why a call failed; the variants tell whether it may have taken effect.
 #[derive(Debug, thiserror::Error)]
 pub enum ClientError {
     /// The address is invalid or can't be reached: nothing was sent.
@@ -36,9 +36,9 @@
         /// The cause.
         source: Cause,
     },
-    /// The request was sent, and no response was received.
+    /// The request was sent, but no complete response was received: it may have taken effect.
     #[error("{address}: {source}")]
-    NoAnswer {
+    NoResponse {
         /// The address.
         address: String,
         /// The cause.
@@ -46,7 +46,7 @@
     },
 }
 
-/// A failed request. It displays its cause, as hyper's own text names only the stage of the request.
+/// A failed request. It displays its cause, as hyper's own text names only the stage at which the request failed.
 #[derive(Debug)]
 struct RequestError(hyper_util::client::legacy::Error);
 
@@ -65,7 +65,7 @@
     }
 }
 
-/// Makes calls over pooled connections.
+/// HTTP client with a connection pool.
 #[derive(Clone)]
 pub struct Client(Pool<HttpConnector, Full<Bytes>>);
 
@@ -76,13 +76,13 @@
         connector.set_connect_timeout(Some(CONNECT_TIMEOUT));
         let mut pool = Pool::builder(TokioExecutor::new());
         pool.pool_idle_timeout(IDLE_TIMEOUT).pool_timer(TokioTimer::new());
-        // A request that the server may have executed must not be repeated by the pool.
+        // The pool must not retry a request that the server may have executed.
         Self(pool.retry_canceled_requests(false).build(connector))
     }
 }
 
 impl Client {
-    /// Makes a call; gives the status, `Retry-After` in seconds, and the body.
+    /// Sends a request; returns the status, `Retry-After` in seconds, and the body of the response.
     pub async fn call(
         &self,
         method: Method,
@@ -92,7 +92,7 @@
         call_timeout: Duration,
     ) -> Result<(StatusCode, Option<f64>, Bytes), ClientError> {
         let not_sent = |source: Cause| ClientError::NotSent { address: address.to_owned(), source };
-        let no_answer = |source: Cause| ClientError::NoAnswer { address: address.to_owned(), source };
+        let no_response = |source: Cause| ClientError::NoResponse { address: address.to_owned(), source };
         let request = Request::builder().method(method).uri(format!("http://{address}{path}"));
         let request = request.header(HOST, address).header(CONTENT_TYPE, "application/json");
         let request = request.body(Full::new(Bytes::from(body))).map_err(|e| not_sent(e.into()))?;
@@ -100,29 +100,29 @@
             let response = self.0.request(request).await.map_err(|error| {
                 let is_connect = error.is_connect();
                 let cause = RequestError(error).into();
-                if is_connect { not_sent(cause) } else { no_answer(cause) }
+                if is_connect { not_sent(cause) } else { no_response(cause) }
             })?;
             let (head, body) = response.into_parts();
             let body = Limited::new(body, MAX_BODY_BYTES).collect().await;
-            let body = body.map_err(no_answer)?.to_bytes();
+            let body = body.map_err(no_response)?.to_bytes();
             let retry_after = head.headers.get(RETRY_AFTER).and_then(|v| v.to_str().ok()?.parse().ok());
             Ok((head.status, retry_after, body))
         };
-        let answered = timeout(call_timeout, exchange).await;
-        answered.unwrap_or_else(|_| Err(no_answer("no answer in time".into())))
+        let result = timeout(call_timeout, exchange).await;
+        result.unwrap_or_else(|_| Err(no_response("timed out".into())))
     }
 }
 
-/// Carries calls between replicas over HTTP.
+/// Transport for calls between replicas over HTTP.
 #[derive(Clone, Default)]
 pub struct HttpTransport {
     client: Client,
-    /// Addresses of replicas that are reached elsewhere than at the address in the membership, by number.
+    /// Addresses of replicas that are not reached at their address in the membership, by ID.
     address_overrides: Arc<BTreeMap<u64, String>>,
 }
 
 impl HttpTransport {
-    /// A transport that reaches some replicas, by number, at other addresses than those in the membership.
+    /// Creates a transport that reaches some replicas, by ID, at other addresses than those in the membership.
     pub fn with_address_overrides(address_overrides: BTreeMap<u64, String>) -> Self {
         Self { client: Client::default(), address_overrides: Arc::new(address_overrides) }
     }
@@ -139,13 +139,13 @@
         let path = format!("/peer/{}", rpc.name());
         let address = self.address_overrides.get(&to.id).unwrap_or(&to.address);
         match self.client.call(Method::POST, address, &path, body, timeout).await {
-            Ok((StatusCode::OK, _, answer)) => Ok(answer.to_vec()),
-            Ok((status, _, answer)) => {
-                let message = format!("{status}: {}", String::from_utf8_lossy(&answer));
+            Ok((StatusCode::OK, _, response)) => Ok(response.to_vec()),
+            Ok((status, _, response)) => {
+                let message = format!("{status}: {}", String::from_utf8_lossy(&response));
                 Err(CallError::Rejected(message.into()))
             }
             Err(error @ ClientError::NotSent { .. }) => Err(CallError::NotSent(error.into())),
-            Err(error @ ClientError::NoAnswer { .. }) => Err(CallError::NoAnswer(error.into())),
+            Err(error @ ClientError::NoResponse { .. }) => Err(CallError::NoAnswer(error.into())),
         }
     }
 }
--- a/crates/registry/src/http/connections.rs
+++ b/crates/registry/src/http/connections.rs
@@ -14,22 +14,22 @@
 use tokio::sync::{Semaphore, watch};
 use tokio::task::JoinSet;
 
-/// Pause after a failed accept. Such errors, as of too many open files, last a while.
+/// Pause after a failed accept, as such errors, for example too many open files, persist for a while.
 const ACCEPT_ERROR_PAUSE: Duration = Duration::from_millis(50);
-/// Most bytes that are buffered of a connection.
+/// Maximum number of bytes that are buffered per connection.
 const MAX_BUFFER_BYTES: usize = 64 << 10;
 
 /// Limits on connections.
 pub(super) struct ConnectionLimits {
     /// Concurrent connections.
     pub(super) connections: usize,
-    /// Time after which a connection is closed whose request head does not arrive or whose response is not read.
+    /// Time after which a connection is closed if its request head does not arrive or its response is not read.
     pub(super) io_timeout: Duration,
     /// Counts the connections beyond the limit, which are closed.
     pub(super) rejected: Counter,
 }
 
-/// Serves connections until `closing` is set, then completes the requests under way.
+/// Serves connections until `closing` is set, then completes the requests in flight.
 pub(super) async fn serve_connections(
     listener: Arc<TcpListener>,
     router: Router,
@@ -80,7 +80,7 @@
         .serve_connection(io, TowerToHyperService::new(router));
     let mut connection = pin!(connection);
     tokio::select! {
-        // Errors are the client's: it closed the connection or sent no HTTP.
+        // Errors are caused by the client, which closed the connection or sent something other than HTTP.
         _ = connection.as_mut() => {}
         () = wait_until_set(&mut closing) => {
             connection.as_mut().graceful_shutdown();
--- a/crates/registry/src/http/discovery.rs
+++ b/crates/registry/src/http/discovery.rs
@@ -1,4 +1,5 @@
-//! Lists and watches, in the platform's protocol and in the project's own with epochs, digests and ages.
+//! Lists and watches, in two protocols: the platform's discovery protocol (`/discovery/hosts`), and the registry's own
+//! (`/v1/list` and `/v1/watch`), which adds epochs, digests and ages.
 
 use super::error_response::ErrorResponse;
 use super::rendered::RenderedList;
@@ -17,7 +18,7 @@
 use std::time::Duration;
 use tokio::time::{Instant, timeout_at};
 
-/// Longest wait of a watch.
+/// Maximum wait of a watch.
 const MAX_WAIT_MS: u64 = 60_000;
 /// Microseconds in a millisecond.
 const MICROS_PER_MILLI: Micros = 1000;
@@ -34,18 +35,18 @@
     services: Option<String>,
 }
 
-/// `GET /discovery/hosts`: the platform's protocol.
+/// `GET /discovery/hosts`: the platform's discovery protocol.
 pub(super) async fn hosts<T: Transport>(
     State(state): State<Arc<ServerState<T>>>,
     Query(query): Query<ListQuery>,
 ) -> Result<Response, ErrorResponse> {
-    let answer = list_after(&state, query.after, query.wait_ms, None).await?;
-    let list = &answer.list;
+    let served = list_after(&state, query.after, query.wait_ms, None).await?;
+    let list = &served.list;
     let head = format!("{{\"index\":{},\"snapshot\":{},\"endpoints\":", list.version.index, list.snapshot);
     Ok(json_response([head.as_bytes(), &list.platform_entries, b"}"].concat()))
 }
 
-/// `GET /v1/list` and `GET /v1/watch`: the same with epoch, digest and age.
+/// `GET /v1/list` and `GET /v1/watch`: the registry's own protocol, with epoch, digest and age.
 pub(super) async fn list<T: Transport>(
     State(state): State<Arc<ServerState<T>>>,
     Query(query): Query<ListQuery>,
@@ -57,22 +58,23 @@
         let body = body.map_err(|e| ErrorResponse::new(StatusCode::INTERNAL_SERVER_ERROR, e.to_string()))?;
         return Ok(json_response(body));
     }
-    // Indexes grow from epoch to epoch: a reader with an index of another epoch needs the full list.
+    // Indexes go on from one epoch to the next, so an index of another epoch may look valid. Its reader needs the full
+    // list.
     let epoch = state.node.applied_state().state().list.version().epoch;
     let is_same_epoch = query.epoch.is_none_or(|known| known == epoch);
     let after = query.after.filter(|_| is_same_epoch);
-    let answer = list_after(&state, after, query.wait_ms, services.as_ref()).await?;
-    let head = list_head(&state, &answer, services.as_deref());
-    Ok(json_response([head.as_bytes(), &answer.list.native_entries, b"}"].concat()))
+    let served = list_after(&state, after, query.wait_ms, services.as_ref()).await?;
+    let head = list_head(&state, &served, services.as_deref());
+    Ok(json_response([head.as_bytes(), &served.list.native_entries, b"}"].concat()))
 }
 
 /// The fields of a list response before its entries.
 fn list_head<T: Transport>(
     state: &ServerState<T>,
-    answer: &ListAnswer,
+    served: &ServedList,
     services: Option<&[String]>,
 ) -> String {
-    let ListAnswer { list, age, waited } = answer;
+    let ServedList { list, age, waited } = served;
     let stale = matches!(state.node.reading(), ReadConsistency::Stale(_));
     format!(
         "{{\"epoch\":{},\"index\":{},\"snapshot\":{},\"digest\":{},\"replica\":{},\"age_ms\":{},\"waited_ms\":{},\
@@ -88,7 +90,7 @@
     )
 }
 
-/// The field with the services of a response. Names of services contain nothing that JSON escapes.
+/// The `services` field of a response. Service names have no characters that JSON escapes.
 fn services_field(services: &[String]) -> String {
     format!("\"services\":[\"{}\"],", services.join("\",\""))
 }
@@ -97,7 +99,8 @@
     ([(header::CONTENT_TYPE, "application/json")], body).into_response()
 }
 
-/// The services of a request. A replica whose store format has none ignores them, like the version before.
+/// The services of a request. They are ignored if the store's format does not support services, as releases without
+/// support for services do.
 fn requested_services<T: Transport>(
     state: &ServerState<T>,
     query: &ListQuery,
@@ -109,22 +112,22 @@
     Ok(services.map(Arc::from))
 }
 
-/// The list for a reader.
-struct ListAnswer {
+/// The list to send to a reader.
+struct ServedList {
     list: Arc<RenderedList>,
     /// Upper bound of the list's age.
     age: Micros,
-    /// How long the watch lasted.
+    /// How long the request was held open.
     waited: Duration,
 }
 
-/// The changes after an index, for which it waits up to `wait_ms`, or the full list.
+/// Returns the changes after an index, waiting up to `wait_ms` for them, or the full list.
 async fn list_after<T: Transport>(
     state: &ServerState<T>,
     after: Option<u64>,
     wait_ms: u64,
     services: Option<&Arc<[String]>>,
-) -> Result<ListAnswer, ErrorResponse> {
+) -> Result<ServedList, ErrorResponse> {
     let began = Instant::now();
     if let Some(after) = after {
         let deadline = began + Duration::from_millis(wait_ms.min(MAX_WAIT_MS));
@@ -148,10 +151,11 @@
         }
         state.metrics.full_lists.inc();
     }
-    Ok(ListAnswer { list, age, waited: began.elapsed() })
+    Ok(ServedList { list, age, waited: began.elapsed() })
 }
 
-/// Waits for a change after an index. A reader that is ahead of this list waits as well: it read from another replica.
+/// Waits for a change after an index. A reader may be ahead of this list, as it read from another replica; it waits as
+/// well.
 async fn watch<T: Transport>(
     state: &ServerState<T>,
     after: u64,
@@ -165,16 +169,16 @@
     }
     tokio::select! {
         changed = timeout_at(deadline, changed_after(state, after, services)) => if changed.is_ok() {
-            state.metrics.watches_woken.inc();
+            state.metrics.watches_answered.inc();
         },
-        // Watchers of a replica without quorum contact are released, so that they read elsewhere.
+        // Without contact to a quorum, watches end at once, so that their clients go to another replica.
         () = state.quorum_lost() => {}
         () = state.closing() => return Err(ErrorResponse::unavailable("this replica ends", 0)),
     }
     Ok(())
 }
 
-/// Counts a watch until it is dropped.
+/// Counts a watch for as long as the guard exists.
 struct WatcherGuard<'a, T: Transport>(&'a ServerState<T>);
 
 impl<T: Transport> Drop for WatcherGuard<'_, T> {
@@ -183,7 +187,7 @@
     }
 }
 
-/// Waits for a change after an index, of some services or of all.
+/// Waits for a change after an index, in some services or in any.
 async fn changed_after<T: Transport>(state: &ServerState<T>, after: u64, services: Option<&Arc<[String]>>) {
     let applied_state = state.node.applied_state();
     match services {
--- a/crates/registry/src/http/error_response.rs
+++ b/crates/registry/src/http/error_response.rs
@@ -1,4 +1,4 @@
-//! Responses to writes, and error responses in one form, with the fitting status and `Retry-After`.
+//! Responses to writes, and error responses in a common format, with a status and possibly `Retry-After`.
 
 use crate::core::Micros;
 use crate::core::{Outcome, Refusal};
@@ -10,28 +10,28 @@
 
 /// Microseconds in a second, for `Retry-After`.
 const MICROS_PER_SECOND: f64 = 1e6;
-/// Digits of `Retry-After` after the decimal point, as a power of ten.
+/// Steps of `Retry-After` per second: it has three decimals.
 const RETRY_AFTER_PRECISION: f64 = 1000.0;
 /// `Retry-After` while there may be an election, which takes one to two seconds.
 const ELECTION_RETRY_AFTER: Micros = 500_000;
 
-/// A response with an error.
+/// An error response.
 #[derive(Debug)]
 pub struct ErrorResponse {
     status: StatusCode,
     message: String,
     retry_after: Option<Micros>,
-    /// Further fields of the JSON body.
+    /// Additional fields of the JSON body.
     details: serde_json::Value,
 }
 
 impl ErrorResponse {
-    /// A response to a request that fails again when it is repeated.
+    /// A response to a request that would fail again if retried.
     pub fn new(status: StatusCode, message: impl Into<String>) -> Self {
         Self { status, message: message.into(), retry_after: None, details: json!({}) }
     }
 
-    /// A response to a request that may be repeated after that time.
+    /// A response to a request that may be retried after that time.
     pub fn unavailable(message: impl Into<String>, retry_after: Micros) -> Self {
         let status = StatusCode::SERVICE_UNAVAILABLE;
         Self { retry_after: Some(retry_after), ..Self::new(status, message) }
@@ -54,7 +54,7 @@
     }
 }
 
-/// The value of `Retry-After`. The protocol allows decimals; they are rounded up, so that nobody comes early.
+/// The value of `Retry-After`. The protocol allows decimals; they are rounded up, so that no client retries too early.
 fn retry_after(after: Micros) -> String {
     let seconds = (after as f64 / MICROS_PER_SECOND * RETRY_AFTER_PRECISION).ceil() / RETRY_AFTER_PRECISION;
     format!("{seconds:.3}")
@@ -76,7 +76,7 @@
     }
 }
 
-/// The response to a command that was carried out or refused.
+/// The response to a command that was applied or rejected.
 pub fn outcome_response(outcome: Outcome) -> Result<Response, ErrorResponse> {
     match outcome {
         Outcome::NoCommand => Err(ErrorResponse::unavailable("nothing was written", ELECTION_RETRY_AFTER)),
--- a/crates/registry/src/http/metrics.rs
+++ b/crates/registry/src/http/metrics.rs
@@ -16,18 +16,18 @@
 
 type Label = [(&'static str, String); 1];
 
-/// The metrics of a replica's service.
+/// The metrics of a replica.
 pub struct Metrics {
     registry: Registry,
     /// Full lists that were sent.
     pub full_lists: Counter,
     /// Watches that were answered with a change.
-    pub watches_woken: Counter,
-    /// Requests for a full list that were deferred.
+    pub watches_answered: Counter,
+    /// Requests for a full list that were deferred with `Retry-After`.
     pub full_lists_deferred: Counter,
-    /// Requests that failed because the list could be too old.
+    /// Requests that were rejected because the list could be too old.
     pub too_stale: Counter,
-    /// Connections beyond the limit, which were closed.
+    /// Connections over the limit, which were closed.
     pub connections_rejected: Counter,
     index: Gauge,
     epoch: Gauge,
@@ -54,7 +54,7 @@
         }
         Self {
             full_lists: registered!(Counter, "whole_lists", "Whole lists that were told"),
-            watches_woken: registered!(Counter, "woken", "Watches that were answered with news"),
+            watches_answered: registered!(Counter, "woken", "Watches that were answered with news"),
             full_lists_deferred: registered!(Counter, "turned_away", "Calls that were told to come again"),
             too_stale: registered!(Counter, "refused_stale", "Calls refused as the list could be too old"),
             connections_rejected: registered!(Counter, "connections_refused", "Connections beyond the limit"),
@@ -91,7 +91,7 @@
 }
 
 impl Metrics {
-    /// Brings the gauges up to date with the replica and encodes all metrics.
+    /// Updates the gauges from the replica's state and encodes all metrics.
     pub fn encode<T: Transport>(&self, node: &Node<T>, watchers: usize) -> String {
         self.update_list_gauges(node);
         self.update_raft_gauges(node);
--- a/crates/registry/src/http/mod.rs
+++ b/crates/registry/src/http/mod.rs
@@ -1,4 +1,4 @@
-//! The HTTP/1.1 interface: for sidecars, for servers and operators, and between replicas.
+//! The HTTP/1.1 interface for sidecars, servers and operators, and for calls between replicas.
 
 mod client;
 mod connections;
@@ -20,4 +20,4 @@
 pub use metrics::Metrics;
 pub use serve::{Service, serve};
 pub use state::Limits;
-pub use unavailable::unavailable;
+pub use unavailable::serve_unavailable;
--- a/crates/registry/src/http/operators.rs
+++ b/crates/registry/src/http/operators.rs
@@ -1,4 +1,4 @@
-//! Requests of operators: the history, the status of the replica, a backup.
+//! Requests of operators: the history of changes, the status of the replica, and backups.
 
 use super::error_response::ErrorResponse;
 use super::state::ServerState;
@@ -11,14 +11,14 @@
 use serde_json::{Value, json};
 use std::sync::Arc;
 
-/// Changes in an answer where no limit is stated.
+/// Number of changes in a response if the request has no limit.
 const DEFAULT_HISTORY_LIMIT: usize = 100;
-/// Most changes in an answer.
+/// Maximum number of changes in a response.
 const MAX_HISTORY_LIMIT: usize = 1000;
 /// Microseconds in a millisecond.
 const MICROS_PER_MILLI: i64 = 1000;
 
-/// Query of the history.
+/// Parameters of a history request.
 #[derive(Deserialize)]
 pub(super) struct HistoryQuery {
     #[serde(default)]
@@ -80,7 +80,8 @@
     State(state): State<Arc<ServerState<T>>>,
 ) -> Result<Response, ErrorResponse> {
     let snapshot = state.node.applied_state().state().clone();
-    // In the store's format: as long as the replica can go back to the version before, that version reads the backup.
+    // Encoded in the store's format, so that the previous release can read the backup for as long as the replica can be
+    // downgraded to it.
     let encoded = state.node.store().encode_snapshot(&snapshot);
     let encoded =
         encoded.map_err(|e| ErrorResponse::new(StatusCode::INTERNAL_SERVER_ERROR, e.to_string()))?;
--- a/crates/registry/src/http/peers.rs
+++ b/crates/registry/src/http/peers.rs
@@ -1,4 +1,4 @@
-//! Calls of other replicas: `POST /peer/{rpc}`.
+//! Calls from other replicas: `POST /peer/{rpc}`.
 
 use super::error_response::ErrorResponse;
 use super::state::ServerState;
@@ -17,8 +17,8 @@
 ) -> Result<Response, ErrorResponse> {
     let rpc = Rpc::ALL.into_iter().find(|rpc| rpc.name() == name);
     let rpc = rpc.ok_or_else(|| ErrorResponse::new(StatusCode::NOT_FOUND, "no such call"))?;
-    let answer = state.node.handle_peer_call(rpc, &body).await;
-    answer
+    let response = state.node.handle_peer_call(rpc, &body).await;
+    response
         .map(IntoResponse::into_response)
         .map_err(|error| ErrorResponse::new(StatusCode::CONFLICT, error.to_string()))
 }
--- a/crates/registry/src/http/rendered.rs
+++ b/crates/registry/src/http/rendered.rs
@@ -1,4 +1,4 @@
-//! Caches lists encoded as JSON: a change that three thousand watchers wait for is encoded once.
+//! Caches lists encoded as JSON, so that a change is encoded once, and not for each of three thousand watchers.
 
 use crate::node::Node;
 use crate::raft::Transport;
@@ -8,22 +8,22 @@
 use std::collections::HashMap;
 use std::sync::{Arc, Mutex, MutexGuard, PoisonError};
 
-/// A list, or changes of it, encoded as JSON.
+/// A list, or changes to it, encoded as JSON.
 #[derive(Clone)]
 pub struct RenderedList {
-    /// The version that a reader has after it.
+    /// The version that a reader has after applying it.
     pub version: Version,
-    /// Whether it is the full list and not changes.
+    /// Whether it is the full list; otherwise it is changes.
     pub snapshot: bool,
     /// The list's digest.
     pub digest: u64,
-    /// The entries in the project's own protocol.
+    /// The entries in the registry's own protocol.
     pub native_entries: Bytes,
-    /// The entries in the platform's protocol.
+    /// The entries in the platform's discovery protocol; empty if limited to some services.
     pub platform_entries: Bytes,
 }
 
-/// An entry in the platform's protocol.
+/// An entry in the platform's discovery protocol.
 #[derive(Serialize)]
 struct PlatformEntry<'a> {
     name: &'a str,
@@ -67,7 +67,7 @@
 }
 
 impl RenderedList {
-    /// Encodes the entries in the project's own protocol alone.
+    /// Encodes the entries in the registry's own protocol only.
     fn native_only(update: &ListUpdate) -> Self {
         Self {
             version: update.version,
@@ -78,33 +78,33 @@
         }
     }
 
-    /// No changes up to this version.
+    /// An update without changes up to this version.
     fn unchanged(version: Version, digest: u64) -> Self {
         let none = Bytes::from_static(b"[]");
         Self { version, snapshot: false, digest, native_entries: none, platform_entries: Bytes::new() }
     }
 }
 
-/// Most lists of one version in the cache of full lists: readers are at few versions at a time.
+/// Maximum number of entries in the cache for all services. Readers are at few different indexes at a time.
 const MAX_CACHED_LISTS: usize = 64;
-/// Most bytes in the cache of lists of services.
+/// Maximum number of bytes in the cache for some services.
 const MAX_CACHED_BYTES: usize = 16 << 20;
 
-/// Caches encoded lists of the newest version.
+/// Caches the encoded lists of the newest version.
 #[derive(Default)]
 pub struct RenderCache {
     all_services: Mutex<VersionCache>,
     some_services: Mutex<ServicesCache>,
 }
 
-/// Lists of all services, by the index that their readers have.
+/// Lists of all services, by the index that a reader has.
 #[derive(Default)]
 struct VersionCache {
     version: Version,
     lists: HashMap<Option<u64>, Arc<RenderedList>>,
 }
 
-/// A set of services, and the index from which on its readers get the same changes.
+/// A set of services, and the lowest index whose readers get the same changes; `None` for the full list.
 type ServicesKey = (Arc<[String]>, Option<u64>);
 
 /// Lists of some services.
@@ -116,7 +116,7 @@
 }
 
 impl RenderCache {
-    /// The changes after an index, or the full list.
+    /// Returns the changes after an index, or the full list.
     pub fn all_services<T: Transport>(&self, node: &Node<T>, after: Option<u64>) -> Arc<RenderedList> {
         let mut cache = lock(&self.all_services);
         let version = node.applied_state().state().list.version();
@@ -128,35 +128,35 @@
         }
         let update = node.applied_state().state().list.update(after);
         let rendered = Arc::new(RenderedList::from(update));
-        // The list may have changed since its version was read.
+        // Not cached if the list has changed since `version` was read.
         if rendered.version == version {
             cache.lists.insert(after, Arc::clone(&rendered));
         }
         rendered
     }
 
-    /// The changes of some services after an index, or their full list.
+    /// Returns the changes in some services after an index, or the full list of those services.
     pub fn some_services<T: Transport>(
         &self,
         node: &Node<T>,
         after: Option<u64>,
         services: &Arc<[String]>,
     ) -> Arc<RenderedList> {
-        let (version, alike) = {
+        let (version, equivalent) = {
             let list = &node.applied_state().state().list;
-            let (version, alike) = (list.version(), list.equivalent_index(after, services));
-            if alike.is_some_and(|alike| alike >= list.services_changed_index(services)) {
-                // Most watches end without a change: those are not cached.
+            let (version, equivalent) = (list.version(), list.equivalent_index(after, services));
+            if equivalent.is_some_and(|index| index >= list.services_changed_index(services)) {
+                // Most watches end without a change; such responses are not cached.
                 return Arc::new(RenderedList::unchanged(version, list.services_digest(services)));
             }
-            (version, alike)
+            (version, equivalent)
         };
-        let key = (Arc::clone(services), alike);
+        let key = (Arc::clone(services), equivalent);
         if let Some(rendered) = lock(&self.some_services).get(version, &key) {
             return rendered;
         }
-        // Encoded without the lock, so that others need not wait; two equal requests may both encode.
-        let update = node.applied_state().state().list.update_for_services(alike, services);
+        // Encoded without holding the lock, so that other requests don't wait. Two equal requests may both encode.
+        let update = node.applied_state().state().list.update_for_services(equivalent, services);
         let rendered = Arc::new(RenderedList::native_only(&update));
         lock(&self.some_services).insert(version, key, &rendered);
         rendered
@@ -171,12 +171,12 @@
         self.lists.get(key).map(Arc::clone)
     }
 
-    /// Adds a list that was requested when the list had that version.
+    /// Adds a list; `requested` is the version for which the key was computed.
     fn insert(&mut self, requested: Version, key: ServicesKey, rendered: &Arc<RenderedList>) {
         if self.version < rendered.version || self.bytes > MAX_CACHED_BYTES {
             *self = Self { version: rendered.version, ..Self::default() };
         }
-        // The list may have changed since its version was read: the key is not that of the newer version.
+        // If the list has changed since that version was read, the key does not apply to the newer version.
         if self.version == rendered.version && rendered.version == requested {
             self.bytes += rendered.native_entries.len();
             self.lists.insert(key, Arc::clone(rendered));
--- a/crates/registry/src/http/replicas.rs
+++ b/crates/registry/src/http/replicas.rs
@@ -14,7 +14,7 @@
 use serde_json::json;
 use std::sync::Arc;
 
-/// A replica that is to be added; serde's errors quote the name to clients.
+/// A replica to be added. The type is renamed for serde, as its errors quote the name to clients.
 #[derive(Deserialize)]
 #[serde(rename = "Newcomer")]
 struct NewReplica {
@@ -43,7 +43,7 @@
     Ok(Json(json!({"votes": false})).into_response())
 }
 
-/// Only the leader can change the membership: a follower names it.
+/// Only the leader can change the membership; the error response of a follower has the leader's address.
 fn membership_error<T: Transport>(state: &ServerState<T>, error: &MembershipError) -> ErrorResponse {
     let leader = state.node.leader().filter(|leader| *leader != state.node.settings().id);
     let Some(leader) = leader else {
--- a/crates/registry/src/http/router.rs
+++ b/crates/registry/src/http/router.rs
@@ -9,11 +9,11 @@
 use std::sync::Arc;
 use std::sync::atomic::Ordering;
 
-/// Longest body of most requests.
+/// Maximum body size of most requests.
 const MAX_BODY_BYTES: usize = 16 << 10;
-/// Longest body of a batch of registrations.
+/// Maximum body size of a batch of registrations.
 const MAX_BATCH_BYTES: usize = 4 << 20;
-/// Longest body of a call between replicas.
+/// Maximum body size of a call between replicas.
 const MAX_PEER_CALL_BYTES: usize = 32 << 20;
 
 pub(super) fn router<T: Transport>(state: Arc<ServerState<T>>) -> Router {
--- a/crates/registry/src/http/serve.rs
+++ b/crates/registry/src/http/serve.rs
@@ -11,7 +11,7 @@
 use tokio::net::TcpListener;
 use tokio::sync::watch;
 
-/// How often quorum contact is checked, once for all watchers.
+/// Interval of the check for quorum contact, which is made once for all watchers.
 const QUORUM_CHECK_INTERVAL: Duration = Duration::from_millis(250);
 
 /// A running service.
@@ -21,7 +21,7 @@
 }
 
 impl Service {
-    /// Stops accepting connections, answers open watches, and returns once that is done.
+    /// Stops accepting connections, ends open watches, and returns when the requests in flight are complete.
     pub async fn close(self) {
         self.closing.send_replace(true);
         let _ = self.done.await;
@@ -49,7 +49,7 @@
     Service { closing, done }
 }
 
-/// Publishes whether quorum contact has been lost for so long that the list may not be served.
+/// Publishes whether quorum contact has been lost for so long that the list must no longer be served.
 async fn watch_quorum_contact<T: Transport>(node: Node<T>, quorum_lost: watch::Sender<bool>) {
     loop {
         let is_lost = node.reading() == ReadConsistency::Unavailable;
--- a/crates/registry/src/http/servers.rs
+++ b/crates/registry/src/http/servers.rs
@@ -1,4 +1,4 @@
-//! Requests about single servers: register, renew, drain, resume, remove, show.
+//! Requests that register, renew, drain, resume, remove or show servers.
 
 use super::error_response::{ErrorResponse, outcome_response};
 use super::state::ServerState;
@@ -17,7 +17,7 @@
 use serde_json::json;
 use std::sync::Arc;
 
-/// Lease of a registration that states none. Three renewals may be lost.
+/// Lease of a registration that sets none; it allows for three lost renewals.
 const DEFAULT_LEASE_MS: u64 = 6000;
 
 type HandlerResult = Result<Response, ErrorResponse>;
@@ -28,7 +28,7 @@
         .map_err(|e| ErrorResponse::new(StatusCode::BAD_REQUEST, format!("body: {e}")))
 }
 
-/// A registration as it is sent. The server's name is in the path, or in the body of a batch.
+/// The body of a registration. The server's name is in the path, or for a batch in the body.
 ///
 /// The names of the body types are renamed for serde, as its errors quote them to clients.
 #[derive(Deserialize)]
@@ -90,7 +90,7 @@
     servers: Vec<Registration>,
     expect: Option<u64>,
 ) -> HandlerResult {
-    // The list checks registrations as well; checked here, an invalid one is not written to the log.
+    // The list checks registrations as well; with this check, an invalid one is not written to the log.
     for server in &servers {
         check_registration(server)
             .map_err(|e| ErrorResponse::new(StatusCode::UNPROCESSABLE_ENTITY, e.to_string()))?;
@@ -124,12 +124,12 @@
     let batch: BatchBody = decode(&body)?;
     let mut servers = Vec::with_capacity(batch.servers.len());
     for (i, server) in batch.servers.into_iter().enumerate() {
-        let bad =
+        let bad_request =
             |message: &str| ErrorResponse::new(StatusCode::BAD_REQUEST, format!("server {i}: {message}"));
         if server.expect.is_some() {
-            return Err(bad("expect goes with a single server"));
+            return Err(bad_request("expect goes with a single server"));
         }
-        let name = server.name.clone().ok_or_else(|| bad("no name"))?;
+        let name = server.name.clone().ok_or_else(|| bad_request("no name"))?;
         servers.push(server.registration(name));
     }
     write_registrations(&state, servers, None).await
@@ -161,7 +161,7 @@
     }
 }
 
-/// Handlers that carry a command out for the server in the path, with the optional `expect` of the body.
+/// Defines handlers that run a command for the server in the path, with the optional `expect` of the body.
 macro_rules! commands_by_name {
     ($($call:ident $command:ident),*) => {$(
         pub(super) async fn $call<T: Transport>(
--- a/crates/registry/src/http/state.rs
+++ b/crates/registry/src/http/state.rs
@@ -1,4 +1,4 @@
-//! State that the handlers of a replica's requests share.
+//! State shared by the request handlers of a replica.
 
 use super::metrics::Metrics;
 use super::rendered::RenderCache;
@@ -11,18 +11,18 @@
 use std::time::Duration;
 use tokio::sync::watch;
 
-/// Limits on what clients may use.
+/// Limits on the resources that clients may use.
 #[derive(Clone, Debug)]
 pub struct Limits {
     /// Concurrent connections.
     pub connections: usize,
     /// Concurrent watches.
     pub watchers: usize,
-    /// Full lists per second, and as many in a burst.
+    /// Full lists per second, which is also the size of a burst.
     pub full_lists_per_s: f64,
-    /// Longest `Retry-After` of a client whose full list is deferred.
+    /// Maximum `Retry-After` for a client whose full list is deferred.
     pub max_retry_after: Duration,
-    /// Time after which a connection is closed whose request head does not arrive or whose response is not read.
+    /// Time after which a connection is closed if its request head does not arrive or its response is not read.
     pub io_timeout: Duration,
 }
 
@@ -38,7 +38,7 @@
     }
 }
 
-/// What the handlers share.
+/// State shared by the request handlers.
 pub(super) struct ServerState<T> {
     pub(super) node: Node<T>,
     pub(super) limits: Limits,
@@ -47,7 +47,7 @@
     pub(super) watchers: AtomicUsize,
     admission: Mutex<Admission>,
     closing: watch::Receiver<bool>,
-    /// Whether the list is too old to be served, as this replica has lost contact to a quorum.
+    /// Whether the list is too old to be served, as this replica has lost contact with a quorum.
     quorum_lost: watch::Receiver<bool>,
 }
 
@@ -82,7 +82,7 @@
         wait_until_set(&mut self.closing.clone()).await;
     }
 
-    /// Waits until contact to a quorum is lost.
+    /// Waits until contact with a quorum is lost.
     pub(super) async fn quorum_lost(&self) {
         wait_until_set(&mut self.quorum_lost.clone()).await;
     }
--- a/crates/registry/src/http/unavailable.rs
+++ b/crates/registry/src/http/unavailable.rs
@@ -14,8 +14,9 @@
 /// `Retry-After`, in seconds.
 const RETRY_AFTER_SECONDS: &str = "1";
 
-/// Answers every request with status 503 until `until` completes; the metrics tell how often the store has failed.
-pub async fn unavailable(
+/// Answers every request with status 503 until `until` completes, except for `/metrics`, which reports how often the
+/// store has failed.
+pub async fn serve_unavailable(
     listener: Arc<TcpListener>,
     limits: &Limits,
     failures: u64,
--- a/crates/registry/src/http/write_timeout.rs
+++ b/crates/registry/src/http/write_timeout.rs
@@ -1,4 +1,5 @@
-//! A connection with a write timeout: a client that stops reading frees its memory and its connection.
+//! A connection with a write timeout, so that a client that stops reading does not occupy a connection and memory for
+//! ever.
 
 use std::io::{self, ErrorKind};
 use std::pin::Pin;
@@ -20,7 +21,7 @@
         Self { stream, timeout, deadline: None }
     }
 
-    /// Passes the result of a write on; a write that has been pending for too long fails instead.
+    /// Returns the result of a write, or an error if writes have been pending for longer than the timeout.
     fn or_timeout<V>(&mut self, cx: &mut Context<'_>, poll: Poll<io::Result<V>>) -> Poll<io::Result<V>> {
         if poll.is_ready() {
             self.deadline = None;
--- a/crates/registry/src/lib.rs
+++ b/crates/registry/src/lib.rs
@@ -1,4 +1,4 @@
-//! A service registry: a replicated, durable list of endpoints with versions, leases and watches. See `docs/roster.md`.
+//! Service registry: a replicated, durable list of endpoints with versions, leases and watches. See `docs/roster.md`.
 
 #![deny(missing_docs)]
 
--- a/crates/registry/src/process.rs
+++ b/crates/registry/src/process.rs
@@ -1,4 +1,4 @@
-//! A replica as a process: it opens its store, serves until a signal stops it, and reopens a store whose disk failed.
+//! A replica as a process: it opens its store, serves until it is stopped by a signal, and reopens a store that failed.
 
 mod backoff;
 mod error;
@@ -8,7 +8,7 @@
 
 use crate::config::Config;
 use crate::core::List;
-use crate::http::{HttpTransport, serve, unavailable};
+use crate::http::{HttpTransport, serve, serve_unavailable};
 use crate::node::{Node, NodeError, Settings};
 use crate::store::{DATABASE_FILE, Format, Snapshot, Store};
 use backoff::Backoff;
@@ -21,14 +21,14 @@
 use tokio::signal::unix::{Signal, SignalKind, signal};
 use tokio::time::Instant;
 
-/// Signal to a process that exceeds its limit on file sizes. Unless it is handled, it ends the process.
+/// Signal to a process that exceeds its file size limit. Its default action terminates the process.
 const SIGXFSZ: i32 = 25;
-/// A store that worked for so long has recovered: the backoff starts again at its next failure.
+/// Time after which a reopened store counts as recovered, so that the backoff starts over at its next failure.
 const RECOVERED_AFTER: Duration = Duration::from_secs(30);
-/// Identities have 53 bits, so that programs that read numbers of JSON as floats don't round them.
+/// Identities have 53 bits, so that programs that read JSON numbers as floats don't round them.
 const IDENTITY_UNUSED_BITS: u32 = 11;
 
-/// Reads the list of a backup.
+/// Reads the list from a backup file.
 pub fn read_backup(path: &Path) -> Result<List, ProcessError> {
     let error = |source| ProcessError::Backup { path: path.to_owned(), source };
     let bytes = std::fs::read(path).map_err(|e| error(e.into()))?;
@@ -36,17 +36,17 @@
     Ok(snapshot.list)
 }
 
-/// How a replica ended that ran over one opening of its store.
-enum End {
-    /// A signal stopped the process.
+/// Why a replica stopped running.
+enum ExitReason {
+    /// A signal to stop was received.
     Shutdown,
     /// The store failed, which may be transient.
     StoreFailed(ProcessError),
-    /// It can't continue.
+    /// Another error, with which the replica can't continue.
     Failed(ProcessError),
 }
 
-impl From<ProcessError> for End {
+impl From<ProcessError> for ExitReason {
     fn from(error: ProcessError) -> Self {
         match &error {
             ProcessError::Store { source, .. } if source.is_transient() => Self::StoreFailed(error),
@@ -55,7 +55,7 @@
     }
 }
 
-/// The signals that stop the process.
+/// Signals that stop the process.
 struct ShutdownSignals {
     terminate: Signal,
     interrupt: Signal,
@@ -75,13 +75,13 @@
     }
 }
 
-/// Runs a replica until a signal stops it or it can't continue. `restore` starts a new epoch from a backup.
+/// Runs a replica until a signal stops it or it can't continue. `restore` is a backup from which to start a new epoch.
 ///
-/// After a failure of the store, the state in memory may be ahead of the disk and is discarded: the store is reopened,
-/// with backoff, for as long as that takes. Requests are answered with status 503 meanwhile.
+/// After a store failure, the state in memory may be ahead of the disk and is discarded. The store is reopened, with
+/// backoff and without a limit of attempts; meanwhile, requests are answered with status 503.
 pub async fn run(config: Config, restore: Option<PathBuf>) -> Result<(), ProcessError> {
     let mut shutdown = ShutdownSignals::new()?;
-    // With a handler, the write fails with an error that the store reports.
+    // While the signal is handled, the write fails instead, with an error that the store reports.
     let _file_size_signal = signal(SignalKind::from_raw(SIGXFSZ))?;
     let mut backup = restore.as_deref().map(read_backup).transpose()?;
     let listener = TcpListener::bind(config.listen).await;
@@ -91,9 +91,9 @@
     for failures in 0u64.. {
         let began = Instant::now();
         let error = match run_once(&config, &mut backup, &listener, failures, &mut shutdown).await {
-            End::Shutdown => return Ok(()),
-            End::Failed(error) => return Err(error),
-            End::StoreFailed(error) => error,
+            ExitReason::Shutdown => return Ok(()),
+            ExitReason::Failed(error) => return Err(error),
+            ExitReason::StoreFailed(error) => error,
         };
         if began.elapsed() > RECOVERED_AFTER {
             backoff = Backoff::default();
@@ -107,7 +107,7 @@
                 () = tokio::time::sleep(pause) => {}
             }
         };
-        unavailable(Arc::clone(&listener), &config.limits(), failures + 1, paused).await;
+        serve_unavailable(Arc::clone(&listener), &config.limits(), failures + 1, paused).await;
         if is_shutdown {
             return Ok(());
         }
@@ -115,37 +115,37 @@
     Ok(())
 }
 
-/// Runs a replica over one opening of its store.
+/// Opens the store and runs a replica until it is stopped or fails.
 async fn run_once(
     config: &Config,
     backup: &mut Option<List>,
     listener: &Arc<TcpListener>,
     reopen_count: u64,
     shutdown: &mut ShutdownSignals,
-) -> End {
+) -> ExitReason {
     let node = match start(config, reopen_count).await {
         Ok(node) => node,
-        Err(end) => return end,
+        Err(reason) => return reason,
     };
     let service = serve(Arc::clone(listener), node.clone(), config.limits());
     tracing::info!("replica {} listens on {}", config.id, config.listen);
-    let end = tokio::select! {
-        () = shutdown.received() => End::Shutdown,
-        error = raft_stopped(&node) => End::Failed(error),
-        Err(error) = join::ensure_member(config, &node, backup) => End::Failed(error),
+    let reason = tokio::select! {
+        () = shutdown.received() => ExitReason::Shutdown,
+        error = raft_stopped(&node) => ExitReason::Failed(error),
+        Err(error) = join::ensure_member(config, &node, backup) => ExitReason::Failed(error),
     };
-    tracing::info!("replica {} ends", config.id);
+    tracing::info!("replica {} is stopping", config.id);
     service.close().await;
     let store_failed = node.store_failed();
     node.stop().await;
-    match end {
-        End::Failed(error) if store_failed => End::StoreFailed(error),
-        end => end,
+    match reason {
+        ExitReason::Failed(error) if store_failed => ExitReason::StoreFailed(error),
+        reason => reason,
     }
 }
 
 /// Opens the store and starts the replica.
-async fn start(config: &Config, reopen_count: u64) -> Result<Node<HttpTransport>, End> {
+async fn start(config: &Config, reopen_count: u64) -> Result<Node<HttpTransport>, ExitReason> {
     let store_error = |source| ProcessError::Store { path: config.folder.join(DATABASE_FILE), source };
     let store = open_store(config, reopen_count)?;
     let new_identity = rand::rng().random::<u64>() >> IDENTITY_UNUSED_BITS;
@@ -154,29 +154,29 @@
     match Node::start(settings, store, transport, new_identity).await {
         Ok(node) => Ok(node),
         Err(NodeError::Store(source)) => Err(store_error(source).into()),
-        // openraft's error does not tell a failure of the store from others.
+        // openraft's error does not distinguish a store failure from others.
         Err(NodeError::Raft(error)) if reopen_count > 0 => {
-            Err(End::StoreFailed(ProcessError::Stopped(error)))
+            Err(ExitReason::StoreFailed(ProcessError::Stopped(error)))
         }
         Err(other) => Err(ProcessError::Node(other).into()),
     }
 }
 
-fn open_store(config: &Config, reopen_count: u64) -> Result<Store, End> {
+fn open_store(config: &Config, reopen_count: u64) -> Result<Store, ExitReason> {
     let folder = &config.folder;
     std::fs::create_dir_all(folder)
         .map_err(|source| ProcessError::Folder { path: folder.clone(), source })?;
     let store_error = |source| ProcessError::Store { path: folder.join(DATABASE_FILE), source };
     let format = Format::from_number(config.format).unwrap_or_default();
     let store = match Store::open(folder, format) {
-        // The last tasks of the previous replica may still hold the database.
+        // Tasks of the previous run that have not finished may still hold the database.
         Err(source) if reopen_count > 0 && source.is_open_elsewhere() => {
-            return Err(End::StoreFailed(store_error(source)));
+            return Err(ExitReason::StoreFailed(store_error(source)));
         }
         opened => opened.map_err(store_error)?,
     };
     if reopen_count > 0 {
-        // A replica that led would lead again at once; if its disk still failed, it would keep the others from leading.
+        // A former leader would lead again at once; if its disk still failed, it would keep the others from leading.
         store.probe().map_err(store_error)?;
     }
     Ok(store)
@@ -191,7 +191,7 @@
             return ProcessError::Stopped(fatal.into());
         }
         if metrics.changed().await.is_err() {
-            return ProcessError::Stopped("its log has ended".into());
+            return ProcessError::Stopped("openraft has closed its metrics channel".into());
         }
     }
 }
--- a/crates/registry/src/process/backoff.rs
+++ b/crates/registry/src/process/backoff.rs
@@ -3,10 +3,10 @@
 use rand::RngExt;
 use std::time::Duration;
 
-/// Upper bound of the first pause.
-const INITIAL: Duration = Duration::from_millis(100);
-/// Upper bound of every pause.
-const MAX: Duration = Duration::from_secs(5);
+/// Maximum of the first pause.
+const INITIAL_MAX_PAUSE: Duration = Duration::from_millis(100);
+/// Maximum of every pause.
+const MAX_PAUSE: Duration = Duration::from_secs(5);
 
 /// Randomized exponential backoff.
 pub(super) struct Backoff {
@@ -15,15 +15,16 @@
 
 impl Default for Backoff {
     fn default() -> Self {
-        Self { upper_bound: INITIAL }
+        Self { upper_bound: INITIAL_MAX_PAUSE }
     }
 }
 
 impl Backoff {
-    /// The next pause, drawn from the upper half of its range, so that replicas on one disk do not retry together.
+    /// Returns the next pause, drawn from the upper half of its range, so that replicas that share a disk do not retry at
+    /// the same instant.
     pub(super) fn next(&mut self) -> Duration {
         let upper_bound = self.upper_bound;
-        self.upper_bound = (2 * upper_bound).min(MAX);
+        self.upper_bound = (2 * upper_bound).min(MAX_PAUSE);
         upper_bound.mul_f64(rand::rng().random_range(0.5..1.0))
     }
 }
--- a/crates/registry/src/process/error.rs
+++ b/crates/registry/src/process/error.rs
@@ -9,10 +9,10 @@
 /// Why a replica's process failed.
 #[derive(Debug, thiserror::Error)]
 pub enum ProcessError {
-    /// The folder can't be created.
+    /// The store's folder can't be created.
     #[error("folder {}: {source}", path.display())]
     Folder {
-        /// The folder.
+        /// Path of the folder.
         path: PathBuf,
         /// The system's error.
         source: io::Error,
@@ -20,12 +20,12 @@
     /// The store can't be used.
     #[error("file {}: {source}", path.display())]
     Store {
-        /// The file.
+        /// Path of the file.
         path: PathBuf,
-        /// What is wrong with it.
+        /// The cause.
         source: StoreError,
     },
-    /// The replica can't be started, or its cluster not be bootstrapped.
+    /// The replica can't be started, or its cluster can't be bootstrapped.
     #[error("{0}")]
     Node(#[from] NodeError),
     /// The process can't listen on its address.
@@ -39,13 +39,13 @@
     /// A backup can't be used.
     #[error("backup {}: {source}", path.display())]
     Backup {
-        /// The file.
+        /// Path of the file.
         path: PathBuf,
-        /// What is wrong with it.
+        /// The cause.
         source: BackupError,
     },
-    /// The cluster that the replica was to join has refused it for good.
-    #[error("not taken in: {response}")]
+    /// The cluster has permanently refused to add the replica.
+    #[error("the cluster refused to add this replica: {response}")]
     JoinRefused {
         /// The response of a member.
         response: String,
@@ -53,7 +53,7 @@
     /// The replica has stopped.
     #[error("the replica has stopped: {0}")]
     Stopped(#[source] Box<dyn Error + Send + Sync>),
-    /// Another error of the system.
+    /// Another I/O error.
     #[error("{0}")]
     Io(#[from] io::Error),
 }
@@ -64,7 +64,7 @@
     /// The file can't be read.
     #[error("{0}")]
     Read(#[from] io::Error),
-    /// It can't be decoded.
+    /// The content can't be decoded.
     #[error("{0}")]
     Format(#[from] FormatError),
 }
--- a/crates/registry/src/process/join.rs
+++ b/crates/registry/src/process/join.rs
@@ -1,4 +1,4 @@
-//! Makes a replica a member of a cluster: it bootstraps one, or asks the members of one to add it.
+//! Makes a replica a member of a cluster: bootstraps a new one, or asks the members of an existing one to add it.
 
 use super::ProcessError;
 use crate::config::Config;
@@ -16,11 +16,11 @@
 const JOIN_PAUSE: Duration = Duration::from_millis(500);
 /// Milliseconds in a second: epochs are Unix times in seconds.
 const MILLIS_PER_SECOND: u64 = 1000;
-/// Part of the response that says that the number is taken, which is permanent. Other conflicts, as with a membership
-/// change under way, are temporary.
+/// Part of the error message of a member if another replica has the same ID, which is permanent. Other conflicts, for
+/// example with a membership change in progress, are temporary.
 const ID_TAKEN: &str = "a number of its own";
 
-/// Makes a replica a member where it is none, and then waits for ever. `backup` is taken once it has become the list.
+/// Makes the replica a member if it is none, and then never returns. `backup` becomes `None` once it has been restored.
 pub(super) async fn ensure_member(
     config: &Config,
     node: &Node<HttpTransport>,
@@ -45,12 +45,12 @@
     let is_new_epoch = node.bootstrap_cluster(epoch, backup.clone().map(Box::new)).await?;
     *backup = None;
     if is_new_epoch {
-        tracing::info!("founded epoch {epoch}");
+        tracing::info!("bootstrapped epoch {epoch}");
     }
     Ok(())
 }
 
-/// Asks members in turn to add this replica, until one does.
+/// Asks the members in turn to add this replica, until one of them does.
 async fn join(config: &Config, identity: u64) -> Result<(), ProcessError> {
     let client = Client::default();
     let body = json!({"id": config.id, "address": config.own_address(), "identity": identity}).to_string();
@@ -58,7 +58,7 @@
         let request = body.clone().into_bytes();
         match client.call(Method::POST, address, "/v1/replicas", request, JOIN_TIMEOUT).await {
             Ok((StatusCode::OK, ..)) => {
-                tracing::info!("taken in by {address}");
+                tracing::info!("added to the cluster by {address}");
                 return Ok(());
             }
             Ok((StatusCode::CONFLICT, _, response)) => {
