--- a/crates/registry-client/tests/services/driver.rs
+++ b/crates/registry-client/tests/services/driver.rs
@@ -1,4 +1,4 @@
-//! A driver of a watcher that a test advances step by step.
+//! A driver for a watcher, which a test advances step by step.
 
 use crate::registry_model::RegistryModel;
 use crate::support::names;
@@ -7,12 +7,12 @@
 };
 use std::collections::BTreeMap;
 
-/// Drives a watcher by hand, and keeps the list as its actions apply it.
+/// Drives a watcher, and applies its actions to the list in use.
 pub struct TestDriver {
     pub watcher: RegistryWatcher,
     pub now: Micros,
     pub in_flight: Vec<SentPoll>,
-    /// Their responses may still come.
+    /// Polls to which a response may still arrive.
     pub cancelled: Vec<SentPoll>,
     pub in_use: BTreeMap<String, Entry>,
     newest: Version,
@@ -49,8 +49,8 @@
         driver
     }
 
-    /// A watcher that has this list.
-    pub fn with(list: &RegistryModel, replicas: usize, services: &[&str]) -> Self {
+    /// Starts a watcher and responds to its first poll with this list.
+    pub fn with_list(list: &RegistryModel, replicas: usize, services: &[&str]) -> Self {
         let mut driver = Self::start(replicas, services);
         driver.respond(list);
         driver
@@ -98,7 +98,7 @@
         self.handle(Event::Timer)
     }
 
-    /// The oldest poll in flight; advances the time until there is one.
+    /// Returns the oldest poll in flight; advances the time until there is one.
     pub fn next_poll(&mut self) -> SentPoll {
         for _ in 0..100 {
             if let Some(poll) = self.in_flight.first() {
--- a/crates/registry-client/tests/services/main.rs
+++ b/crates/registry-client/tests/services/main.rs
@@ -1,4 +1,4 @@
-//! Watching some services only, with replicas that know services and with some of an earlier version that don't.
+//! Watching only some services, with replicas that support services and replicas of earlier releases that don't.
 
 mod driver;
 mod registry_model;
@@ -49,34 +49,35 @@
 }
 
 #[test]
-fn has_empty_list_with_version_for_unknown_service() {
+fn list_of_unknown_service_is_empty_and_has_a_version() {
     let list = three_services();
-    let driver = TestDriver::with(&list, 3, &["z"]);
+    let driver = TestDriver::with_list(&list, 3, &["z"]);
     assert_eq!(driver.watcher.list().map(|k| (k.version, k.entries.len())), Some((list.version, 0)));
     assert!(!driver.watcher.withholds_list());
 }
 
-// A third of all known servers is removed, which a watcher of all servers uses without confirmation.
+// A third of all known servers is removed. A watcher of all servers uses that list without confirmation.
 #[test]
 fn withholds_list_that_empties_one_of_three_services_until_confirmed() {
     let mut list = three_services();
-    let mut driver = TestDriver::with(&list, 3, &["a", "b", "c"]);
+    let mut driver = TestDriver::with_list(&list, 3, &["a", "b", "c"]);
     for i in 0..4 {
         list.remove(&format!("b-{i}"), StatusReason::Expired);
     }
     let poll = driver.next_poll();
-    let doubted = poll.replica;
+    let withheld_from = poll.replica;
     let out = driver.respond(&list);
-    let withheld = Report::Withheld { replica: doubted, version: list.version, removed: 4, active_before: 4 };
+    let withheld =
+        Report::Withheld { replica: withheld_from, version: list.version, removed: 4, active_before: 4 };
     assert_eq!(reports(&out), [&withheld]);
     assert!(applied(&out).is_none() && driver.watcher.withholds_list() && driver.names_in_use().len() == 12);
     let poll = driver.next_poll();
-    assert!(poll.replica != doubted && poll.after.is_none());
+    assert!(poll.replica != withheld_from && poll.after.is_none());
     let out = driver.respond(&list);
     assert_eq!(reports(&out), [&Report::Confirmed(poll.replica), &Report::NoServers("b".into())]);
     assert_eq!(driver.names_in_use().len(), 8);
     let mut all = three_services();
-    let mut driver = TestDriver::with(&all, 3, &[]);
+    let mut driver = TestDriver::with_list(&all, 3, &[]);
     for i in 0..4 {
         all.remove(&format!("b-{i}"), StatusReason::Expired);
     }
@@ -85,10 +86,10 @@
 }
 
 #[test]
-fn withholds_list_where_service_loses_most_servers_but_not_half() {
+fn withholds_list_if_service_loses_more_than_half_of_its_servers() {
     for (removed, withheld) in [(2, false), (3, true)] {
         let mut list = three_services();
-        let mut driver = TestDriver::with(&list, 3, &["a", "b", "c"]);
+        let mut driver = TestDriver::with_list(&list, 3, &["a", "b", "c"]);
         for i in 0..removed {
             list.remove(&format!("c-{i}"), StatusReason::Expired);
         }
@@ -98,10 +99,10 @@
 }
 
 #[test]
-fn applies_named_drains_and_removals_of_whole_service_at_once() {
+fn applies_explicit_drains_and_removals_of_all_servers_of_a_service_at_once() {
     for drains in [true, false] {
         let mut list = three_services();
-        let mut driver = TestDriver::with(&list, 3, &["a", "b", "c"]);
+        let mut driver = TestDriver::with_list(&list, 3, &["a", "b", "c"]);
         for i in 0..4 {
             let name = format!("b-{i}");
             assert!(if drains {
@@ -117,13 +118,13 @@
     }
 }
 
-// The only server of `a` moves to `b`: for a watcher of `a` that is a named removal.
+// The only server of `a` moves to `b`. For a watcher of `a` that is an explicit removal, which is not withheld.
 #[test]
 fn follows_server_that_moves_between_services() {
     let mut list = RegistryModel::bootstrapped(1);
     list.register("s", "a");
     list.register("t", "b");
-    let watch = |services: &[&str]| TestDriver::with(&list, 3, services);
+    let watch = |services: &[&str]| TestDriver::with_list(&list, 3, services);
     let mut drivers = [watch(&["a", "b"]), watch(&["a"]), watch(&["b"]), watch(&[])];
     list.register("s", "b");
     for (driver, (left, changed)) in drivers.iter_mut().zip([(2, 1), (0, 1), (2, 1), (2, 1)]) {
@@ -138,15 +139,15 @@
 #[test]
 fn polls_complete_list_on_change_of_services_and_keeps_common_ones_in_use() {
     let mut list = three_services();
-    let mut driver = TestDriver::with(&list, 3, &["a", "b"]);
+    let mut driver = TestDriver::with_list(&list, 3, &["a", "b"]);
     let before = driver.next_poll();
     let out = driver.change_services(&["c", "b"]);
-    // Servers of the service that is not watched any more are dropped at once.
-    let cut = applied(&out).expect("the list is cut");
-    assert!(cut.full && cut.version == list.version && cut.entries.len() == 4);
+    // Servers of the service that is no longer watched are dropped at once.
+    let reduced = applied(&out).expect("the list in use is reduced");
+    assert!(reduced.full && reduced.version == list.version && reduced.entries.len() == 4);
     assert_eq!(driver.names_in_use(), ["b-0", "b-1", "b-2", "b-3"]);
     assert!(out.contains(&Action::CancelPoll(before.id)));
-    let now = driver.in_flight.first().cloned().expect("it polls at once");
+    let now = driver.in_flight.first().cloned().expect("it polls immediately");
     assert_eq!((now.after, now.services.as_slice()), (None, names(&["b", "c"]).as_slice()));
     // The response to the earlier poll is ignored.
     let mut newer = list.clone();
@@ -158,7 +159,7 @@
     assert!(applied(&out).is_some_and(|a| a.full) && reports(&out).is_empty(), "{out:?}");
     assert_eq!(driver.names_in_use().len(), 9);
     assert_eq!(driver.watcher.list().map(|k| k.services.clone()), Some(names(&["b", "c"])));
-    // The same services again change nothing.
+    // Watching the same services again changes nothing.
     assert!(driver.change_services(&["b", "c", "b"]).is_empty());
 }
 
@@ -167,7 +168,7 @@
     let old = three_services();
     let mut list = old.clone();
     list.register("a-4", "a");
-    let mut driver = TestDriver::with(&list, 3, &["a"]);
+    let mut driver = TestDriver::with_list(&list, 3, &["a"]);
     driver.change_services(&["b"]);
     let replica = driver.next_poll().replica;
     let out = driver.respond(&old);
@@ -182,7 +183,7 @@
 #[test]
 fn drops_withheld_list_on_change_of_services() {
     let mut list = three_services();
-    let mut driver = TestDriver::with(&list, 3, &["a", "b"]);
+    let mut driver = TestDriver::with_list(&list, 3, &["a", "b"]);
     for i in 0..4 {
         list.remove(&format!("a-{i}"), StatusReason::Expired);
     }
@@ -194,12 +195,12 @@
     assert_eq!(driver.names_in_use().len(), 8);
 }
 
-// The withheld list says that a server has moved to a service and was drained there. The reader stops to watch that
-// service, and watches it again.
+// In the withheld list, a server has moved to another service and was drained there. The watcher stops watching that
+// service and then watches it again.
 #[test]
-fn server_drained_in_dropped_service_is_in_use_again_with_complete_list_alone() {
+fn server_drained_in_dropped_service_is_in_use_again_only_after_complete_list() {
     let list = three_services();
-    let mut driver = TestDriver::with(&list, 3, &[]);
+    let mut driver = TestDriver::with_list(&list, 3, &[]);
     let mut moved = list.clone();
     moved.register("a-0", "c");
     moved.drain("a-0", StatusReason::Drained);
@@ -210,9 +211,9 @@
     assert!(driver.watcher.withholds_list());
     assert_eq!(driver.in_use["a-0"].status, Status::Draining);
     driver.change_services(&["a"]);
-    assert!(!driver.in_use.contains_key("a-0"), "it is of another service");
+    assert!(!driver.in_use.contains_key("a-0"), "it belongs to another service");
     driver.change_services(&["a", "c"]);
-    // Neither as it was before its drain, nor by a list of the services before.
+    // Neither its state before the drain nor a list of the earlier services puts it back into use.
     assert!(!driver.in_use.contains_key("a-0"), "it was drained");
     let poll = driver.next_poll();
     assert_eq!((poll.after, poll.services.as_slice()), (None, names(&["a", "c"]).as_slice()));
@@ -224,9 +225,9 @@
 }
 
 #[test]
-fn does_not_save_list_cut_by_change_of_services() {
+fn does_not_save_list_reduced_by_change_of_services() {
     let mut list = three_services();
-    let mut driver = TestDriver::with(&list, 3, &["a", "b"]);
+    let mut driver = TestDriver::with_list(&list, 3, &["a", "b"]);
     driver.advance();
     list.register("b-4", "b");
     driver.respond(&list);
@@ -252,7 +253,7 @@
 #[test]
 fn changes_between_all_servers_and_some_services() {
     let list = three_services();
-    let mut driver = TestDriver::with(&list, 3, &[]);
+    let mut driver = TestDriver::with_list(&list, 3, &[]);
     driver.change_services(&["c"]);
     assert_eq!(driver.names_in_use().len(), 4);
     assert!(reports(&driver.respond(&list)).is_empty());
@@ -267,9 +268,9 @@
 fn reports_digest_mismatch_only_for_watched_services() {
     let list = three_services();
     let mut other = list.clone();
-    *other.digests.get_mut("b").expect("it is there") ^= 1;
+    *other.service_digests.get_mut("b").expect("service `b` has a digest") ^= 1;
     for (services, differs) in [(["a", "b"], true), (["b", "c"], true), (["a", "c"], false)] {
-        let mut driver = TestDriver::with(&list, 3, &services);
+        let mut driver = TestDriver::with_list(&list, 3, &services);
         let replica = driver.next_poll().replica;
         let out = driver.respond(&other);
         let mismatch = Report::DigestMismatch { replica, version: list.version };
@@ -278,30 +279,30 @@
     }
 }
 
-// The digest is of other services than the one before.
+// The new digest covers other services than the previous one.
 #[test]
 fn compares_no_digest_right_after_change_of_services() {
     let list = three_services();
-    let mut driver = TestDriver::with(&list, 1, &["a"]);
+    let mut driver = TestDriver::with_list(&list, 1, &["a"]);
     driver.change_services(&["a", "b"]);
     assert!(reports(&driver.respond(&list)).is_empty());
     assert_eq!(driver.names_in_use().len(), 8);
 }
 
 #[test]
-fn uses_no_replica_without_services_and_settles_on_one_with_them() {
+fn uses_only_replica_that_supports_services() {
     let mut list = three_services();
-    for (replicas, new) in [(3, 1), (3, 2), (2, 1)] {
+    for (replicas, supporting) in [(3, 1), (3, 2), (2, 1)] {
         let mut driver = TestDriver::start(replicas, &["a"]);
         let mut polls_without_services = 0;
         for _ in 0..30 {
             let poll = driver.next_poll();
-            if poll.replica == new {
+            if poll.replica == supporting {
                 driver.respond(&list);
                 list.register("b-0", if polls_without_services % 2 == 0 { "b" } else { "c" });
                 continue;
             }
-            // A version without services ignores them, and its response names none.
+            // A replica without support for services ignores the parameter, and its response has no `services`.
             let out = driver.respond_with(&poll, list.update(&[], poll.after));
             assert_eq!(poll_errors(&out), ["does not know services"]);
             assert!(applied(&out).is_none());
@@ -309,9 +310,9 @@
         }
         assert!(
             polls_without_services <= 2 * replicas,
-            "{polls_without_services} polls of replicas without services"
+            "{polls_without_services} polls of replicas without support for services"
         );
-        assert_eq!((driver.names_in_use().len(), driver.next_poll().replica), (4, new));
+        assert_eq!((driver.names_in_use().len(), driver.next_poll().replica), (4, supporting));
     }
 }
 
@@ -333,7 +334,7 @@
     rejects(&["a"], &["a", "b"]);
     rejects(&["a"], &["b"]);
     rejects(&[], &["a"]);
-    // It claims to be of `a` and has entries of others.
+    // The response claims to be for `a` but has entries of other services.
     let mut driver = TestDriver::start(3, &["a"]);
     let poll = driver.next_poll();
     let mislabelled = ListUpdate { services: Some(names(&["a"])), ..list.update(&[], None) };
@@ -346,13 +347,13 @@
 #[test]
 fn uses_watched_part_of_cached_list_of_other_services() {
     let list = three_services();
-    let file = |services: &[&str]| TestDriver::with(&list, 3, services).watcher.list().cloned();
+    let file = |services: &[&str]| TestDriver::with_list(&list, 3, services).watcher.list().cloned();
     let start = |services: &[&str], known: Option<EndpointList>| {
         let mut driver = TestDriver::new(3, services, 1);
         let out = driver.handle(Event::Start(known));
         (driver, out)
     };
-    // A cached list of all servers, of overlapping services, of fewer and of more: only what is watched is used.
+    // A cached list of all servers, of overlapping, of fewer or of more services: only watched entries are used.
     for (of, services, used) in [
         (&[][..], &["a"][..], 4),
         (&["a", "b"], &["b", "c"], 4),
@@ -373,7 +374,7 @@
         let all = if services.is_empty() { 12 } else { 4 * services.len() };
         assert_eq!(driver.names_in_use().len(), all);
     }
-    // Where nothing of it is watched it is not applied, and its version is known all the same.
+    // If none of its entries is watched, it is not applied, but its version still counts.
     let (mut driver, out) = start(&["c"], file(&["a"]));
     assert!(applied(&out).is_none() && driver.next_poll().after.is_none());
     let old = RegistryModel::bootstrapped(1);
--- a/crates/registry-client/tests/services/registry_model.rs
+++ b/crates/registry-client/tests/services/registry_model.rs
@@ -1,10 +1,10 @@
-//! A model of the registry: the list with its history, and what a replica responds.
+//! A model of the registry: the list with its history, and the responses of a replica.
 
 use crate::support::{entry, is_watched};
 use lotusmoor_registry_client::{Entry, ListUpdate, Status, StatusReason, Version};
 use std::collections::{BTreeMap, BTreeSet};
 
-/// One change of an entry, which is `None` before its registration and after its removal.
+/// One change of an entry; the entry is `None` before its registration and after its removal.
 #[derive(Clone)]
 pub struct Change {
     pub index: u64,
@@ -15,8 +15,8 @@
 }
 
 impl Change {
-    /// Whether a server was removed by name, or moved to another service.
-    pub fn removes_by_name(&self) -> bool {
+    /// Whether a server was explicitly removed, or moved to another service.
+    pub fn is_explicit_removal(&self) -> bool {
         match (&self.before, &self.after) {
             (Some(before), Some(after)) => before.service != after.service,
             (_, None) => self.reason == StatusReason::Removed,
@@ -29,11 +29,13 @@
 #[derive(Clone, Default)]
 pub struct RegistryModel {
     pub version: Version,
-    /// Changes up to this index are compacted: a client that has less gets the complete list.
+    /// Changes up to this index are compacted: a client with an older list gets the complete list.
     pub compacted_index: u64,
     pub entries: BTreeMap<String, Entry>,
     pub changes: Vec<Change>,
-    pub digests: BTreeMap<String, u64>,
+    /// Digests of the history of each service.
+    pub service_digests: BTreeMap<String, u64>,
+    /// Digest of the history of the complete list.
     pub digest: u64,
 }
 
@@ -49,7 +51,7 @@
         Self { version: Version { epoch, index }, compacted_index: index, ..Self::default() }
     }
 
-    /// Changes an entry; `false` if it is that already.
+    /// Changes an entry; returns `false` if that changes nothing.
     fn change(&mut self, name: &str, after: Option<Entry>, reason: StatusReason) -> bool {
         let before = self.entries.get(name).cloned();
         if before == after {
@@ -66,7 +68,7 @@
         let touched: BTreeSet<String> =
             [&before, &after].into_iter().flatten().filter_map(|e| e.service.clone()).collect();
         for service in touched {
-            let digest = self.digests.entry(service).or_default();
+            let digest = self.service_digests.entry(service).or_default();
             *digest = extend_digest(*digest, text.as_bytes());
         }
         self.changes.push(Change { index, name: name.to_owned(), before, after, reason });
@@ -91,8 +93,8 @@
             self.digest
         } else {
             services.iter().fold(0, |sum, name| {
-                let of = self.digests.get(name).copied().unwrap_or_default();
-                extend_digest(extend_digest(sum, name.as_bytes()), &of.to_le_bytes())
+                let service = self.service_digests.get(name).copied().unwrap_or_default();
+                extend_digest(extend_digest(sum, name.as_bytes()), &service.to_le_bytes())
             })
         };
         let fits = |v: &Version| {
@@ -109,7 +111,7 @@
     }
 
     fn changes_since(&self, services: &[String], index: u64) -> Vec<Entry> {
-        // For each changed entry, its removal from what these services have, if it was removed.
+        // For each changed entry, its last removal from the watched services, if there was one.
         let mut touched: BTreeMap<&str, Option<Entry>> = BTreeMap::new();
         for change in self.changes.iter().filter(|c| c.index > index) {
             let removal = touched.entry(&change.name).or_default();
--- a/crates/registry-client/tests/services/simulation.rs
+++ b/crates/registry-client/tests/services/simulation.rs
@@ -1,4 +1,4 @@
-//! Random changes at the registry and faults of its replicas against a watcher of some services.
+//! Simulation of a watcher of some services against random changes of the registry's list and faults of its replicas.
 
 use crate::driver::{SentPoll, TestDriver};
 use crate::registry_model::RegistryModel;
@@ -18,10 +18,10 @@
     Restore(u8),
     /// The history of changes is compacted.
     Compact,
-    /// A replica gets so many more changes.
+    /// A replica receives the next changes: its index, and how many.
     CatchUp(u8, u8),
     Respond,
-    /// A response to a cancelled poll comes after all.
+    /// A response to a cancelled poll arrives.
     LateResponse,
     Fail,
     Advance,
@@ -49,38 +49,38 @@
     prop::collection::vec(one, 1..150)
 }
 
-/// The services of these bits.
+/// The services whose bits are set.
 fn subset(bits: u8) -> Vec<&'static str> {
     let all = ["a", "b", "c"];
     (0..3).filter(|i| bits & (1 << i) != 0).map(|i| all[i]).collect()
 }
 
-/// A watcher, and a registry that keeps all versions that its list ever had.
+/// A watcher, and a registry with all versions that its list has had.
 struct Simulation {
     history: Vec<RegistryModel>,
     /// For each replica, the position of its list in the history.
     replica_versions: Vec<usize>,
-    /// The last replica runs a version without services.
-    last_replica_is_without_services: bool,
+    /// The last replica runs a release without support for services.
+    last_replica_lacks_services: bool,
     driver: TestDriver,
-    /// The services of which the driver has all servers; `None` if it has those of all services.
+    /// The services whose complete list the driver has; `None` if it has the list of all servers.
     complete_for: Option<BTreeSet<String>>,
-    /// Servers whose drain by name was applied ahead of a withheld list, until the driver has a list again.
-    drained_ahead: BTreeSet<String>,
+    /// Servers whose explicit drain was applied while the list that has it is withheld; cleared when a list is used.
+    drained_while_withheld: BTreeSet<String>,
 }
 
 impl Simulation {
-    fn new(replicas: usize, old: bool, services: u8, seed: u64) -> Self {
+    fn new(replicas: usize, has_old_replica: bool, services: u8, seed: u64) -> Self {
         let mut driver = TestDriver::new(replicas, &subset(services), seed);
         driver.handle(Event::Start(None));
         let (history, replica_versions) = (vec![RegistryModel::bootstrapped(1)], vec![0; replicas]);
         Self {
             history,
             replica_versions,
-            last_replica_is_without_services: old && replicas > 1,
+            last_replica_lacks_services: has_old_replica && replicas > 1,
             driver,
             complete_for: Some(BTreeSet::new()),
-            drained_ahead: BTreeSet::new(),
+            drained_while_withheld: BTreeSet::new(),
         }
     }
 
@@ -93,8 +93,9 @@
 
     fn update(&self, poll: &SentPoll) -> ListUpdate {
         let list = &self.history[self.replica_versions[poll.replica]];
-        let knows = !self.last_replica_is_without_services || poll.replica + 1 < self.replica_versions.len();
-        list.update(if knows { &poll.services } else { &[] }, poll.after)
+        let supports_services =
+            !self.last_replica_lacks_services || poll.replica + 1 < self.replica_versions.len();
+        list.update(if supports_services { &poll.services } else { &[] }, poll.after)
     }
 
     fn respond(&mut self) {
@@ -104,19 +105,20 @@
         if self.driver.watcher.withholds_list() {
             let drained = |e: &&Entry| e.status_reason == StatusReason::Drained;
             let drained = self.driver.in_use.values().filter(drained).map(|e| e.name.clone());
-            self.drained_ahead.extend(drained);
+            self.drained_while_withheld.extend(drained);
         } else if applied(&out).is_some() {
-            self.drained_ahead.clear();
+            self.drained_while_withheld.clear();
             let services = &self.driver.services;
             self.complete_for = (!services.is_empty()).then(|| services.iter().cloned().collect());
         }
     }
 
-    /// Only these services are watched from now on.
-    fn cut(&mut self, services: &[&str]) {
+    /// Limits `complete_for` to these services, which are watched from now on.
+    fn restrict_to(&mut self, services: &[&str]) {
         if !services.is_empty() {
-            let of = |s: &&&str| self.complete_for.as_ref().is_none_or(|complete| complete.contains(**s));
-            self.complete_for = Some(services.iter().filter(of).map(|s| (*s).to_owned()).collect());
+            let is_complete =
+                |s: &&&str| self.complete_for.as_ref().is_none_or(|complete| complete.contains(**s));
+            self.complete_for = Some(services.iter().filter(is_complete).map(|s| (*s).to_owned()).collect());
         }
     }
 
@@ -167,31 +169,31 @@
             Step::ChangeServices(bits) => {
                 let services = subset(bits);
                 self.driver.change_services(&services);
-                self.cut(&services);
+                self.restrict_to(&services);
             }
             Step::Restart(bits) => {
                 let (services, known) = (subset(bits), self.driver.saved.take());
                 self.complete_for = known.as_ref().map_or(Some(BTreeSet::new()), |known| {
                     (!known.services.is_empty()).then(|| known.services.iter().cloned().collect())
                 });
-                self.drained_ahead.clear();
+                self.drained_while_withheld.clear();
                 self.driver = TestDriver::new(self.replica_versions.len(), &services, self.driver.now as u64);
                 self.driver.handle(Event::Start(known));
-                self.cut(&services);
+                self.restrict_to(&services);
             }
         }
     }
 
-    /// What is in use is the registry's list at a version, limited to the watched services, except for servers that
-    /// were drained or removed by name since: these are applied before the rest of a withheld list.
+    /// Checks that the list in use is the registry's list at some version, limited to the watched services, except for
+    /// servers that were explicitly drained or removed since: that is applied ahead of the rest of a withheld list.
     fn check(&self) -> Result<(), TestCaseError> {
         let driver = &self.driver;
         prop_assert!(driver.in_flight.len() <= 2);
         prop_assert!(driver.watcher.next_timer().is_some());
         prop_assert!(driver.in_use.values().all(|e| is_watched(e, &driver.services)), "{:?}", driver.in_use);
-        for name in &self.drained_ahead {
+        for name in &self.drained_while_withheld {
             let is_active = driver.in_use.get(name).is_some_and(|e| e.status == Status::Active);
-            prop_assert!(!is_active, "{name} was drained by name, and is in use");
+            prop_assert!(!is_active, "{name} was explicitly drained, but is active");
         }
         let Some(list) = driver.watcher.list() else {
             prop_assert!(driver.in_use.is_empty());
@@ -204,47 +206,47 @@
         let names: BTreeSet<&String> = expected.keys().copied().chain(driver.in_use.keys()).collect();
         for name in names {
             let (used, expected) = (driver.in_use.get(name), expected.get(name).copied());
-            let as_expected = used == expected || self.was_named_since(at, name, used);
+            let as_expected = used == expected || self.was_explicitly_removed_since(at, name, used);
             prop_assert!(as_expected, "{name}: {used:?} for {expected:?} at {}", list.version);
         }
         Ok(())
     }
 
-    /// Whether the driver has an entry where it has the list that this entry is in.
+    /// Whether the driver must have this entry, if the entry is in the driver's version of the list.
     fn has_entry(&self, entry: &Entry) -> bool {
         let is_in =
             |services: &BTreeSet<String>| entry.service.as_ref().is_some_and(|s| services.contains(s));
         is_watched(entry, &self.driver.services) && self.complete_for.as_ref().is_none_or(is_in)
     }
 
-    /// Whether that server was drained or removed by name at or after a position in the history, so that `used` is in
-    /// use in place of its entry there.
-    fn was_named_since(&self, position: usize, name: &str, used: Option<&Entry>) -> bool {
+    /// Whether that server was explicitly drained or removed at or after a position in the history, which is why `used`
+    /// is in use instead of the entry at that position.
+    fn was_explicitly_removed_since(&self, position: usize, name: &str, used: Option<&Entry>) -> bool {
         let known = self.history[position].version;
         self.history[position..].iter().any(|list| match (used, list.entries.get(name)) {
             (Some(used), now) => used.status_reason == StatusReason::Drained && now == Some(used),
-            // Drained in another service, of which the driver has no complete list: it has stopped to watch that one, and
-            // may watch it again since.
+            // Drained in another service whose complete list the driver does not have, as it stopped watching that
+            // service. It may have started watching it again.
             (None, Some(now)) if now.status_reason == StatusReason::Drained && !self.has_entry(now) => true,
             (None, _) => list.changes.iter().any(|change| {
                 let version = Version { epoch: list.version.epoch, index: change.index };
-                version > known && change.name == *name && change.removes_by_name()
+                version > known && change.name == *name && change.is_explicit_removal()
             }),
         })
     }
 }
 
-/// Plays a script, and checks after each step that what is in use is the registry's list at a version
-/// (`Simulation::check`; `TestDriver::handle` checks that the version never decreases). Once all replicas know services
-/// and have the newest list, the watcher has to have it too.
-fn play(
+/// Runs the steps of a script. After each step it checks that the list in use is the registry's list at some version
+/// (`Simulation::check`; `TestDriver::handle` checks that the version never decreases). Once all replicas support
+/// services and have the newest list, the watcher must get that list.
+fn run_steps(
     script: Vec<Step>,
     replicas: usize,
-    last_replica_is_without_services: bool,
+    last_replica_lacks_services: bool,
     services: u8,
     seed: u64,
 ) -> Result<(), TestCaseError> {
-    let mut simulation = Simulation::new(replicas, last_replica_is_without_services, services, seed);
+    let mut simulation = Simulation::new(replicas, last_replica_lacks_services, services, seed);
     for step in script {
         let text = format!("{step:?}");
         simulation.step(step);
@@ -252,37 +254,42 @@
     }
     let newest = simulation.history.len() - 1;
     simulation.replica_versions.fill(newest);
-    // With one of two replicas without services no other could confirm a withheld list.
-    simulation.last_replica_is_without_services = false;
+    // If one of two replicas did not support services, no other replica could confirm a withheld list.
+    simulation.last_replica_lacks_services = false;
     let list = simulation.history[newest].clone();
-    let has_all = |simulation: &Simulation| {
+    let has_newest_list = |simulation: &Simulation| {
         simulation.driver.watcher.list().is_some_and(|known| {
             let wants = |(_, e): &(&String, &Entry)| is_watched(e, &simulation.driver.services);
             known.version == list.version && list.entries.iter().filter(wants).eq(&known.entries)
         })
     };
     for _ in 0..3000 {
-        if has_all(&simulation) {
+        if has_newest_list(&simulation) {
             break;
         }
         simulation.respond();
         simulation.check()?;
     }
-    prop_assert!(has_all(&simulation), "{:?} is not {:?}", simulation.driver.watcher.list(), list.entries);
+    prop_assert!(
+        has_newest_list(&simulation),
+        "{:?} does not become {:?}",
+        simulation.driver.watcher.list(),
+        list.entries
+    );
     Ok(())
 }
 
 proptest! {
     #[test]
     fn converges_to_registry_under_random_changes_faults_and_restarts(
-        script in steps(), replicas in 1usize..4, old: bool, services in 0u8..8, seed: u64,
+        script in steps(), replicas in 1usize..4, has_old_replica: bool, services in 0u8..8, seed: u64,
     ) {
-        play(script, replicas, old, services, seed)?;
+        run_steps(script, replicas, has_old_replica, services, seed)?;
     }
 }
 
-// Found by the test above, and shrunk by it: a server moves to another watched service and is drained there, and the
-// watched services change twice before a complete list comes.
+// A failure that the test above found: a server moves to another watched service and is drained there, and the watched
+// services change twice before there is a complete list.
 #[test]
 fn converges_after_move_and_drain_across_changes_of_services() {
     use Step::*;
@@ -335,7 +342,7 @@
         ChangeServices(1),
         ChangeServices(5),
     ];
-    if let Err(error) = play(script, 1, false, 0, 0) {
+    if let Err(error) = run_steps(script, 1, false, 0, 0) {
         panic!("{error}");
     }
 }
--- a/crates/registry-client/tests/services/support.rs
+++ b/crates/registry-client/tests/services/support.rs
@@ -1,4 +1,4 @@
-//! Entries, and what is in a watcher's actions.
+//! Sample entries, and accessors for a watcher's actions.
 
 use crate::registry_model::RegistryModel;
 use lotusmoor_registry_client::{Action, AppliedList, Entry, Report};
@@ -13,7 +13,7 @@
     services.iter().map(|s| (*s).to_owned()).collect()
 }
 
-/// Whether an entry is of one of these services; any entry is where there are none.
+/// Whether an entry belongs to one of these services; true for every entry if `services` is empty.
 pub fn is_watched(entry: &Entry, services: &[String]) -> bool {
     services.is_empty() || entry.service.as_ref().is_some_and(|s| services.contains(s))
 }
--- a/crates/registry-client/tests/stored_forms.rs
+++ b/crates/registry-client/tests/stored_forms.rs
@@ -1,5 +1,5 @@
-//! The forms in which lists are stored and sent: fixtures that were written by the program at commit 3f326ce. Names in
-//! the code may change; what is read from these files and written again may not.
+//! The formats in which lists are stored and sent. The fixtures were written at commit 3f326ce; they must still be
+//! decoded to the same values, and the values encoded to the same text.
 
 use lotusmoor_registry_client::cache_file::{load, save};
 use lotusmoor_registry_client::{EndpointList, Entry, ListUpdate, Status, StatusReason, Version};
@@ -7,25 +7,25 @@
 use std::net::SocketAddr;
 use std::path::{Path, PathBuf};
 
-const WHOLE_LIST: &str = "list-whole.json";
+const COMPLETE_LIST: &str = "list-whole.json";
 const LIST_OF_SERVICES: &str = "list-of-services.json";
-const WHOLE_ANSWER: &str = "answer-whole.json";
-const ANSWER_OF_CHANGES: &str = "answer-changes.json";
-const ANSWER_OF_SERVICES: &str = "answer-of-services.json";
+const COMPLETE_UPDATE: &str = "answer-whole.json";
+const CHANGES_UPDATE: &str = "answer-changes.json";
+const SERVICES_UPDATE: &str = "answer-of-services.json";
 
 fn fixture(name: &str) -> PathBuf {
     Path::new(env!("CARGO_MANIFEST_DIR")).join("tests/fixtures").join(name)
 }
 
-fn text(path: &Path) -> String {
-    std::fs::read_to_string(path).expect("it can be read")
+fn read_text(path: &Path) -> String {
+    std::fs::read_to_string(path).expect("the file is readable")
 }
 
-fn address(of: &str) -> SocketAddr {
-    of.parse().expect("an address")
+fn address(text: &str) -> SocketAddr {
+    text.parse().expect("an address")
 }
 
-/// An entry with every field filled, none with its default.
+/// An entry with no field at its default.
 fn full_entry() -> Entry {
     Entry {
         name: "ledger-1".to_owned(),
@@ -42,7 +42,7 @@
     }
 }
 
-/// An entry with nothing but what it must have.
+/// An entry with required fields only.
 fn bare_entry() -> Entry {
     Entry {
         name: "plain-1".to_owned(),
@@ -63,7 +63,7 @@
     entries.into_iter().map(|entry| (entry.name.clone(), entry)).collect()
 }
 
-fn whole_list() -> EndpointList {
+fn complete_list() -> EndpointList {
     EndpointList {
         version: Version { epoch: 3, index: 70 },
         digest: 18_446_744_073_709_551_557,
@@ -82,7 +82,7 @@
     }
 }
 
-fn whole_answer() -> ListUpdate {
+fn complete_update() -> ListUpdate {
     ListUpdate {
         version: Version { epoch: 3, index: 70 },
         snapshot: true,
@@ -96,109 +96,112 @@
     }
 }
 
-/// Changes with an entry for each way in which one can come to its state.
-fn answer_of_changes() -> ListUpdate {
-    let left = |name: &str, why| Entry {
+/// Changes with an entry for each status reason.
+fn changes_update() -> ListUpdate {
+    let removed = |name: &str, reason| Entry {
         name: name.to_owned(),
         status: Status::Removed,
-        status_reason: why,
+        status_reason: reason,
         ..bare_entry()
     };
     let endpoints = vec![
         bare_entry(),
         full_entry(),
-        left("removed-1", StatusReason::Removed),
-        left("expired-1", StatusReason::Expired),
+        removed("removed-1", StatusReason::Removed),
+        removed("expired-1", StatusReason::Expired),
     ];
-    ListUpdate { version: Version { epoch: 3, index: 74 }, snapshot: false, endpoints, ..whole_answer() }
+    ListUpdate { version: Version { epoch: 3, index: 74 }, snapshot: false, endpoints, ..complete_update() }
 }
 
-fn answer_of_services() -> ListUpdate {
+fn services_update() -> ListUpdate {
     let services = Some(vec!["ledger".to_owned(), "mail".to_owned()]);
-    ListUpdate { services, endpoints: vec![full_entry()], ..whole_answer() }
+    ListUpdate { services, endpoints: vec![full_entry()], ..complete_update() }
 }
 
-/// The text of a list's file with its time of writing left out.
-fn without_time(text: &str) -> String {
-    let (before, rest) = text.split_once(r#""saved_ms":"#).expect("a time of writing");
-    let end = rest.find(|c: char| !c.is_ascii_digit()).expect("what follows it");
+/// The text of a cache file without the value of `saved_ms`.
+fn without_saved_ms(text: &str) -> String {
+    let (before, rest) = text.split_once(r#""saved_ms":"#).expect("a `saved_ms` field");
+    let end = rest.find(|c: char| !c.is_ascii_digit()).expect("text after the number");
     assert!(end > 0, "{text}");
     format!("{before}{}", &rest[end..])
 }
 
 #[test]
-fn a_stored_list_is_loaded_and_saved_again_as_the_same_text() {
-    for (name, list) in [(WHOLE_LIST, whole_list()), (LIST_OF_SERVICES, list_of_services())] {
+fn stored_list_round_trips() {
+    for (name, list) in [(COMPLETE_LIST, complete_list()), (LIST_OF_SERVICES, list_of_services())] {
         let stored = fixture(name);
-        let (loaded, _) = load(&stored).expect("it can be loaded").expect("it is there");
+        let (loaded, _) = load(&stored).expect("the list loads").expect("there is a file");
         assert_eq!(loaded, list, "{name}");
-        let folder = tempfile::tempdir().expect("a folder");
-        let saved = folder.path().join("list.json");
-        save(&saved, &loaded).expect("it can be saved");
-        assert_eq!(without_time(&text(&saved)), without_time(&text(&stored)), "{name}");
+        let directory = tempfile::tempdir().expect("a directory");
+        let saved = directory.path().join("list.json");
+        save(&saved, &loaded).expect("the list is saved");
+        assert_eq!(without_saved_ms(&read_text(&saved)), without_saved_ms(&read_text(&stored)), "{name}");
     }
 }
 
 #[test]
-fn the_stored_time_of_writing_gives_the_age_of_a_list() {
+fn age_of_loaded_list_is_computed_from_saved_ms() {
     const LONG_AGO: &str = r#""saved_ms":5,"#;
-    let stored = text(&fixture(WHOLE_LIST));
-    let (before, rest) = stored.split_once(r#""saved_ms":"#).expect("a time of writing");
-    let (_, after) = rest.split_once(',').expect("what follows it");
-    let folder = tempfile::tempdir().expect("a folder");
-    let old = folder.path().join("list.json");
-    std::fs::write(&old, format!("{before}{LONG_AGO}{after}")).expect("it can be written");
-    let (loaded, age) = load(&old).expect("it can be loaded").expect("it is there");
+    let stored = read_text(&fixture(COMPLETE_LIST));
+    let (before, rest) = stored.split_once(r#""saved_ms":"#).expect("a `saved_ms` field");
+    let (_, after) = rest.split_once(',').expect("text after the field");
+    let directory = tempfile::tempdir().expect("a directory");
+    let old = directory.path().join("list.json");
+    std::fs::write(&old, format!("{before}{LONG_AGO}{after}")).expect("the file is written");
+    let (loaded, age) = load(&old).expect("the list loads").expect("there is a file");
     let years = age.as_secs() / (365 * 24 * 3600);
-    assert_eq!(loaded, whole_list());
+    assert_eq!(loaded, complete_list());
     assert!(years >= 50, "{years} years");
 }
 
 #[test]
-fn a_replicas_answer_is_read_and_written_again_as_the_same_text() {
-    for (name, answer) in [
-        (WHOLE_ANSWER, whole_answer()),
-        (ANSWER_OF_CHANGES, answer_of_changes()),
-        (ANSWER_OF_SERVICES, answer_of_services()),
+fn responses_round_trip() {
+    for (name, update) in [
+        (COMPLETE_UPDATE, complete_update()),
+        (CHANGES_UPDATE, changes_update()),
+        (SERVICES_UPDATE, services_update()),
     ] {
-        let sent = text(&fixture(name));
-        let read = ListUpdate::from_json(sent.as_bytes()).expect("it can be read");
-        assert_eq!(read, answer, "{name}");
-        assert_eq!(serde_json::to_string(&read).expect("it can be written"), sent, "{name}");
+        let sent = read_text(&fixture(name));
+        let read = ListUpdate::from_json(sent.as_bytes()).expect("a valid response");
+        assert_eq!(read, update, "{name}");
+        assert_eq!(serde_json::to_string(&read).expect("the update is encoded"), sent, "{name}");
     }
 }
 
 #[test]
-fn an_answer_with_the_least_that_it_must_have_is_read_with_the_defaults() {
+fn response_with_required_fields_only_is_decoded_with_defaults() {
     let sent = r#"{"epoch":1,"index":2,"snapshot":true,"digest":3,"endpoints":[
         {"name":"plain-1","address":"[::1]:9000"}]}"#;
-    let read = ListUpdate::from_json(sent.as_bytes()).expect("it can be read");
+    let read = ListUpdate::from_json(sent.as_bytes()).expect("a valid response");
     let version = Version { epoch: 1, index: 2 };
-    let wanted = ListUpdate {
+    let expected = ListUpdate {
         version,
         snapshot: true,
         digest: 3,
         endpoints: vec![bare_entry()],
         ..ListUpdate::default()
     };
-    assert_eq!(read, wanted);
+    assert_eq!(read, expected);
 }
 
 #[test]
-fn every_state_and_every_cause_has_its_stored_word() {
-    for (status, word) in
+fn statuses_and_status_reasons_keep_their_wire_names() {
+    for (status, wire_name) in
         [(Status::Active, "active"), (Status::Draining, "leaving"), (Status::Removed, "left")]
     {
-        assert_eq!(serde_json::to_string(&status).expect("text"), format!("\"{word}\""));
-        assert_eq!(serde_json::from_str::<Status>(&format!("\"{word}\"")).expect("a state"), status);
+        assert_eq!(serde_json::to_string(&status).expect("the value is encoded"), format!("\"{wire_name}\""));
+        assert_eq!(serde_json::from_str::<Status>(&format!("\"{wire_name}\"")).expect("a status"), status);
     }
-    for (why, word) in [
+    for (reason, wire_name) in [
         (StatusReason::Registered, "registered"),
         (StatusReason::Drained, "drained"),
         (StatusReason::Removed, "removed"),
         (StatusReason::Expired, "expired"),
     ] {
-        assert_eq!(serde_json::to_string(&why).expect("text"), format!("\"{word}\""));
-        assert_eq!(serde_json::from_str::<StatusReason>(&format!("\"{word}\"")).expect("a cause"), why);
+        assert_eq!(serde_json::to_string(&reason).expect("the value is encoded"), format!("\"{wire_name}\""));
+        assert_eq!(
+            serde_json::from_str::<StatusReason>(&format!("\"{wire_name}\"")).expect("a status reason"),
+            reason
+        );
     }
 }
--- a/crates/registry-client/tests/watcher/driver.rs
+++ b/crates/registry-client/tests/watcher/driver.rs
@@ -1,4 +1,4 @@
-//! A driver of a watcher that a test advances step by step, and the lists that it responds with.
+//! A driver for a watcher, which a test advances step by step, and the lists that it responds with.
 
 use lotusmoor_registry_client::{
     Action, Entry, Event, ListUpdate, Micros, PollError, RegistryWatcher, Report, Settings, Status,
@@ -26,7 +26,7 @@
     Version { epoch, index }
 }
 
-/// The complete list of a version, with so many active servers.
+/// The complete list of a version, with that number of active servers.
 pub fn complete(at: Version, servers: usize) -> ListUpdate {
     let endpoints = (0..servers).map(|i| entry(i, Status::Active, StatusReason::Registered)).collect();
     ListUpdate { version: at, snapshot: true, digest: at.index, endpoints, ..ListUpdate::default() }
@@ -36,7 +36,7 @@
     ListUpdate { version: at, digest: at.index, ..ListUpdate::default() }
 }
 
-/// Drives a watcher by hand.
+/// Drives a watcher step by step.
 pub struct TestDriver {
     pub watcher: RegistryWatcher,
     pub now: Micros,
@@ -84,7 +84,7 @@
         self.handle(Event::PollFailed { poll, retry_after, error: PollError::connection("refused") })
     }
 
-    /// A watcher that has the complete list of a version.
+    /// Starts a watcher and responds to its first poll with the complete list of a version.
     pub fn with_list(replicas: usize, at: Version, servers: usize) -> Self {
         let mut driver = Self::start(replicas, 7);
         let out = driver.respond(1, complete(at, servers));
--- a/crates/registry-client/tests/watcher/main.rs
+++ b/crates/registry-client/tests/watcher/main.rs
@@ -1,4 +1,4 @@
-//! The watcher against replicas that fail, lag, diverge or lose their data.
+//! The watcher with replicas that fail, lag, diverge or lose their data.
 
 mod driver;
 
@@ -24,7 +24,7 @@
     assert_eq!(driver.watcher.list().map(|k| (k.version, k.active_count())), Some((v(1, 11), 3)));
     let (poll, ..) = driver.next_poll();
     let out = driver.respond(poll, no_changes(v(1, 11)));
-    assert!(!applied(&out), "nothing new is not applied: {out:?}");
+    assert!(!applied(&out), "a response without changes is not applied: {out:?}");
 }
 
 #[test]
@@ -40,14 +40,14 @@
     }
 }
 
-// A registry that is restored from a backup has a new epoch, which clients follow even where they had later changes.
+// A registry that is restored from a backup has a new epoch, which clients follow even if they had later changes.
 #[test]
 fn polls_complete_list_of_newer_epoch() {
     let mut driver = TestDriver::with_list(3, v(1, 5_000_000), 4);
     let (poll, ..) = driver.next_poll();
     // Changes of that epoch can't be applied to the known list.
     let out = driver.respond(poll, no_changes(v(2, 5_100_000)));
-    let (poll, _, after) = poll_in(&out).expect("it polls for the complete list at once");
+    let (poll, _, after) = poll_in(&out).expect("it polls for the complete list immediately");
     assert_eq!(after, None);
     assert!(applied(&driver.respond(poll, complete(v(2, 5_100_000), 3))));
     assert_eq!(driver.watcher.list().map(|k| k.version), Some(v(2, 5_100_000)));
@@ -66,12 +66,12 @@
 fn withholds_list_that_removes_most_servers_until_another_replica_confirms() {
     for left in [0, 1] {
         let mut driver = TestDriver::with_list(3, v(1, 10), 4);
-        let (poll, doubted, ..) = driver.next_poll();
+        let (poll, withheld_from, ..) = driver.next_poll();
         let out = driver.respond(poll, complete(v(1, 11), left));
         let lost = 4 - left;
         assert!(
             reports(&out).contains(&&Report::Withheld {
-                replica: doubted,
+                replica: withheld_from,
                 version: v(1, 11),
                 removed: lost,
                 active_before: 4
@@ -83,7 +83,10 @@
             let (poll, replica, after, _) = driver.next_poll();
             (poll, replica, after)
         });
-        assert!(replica != doubted && after.is_none(), "another replica is polled for the complete list");
+        assert!(
+            replica != withheld_from && after.is_none(),
+            "another replica is polled for the complete list"
+        );
         let out = driver.respond(poll, complete(v(1, 11), left));
         assert!(reports(&out).contains(&&Report::Confirmed(replica)) && applied(&out), "{out:?}");
         assert_eq!(driver.watcher.list().map(|k| k.active_count()), Some(left));
@@ -93,10 +96,10 @@
 #[test]
 fn drops_withheld_list_that_another_replica_does_not_confirm() {
     let mut driver = TestDriver::with_list(3, v(1, 10), 4);
-    let (poll, doubted, ..) = driver.next_poll();
+    let (poll, withheld_from, ..) = driver.next_poll();
     driver.respond(poll, complete(v(1, 11), 0));
     let (poll, replica, ..) = driver.next_poll();
-    assert_ne!(replica, doubted);
+    assert_ne!(replica, withheld_from);
     let out = driver.respond(poll, complete(v(1, 12), 4));
     assert!(reports(&out).contains(&&Report::Unconfirmed(replica)), "{out:?}");
     assert_eq!(driver.watcher.list().map(|k| (k.version, k.active_count())), Some((v(1, 12), 4)));
@@ -104,17 +107,17 @@
 
 // A replica that lost its data and was bootstrapped again by mistake has the newest epoch of all, and an empty list.
 #[test]
-fn keeps_following_others_when_one_replica_was_bootstrapped_again() {
+fn keeps_following_other_replicas_after_one_was_bootstrapped_again() {
     let mut driver = TestDriver::with_list(3, v(1, 10), 4);
     let mut index = 10;
-    let (_, rogue, ..) = driver.next_poll();
-    let mut polls = vec![(2, rogue)];
+    let (_, reset_replica, ..) = driver.next_poll();
+    let mut polls = vec![(2, reset_replica)];
     for _ in 0..40 {
         let (poll, replica) = polls.pop().unwrap_or_else(|| {
             let (poll, replica, ..) = driver.next_poll();
             (poll, replica)
         });
-        if replica == rogue {
+        if replica == reset_replica {
             driver.respond(poll, complete(v(2, 9_000_000), 0));
         } else {
             // The other replicas' list changes.
@@ -128,15 +131,15 @@
     assert!(index > 20, "{index}");
 }
 
-// However often it responds with that list.
+// A replica must not confirm its own list, no matter how often it responds with it.
 #[test]
 fn does_not_let_a_replica_confirm_its_own_list() {
     let mut driver = TestDriver::with_list(3, v(1, 10), 4);
-    let (poll, doubted, ..) = driver.next_poll();
+    let (poll, withheld_from, ..) = driver.next_poll();
     driver.respond(poll, complete(v(1, 11), 0));
     for _ in 0..20 {
         let (poll, replica, ..) = driver.next_poll();
-        if replica == doubted {
+        if replica == withheld_from {
             driver.respond(poll, complete(v(1, 11), 0));
         } else {
             driver.fail(poll, None);
@@ -147,7 +150,7 @@
 }
 
 #[test]
-fn applies_named_drains_at_once_and_withholds_expired_leases() {
+fn applies_explicit_drains_at_once_and_withholds_expired_leases() {
     let change = |reason| {
         let endpoints = (0..4).map(|i| entry(i, Status::Draining, reason)).collect();
         ListUpdate { endpoints, ..no_changes(v(1, 11)) }
@@ -161,7 +164,7 @@
     driver.respond(poll, change(StatusReason::Expired));
     assert_eq!(driver.watcher.list().map(|k| k.active_count()), Some(4));
     assert!(driver.watcher.withholds_list());
-    // A named drain among expired leases is applied while these are withheld.
+    // An explicit drain among expired leases is applied, while the expiries are withheld.
     let mut driver = TestDriver::with_list(3, v(1, 10), 4);
     let (poll, ..) = driver.next_poll();
     let mut mixed = change(StatusReason::Expired);
@@ -179,7 +182,7 @@
     while driver.watcher.withholds_list() {
         let (poll, ..) = driver.next_poll();
         driver.respond(poll, complete(v(1, 11), 0));
-        assert!(driver.now < since + 120 * SECOND, "it is confirmed in the end");
+        assert!(driver.now < since + 120 * SECOND, "the list is never confirmed");
     }
     assert!(driver.now >= since + 30 * SECOND);
     assert_eq!(driver.watcher.list().map(|k| k.active_count()), Some(0));
@@ -229,12 +232,12 @@
 }
 
 #[test]
-fn counts_age_from_the_replicas_knowledge_and_reports_stale_once() {
+fn computes_age_from_replicas_age_and_wait_and_reports_stale_once() {
     let mut driver = TestDriver::with_list(3, v(1, 10), 4);
     let (poll, ..) = driver.next_poll();
     driver.now += 3 * SECOND;
     driver.respond(poll, ListUpdate { age_ms: 700, waited_ms: 3000, ..no_changes(v(1, 10)) });
-    // The response was made 3 s after the poll was sent, by a replica that was 0.7 s behind.
+    // The replica responded 3 s after the poll was sent, with a list that was 0.7 s old.
     assert!(
         (700_000..=720_000).contains(&driver.watcher.age(driver.now)),
         "{}",
@@ -260,7 +263,7 @@
     known.entries.insert("s-0".into(), entry(0, Status::Active, StatusReason::Registered));
     let out = driver.handle(Event::Start(Some(known)));
     assert!(applied(&out));
-    let (poll, _, after) = poll_in(&out).expect("it polls at once");
+    let (poll, _, after) = poll_in(&out).expect("it polls immediately");
     assert_eq!(after, Some(v(4, 44)));
     assert!(
         !applied(&driver.respond(poll, complete(v(4, 43), 9))),
