--- a/crates/registry/tests/explore.rs
+++ b/crates/registry/tests/explore.rs
@@ -1,4 +1,4 @@
-//! Random schedules of faults over three replicas, in simulated time; `lotusmoor registry explore` plays thousands.
+//! Random fault schedules with three replicas, in simulated time. `lotusmoor registry explore` runs thousands of them.
 
 use lotusmoor_registry::explore::{Defect, explore, play};
 
@@ -11,7 +11,7 @@
     let explored = explore(1, 200, threads(), None);
     assert!(explored.violations.is_empty(), "{:#?}", explored.violations);
     assert_eq!(explored.schedules, 200);
-    // It is worth something only where a good part of the calls got through and faults were many.
+    // The result is meaningful only if enough calls were answered and enough faults were injected.
     let totals = explored.totals;
     assert!(totals.answered_calls > 200 * 60 && totals.faults > 200 * 10, "{explored:?}");
     assert!(totals.reader_updates > 200 * 60 && totals.woken_readers > 200 * 10, "{explored:?}");
@@ -31,7 +31,7 @@
         Defect::DigestsDifferByReplica,
     ] {
         let explored = explore(1, 40, threads(), Some(defect));
-        assert!(!explored.violations.is_empty(), "{defect:?} goes unseen");
+        assert!(!explored.violations.is_empty(), "{defect:?} was not detected");
     }
 }
 
--- a/crates/registry/tests/forms.rs
+++ b/crates/registry/tests/forms.rs
@@ -1,63 +1,64 @@
-//! What the version before makes of services: it turns them down, and misreads none.
+//! Compatibility with the previous release, which does not support services: it must reject data with services, and not
+//! decode it and lose the services.
 
 use lotusmoor_registry::core::{Command, ExpiredLease, List, Outcome, Registration};
 use lotusmoor_registry::store::{Format, Snapshot, Store, StoreError};
 use serde::Deserialize;
 use serde_json::json;
 
-/// The commands as the version before had them.
+/// The commands of the previous release. `Found` is the wire name of `Bootstrap`, `Put` that of `Register`.
 #[derive(Debug, Deserialize)]
-#[allow(dead_code, reason = "it is read, and nothing is done with it")]
-enum Before {
+#[allow(dead_code, reason = "the fields are only deserialized")]
+enum PreviousCommand {
     Found { epoch: u64, from: Option<serde_json::Value> },
-    Put { servers: Vec<RegistrationBefore>, expect: Option<u64>, at_ms: u64 },
+    Put { servers: Vec<PreviousRegistration>, expect: Option<u64>, at_ms: u64 },
     Drain { name: String, expect: Option<u64>, at_ms: u64 },
     Resume { name: String, expect: Option<u64>, at_ms: u64 },
     Remove { name: String, expect: Option<u64>, at_ms: u64 },
     Expire { due: Vec<ExpiredLease>, at_ms: u64 },
 }
 
-/// A server as the version before had it: what it did not know it passed over.
+/// A registration in the previous release, which ignores unknown fields.
 #[derive(Debug, Deserialize)]
-#[allow(dead_code, reason = "it is read, and nothing is done with it")]
-struct RegistrationBefore {
-    entry: EntryBefore,
+#[allow(dead_code, reason = "the fields are only deserialized")]
+struct PreviousRegistration {
+    entry: PreviousEntry,
     lease_ms: u64,
 }
 
 #[derive(Debug, Deserialize)]
-#[allow(dead_code, reason = "it is read, and nothing is done with it")]
-struct EntryBefore {
+#[allow(dead_code, reason = "the fields are only deserialized")]
+struct PreviousEntry {
     name: String,
     address: std::net::SocketAddr,
 }
 
-fn put(name: &str, service: Option<&str>) -> Command {
+fn register(name: &str, service: Option<&str>) -> Command {
     let mut entry = json!({"name": name, "address": "127.0.0.1:80"});
     if let Some(service) = service {
         entry["service"] = json!(service);
     }
-    let entry = serde_json::from_value(entry).expect("it is read");
+    let entry = serde_json::from_value(entry).expect("a valid entry");
     let servers = vec![Registration { entry, lease_ms: 0 }];
     Command::Register { servers, expect: None, at_ms: 0 }.into_log_form()
 }
 
 fn list(service: Option<&str>) -> List {
     let mut list = List::default();
-    for command in [Command::Bootstrap { epoch: 100, backup: None }, put("a", service)] {
+    for command in [Command::Bootstrap { epoch: 100, backup: None }, register("a", service)] {
         assert!(matches!(list.apply(&command), Outcome::Applied { changed: true, .. }));
     }
     list
 }
 
-fn before(command: &Command) -> Result<Before, serde_json::Error> {
-    serde_json::from_str(&serde_json::to_string(command).expect("it is written"))
+fn decode_with_previous_release(command: &Command) -> Result<PreviousCommand, serde_json::Error> {
+    serde_json::from_str(&serde_json::to_string(command).expect("the command is encoded"))
 }
 
 #[test]
-fn earlier_version_rejects_commands_with_services_and_reads_others() {
+fn previous_release_rejects_commands_with_services_and_decodes_others() {
     for plain in [
-        put("a", None),
+        register("a", None),
         Command::Bootstrap { epoch: 100, backup: None },
         Command::Bootstrap { epoch: 101, backup: Some(Box::new(list(None))) }.into_log_form(),
         Command::Drain { name: "a".into(), expect: None, at_ms: 0 },
@@ -68,67 +69,69 @@
             at_ms: 0,
         },
     ] {
-        let read = before(&plain);
-        assert!(read.is_ok(), "{plain:?}: {read:?}");
+        let decoded = decode_with_previous_release(&plain);
+        assert!(decoded.is_ok(), "{plain:?}: {decoded:?}");
     }
     for newer in [
-        put("a", Some("s")),
+        register("a", Some("s")),
         Command::Bootstrap { epoch: 101, backup: Some(Box::new(list(Some("s")))) }.into_log_form(),
     ] {
-        let error = before(&newer).expect_err("it is turned down").to_string();
+        let error = decode_with_previous_release(&newer).expect_err("it is rejected").to_string();
         assert!(error.contains("unknown variant `Services`"), "{error}");
-        // Not in its form it would have been read, without the services.
-        assert!(before(newer.unwrapped()).is_ok());
+        // Unwrapped, it would be accepted, and its services would be lost.
+        assert!(decode_with_previous_release(newer.unwrapped()).is_ok());
     }
 }
 
 #[test]
 fn store_of_older_format_rejects_services() {
-    let with = Snapshot { list: list(Some("s")), ..Snapshot::default() };
-    let without = Snapshot { list: list(None), ..Snapshot::default() };
-    for older in [Format::PlainJson, Format::Checksummed] {
-        let folder = tempfile::tempdir().expect("a folder");
-        let store = Store::open(folder.path(), older).expect("it opens");
-        for refused in [store.save_snapshot(&with).err(), store.encode_snapshot(&with).err()] {
-            let number = older.number();
+    let with_services = Snapshot { list: list(Some("s")), ..Snapshot::default() };
+    let without_services = Snapshot { list: list(None), ..Snapshot::default() };
+    for older_format in [Format::PlainJson, Format::Checksummed] {
+        let folder = tempfile::tempdir().expect("a temporary directory");
+        let store = Store::open(folder.path(), older_format).expect("the store opens");
+        for rejected in
+            [store.save_snapshot(&with_services).err(), store.encode_snapshot(&with_services).err()]
+        {
+            let number = older_format.number();
             assert!(
-                matches!(refused, Some(StoreError::ServicesUnsupported { format, .. }) if format == number),
-                "{refused:?}"
+                matches!(rejected, Some(StoreError::ServicesUnsupported { format, .. }) if format == number),
+                "{rejected:?}"
             );
         }
-        assert!(store.load_snapshot().expect("it is read").is_none());
-        store.save_snapshot(&without).expect("it is kept");
+        assert!(store.load_snapshot().expect("the store is readable").is_none());
+        store.save_snapshot(&without_services).expect("the snapshot is saved");
         drop(store);
-        // The newer format takes it over and keeps services in it. Then there is no way back.
-        let store = Store::open(folder.path(), Format::Services).expect("it opens");
-        assert_eq!(store.load_snapshot().expect("it is read").as_ref(), Some(&without));
-        store.save_snapshot(&with).expect("it is kept");
+        // Opened with the newer format, the store is converted. Once it holds services, it can't be downgraded.
+        let store = Store::open(folder.path(), Format::Services).expect("the store opens");
+        assert_eq!(store.load_snapshot().expect("the store is readable").as_ref(), Some(&without_services));
+        store.save_snapshot(&with_services).expect("the snapshot is saved");
         drop(store);
-        let refused = Store::open(folder.path(), older).err();
-        assert!(matches!(&refused, Some(StoreError::ServicesUnsupported { .. })), "{refused:?}");
-        // And what was refused is as it was.
-        let store = Store::open(folder.path(), Format::Services).expect("it opens");
-        assert_eq!(store.load_snapshot().expect("it is read").as_ref(), Some(&with));
+        let rejected = Store::open(folder.path(), older_format).err();
+        assert!(matches!(&rejected, Some(StoreError::ServicesUnsupported { .. })), "{rejected:?}");
+        // The rejected downgrade has not changed the store.
+        let store = Store::open(folder.path(), Format::Services).expect("the store opens");
+        assert_eq!(store.load_snapshot().expect("the store is readable").as_ref(), Some(&with_services));
     }
 }
 
 #[test]
 fn store_without_services_converts_to_older_formats() {
-    let folder = tempfile::tempdir().expect("a folder");
-    let without = Snapshot { list: list(None), ..Snapshot::default() };
+    let folder = tempfile::tempdir().expect("a temporary directory");
+    let without_services = Snapshot { list: list(None), ..Snapshot::default() };
     for format in [Format::Services, Format::Checksummed, Format::PlainJson, Format::Services] {
-        let store = Store::open(folder.path(), format).expect("it opens");
-        store.save_snapshot(&without).expect("it is kept");
+        let store = Store::open(folder.path(), format).expect("the store opens");
+        store.save_snapshot(&without_services).expect("the snapshot is saved");
     }
 }
 
 #[test]
-fn format_with_services_has_a_tag_unknown_to_earlier_version() {
-    // It knew bare JSON, and this mark.
-    const MARK_BEFORE: u8 = 2;
+fn format_with_services_has_a_tag_unknown_to_previous_release() {
+    // The previous release knows plain JSON, and data that begins with this tag.
+    const PREVIOUS_TAG: u8 = 2;
     let plain = br#"{"a":1}"#;
-    assert_eq!(Format::Checksummed.encode(plain)[0], MARK_BEFORE);
-    let mark = Format::Services.encode(plain)[0];
-    assert_ne!(mark, MARK_BEFORE);
-    assert!(!b"{[\"n0123456789".contains(&mark));
+    assert_eq!(Format::Checksummed.encode(plain)[0], PREVIOUS_TAG);
+    let tag = Format::Services.encode(plain)[0];
+    assert_ne!(tag, PREVIOUS_TAG);
+    assert!(!b"{[\"n0123456789".contains(&tag));
 }
--- a/crates/registry/tests/stored_forms/calls_made.rs
+++ b/crates/registry/tests/stored_forms/calls_made.rs
@@ -1,6 +1,6 @@
-//! Calls that a replica makes of its own accord: openraft's over its network, and those of a follower to its leader.
+//! Outgoing calls of a replica: those that openraft makes over its network, and those of a follower to its leader.
 
-use crate::samples::{self, Recorder, Sent, replica};
+use crate::samples::{self, RecordedCall, Recorder, replica};
 use crate::{fixtures, raft_calls};
 use lotusmoor_registry::node::WriteError;
 use lotusmoor_registry::raft::{Peers, Rpc};
@@ -8,40 +8,42 @@
 use openraft::raft::VoteRequest;
 use std::time::Duration;
 
-/// What a follower sends its leader: the name of a call and its body, on lines of their own.
+/// The calls that a follower sends to its leader: the name of the RPC and the body, each on its own line.
 const FORWARDED: &str = "calls-forwarded.txt";
 
-/// The first call of that kind.
-fn first(recorder: &Recorder, rpc: Rpc) -> Sent {
-    let calls = recorder.0.lock().expect("nobody panicked");
-    calls.iter().find(|(kind, _)| *kind == rpc).cloned().expect("it was made")
+/// The first recorded call of that RPC.
+fn first(recorder: &Recorder, rpc: Rpc) -> RecordedCall {
+    let calls = recorder.0.lock().expect("the lock is not poisoned");
+    calls.iter().find(|(kind, _)| *kind == rpc).cloned().expect("the call was made")
 }
 
-/// What a follower sends where it is written to, told of a renewal and read with all that was acknowledged.
-fn forwarded() -> Vec<String> {
-    let folder = tempfile::tempdir().expect("a folder");
+/// The calls that a follower sends for a write, a renewal and a linearizable read.
+fn forwarded_calls() -> Vec<String> {
+    let folder = tempfile::tempdir().expect("a temporary directory");
     let calls = raft_calls::runtime().block_on(async {
         let recorder = Recorder::default();
-        let node = samples::start_over(2, folder.path(), recorder.clone()).await;
-        raft_calls::follow(&node).await;
-        let of_service = samples::put(vec![samples::of_service("w3", "web")]);
+        let node = samples::start_with_recorder(2, folder.path(), recorder.clone()).await;
+        raft_calls::make_follower(&node).await;
+        let of_service = samples::register(vec![samples::of_service("w3", "web")]);
         assert_eq!(node.write(of_service).await.err(), Some(WriteError::NoLeader));
         assert!(matches!(node.renew("a").await, Err(WriteError::OutcomeUnknown(_))));
         assert_eq!(node.read_latest().await.err(), Some(WriteError::NoLeader));
         node.stop().await;
         [Rpc::Write, Rpc::Renew, Rpc::ReadIndex].map(|rpc| first(&recorder, rpc))
     });
-    let text = |(rpc, body): Sent| [rpc.name().to_owned(), String::from_utf8(body).expect("it is JSON")];
+    let text = |(rpc, body): RecordedCall| {
+        [rpc.name().to_owned(), String::from_utf8(body).expect("the body is UTF-8")]
+    };
     calls.into_iter().flat_map(text).collect()
 }
 
 pub fn write_fixtures() {
-    fixtures::write_lines(FORWARDED, &forwarded());
+    fixtures::write_lines(FORWARDED, &forwarded_calls());
 }
 
 #[test]
 fn calls_forwarded_to_leader_match_fixture() {
-    assert_eq!(forwarded(), fixtures::read_lines(FORWARDED));
+    assert_eq!(forwarded_calls(), fixtures::read_lines(FORWARDED));
 }
 
 #[test]
@@ -61,7 +63,7 @@
     });
     let lines = fixtures::read_lines(raft_calls::TO_FOLLOWER);
     for (rpc, body) in sent {
-        let body = String::from_utf8(body).expect("it is JSON");
+        let body = String::from_utf8(body).expect("the body is UTF-8");
         assert!(lines.chunks(3).any(|call| call[0] == rpc.name() && call[1] == body), "{rpc:?}: {body}");
     }
 }
--- a/crates/registry/tests/stored_forms/configuration.rs
+++ b/crates/registry/tests/stored_forms/configuration.rs
@@ -1,4 +1,4 @@
-//! A replica's configuration file with all of its keys. It was written by hand, after the keys of commit 3f326ce.
+//! A replica's configuration file with all keys. The fixture was written by hand, with the keys of commit 3f326ce.
 
 use crate::fixtures;
 use lotusmoor_registry::config::Config;
@@ -7,7 +7,7 @@
 
 #[test]
 fn reads_every_key_of_the_configuration() {
-    let config = Config::read(&fixtures::path("roster.toml")).expect("it is read");
+    let config = Config::read(&fixtures::path("roster.toml")).expect("a valid configuration");
     assert_eq!((config.id, config.format), (4, 2));
     assert_eq!(config.listen.to_string(), "127.0.0.1:7404");
     assert_eq!(config.address.as_deref(), Some("10.0.0.4:7400"));
@@ -24,6 +24,6 @@
 }
 
 #[test]
-fn default_configuration_has_the_default_folder() {
+fn default_configuration_has_default_folder() {
     assert_eq!(Config::default().folder, Path::new("roster"));
 }
--- a/crates/registry/tests/stored_forms/fixtures.rs
+++ b/crates/registry/tests/stored_forms/fixtures.rs
@@ -16,14 +16,14 @@
 
 /// The lines of a fixture.
 pub fn read_lines(name: &str) -> Vec<String> {
-    let text = String::from_utf8(read(name)).expect("a fixture of lines is text");
+    let text = String::from_utf8(read(name)).expect("the fixture is UTF-8");
     text.lines().map(str::to_owned).collect()
 }
 
-/// Writes a fixture, where there is none of that name.
+/// Writes a fixture; panics if it exists.
 pub fn write(name: &str, bytes: &[u8]) {
     let path = path(name);
-    std::fs::create_dir_all(path.parent().expect("it lies in a folder")).expect("the folder is made");
+    std::fs::create_dir_all(path.parent().expect("a path in a folder")).expect("the folder is created");
     let mut file = File::create_new(&path).unwrap_or_else(|e| panic!("fixture {name}: {e}"));
     file.write_all(bytes).expect("the fixture is written");
 }
--- a/crates/registry/tests/stored_forms/http_calls.rs
+++ b/crates/registry/tests/stored_forms/http_calls.rs
@@ -1,44 +1,44 @@
-//! The calls of which the fixtures of [`crate::http_answers`] were written.
+//! The requests of the fixtures of [`crate::http_answers`].
 
-use crate::samples::{self, EPOCH, FIRST, LEASE_MS};
+use crate::samples::{self, EPOCH, FIRST_INDEX, LEASE_MS};
 use serde_json::{Value, json};
 
-/// A replica that leads a list alone.
+/// Scenario: a leader that is the only replica.
 pub const LEADER: &str = "leader";
-/// The same with room for nobody.
-pub const BUSY: &str = "busy";
-/// One that follows a leader who can't be reached.
+/// Scenario: such a leader with its limits exhausted.
+pub const OVERLOADED: &str = "busy";
+/// Scenario: a follower whose leader can't be reached.
 pub const FOLLOWER: &str = "follower";
-/// One that was just made.
-pub const NEW: &str = "new";
-/// One whose store has failed.
+/// Scenario: a replica that is not yet a member of a cluster.
+pub const UNINITIALIZED: &str = "new";
+/// Scenario: a replica whose store has failed.
 pub const STORE_FAILED: &str = "store-failed";
-/// All of them.
-pub const SCENES: [&str; 5] = [LEADER, BUSY, FOLLOWER, NEW, STORE_FAILED];
+/// All scenarios.
+pub const SCENARIOS: [&str; 5] = [LEADER, OVERLOADED, FOLLOWER, UNINITIALIZED, STORE_FAILED];
 
-/// A call that changes nothing, and is made until there are too many of it.
-pub const TOO_OFTEN: &str = "too-often";
+/// Name of a request that changes nothing and is repeated until it is rejected by the rate limit.
+pub const RATE_LIMITED: &str = "too-often";
 
-/// The index of the list in the database file.
-pub const LAST: u64 = FIRST + 10;
+/// The index of the list in the database fixture.
+pub const LAST_INDEX: u64 = FIRST_INDEX + 10;
 
-/// A call: its name, method, path and body.
+/// A request: its name, method, path and body.
 pub type Call = (&'static str, &'static str, String, String);
 
 fn get(name: &'static str, path: impl Into<String>) -> Call {
     (name, "GET", path.into(), String::new())
 }
 
-fn with(name: &'static str, method: &'static str, path: &str, body: Value) -> Call {
+fn with_body(name: &'static str, method: &'static str, path: &str, body: Value) -> Call {
     (name, method, path.into(), body.to_string())
 }
 
-fn without(name: &'static str, method: &'static str, path: &str) -> Call {
+fn without_body(name: &'static str, method: &'static str, path: &str) -> Call {
     (name, method, path.into(), String::new())
 }
 
 fn reads() -> Vec<Call> {
-    let known = FIRST + 4;
+    let known = FIRST_INDEX + 4;
     vec![
         get("up", "/up"),
         get("list", "/v1/list"),
@@ -47,10 +47,10 @@
         get("list-services-consistent", "/v1/list?consistent=true&services=web"),
         get("list-delta", format!("/v1/list?epoch={EPOCH}&after={known}")),
         get("list-delta-other-epoch", format!("/v1/list?epoch=999&after={known}")),
-        get("list-delta-services", format!("/v1/list?epoch={EPOCH}&after={}&services=web", FIRST + 7)),
-        get("watch-nothing", format!("/v1/watch?epoch={EPOCH}&after={LAST}&wait_ms=1")),
-        get("watch-news", format!("/v1/watch?epoch={EPOCH}&after={}&wait_ms=60000", LAST - 1)),
-        get("watch-services", format!("/v1/watch?epoch={EPOCH}&after={LAST}&wait_ms=1&services=mail")),
+        get("list-delta-services", format!("/v1/list?epoch={EPOCH}&after={}&services=web", FIRST_INDEX + 7)),
+        get("watch-nothing", format!("/v1/watch?epoch={EPOCH}&after={LAST_INDEX}&wait_ms=1")),
+        get("watch-news", format!("/v1/watch?epoch={EPOCH}&after={}&wait_ms=60000", LAST_INDEX - 1)),
+        get("watch-services", format!("/v1/watch?epoch={EPOCH}&after={LAST_INDEX}&wait_ms=1&services=mail")),
         get("services-unreadable", "/v1/list?services=a/b"),
         get("hosts", "/discovery/hosts"),
         get("hosts-delta", format!("/discovery/hosts?after={known}&wait_ms=1")),
@@ -72,62 +72,77 @@
     let batch = json!({"servers": [{"name": "n2", "address": "10.0.0.9:81", "lease_ms": 0},
         {"name": "n3", "address": "10.0.0.9:82"}]});
     vec![
-        with("register", "PUT", "/v1/servers/n1", full.clone()),
-        with("register-conflict", "PUT", "/v1/servers/n1", full),
-        with("register-least", "PUT", "/v1/servers/n4", json!({"address": "10.0.0.9:83"})),
-        with(
+        with_body("register", "PUT", "/v1/servers/n1", full.clone()),
+        with_body("register-conflict", "PUT", "/v1/servers/n1", full),
+        with_body("register-least", "PUT", "/v1/servers/n4", json!({"address": "10.0.0.9:83"})),
+        with_body(
             "register-command-line",
             "PUT",
             "/v1/servers/n7",
             json!({"address": "10.0.0.9:84", "zone": null,
             "region": null, "type": null, "group": 0, "weight": 1.0, "since_ms": 0, "lease_ms": 0, "expect": null}),
         ),
-        with("register-other-name", "PUT", "/v1/servers/n5", json!({"name": "n6", "address": "10.0.0.9:80"})),
-        with("register-invalid", "PUT", "/v1/servers/n5", json!({"address": "10.0.0.9:80", "weight": -1.0})),
-        with("register-unknown-key", "PUT", "/v1/servers/n5", json!({"address": "10.0.0.9:80", "colour": 1})),
-        with("register-batch", "POST", "/v1/servers", batch),
-        with(
+        with_body(
+            "register-other-name",
+            "PUT",
+            "/v1/servers/n5",
+            json!({"name": "n6", "address": "10.0.0.9:80"}),
+        ),
+        with_body(
+            "register-invalid",
+            "PUT",
+            "/v1/servers/n5",
+            json!({"address": "10.0.0.9:80", "weight": -1.0}),
+        ),
+        with_body(
+            "register-unknown-key",
+            "PUT",
+            "/v1/servers/n5",
+            json!({"address": "10.0.0.9:80", "colour": 1}),
+        ),
+        with_body("register-batch", "POST", "/v1/servers", batch),
+        with_body(
             "batch-expect",
             "POST",
             "/v1/servers",
             json!({"servers": [{"address": "10.0.0.9:80", "expect": 1}]}),
         ),
-        with("batch-no-name", "POST", "/v1/servers", json!({"servers": [{"address": "10.0.0.9:80"}]})),
-        with("batch-empty", "POST", "/v1/servers", json!({"servers": []})),
-        without("renew", "POST", "/v1/servers/m/renew"),
-        without("renew-unknown", "POST", "/v1/servers/nobody/renew"),
-        with("drain", "POST", "/v1/servers/n1/drain", json!({"expect": LAST + 1})),
-        without("drain-again", "POST", "/v1/servers/n1/drain"),
-        without("drain-unknown", "POST", "/v1/servers/nobody/drain"),
-        without("resume", "POST", "/v1/servers/n1/resume"),
-        with("resume-conflict", "POST", "/v1/servers/a/resume", json!({"expect": 7})),
-        without(TOO_OFTEN, "POST", "/v1/servers/b/drain"),
-        with("remove", "DELETE", "/v1/servers/n2", json!({"expect": LAST + 4})),
-        without("remove-unknown", "DELETE", "/v1/servers/n2"),
-        with(
+        with_body("batch-no-name", "POST", "/v1/servers", json!({"servers": [{"address": "10.0.0.9:80"}]})),
+        with_body("batch-empty", "POST", "/v1/servers", json!({"servers": []})),
+        without_body("renew", "POST", "/v1/servers/m/renew"),
+        without_body("renew-unknown", "POST", "/v1/servers/nobody/renew"),
+        with_body("drain", "POST", "/v1/servers/n1/drain", json!({"expect": LAST_INDEX + 1})),
+        without_body("drain-again", "POST", "/v1/servers/n1/drain"),
+        without_body("drain-unknown", "POST", "/v1/servers/nobody/drain"),
+        without_body("resume", "POST", "/v1/servers/n1/resume"),
+        with_body("resume-conflict", "POST", "/v1/servers/a/resume", json!({"expect": 7})),
+        without_body(RATE_LIMITED, "POST", "/v1/servers/b/drain"),
+        with_body("remove", "DELETE", "/v1/servers/n2", json!({"expect": LAST_INDEX + 4})),
+        without_body("remove-unknown", "DELETE", "/v1/servers/n2"),
+        with_body(
             "replica-known",
             "POST",
             "/v1/replicas",
             json!({"id": 1, "address": samples::address(1), "identity": 71}),
         ),
-        with(
+        with_body(
             "replica-other",
             "POST",
             "/v1/replicas",
             json!({"id": 1, "address": "127.0.0.1:7409", "identity": 9}),
         ),
-        without("replica-remove-last", "DELETE", "/v1/replicas/1"),
-        without("replica-remove", "DELETE", "/v1/replicas/9"),
-        without("peer-no-such-call", "POST", "/peer/nothing"),
-        with("peer-for-another", "POST", "/peer/committed", envelope(1, 9)),
-        with("peer-not-a-member", "POST", "/peer/committed", envelope(9, 1)),
-        with(
+        without_body("replica-remove-last", "DELETE", "/v1/replicas/1"),
+        without_body("replica-remove", "DELETE", "/v1/replicas/9"),
+        without_body("peer-no-such-call", "POST", "/peer/nothing"),
+        with_body("peer-for-another", "POST", "/peer/committed", envelope(1, 9)),
+        with_body("peer-not-a-member", "POST", "/peer/committed", envelope(9, 1)),
+        with_body(
             "peer-copy",
             "POST",
             "/peer/renew",
             json!({"from": 1, "identity": 9, "address": "x", "to": 1, "body": "a"}),
         ),
-        with(
+        with_body(
             "peer-renew",
             "POST",
             "/peer/renew",
@@ -143,40 +158,40 @@
     json!({"from": from, "identity": 70 + from, "address": samples::address(from), "to": to, "body": null})
 }
 
-/// The calls of a scene, in their order.
-pub fn calls(scene: &str) -> Vec<Call> {
-    let newcomer = json!({"id": 3, "address": samples::address(3), "identity": 73});
-    match scene {
+/// The requests of a scenario, in order.
+pub fn calls(scenario: &str) -> Vec<Call> {
+    let new_replica = json!({"id": 3, "address": samples::address(3), "identity": 73});
+    match scenario {
         LEADER => reads().into_iter().chain(writes()).collect(),
-        BUSY => vec![
+        OVERLOADED => vec![
             get("too-many-whole-lists", "/v1/list"),
-            get("too-many-watches", format!("/v1/watch?epoch={EPOCH}&after={LAST}&wait_ms=1000")),
+            get("too-many-watches", format!("/v1/watch?epoch={EPOCH}&after={LAST_INDEX}&wait_ms=1000")),
         ],
         FOLLOWER => vec![
             get("list", "/v1/list"),
             get("list-consistent", "/v1/list?consistent=true"),
-            with("register", "PUT", "/v1/servers/n1", json!({"address": "10.0.0.9:80"})),
-            without("renew", "POST", "/v1/servers/a/renew"),
-            with("replica-elsewhere", "POST", "/v1/replicas", newcomer),
-            without("replica-remove-elsewhere", "DELETE", "/v1/replicas/1"),
+            with_body("register", "PUT", "/v1/servers/n1", json!({"address": "10.0.0.9:80"})),
+            without_body("renew", "POST", "/v1/servers/a/renew"),
+            with_body("replica-elsewhere", "POST", "/v1/replicas", new_replica),
+            without_body("replica-remove-elsewhere", "DELETE", "/v1/replicas/1"),
             get("status", "/v1/status"),
         ],
-        NEW => vec![
+        UNINITIALIZED => vec![
             get("hosts", "/discovery/hosts"),
-            with("register", "PUT", "/v1/servers/n1", json!({"address": "10.0.0.9:80"})),
-            without("drain", "POST", "/v1/servers/n1/drain"),
+            with_body("register", "PUT", "/v1/servers/n1", json!({"address": "10.0.0.9:80"})),
+            without_body("drain", "POST", "/v1/servers/n1/drain"),
             get("status", "/v1/status"),
             get("metrics", "/metrics"),
         ],
         _ => vec![
             get("list", "/v1/list"),
             get("metrics", "/metrics"),
-            without("renew", "POST", "/v1/servers/a/renew"),
+            without_body("renew", "POST", "/v1/servers/a/renew"),
         ],
     }
 }
 
-/// What a caller sends.
+/// The bytes of a request.
 pub fn request((_, method, path, body): &Call) -> Vec<u8> {
     let length = body.len();
     format!(
--- a/crates/registry/tests/stored_forms/main.rs
+++ b/crates/registry/tests/stored_forms/main.rs
@@ -1,7 +1,9 @@
-//! What replicas store and send, as commit 3f326ce wrote it: names in the code may change, these bytes may not.
+//! The formats that replicas store and send. Names in the code may change, but these bytes may not: the fixtures were
+//! written at commit 3f326ce.
 //!
-//! `cargo test -p lotusmoor-registry --test stored_forms -- --ignored write_fixtures` wrote the fixtures at that commit,
-//! but for `roster.toml`. It writes over none: where a test finds a difference, what other versions read has changed.
+//! `cargo test -p lotusmoor-registry --test stored_forms -- --ignored write_fixtures` writes the fixtures, except for
+//! `roster.toml`. It does not overwrite existing ones: a test that finds a difference means that the code is no longer
+//! compatible with other releases.
 
 mod calls_made;
 mod configuration;
@@ -13,7 +15,7 @@
 mod raft_calls;
 mod samples;
 
-/// Writes all fixtures with the code as it is, where there are none.
+/// Writes all fixtures with the present code; fails if they exist.
 #[test]
 #[ignore = "writes the fixtures"]
 fn write_fixtures() {
--- a/crates/registry/tests/stored_forms/messages.rs
+++ b/crates/registry/tests/stored_forms/messages.rs
@@ -1,4 +1,4 @@
-//! Values by themselves: encoded and decoded, to the letter.
+//! Exact encoding of single values.
 
 use crate::{fixtures, samples};
 use lotusmoor_registry::core::{Command, List, Outcome};
@@ -14,10 +14,10 @@
 const OUTCOMES: &str = "outcomes.jsonl";
 const ENTRIES: &str = "entries.jsonl";
 const VOTES: &str = "votes.jsonl";
-const APPEND_ANSWERS: &str = "append-answers.jsonl";
-const CALLS: &str = "calls.jsonl";
+const APPEND_RESPONSES: &str = "append-answers.jsonl";
+const RPC_NAMES: &str = "calls.jsonl";
 
-/// Files of a snapshot, by the format in which it is written.
+/// Files with a snapshot in each format.
 const SNAPSHOTS: [(&str, Format); 3] = [
     ("snapshot.form1", Format::PlainJson),
     ("snapshot.form2", Format::Checksummed),
@@ -28,7 +28,7 @@
     vec![Vote::new(3, 1), Vote::new_committed(3, 1)]
 }
 
-fn append_answers() -> Vec<AppendEntriesResponse<u64>> {
+fn append_responses() -> Vec<AppendEntriesResponse<u64>> {
     vec![
         AppendEntriesResponse::Success,
         AppendEntriesResponse::PartialSuccess(Some(samples::log_id(1, 7))),
@@ -46,10 +46,10 @@
 }
 
 fn encoded<V: Serialize>(values: &[V]) -> Vec<String> {
-    values.iter().map(|v| serde_json::to_string(v).expect("it is encoded")).collect()
+    values.iter().map(|v| serde_json::to_string(v).expect("the value is encoded")).collect()
 }
 
-/// The values are encoded as the fixture has them, and the fixture decoded to the values.
+/// Checks that the values are encoded as in the fixture, and that the fixture is decoded to the values.
 fn check<V: Serialize + DeserializeOwned + PartialEq + Debug>(name: &str, values: &[V]) {
     let lines = fixtures::read_lines(name);
     assert_eq!(encoded(values), lines, "{name}");
@@ -64,10 +64,10 @@
     fixtures::write_lines(OUTCOMES, &encoded(&samples::every_outcome()));
     fixtures::write_lines(ENTRIES, &encoded(&samples::every_entry()));
     fixtures::write_lines(VOTES, &encoded(&votes()));
-    fixtures::write_lines(APPEND_ANSWERS, &encoded(&append_answers()));
-    fixtures::write_lines(CALLS, &encoded(&Rpc::ALL));
+    fixtures::write_lines(APPEND_RESPONSES, &encoded(&append_responses()));
+    fixtures::write_lines(RPC_NAMES, &encoded(&Rpc::ALL));
     for (name, format) in SNAPSHOTS {
-        let plain = serde_json::to_vec(&snapshot(format)).expect("it is encoded");
+        let plain = serde_json::to_vec(&snapshot(format)).expect("the snapshot is encoded");
         fixtures::write(name, &format.encode(&plain));
     }
 }
@@ -94,23 +94,23 @@
 
 #[test]
 fn append_responses_match_fixture() {
-    check::<AppendEntriesResponse<u64>>(APPEND_ANSWERS, &append_answers());
+    check::<AppendEntriesResponse<u64>>(APPEND_RESPONSES, &append_responses());
 }
 
 #[test]
 fn rpc_names_match_fixture() {
-    check::<Rpc>(CALLS, &Rpc::ALL);
+    check::<Rpc>(RPC_NAMES, &Rpc::ALL);
     let names: Vec<String> = Rpc::ALL.iter().map(|rpc| format!("\"{}\"", rpc.name())).collect();
-    assert_eq!(names, fixtures::read_lines(CALLS));
+    assert_eq!(names, fixtures::read_lines(RPC_NAMES));
 }
 
 #[test]
 fn snapshots_of_all_formats_match_fixtures() {
     for (name, format) in SNAPSHOTS {
         let bytes = fixtures::read(name);
-        let read = Snapshot::decode(&bytes).expect("it is read");
+        let read = Snapshot::decode(&bytes).expect("a valid snapshot");
         assert_eq!(read, snapshot(format), "{name}");
-        let plain = serde_json::to_vec(&read).expect("it is encoded");
+        let plain = serde_json::to_vec(&read).expect("the snapshot is encoded");
         assert_eq!(format.encode(&plain), bytes, "{name}");
     }
 }
@@ -118,7 +118,8 @@
 #[test]
 fn reads_backup_fixture() {
     for (name, format) in SNAPSHOTS {
-        let list: List = lotusmoor_registry::process::read_backup(&fixtures::path(name)).expect("it is read");
+        let list: List =
+            lotusmoor_registry::process::read_backup(&fixtures::path(name)).expect("a valid backup");
         assert_eq!(list, snapshot(format).list, "{name}");
     }
 }
--- a/crates/registry/tests/stored_forms/samples.rs
+++ b/crates/registry/tests/stored_forms/samples.rs
@@ -1,4 +1,4 @@
-//! Values of which the fixtures were written, and replicas to try them on.
+//! Sample values, from which the fixtures were written, and replicas for the tests.
 
 use lotusmoor_registry::core::SECOND;
 use lotusmoor_registry::core::{Command, ExpiredLease, List, Outcome, Refusal, Registration};
@@ -14,46 +14,47 @@
 
 /// The epoch of the list.
 pub const EPOCH: u64 = 1000;
-/// The index at which it begins.
-pub const FIRST: u64 = EPOCH << 20;
+/// The first index of that epoch.
+pub const FIRST_INDEX: u64 = EPOCH << 20;
 /// Unix time of all changes, in milliseconds.
 pub const AT_MS: u64 = 1_700_000_000_000;
-/// Long enough that no lease runs out in a test.
+/// Long enough that no lease expires during a test.
 pub const LEASE_MS: u64 = 3_600_000;
 /// Longer than any test.
 const HOUR: Duration = Duration::from_secs(3600);
 
-/// A call as it is sent.
-pub type Sent = (Rpc, Vec<u8>);
+/// A recorded call: the RPC and its body.
+pub type RecordedCall = (Rpc, Vec<u8>);
 
-/// Keeps what is sent and reaches nobody.
+/// A transport that records calls and delivers none.
 #[derive(Clone, Default)]
-pub struct Recorder(pub Arc<Mutex<Vec<Sent>>>);
+pub struct Recorder(pub Arc<Mutex<Vec<RecordedCall>>>);
 
 impl Transport for Recorder {
     async fn call(&self, _: &Target, rpc: Rpc, body: Vec<u8>, _: Duration) -> Result<Vec<u8>, CallError> {
-        self.0.lock().expect("nobody panicked").push((rpc, body));
+        self.0.lock().expect("the lock is not poisoned").push((rpc, body));
         Err(CallError::NotSent("nobody is there".into()))
     }
 }
 
-/// The replica of that number.
+/// The replica with that ID.
 pub fn replica(id: u64) -> Replica {
     Replica { address: address(id), identity: 70 + id }
 }
 
-/// Its address.
+/// The address of the replica with that ID.
 pub fn address(id: u64) -> String {
     format!("127.0.0.1:740{id}")
 }
 
-/// Starts the replica of that number over the file in that folder. It holds no election of its own accord.
+/// Starts the replica with that ID and the store in that folder. Its election timeout is longer than any test, so that
+/// it starts no election by itself.
 pub async fn start(id: u64, folder: &Path) -> Node<Recorder> {
-    start_over(id, folder, Recorder::default()).await
+    start_with_recorder(id, folder, Recorder::default()).await
 }
 
-/// The same with calls that are kept there.
-pub async fn start_over(id: u64, folder: &Path, recorder: Recorder) -> Node<Recorder> {
+/// Like [`start`], with a recorder for its outgoing calls.
+pub async fn start_with_recorder(id: u64, folder: &Path, recorder: Recorder) -> Node<Recorder> {
     let store = Store::open(folder, Format::NEWEST).expect("the store opens");
     let mut settings = Settings::new(id, address(id));
     settings.heartbeat_interval = HOUR / 4;
@@ -63,7 +64,7 @@
     Node::start(settings, store, recorder, replica(id).identity).await.expect("the replica starts")
 }
 
-/// A server with nothing but what it must have.
+/// A registration with required fields only.
 pub fn plain(name: &str) -> Registration {
     let entry = Entry {
         name: name.into(),
@@ -81,7 +82,7 @@
     Registration { entry, lease_ms: 0 }
 }
 
-/// A server with everything but a service.
+/// A registration with every field except the service.
 pub fn full(name: &str) -> Registration {
     let entry = Entry {
         address: "[2001:db8::1]:443".parse().expect("an address"),
@@ -96,55 +97,57 @@
     Registration { entry, lease_ms: LEASE_MS }
 }
 
-/// A server of a service.
+/// A registration with every field.
 pub fn of_service(name: &str, service: &str) -> Registration {
     let mut registration = full(name);
     registration.entry.service = Some(service.into());
     registration
 }
 
-/// Registers servers.
-pub fn put(servers: Vec<Registration>) -> Command {
+/// A command that registers servers.
+pub fn register(servers: Vec<Registration>) -> Command {
     Command::Register { servers, expect: None, at_ms: AT_MS }.into_log_form()
 }
 
-/// Drains a server.
+/// A command that drains a server.
 pub fn drain(name: &str) -> Command {
     Command::Drain { name: name.into(), expect: None, at_ms: AT_MS }
 }
 
-/// Removes a server.
+/// A command that removes a server.
 pub fn remove(name: &str) -> Command {
     Command::Remove { name: name.into(), expect: None, at_ms: AT_MS }
 }
 
-/// Commands of a list without services; with an open drain, a lease that ran out, and one that left.
+/// Commands without services. They leave a drained server, one that is draining as its lease expired, and one that was
+/// removed as its lease expired.
 pub fn commands_without_services() -> Vec<Command> {
-    let leaving = ExpiredLease { name: "c".into(), registered_index: FIRST + 1, remove: false };
-    let left = ExpiredLease { name: "d".into(), registered_index: FIRST + 1, remove: true };
+    let draining = ExpiredLease { name: "c".into(), registered_index: FIRST_INDEX + 1, remove: false };
+    let removed = ExpiredLease { name: "d".into(), registered_index: FIRST_INDEX + 1, remove: true };
     vec![
         Command::Bootstrap { epoch: EPOCH, backup: None },
-        put(vec![plain("a"), full("b"), full("c"), full("d"), plain("e")]),
-        Command::Expire { leases: vec![leaving, left], at_ms: AT_MS },
-        Command::Drain { name: "a".into(), expect: Some(FIRST + 1), at_ms: AT_MS },
+        register(vec![plain("a"), full("b"), full("c"), full("d"), plain("e")]),
+        Command::Expire { leases: vec![draining, removed], at_ms: AT_MS },
+        Command::Drain { name: "a".into(), expect: Some(FIRST_INDEX + 1), at_ms: AT_MS },
         Command::Drain { name: "b".into(), expect: None, at_ms: AT_MS },
-        Command::Resume { name: "a".into(), expect: Some(FIRST + 3), at_ms: AT_MS },
-        Command::Remove { name: "e".into(), expect: Some(FIRST + 1), at_ms: AT_MS },
+        Command::Resume { name: "a".into(), expect: Some(FIRST_INDEX + 3), at_ms: AT_MS },
+        Command::Remove { name: "e".into(), expect: Some(FIRST_INDEX + 1), at_ms: AT_MS },
     ]
 }
 
-/// The same with services: one server goes over to another service, one leaves its service with the list.
+/// The same commands, followed by some with services: one server moves to another service, one is drained, and one is
+/// removed.
 pub fn commands() -> Vec<Command> {
     let services = [
-        put(vec![of_service("w1", "web"), of_service("w2", "web"), of_service("m", "mail")]),
-        put(vec![of_service("m", "web")]),
+        register(vec![of_service("w1", "web"), of_service("w2", "web"), of_service("m", "mail")]),
+        register(vec![of_service("m", "web")]),
         drain("w2"),
         remove("w1"),
     ];
     commands_without_services().into_iter().chain(services).collect()
 }
 
-/// The list that commands make.
+/// The list that results from commands.
 pub fn list(commands: &[Command]) -> List {
     let mut list = List::default();
     for command in commands {
@@ -161,15 +164,16 @@
     commands().into_iter().chain(restored).collect()
 }
 
-/// Every kind of answer to a command, as one replica gives it to another.
+/// Every kind of outcome of a command, as a replica sends it to another.
 pub fn every_outcome() -> Vec<Result<Outcome, WriteError>> {
-    let done = |changed| Outcome::Applied { version: Version { epoch: EPOCH, index: FIRST + 2 }, changed };
+    let applied =
+        |changed| Outcome::Applied { version: Version { epoch: EPOCH, index: FIRST_INDEX + 2 }, changed };
     let refused = |refusal| Ok(Outcome::Refused(refusal));
     vec![
         Ok(Outcome::NoCommand),
-        Ok(done(true)),
-        Ok(done(false)),
-        refused(Refusal::IndexMismatch { name: "a".into(), found: FIRST }),
+        Ok(applied(true)),
+        Ok(applied(false)),
+        refused(Refusal::IndexMismatch { name: "a".into(), found: FIRST_INDEX }),
         refused(Refusal::UnknownEndpoint("a".into())),
         refused(Refusal::ListFull),
         refused(Refusal::Invalid("a: weight must be above 0".into())),
@@ -181,12 +185,12 @@
     ]
 }
 
-/// A place in the log, of the leader with number 1.
+/// A log ID with replica 1 as the leader.
 pub fn log_id(term: u64, index: u64) -> LogId {
     LogId::new(CommittedLeaderId::new(term, 1), index)
 }
 
-/// Two replicas, of which the first votes; `joint`: the second is about to.
+/// Two replicas, of which only the first is a voter; if `joint`, a change that makes the second a voter is in progress.
 pub fn membership(joint: bool) -> Membership<u64, Replica> {
     let mut voters = vec![BTreeSet::from([1])];
     if joint {
@@ -195,7 +199,7 @@
     Membership::new(voters, BTreeMap::from([(1, replica(1)), (2, replica(2))]))
 }
 
-/// Entries of a log, with every kind of payload; from index 0 on.
+/// Log entries with every kind of payload, from index 0 on.
 pub fn every_entry() -> Vec<LogEntry> {
     let members = [false, true].map(|joint| EntryPayload::Membership(membership(joint)));
     let commands = every_command().into_iter().map(EntryPayload::Normal);
