--- a/crates/registry/tests/stored_forms/raft_calls.rs
+++ b/crates/registry/tests/stored_forms/raft_calls.rs
@@ -22,7 +22,7 @@
 const TO_LEADER: &str = "calls-to-leader.txt";
 
 /// Returns the call that replica 1 sends for this RPC and body.
-async fn sent<B: Serialize>(to: u64, rpc: Rpc, body: B) -> RecordedCall {
+async fn outgoing_call<B: Serialize>(to: u64, rpc: Rpc, body: B) -> RecordedCall {
     let transport = Recorder::default();
     let peers = Peers { transport: transport.clone(), id: 1, own: replica(1) };
     let target = Target { id: to, address: samples::address(to) };
