--- a/crates/sidecar/src/client_liveness.rs
+++ b/crates/sidecar/src/client_liveness.rs
@@ -89,14 +89,14 @@
 
     /// Whether the client is connected and nothing is unread: no bytes, no end, no reset. The socket shows that at once,
     /// where `is_closed` may have to wait for the next poll to notice an end behind unread bytes.
-    pub fn is_quiet(&self) -> bool {
+    pub fn has_nothing_unread(&self) -> bool {
         peek(&self.0.stream) == Err(IoFailure::NotReady)
     }
 
     /// Whether the client is surely connected, or was within the last moment: nothing is unread that could hide its end,
     /// or it was seen since.
-    pub fn is_surely_connected(&self) -> bool {
-        !self.is_closed() && (self.is_quiet() || self.was_seen_recently())
+    pub fn is_known_connected(&self) -> bool {
+        !self.is_closed() && (self.has_nothing_unread() || self.was_seen_recently())
     }
 
     /// Whether the client was seen within the last moment.
@@ -105,10 +105,10 @@
     }
 
     /// Waits until the client was seen just now, or has closed its connection. Where unread bytes hide that, whoever
-    /// reads from the connection has to take part, see [`Self::verification_wanted`].
-    pub async fn verified(&self) {
+    /// reads from the connection has to take part, see [`Self::wait_for_verification_request`].
+    pub async fn wait_until_verified(&self) {
         while !self.is_closed() && !self.was_seen_recently() {
-            if self.is_quiet() {
+            if self.has_nothing_unread() {
                 self.observe_quiet().await;
             } else {
                 let done = self.0.verification_done.notified();
@@ -122,18 +122,18 @@
     async fn observe_quiet(&self) {
         let bytes_read = self.0.last_seen.bytes_read_in_all();
         sleep(QUIET_TIME).await;
-        if self.is_quiet() && self.0.last_seen.bytes_read_in_all() == bytes_read {
+        if self.has_nothing_unread() && self.0.last_seen.bytes_read_in_all() == bytes_read {
             self.0.last_seen.socket_quiet(Instant::now());
         }
     }
 
     /// Waits until somebody needs to know whether the client is connected, and unread bytes hide it.
-    pub async fn verification_wanted(&self) {
+    pub async fn wait_for_verification_request(&self) {
         self.0.verification_wanted.notified().await;
     }
 
     /// Notifies those who wait that the connection was read on.
-    pub fn verification_done(&self) {
+    pub fn notify_verification_done(&self) {
         self.0.verification_done.notify_waiters();
     }
 
--- a/crates/sidecar/src/client_liveness/tests.rs
+++ b/crates/sidecar/src/client_liveness/tests.rs
@@ -37,9 +37,9 @@
     for (unread, leaves) in [(&b""[..], true), (b"more", true), (b"more", false)] {
         let (mut client, stream) = pair().await;
         let liveness = ClientLiveness::of(&stream);
-        assert!(liveness.is_quiet());
+        assert!(liveness.has_nothing_unread());
         client.write_all(unread).expect("it is taken");
         let _open_client = (!leaves).then_some(client);
-        assert!(!liveness.is_quiet(), "{} bytes unread, leaves: {leaves}", unread.len());
+        assert!(!liveness.has_nothing_unread(), "{} bytes unread, leaves: {leaves}", unread.len());
     }
 }
--- a/crates/sidecar/src/engine.rs
+++ b/crates/sidecar/src/engine.rs
@@ -217,7 +217,7 @@
     fn set_cordoned(&mut self, names: BTreeSet<String>) {
         for change in self.endpoints.set_cordoned(names) {
             let endpoint = change.endpoint;
-            self.upstream.endpoint(endpoint).cordon(change.cordoned);
+            self.upstream.endpoint(endpoint).set_cordoned(change.cordoned);
             self.deliver(if change.cordoned {
                 Event::Cordoned(endpoint)
             } else {
--- a/crates/sidecar/src/engine/attempts.rs
+++ b/crates/sidecar/src/engine/attempts.rs
@@ -5,7 +5,7 @@
 use super::in_flight::{AttemptKey, InFlightAttempt, OpenRequest, SendDecision};
 use crate::engine_input::{Answer, AttemptResult, Submission};
 use crate::metrics::{AttemptOutcome, RequestOutcome};
-use crate::upstream::Grant;
+use crate::upstream::AttemptTarget;
 use lotusmoor_balancer::{AttemptEnd, Event, LoadReport, Micros, Outcome, RequestId};
 use std::rc::Rc;
 use tokio::task::spawn_local;
@@ -28,15 +28,15 @@
         open.attempts += 1;
         // The permission is taken now: what changes before the first byte is written revokes it.
         let (now, to) = (Instant::now(), self.upstream.endpoint(endpoint));
-        let grant = Grant {
+        let target = AttemptTarget {
             permission: to.permission(),
-            to,
+            endpoint: to,
             until: now + to_duration(timeout),
             write_by: idempotency_window.map(|window| now + to_duration(window)),
         };
         let attempting = Rc::clone(&self.upstream).attempt(
             (request, attempt),
-            grant,
+            target,
             Rc::clone(&open.outgoing),
             self.sender.clone(),
         );
--- a/crates/sidecar/src/engine/endpoint_table.rs
+++ b/crates/sidecar/src/engine/endpoint_table.rs
@@ -97,10 +97,10 @@
         let endpoint = self.upstream.endpoint(id);
         // The number may be new to the balancer, so it has to know before the list.
         if self.cordoned.contains(&listed.name) {
-            endpoint.cordon(true);
+            endpoint.set_cordoned(true);
             applied.events_before.push(Event::Cordoned(id));
         }
-        endpoint.set(listed.address, status == EndpointStatus::Ready, listed.started_ms);
+        endpoint.update(listed.address, status == EndpointStatus::Ready, listed.started_ms);
         applied.entries.push(EndpointEntry {
             endpoint: id,
             zone: listed.zone.map(|zone| self.zones.intern(&zone)),
@@ -114,7 +114,7 @@
 
     fn remove_unlisted(&mut self, entries: &[EndpointEntry]) {
         let listed: HashSet<usize> = entries.iter().map(|entry| entry.endpoint).collect();
-        self.upstream.keep_only(&listed);
+        self.upstream.remove_unlisted(&listed);
         self.removed.extend(self.names.ids().filter(|id| !listed.contains(id)));
     }
 
--- a/crates/sidecar/src/inbound.rs
+++ b/crates/sidecar/src/inbound.rs
@@ -15,4 +15,4 @@
 mod write_reply;
 
 pub use accept::{accept, bind};
-pub use shared::Shared;
+pub use shared::InboundContext;
--- a/crates/sidecar/src/inbound/accept.rs
+++ b/crates/sidecar/src/inbound/accept.rs
@@ -1,7 +1,7 @@
 //! Accepts clients' connections, until the sidecar stops accepting.
 
 use super::connection::serve_connection;
-use super::shared::Shared;
+use super::shared::InboundContext;
 use super::timing::SOCKET_POLL_TIME;
 use crate::connection_age::age_of_unanswered;
 use crate::connection_limiter::ConnectionLimiter;
@@ -37,10 +37,10 @@
 
 /// Accepts and serves up to `clients` connections at a time. Of a shared socket, other processes accept what is queued
 /// at the end.
-pub async fn accept(listener: TcpListener, shared_socket: bool, clients: usize, shared: Rc<Shared>) {
+pub async fn accept(listener: TcpListener, shared_socket: bool, clients: usize, context: Rc<InboundContext>) {
     let limiter = ConnectionLimiter::new(clients);
     spawn_local(Rc::clone(&limiter).evict_when_crowded());
-    let mut service = shared.service.clone();
+    let mut service = context.service.clone();
     let stopped =
         async move { service.wait_for(|state| *state >= ServiceState::NotAccepting).await.map(drop) };
     let mut stopped = pin!(stopped);
@@ -57,7 +57,7 @@
             accepted = queue.accept() => accepted,
         };
         match accepted {
-            Ok(stream) => queue.serve(stream, &limiter, &shared).await,
+            Ok(stream) => queue.serve(stream, &limiter, &context).await,
             Err(e) => {
                 failure_log.line(format_args!("cannot accept: {e}"));
                 if IoFailure::of_accept(&e) == IoFailure::Shortage {
@@ -67,7 +67,7 @@
         }
     }
     if !shared_socket {
-        queue.drain(&limiter, &shared).await;
+        queue.drain(&limiter, &context).await;
     }
 }
 
@@ -107,21 +107,21 @@
 
     /// Serves an accepted connection, once there is a permit for it. Further ones wait in the system's queue meanwhile,
     /// where they take no descriptor of this process.
-    async fn serve(&self, stream: TcpStream, limiter: &Rc<ConnectionLimiter>, shared: &Rc<Shared>) {
+    async fn serve(&self, stream: TcpStream, limiter: &Rc<ConnectionLimiter>, context: &Rc<InboundContext>) {
         let not_before = self.not_before(&stream);
         let permit = limiter.acquire().await;
-        spawn_local(serve_connection(stream, not_before, permit, Rc::clone(shared)));
+        spawn_local(serve_connection(stream, not_before, permit, Rc::clone(context)));
     }
 
     /// Accepts what the queue holds at the end of accepting, as the clients take it for accepted. A failed accept says
     /// nothing of the connections behind it.
-    async fn drain(&mut self, limiter: &Rc<ConnectionLimiter>, shared: &Rc<Shared>) {
+    async fn drain(&mut self, limiter: &Rc<ConnectionLimiter>, context: &Rc<InboundContext>) {
         let mut failing_since = None;
         while let Ok(accepted) = timeout(SOCKET_POLL_TIME, self.accept()).await {
             match accepted {
                 Ok(stream) => {
                     failing_since = None;
-                    self.serve(stream, limiter, shared).await;
+                    self.serve(stream, limiter, context).await;
                 }
                 Err(e) => {
                     let since = *failing_since.get_or_insert_with(Instant::now);
--- a/crates/sidecar/src/inbound/await_request.rs
+++ b/crates/sidecar/src/inbound/await_request.rs
@@ -1,7 +1,7 @@
 //! Waits for the first byte of a request.
 
 use super::client::{Client, READ_BYTES};
-use super::shared::Shared;
+use super::shared::InboundContext;
 use super::timing::SOCKET_POLL_TIME;
 use crate::connection_limiter::{ConnectionPermit, EvictableConnection, WaitState};
 use crate::service_state::ServiceState;
@@ -30,13 +30,13 @@
         permit: &'a ConnectionPermit,
         new: bool,
         mut until: Instant,
-        shared: &Shared,
+        context: &InboundContext,
     ) -> Awaited<'a> {
         if !self.unread.is_empty() {
             return Awaited::Begun;
         }
         let evictable = permit.evictable(if new { WaitState::New } else { WaitState::Used });
-        let mut service = shared.service.clone();
+        let mut service = context.service.clone();
         let mut serving = *service.borrow_and_update() == ServiceState::Serving;
         if !serving {
             until = until.min(Instant::now() + OUT_OF_SERVICE_WAIT);
--- a/crates/sidecar/src/inbound/connection.rs
+++ b/crates/sidecar/src/inbound/connection.rs
@@ -4,7 +4,7 @@
 use super::client::{Client, RequestError};
 use super::reply::Reply;
 use super::serve_request::ServedRequest;
-use super::shared::Shared;
+use super::shared::InboundContext;
 use super::timing::REQUEST_TIME;
 use crate::connection_limiter::ConnectionPermit;
 use crate::metrics::{ConnectionEnd, RequestOutcome};
@@ -22,16 +22,16 @@
     stream: TcpStream,
     not_before: Instant,
     permit: ConnectionPermit,
-    shared: Rc<Shared>,
+    context: Rc<InboundContext>,
 ) {
     // Without it an answer may wait for an acknowledgement; a failure is no reason to reject the client.
     let _ = stream.set_nodelay(true);
     let mut client = Client::new(stream, not_before);
     let mut until = Instant::now() + REQUEST_TIME;
     let mut new = true;
-    let is_serving = || *shared.service.borrow() == ServiceState::Serving;
+    let is_serving = || *context.service.borrow() == ServiceState::Serving;
     loop {
-        match client.await_request(&permit, new, until, &shared).await {
+        match client.await_request(&permit, new, until, &context).await {
             Awaited::Begun => {}
             Awaited::ClientClosed => return ConnectionEnd::ClientClosed.count(),
             // The permit is as good as free, so no other connection has to be evicted for it.
@@ -45,7 +45,7 @@
             until = Instant::now() + REQUEST_TIME;
         }
         new = false;
-        let (keep_alive, reply) = match client.serve_request(&permit, until, &shared).await {
+        let (keep_alive, reply) = match client.serve_request(&permit, until, &context).await {
             Ok(ServedRequest { keep_alive, reply }) => {
                 (keep_alive && !client.body_unfinished && is_serving(), reply)
             }
@@ -55,7 +55,7 @@
             }
             Err(RequestError::ClientClosed) => return ConnectionEnd::ClientClosed.count(),
         };
-        if !client.write_reply(reply, keep_alive, &mut shared.service.clone()).await {
+        if !client.write_reply(reply, keep_alive, &mut context.service.clone()).await {
             return ConnectionEnd::AnswerIncomplete.count();
         }
         if !keep_alive {
--- a/crates/sidecar/src/inbound/read_ahead.rs
+++ b/crates/sidecar/src/inbound/read_ahead.rs
@@ -2,7 +2,7 @@
 //! bytes for which the receive window has no room.
 
 use super::client::{Client, RequestError};
-use super::shared::Shared;
+use super::shared::InboundContext;
 use crate::client_liveness::QUIET_TIME;
 use crate::memory_budget::MemoryReservation;
 use crate::request_lifecycle::RequestLifecycle;
@@ -24,14 +24,14 @@
 
 impl ReadAhead {
     /// Makes sure that there is memory for one read; whether there is.
-    fn reserve(&mut self, shared: &Shared) -> bool {
+    fn reserve(&mut self, context: &InboundContext) -> bool {
         if self.read_bytes + READ_AHEAD_BYTES <= self.reserved_bytes {
             return true;
         }
-        if self.reserved_bytes + READ_AHEAD_BYTES > shared.memory.total_bytes() / MEMORY_PART {
+        if self.reserved_bytes + READ_AHEAD_BYTES > context.memory.total_bytes() / MEMORY_PART {
             return false;
         }
-        let Some(reservation) = shared.memory.try_reserve(READ_AHEAD_BYTES) else { return false };
+        let Some(reservation) = context.memory.try_reserve(READ_AHEAD_BYTES) else { return false };
         self.reservations.push(reservation);
         self.reserved_bytes += READ_AHEAD_BYTES;
         true
@@ -45,10 +45,10 @@
         &mut self,
         read_ahead: &mut ReadAhead,
         lifecycle: &RequestLifecycle,
-        shared: &Shared,
+        context: &InboundContext,
     ) -> Result<(), RequestError> {
         while !self.liveness.was_seen_recently() {
-            if !read_ahead.reserve(shared) {
+            if !read_ahead.reserve(context) {
                 return Err(RequestError::Rejected(unverified_status(lifecycle)));
             }
             let unread = self.unread.len();
@@ -60,7 +60,7 @@
             // A long body must not keep the others waiting.
             yield_now().await;
         }
-        self.liveness.verification_done();
+        self.liveness.notify_verification_done();
         Ok(())
     }
 }
--- a/crates/sidecar/src/inbound/read_request.rs
+++ b/crates/sidecar/src/inbound/read_request.rs
@@ -2,7 +2,7 @@
 
 use super::client::{Client, READ_BYTES, RequestError};
 use super::pace::Pace;
-use super::shared::Shared;
+use super::shared::InboundContext;
 use super::timing::REQUEST_TIME;
 use crate::body::{BodyDecoder, Framing, MAX_BUFFERED_BYTES, STREAMING_BYTES};
 use crate::memory_budget::MemoryReservation;
@@ -44,7 +44,7 @@
     pub(super) async fn read_request(
         &mut self,
         until: Instant,
-        shared: &Shared,
+        context: &InboundContext,
     ) -> Result<ReadRequest, RequestError> {
         let late = |_| RequestError::Rejected(StatusCode::REQUEST_TIMEOUT);
         let head = timeout_at(until, self.read_head()).await.map_err(late)??;
@@ -55,11 +55,11 @@
             path if path == "/api" || path.starts_with("/api/") => {}
             _ => return Err(RequestError::Rejected(StatusCode::NOT_FOUND)),
         }
-        let metadata = RequestMetadata::parse(&shared.traffic_classes, &head);
+        let metadata = RequestMetadata::parse(&context.traffic_classes, &head);
         let metadata = metadata.ok_or(RequestError::Rejected(StatusCode::BAD_REQUEST))?;
         let mut pace = Pace::since(until - REQUEST_TIME);
         let began = Instant::now();
-        let reservation = self.reserve_body(&head, metadata.time_left, began, shared).await?;
+        let reservation = self.reserve_body(&head, metadata.time_left, began, context).await?;
         pace.exclude(began.elapsed());
         let mut decoder = BodyDecoder::new(head.body);
         let body = self.read_body(&head, &mut decoder, &mut pace).await?;
@@ -72,7 +72,7 @@
         head: &RequestHead,
         time_left: Micros,
         began: Instant,
-        shared: &Shared,
+        context: &InboundContext,
     ) -> Result<MemoryReservation, RequestError> {
         let buffered = head.body.length().filter(|length| *length <= MAX_BUFFERED_BYTES);
         let time_left = Duration::from_micros(time_left.unsigned_abs());
@@ -80,7 +80,7 @@
         let client = self.liveness.clone();
         tokio::select! {
             biased;
-            reservation = timeout_at(until, shared.memory.reserve(buffered.unwrap_or(STREAMING_BYTES))) => {
+            reservation = timeout_at(until, context.memory.reserve(buffered.unwrap_or(STREAMING_BYTES))) => {
                 reservation.map_err(|_| RequestError::Rejected(StatusCode::SERVICE_UNAVAILABLE))
             }
             () = client.closed() => Err(RequestError::ClientClosed),
--- a/crates/sidecar/src/inbound/serve_request.rs
+++ b/crates/sidecar/src/inbound/serve_request.rs
@@ -6,7 +6,7 @@
 use super::read_ahead::ReadAhead;
 use super::read_request::{ApiRequest, ReadRequest};
 use super::reply::Reply;
-use super::shared::Shared;
+use super::shared::InboundContext;
 use crate::body::{BodyDecoder, BodySender, BodyStream, MAX_BODY_BYTES};
 use crate::connection_limiter::{ConnectionPermit, WaitState};
 use crate::engine::PendingResponse;
@@ -59,29 +59,29 @@
         &mut self,
         permit: &ConnectionPermit,
         until: Instant,
-        shared: &Shared,
+        context: &InboundContext,
     ) -> Result<ServedRequest, RequestError> {
         let evictable = permit.evictable(WaitState::ReadingRequest);
         let request = tokio::select! {
             biased;
-            request = self.read_request(until, shared) => request?,
+            request = self.read_request(until, context) => request?,
             () = evictable.evicted() => return Err(RequestError::Rejected(StatusCode::REQUEST_TIMEOUT)),
         };
         drop(evictable);
         match request {
             ReadRequest::Up { keep_alive } => {
-                let serving = *shared.service.borrow() == ServiceState::Serving;
+                let serving = *context.service.borrow() == ServiceState::Serving;
                 let status = if serving { StatusCode::OK } else { StatusCode::SERVICE_UNAVAILABLE };
                 Ok(ServedRequest { keep_alive, reply: Reply::without_body(status) })
             }
-            ReadRequest::Api(request) => self.serve_api(*request, shared).await,
+            ReadRequest::Api(request) => self.serve_api(*request, context).await,
         }
     }
 
     async fn serve_api(
         &mut self,
         request: ApiRequest,
-        shared: &Shared,
+        context: &InboundContext,
     ) -> Result<ServedRequest, RequestError> {
         // Clients send one request at a time. What follows one without an answer is not a request of our client, or
         // belongs to a body that is longer than announced.
@@ -89,11 +89,11 @@
             return Err(RequestError::Rejected(StatusCode::BAD_REQUEST));
         }
         // Held until the answer is written, as an endpoint can't tell two requests of one id apart.
-        let id = shared.ids.open(&request.metadata.id, Instant::now());
+        let id = context.ids.open(&request.metadata.id, Instant::now());
         let id = id.ok_or(RequestError::Rejected(StatusCode::CONFLICT))?;
         let (keep_alive, is_http_1_0) = (request.head.keep_alive, request.head.is_http_1_0);
-        let mut submitted = self.submit(request, shared);
-        let answer = self.await_answer(&mut submitted, shared).await?;
+        let mut submitted = self.submit(request, context);
+        let answer = self.await_answer(&mut submitted, context).await?;
         self.body_unfinished = submitted.streaming.is_some();
         let mut reply = Reply::of(answer, id);
         // Without chunks, the end of the connection marks the end of the body.
@@ -103,15 +103,15 @@
     }
 
     /// The deadline of a request whose last byte was just read.
-    fn deadline(&self, time_left: Micros, shared: &Shared) -> Micros {
-        shared.engine.time_of(self.arrived).saturating_add(time_left)
+    fn deadline(&self, time_left: Micros, context: &InboundContext) -> Micros {
+        context.engine.time_of(self.arrived).saturating_add(time_left)
     }
 
     /// Submits a request to the engine.
-    fn submit(&mut self, request: ApiRequest, shared: &Shared) -> Submitted {
+    fn submit(&mut self, request: ApiRequest, context: &InboundContext) -> Submitted {
         let ApiRequest { head, metadata, body, decoder, pace, reservation } = request;
         let time_left = metadata.time_left;
-        let earliest_deadline = self.deadline(time_left, shared);
+        let earliest_deadline = self.deadline(time_left, context);
         let mut deadline = earliest_deadline;
         let (mut streaming, mut rest) = (None, None);
         if !decoder.ended() {
@@ -125,7 +125,7 @@
             rest = Some(stream);
         }
         let lifecycle = RequestLifecycle::new(&metadata.id, Some(self.liveness.clone()), streaming.is_some());
-        lifecycle.set_earliest_deadline(shared.engine.instant(earliest_deadline));
+        lifecycle.set_earliest_deadline(context.engine.instant(earliest_deadline));
         self.pending = Some(Rc::clone(&lifecycle));
         let outgoing = OutgoingRequest {
             method: head.method,
@@ -146,7 +146,7 @@
             is_client_retry: metadata.is_client_retry,
             body_incomplete: streaming.is_some(),
         };
-        let response = shared.engine.submit(request, outgoing);
+        let response = context.engine.submit(request, outgoing);
         Submitted { response, lifecycle, streaming, time_left, deadline }
     }
 
@@ -156,19 +156,19 @@
     async fn await_answer(
         &mut self,
         submitted: &mut Submitted,
-        shared: &Shared,
+        context: &InboundContext,
     ) -> Result<Answer, RequestError> {
         // A request that has come too late is shed by the balancer, with the promise that it has not run.
         let decision_by = Instant::now() + LATE_DECISION_TIME;
-        let mut service = shared.service.clone();
+        let mut service = context.service.clone();
         loop {
-            let deadline = shared.engine.instant(submitted.deadline).max(decision_by);
+            let deadline = context.engine.instant(submitted.deadline).max(decision_by);
             tokio::select! {
                 biased;
                 answer = submitted.response.answer() => return Ok(answer),
-                received = self.receive_rest(&mut submitted.streaming, &submitted.lifecycle, shared) => {
+                received = self.receive_rest(&mut submitted.streaming, &submitted.lifecycle, context) => {
                     received?;
-                    self.body_received(submitted, shared)?;
+                    self.body_received(submitted, context)?;
                 }
                 () = sleep_until(deadline) => {
                     RequestOutcome::DeadlineExceeded.count();
@@ -183,14 +183,14 @@
     }
 
     /// Handles the end of a streamed body. Without one, bytes behind the request were received.
-    fn body_received(&self, submitted: &mut Submitted, shared: &Shared) -> Result<(), RequestError> {
+    fn body_received(&self, submitted: &mut Submitted, context: &InboundContext) -> Result<(), RequestError> {
         let Some(streaming) = submitted.streaming.take() else {
             return Err(RequestError::Rejected(StatusCode::BAD_REQUEST));
         };
         streaming.sender.finish();
         submitted.lifecycle.body_received();
-        submitted.deadline = self.deadline(submitted.time_left, shared);
-        submitted.lifecycle.set_earliest_deadline(shared.engine.instant(submitted.deadline));
+        submitted.deadline = self.deadline(submitted.time_left, context);
+        submitted.lifecycle.set_earliest_deadline(context.engine.instant(submitted.deadline));
         submitted.response.body_received(submitted.deadline);
         Ok(())
     }
@@ -200,12 +200,12 @@
         &mut self,
         streaming: &mut Option<StreamingBody>,
         lifecycle: &RequestLifecycle,
-        shared: &Shared,
+        context: &InboundContext,
     ) -> Result<(), RequestError> {
         let Some(streaming) = streaming else { return Ok(self.fill(READ_BYTES).await?) };
         while !streaming.decoder.ended() {
             match streaming.decoder.decode(&mut self.unread).map_err(RequestError::Rejected)? {
-                Some(piece) => self.pass_on(piece, streaming, lifecycle, shared).await?,
+                Some(piece) => self.pass_on(piece, streaming, lifecycle, context).await?,
                 None if streaming.decoder.ended() => {}
                 None => self.fill_body(&streaming.decoder, &mut streaming.pace).await?,
             }
@@ -221,7 +221,7 @@
         piece: Bytes,
         streaming: &mut StreamingBody,
         lifecycle: &RequestLifecycle,
-        shared: &Shared,
+        context: &InboundContext,
     ) -> Result<(), RequestError> {
         let StreamingBody { decoder, pace, sender, read_ahead } = streaming;
         let client = self.liveness.clone();
@@ -230,13 +230,13 @@
             // What is read next may have come since, while this piece waits for the endpoint.
             self.arrived = since;
         }
-        let mut sending = pin!(timeout(shared.stall, sender.send(piece)));
+        let mut sending = pin!(timeout(context.max_stall, sender.send(piece)));
         let sent = loop {
             tokio::select! {
                 biased;
                 sent = &mut sending => break sent,
                 () = client.closed() => return Err(RequestError::ClientClosed),
-                () = client.verification_wanted() => self.read_ahead(read_ahead, lifecycle, shared).await?,
+                () = client.wait_for_verification_request() => self.read_ahead(read_ahead, lifecycle, context).await?,
             }
         };
         match sent {
--- a/crates/sidecar/src/inbound/shared.rs
+++ b/crates/sidecar/src/inbound/shared.rs
@@ -9,7 +9,7 @@
 use tokio::sync::watch;
 
 /// What all clients' connections share.
-pub struct Shared {
+pub struct InboundContext {
     /// Classes and tenants.
     pub traffic_classes: TrafficClasses,
     /// The engine.
@@ -21,5 +21,5 @@
     /// Whether the sidecar is in service.
     pub service: watch::Receiver<ServiceState>,
     /// How long a streamed body may make no progress towards its endpoint.
-    pub stall: Duration,
+    pub max_stall: Duration,
 }
--- a/crates/sidecar/src/request_lifecycle.rs
+++ b/crates/sidecar/src/request_lifecycle.rs
@@ -78,16 +78,16 @@
 
     fn check_client(&self, client: &ClientLiveness) -> Result<(), SendDenial> {
         // Bytes behind a complete request are answered with 400, if the client is still there at all.
-        if client.is_closed() || !self.streams_body.get() && !client.is_quiet() {
+        if client.is_closed() || !self.streams_body.get() && !client.has_nothing_unread() {
             return Err(SendDenial::ClientClosed);
         }
-        if client.is_surely_connected() { Ok(()) } else { Err(SendDenial::ClientUnverified) }
+        if client.is_known_connected() { Ok(()) } else { Err(SendDenial::ClientUnverified) }
     }
 
     /// Waits until the connection of the client shows whether it is closed, which unread bytes of a body may hide.
     pub async fn client_verified(&self) {
         if let Some(client) = self.client.as_ref().filter(|_| self.streams_body.get()) {
-            client.verified().await;
+            client.wait_until_verified().await;
         }
     }
 
@@ -95,7 +95,7 @@
     pub fn body_received(&self) {
         self.streams_body.set(false);
         if let Some(client) = &self.client {
-            client.verification_done();
+            client.notify_verification_done();
         }
     }
 
--- a/crates/sidecar/src/resource_limits.rs
+++ b/crates/sidecar/src/resource_limits.rs
@@ -15,7 +15,7 @@
     /// Connections to endpoints.
     pub upstream: usize,
     /// Bytes for the bodies of requests, and as many for those of answers.
-    pub bodies: usize,
+    pub body_bytes: usize,
 }
 
 impl ResourceLimits {
@@ -26,7 +26,7 @@
         let usable = (descriptors - descriptors / RESERVED_PART).saturating_sub(RESERVED_DESCRIPTORS);
         let per_side = usable.max(2) / 2;
         let quarter = (memory_mb << 20) / 4;
-        Self { clients: per_side.min(quarter / MAX_HEAD_BYTES), upstream: per_side, bodies: quarter }
+        Self { clients: per_side.min(quarter / MAX_HEAD_BYTES), upstream: per_side, body_bytes: quarter }
     }
 }
 
--- a/crates/sidecar/src/startup.rs
+++ b/crates/sidecar/src/startup.rs
@@ -67,13 +67,13 @@
         let service = Rc::new(service);
 
         let engine = spawn_local(engine.run());
-        let shared = inbound::Shared {
+        let shared = inbound::InboundContext {
             traffic_classes,
             engine: handle.clone(),
-            memory: MemoryBudget::new(limits.bodies),
+            memory: MemoryBudget::new(limits.body_bytes),
             ids: RequestIds::default(),
             service: service_changes,
-            stall: upstream::STALL,
+            max_stall: upstream::MAX_STALL,
         };
         let accepting = inbound::accept(listener, shared_socket, limits.clients, Rc::new(shared));
         let accepting = spawn_local(accepting);
--- a/crates/sidecar/src/upstream.rs
+++ b/crates/sidecar/src/upstream.rs
@@ -12,8 +12,8 @@
 mod timing;
 
 pub use endpoint::Endpoint;
-pub use grant::Grant;
-pub use timing::STALL;
+pub use grant::AttemptTarget;
+pub use timing::MAX_STALL;
 
 use crate::idle_bound::IdleBound;
 use crate::memory_budget::MemoryBudget;
@@ -53,7 +53,7 @@
         Self {
             endpoints: RefCell::default(),
             permits: Arc::new(Semaphore::new(limits.upstream)),
-            memory: MemoryBudget::new(limits.bodies),
+            memory: MemoryBudget::new(limits.body_bytes),
             dial_timeout: duration_or(dial_timeout, DEFAULT_DIAL_TIMEOUT_US),
             idle_bound: RefCell::new(idle_bound),
             parked: Notify::new(),
@@ -70,10 +70,10 @@
     }
 
     /// Removes the endpoints that are not listed.
-    pub fn keep_only(&self, listed: &HashSet<usize>) {
+    pub fn remove_unlisted(&self, listed: &HashSet<usize>) {
         for (id, endpoint) in self.endpoints.borrow().iter().enumerate() {
             if !listed.contains(&id) {
-                endpoint.set(None, false, 0);
+                endpoint.update(None, false, 0);
             }
         }
     }
@@ -81,7 +81,7 @@
     /// Forgets a removed endpoint, whose number may be given to another. What still refers to it writes nothing.
     pub fn forget(&self, id: usize) {
         if let Some(endpoint) = self.endpoints.borrow_mut().get_mut(id) {
-            endpoint.set(None, false, 0);
+            endpoint.update(None, false, 0);
             *endpoint = Rc::default();
         }
     }
--- a/crates/sidecar/src/upstream/attempt.rs
+++ b/crates/sidecar/src/upstream/attempt.rs
@@ -3,8 +3,8 @@
 use super::Upstream;
 use super::endpoint::Endpoint;
 use super::exchanged::{AnswerStream, Exchanged, Target};
-use super::grant::Grant;
-use super::timing::STALL;
+use super::grant::AttemptTarget;
+use super::timing::MAX_STALL;
 use crate::body::{BodyStream, MAX_BODY_BYTES};
 use crate::engine_input::{AttemptResult, HealthCheckResult, Input, Inputs};
 use crate::outgoing_request::OutgoingRequest;
@@ -28,11 +28,11 @@
     pub async fn attempt(
         self: Rc<Self>,
         (request, attempt): (RequestId, AttemptNumber),
-        grant: Grant,
+        grant: AttemptTarget,
         outgoing: Rc<OutgoingRequest>,
         inputs: Inputs,
     ) {
-        let Grant { to: endpoint, permission, until, write_by } = grant;
+        let AttemptTarget { endpoint, permission, until, write_by } = grant;
         let length = outgoing.rest.as_ref().map_or(Some(outgoing.body.len()), BodyStream::length);
         let streams_body = outgoing.rest.is_some();
         let send = GatedSend::new(SendPermit {
@@ -70,7 +70,7 @@
                 biased;
                 frame = pooled.connection.drive(body.frame()) => frame,
                 () = client.closed() => return,
-                () = sleep(STALL) => return,
+                () = sleep(MAX_STALL) => return,
             };
             let piece = match frame {
                 Some(Some(Ok(frame))) => frame.into_data().unwrap_or_default(),
--- a/crates/sidecar/src/upstream/endpoint.rs
+++ b/crates/sidecar/src/upstream/endpoint.rs
@@ -29,7 +29,7 @@
 impl Endpoint {
     /// Follows the list. Draining, another address or another process revoke all permissions, and close the idle
     /// connections.
-    pub fn set(&self, address: Option<SocketAddr>, ready: bool, started: i64) {
+    pub fn update(&self, address: Option<SocketAddr>, ready: bool, started: i64) {
         if self.address.get() != address || !ready || self.started.get() != started {
             self.revoke();
         }
@@ -39,7 +39,7 @@
     }
 
     /// Follows operators.
-    pub fn cordon(&self, cordoned: bool) {
+    pub fn set_cordoned(&self, cordoned: bool) {
         self.cordoned.set(cordoned);
         if cordoned {
             self.revoke();
--- a/crates/sidecar/src/upstream/grant.rs
+++ b/crates/sidecar/src/upstream/grant.rs
@@ -5,9 +5,9 @@
 use tokio::time::Instant;
 
 /// The decision to make an attempt.
-pub struct Grant {
+pub struct AttemptTarget {
     /// The endpoint.
-    pub to: Rc<Endpoint>,
+    pub endpoint: Rc<Endpoint>,
     /// The permission to send there, if there was one.
     pub permission: Option<SendPermission>,
     /// No answer is waited for after this.
--- a/crates/sidecar/src/upstream/tests.rs
+++ b/crates/sidecar/src/upstream/tests.rs
@@ -17,12 +17,12 @@
 async fn closes_idle_connection_for_a_new_one_or_does_not_dial() {
     let listener = std::net::TcpListener::bind("127.0.0.1:0").expect("a free port");
     let address = listener.local_addr().expect("an address");
-    let limits = ResourceLimits { clients: 1, upstream: 1, bodies: MAX_BUFFERED_BYTES };
+    let limits = ResourceLimits { clients: 1, upstream: 1, body_bytes: MAX_BUFFERED_BYTES };
     let upstream = Upstream::new(limits, 5_000_000, 10_000_000);
     let connection = upstream.dial(address).await.expect("there is room");
     assert_eq!(upstream.dial(address).await.err(), Some(Outcome::NotSent));
     let endpoint = upstream.endpoint(0);
-    endpoint.set(Some(address), true, 0);
+    endpoint.update(Some(address), true, 0);
     let permission = endpoint.permission().expect("it is ready");
     upstream.park(&endpoint, permission, connection).await;
     assert!(upstream.dial(address).await.is_ok());
@@ -63,17 +63,17 @@
     ("its request is answered", true, |_, out, _| out.lifecycle.complete()),
     ("its client has left", true, |_, _, client| drop(client.take())),
     ("the window for its repeat is over", true, |_, _, _| {}),
-    ("its endpoint is leaving", false, |e, _, _| e.set(e.address.get(), false, 0)),
+    ("its endpoint is leaving", false, |e, _, _| e.update(e.address.get(), false, 0)),
     ("its endpoint was taken out, and given back since", false, |e, _, _| {
-        e.cordon(true);
-        e.cordon(false);
+        e.set_cordoned(true);
+        e.set_cordoned(false);
     }),
     ("its endpoint has moved", false, |e, _, _| {
         let here = e.address.get();
-        e.set(here.map(|a| SocketAddr::new(a.ip(), 9)), true, 0);
-        e.set(here, true, 0);
+        e.update(here.map(|a| SocketAddr::new(a.ip(), 9)), true, 0);
+        e.update(here, true, 0);
     }),
-    ("its endpoint is another process, which is cold", false, |e, _, _| e.set(e.address.get(), true, 7)),
+    ("its endpoint is another process, which is cold", false, |e, _, _| e.update(e.address.get(), true, 7)),
 ];
 
 /// An attempt whose connection has not come up yet.
@@ -99,10 +99,10 @@
         inputs: &Inputs,
     ) -> Self {
         let (listener, address, filler) = unaccepting_listener();
-        let limits = ResourceLimits { clients: 1, upstream: 1, bodies: MAX_BUFFERED_BYTES };
+        let limits = ResourceLimits { clients: 1, upstream: 1, body_bytes: MAX_BUFFERED_BYTES };
         let upstream = Rc::new(Upstream::new(limits, 30_000_000, 0));
         let endpoint = upstream.endpoint(0);
-        endpoint.set(Some(address), true, 0);
+        endpoint.update(Some(address), true, 0);
         let client =
             std::net::TcpStream::connect(clients.local_addr().expect("an address")).expect("it connects");
         let (accepted, _) = clients.accept().await.expect("a connection");
@@ -111,7 +111,12 @@
         let until = Instant::now() + Duration::from_secs(60);
         // Over before the connection is there: the system tries again to make one after a second.
         let write_by = what.contains("window").then(|| Instant::now() + Duration::from_millis(100));
-        let grant = Grant { to: Rc::clone(&endpoint), permission: endpoint.permission(), until, write_by };
+        let grant = AttemptTarget {
+            endpoint: Rc::clone(&endpoint),
+            permission: endpoint.permission(),
+            until,
+            write_by,
+        };
         let attempting =
             Rc::clone(&upstream).attempt((number as u64, 0), grant, Rc::clone(&out), inputs.clone());
         let attempting = local.spawn_local(attempting);
--- a/crates/sidecar/src/upstream/timing.rs
+++ b/crates/sidecar/src/upstream/timing.rs
@@ -7,4 +7,4 @@
 pub(super) const SETTLE_TIME: Duration = Duration::from_millis(5);
 /// How long an endpoint may send nothing of a streamed answer, or take nothing of a streamed body. Slow progress is
 /// allowed; the protocol counts no client as waiting for longer than this.
-pub const STALL: Duration = Duration::from_secs(3);
+pub const MAX_STALL: Duration = Duration::from_secs(3);
