--- a/crates/sidecar/src/body.rs
+++ b/crates/sidecar/src/body.rs
@@ -1,5 +1,5 @@
-//! Bodies of requests and answers: how those of clients are framed, and how bodies that are too large to be buffered are
-//! streamed.
+//! Bodies of requests and responses: how request bodies are framed, and how bodies that are too large to be buffered
+//! are streamed.
 
 mod decoder;
 mod limits;
--- a/crates/sidecar/src/body/decoder.rs
+++ b/crates/sidecar/src/body/decoder.rs
@@ -4,24 +4,24 @@
 use bytes::{Buf, Bytes, BytesMut};
 use hyper::StatusCode;
 
-/// Longest line with the size of a chunk.
+/// Maximum length of a chunk-size line, in bytes.
 const MAX_CHUNK_LINE_BYTES: usize = 4 << 10;
-/// Longest trailers.
+/// Maximum length of the trailers, in bytes.
 const MAX_TRAILER_BYTES: usize = 16 << 10;
-/// Most trailers.
+/// Maximum number of trailers.
 const MAX_TRAILERS: usize = 64;
 
 /// How the end of a request's body is found.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Framing {
-    /// It has that length.
+    /// The body has that length.
     Sized(usize),
-    /// It is in chunks.
+    /// The body uses chunked encoding.
     Chunked,
 }
 
 impl Framing {
-    /// The length, where it is known ahead.
+    /// The length, if it is known in advance.
     pub fn length(self) -> Option<usize> {
         match self {
             Self::Sized(length) => Some(length),
@@ -67,28 +67,28 @@
         self.received
     }
 
-    /// The length of the complete body, where it is known.
+    /// The length of the complete body, if it is known.
     pub fn length(&self) -> Option<usize> {
         self.framing.length()
     }
 
-    /// How much can be read from the client without going past the body, as far as that is known; `most` at the most.
-    pub fn wanted(&self, most: usize) -> usize {
+    /// How many bytes to read from the client without reading past the body, as far as its end is known; `max` at most.
+    pub fn max_read_bytes(&self, max: usize) -> usize {
         match (self.framing, &self.expected) {
-            (Framing::Sized(_), Expected::Data(left)) => most.min(*left),
-            _ => most,
+            (Framing::Sized(_), Expected::Data(left)) => max.min(*left),
+            _ => max,
         }
     }
 
-    /// Takes the next piece of the body out of `unread`; `None` where more has to be received first, or at the end. Fails
-    /// with the status to answer with.
-    pub fn decode(&mut self, unread: &mut BytesMut) -> Result<Option<Bytes>, StatusCode> {
+    /// Takes the next piece of the body out of `input`; `None` if more has to be received first, or at the end. Fails
+    /// with the status to respond with.
+    pub fn decode(&mut self, input: &mut BytesMut) -> Result<Option<Bytes>, StatusCode> {
         loop {
             let advanced = match self.expected {
-                Expected::ChunkSize => self.chunk_size(unread)?,
-                Expected::Data(left) => return Ok(self.data(left, unread)),
-                Expected::ChunkEnd => self.chunk_end(unread)?,
-                Expected::Trailers => self.trailers(unread)?,
+                Expected::ChunkSize => self.chunk_size(input)?,
+                Expected::Data(left) => return Ok(self.data(left, input)),
+                Expected::ChunkEnd => self.chunk_end(input)?,
+                Expected::Trailers => self.trailers(input)?,
                 Expected::Nothing => false,
             };
             if !advanced {
@@ -97,15 +97,15 @@
         }
     }
 
-    /// Returns whether the size was complete.
-    fn chunk_size(&mut self, unread: &mut BytesMut) -> Result<bool, StatusCode> {
+    /// Decodes the size of a chunk; returns whether it was complete.
+    fn chunk_size(&mut self, input: &mut BytesMut) -> Result<bool, StatusCode> {
         // The parser would take a line without digits for a size of 0.
-        if unread.first().is_some_and(|byte| !byte.is_ascii_hexdigit()) {
+        if input.first().is_some_and(|byte| !byte.is_ascii_hexdigit()) {
             return Err(StatusCode::BAD_REQUEST);
         }
-        match httparse::parse_chunk_size(unread) {
+        match httparse::parse_chunk_size(input) {
             Ok(httparse::Status::Complete((length, size))) => {
-                unread.advance(length);
+                input.advance(length);
                 let size = usize::try_from(size).map_err(|_| StatusCode::PAYLOAD_TOO_LARGE)?;
                 if size > MAX_BODY_BYTES - self.received {
                     return Err(StatusCode::PAYLOAD_TOO_LARGE);
@@ -113,17 +113,17 @@
                 self.expected = if size == 0 { Expected::Trailers } else { Expected::Data(size) };
                 Ok(true)
             }
-            Ok(httparse::Status::Partial) if unread.len() <= MAX_CHUNK_LINE_BYTES => Ok(false),
+            Ok(httparse::Status::Partial) if input.len() <= MAX_CHUNK_LINE_BYTES => Ok(false),
             _ => Err(StatusCode::BAD_REQUEST),
         }
     }
 
-    fn data(&mut self, left: usize, unread: &mut BytesMut) -> Option<Bytes> {
-        if unread.is_empty() {
+    fn data(&mut self, left: usize, input: &mut BytesMut) -> Option<Bytes> {
+        if input.is_empty() {
             return None;
         }
-        // A larger piece would take a slow endpoint longer than a piece may take.
-        let piece = unread.split_to(left.min(unread.len()).min(MAX_BUFFERED_BYTES)).freeze();
+        // A slow endpoint could take longer for a larger piece than is allowed for one (`MAX_STALL`).
+        let piece = input.split_to(left.min(input.len()).min(MAX_BUFFERED_BYTES)).freeze();
         self.received += piece.len();
         self.expected = match (left - piece.len(), self.framing) {
             (0, Framing::Sized(_)) => Expected::Nothing,
@@ -133,30 +133,30 @@
         Some(piece)
     }
 
-    /// Returns whether the end of the chunk was complete.
-    fn chunk_end(&mut self, unread: &mut BytesMut) -> Result<bool, StatusCode> {
+    /// Decodes the line end after a chunk; returns whether it was complete.
+    fn chunk_end(&mut self, input: &mut BytesMut) -> Result<bool, StatusCode> {
         const END: &[u8] = b"\r\n";
-        if unread.len() < END.len() {
+        if input.len() < END.len() {
             return Ok(false);
         }
-        if !unread.starts_with(END) {
+        if !input.starts_with(END) {
             return Err(StatusCode::BAD_REQUEST);
         }
-        unread.advance(END.len());
+        input.advance(END.len());
         self.expected = Expected::ChunkSize;
         Ok(true)
     }
 
-    /// Drops the trailers, which no receiver has asked for. Returns whether they were complete.
-    fn trailers(&mut self, unread: &mut BytesMut) -> Result<bool, StatusCode> {
+    /// Discards the trailers, which no receiver has asked for. Returns whether they were complete.
+    fn trailers(&mut self, input: &mut BytesMut) -> Result<bool, StatusCode> {
         let mut fields = [httparse::EMPTY_HEADER; MAX_TRAILERS];
-        match httparse::parse_headers(unread, &mut fields) {
+        match httparse::parse_headers(input, &mut fields) {
             Ok(httparse::Status::Complete((length, _))) => {
-                unread.advance(length);
+                input.advance(length);
                 self.expected = Expected::Nothing;
                 Ok(true)
             }
-            Ok(httparse::Status::Partial) if unread.len() <= MAX_TRAILER_BYTES => Ok(false),
+            Ok(httparse::Status::Partial) if input.len() <= MAX_TRAILER_BYTES => Ok(false),
             _ => Err(StatusCode::BAD_REQUEST),
         }
     }
--- a/crates/sidecar/src/body/stream.rs
+++ b/crates/sidecar/src/body/stream.rs
@@ -1,4 +1,4 @@
-//! Bodies on their way between a client and an endpoint, and the channels through which they are streamed.
+//! Bodies that are sent between a client and an endpoint, and the channels through which they are streamed.
 
 use crate::write_progress::WriteProgress;
 use bytes::Bytes;
@@ -16,34 +16,34 @@
 pub struct BodyStream {
     pieces: Rc<RefCell<mpsc::Receiver<Bytes>>>,
     length: Option<usize>,
-    /// The client has sent all of it.
+    /// Whether the client has sent all of it.
     complete: Rc<Cell<bool>>,
-    /// Some of it was sent to an endpoint, and can't be sent to another.
+    /// Whether some of it was sent to an endpoint, so that it can't be sent to another.
     consumed: Rc<Cell<bool>>,
 }
 
-/// The client's end of a [`BodyStream`].
+/// The sending end of a [`BodyStream`], on the side of the client.
 pub struct BodySender {
     pieces: mpsc::Sender<Bytes>,
     complete: Rc<Cell<bool>>,
 }
 
 impl BodySender {
-    /// Waits until the endpoint takes a further piece; returns whether it is still there.
+    /// Waits until the endpoint accepts a further piece; returns false if the endpoint's side is gone.
     pub async fn send(&self, piece: Bytes) -> bool {
         self.pieces.send(piece).await.is_ok()
     }
 
-    /// Ends the body.
+    /// Marks the body as complete, which ends the stream.
     pub fn finish(self) {
         self.complete.set(true);
     }
 }
 
 impl BodyStream {
-    /// A stream for the rest of a body, and its sender. `length` is that of the complete body, where it is known.
+    /// Creates a stream for the rest of a body, and its sender. `length` is that of the complete body, if it is known.
     pub fn new(length: Option<usize>) -> (BodySender, Self) {
-        // With one piece in the channel, the client is read from no faster than the endpoint takes it.
+        // The channel holds one piece, so that the client's body is read no faster than the endpoint accepts it.
         let (sender, receiver) = mpsc::channel(1);
         let complete = Rc::new(Cell::new(false));
         let pieces = Rc::new(RefCell::new(receiver));
@@ -56,13 +56,13 @@
         self.consumed.get()
     }
 
-    /// The length of the complete body, where it is known.
+    /// The length of the complete body, if it is known.
     pub fn length(&self) -> Option<usize> {
         self.length
     }
 }
 
-/// The body of one attempt.
+/// The request body of one attempt.
 pub struct RequestBody {
     buffered: Bytes,
     rest: Option<BodyStream>,
@@ -70,19 +70,19 @@
 }
 
 impl RequestBody {
-    /// The buffered start of a body, and the rest where it is streamed.
+    /// Creates a body from its buffered start, and the rest if it is streamed.
     pub fn new(buffered: Bytes, rest: Option<BodyStream>, progress: WriteProgress) -> Self {
         Self { buffered, rest, progress }
     }
 }
 
-/// The client stopped in the middle of its body.
+/// The client stopped sending in the middle of its body.
 #[derive(Debug)]
 pub struct BodyIncomplete;
 
 impl fmt::Display for BodyIncomplete {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
-        f.write_str("the body broke off")
+        f.write_str("the client did not send its complete body")
     }
 }
 
@@ -107,8 +107,8 @@
                 Some(Ok(Frame::data(piece)))
             }
             None if rest.complete.get() => {
-                // Of a body of unknown length, this is the last byte.
-                self.progress.body_ends();
+                // For a body of unknown length, the end of the stream is its last byte.
+                self.progress.record_body_end();
                 None
             }
             None => Some(Err(BodyIncomplete)),
@@ -129,13 +129,13 @@
     }
 }
 
-/// The body of an answer on its way to a client: its buffered start, and the rest where it is streamed.
+/// The body of a response to a client: its buffered start, and the rest if it is streamed.
 pub struct AnswerBody {
     /// The start, or all of it.
     pub first: Bytes,
-    /// The pieces that follow. An empty one marks the end; without that the body is incomplete.
+    /// The pieces that follow. An empty piece marks the end; if the channel closes without one, the body is incomplete.
     pub rest: Option<mpsc::Receiver<Bytes>>,
-    /// The length of the complete body, where it is known.
+    /// The length of the complete body, if it is known.
     pub length: Option<usize>,
 }
 
--- a/crates/sidecar/src/client_liveness.rs
+++ b/crates/sidecar/src/client_liveness.rs
@@ -1,8 +1,8 @@
 //! Whether a client is still connected, as far as its connection shows.
 //!
-//! A socket with unread bytes may not show it: where the receive window is full, the rest of what the client has sent
-//! stays in the client's system, and the end of the connection behind it. Then [`LastSeen`] tells when the client was
-//! surely connected, and its connection has to be read on to know more.
+//! While bytes are unread, a socket may not show that its client has closed: if the receive window is full, the rest of
+//! what the client has sent stays in the client's kernel, and the FIN behind it. [`LastSeen`] then tells when the
+//! client was last known to be connected, and more has to be read from the connection to know whether it still is.
 
 mod last_seen;
 
@@ -24,8 +24,8 @@
 /// has closed.
 const POLL_INTERVAL: Duration = Duration::from_millis(50);
 
-/// Peeks at the unread bytes of a connection, up to one; 0 is the end. Retries interrupted calls, so that the result
-/// tells something about the connection.
+/// Peeks at up to one unread byte of a connection; 0 is the end of the stream. Interrupted calls are retried, so that
+/// the result always tells something about the connection.
 pub fn peek(stream: &TcpStream) -> Result<usize, IoFailure> {
     loop {
         match SockRef::from(stream).peek(&mut [MaybeUninit::uninit()]) {
@@ -38,29 +38,29 @@
     }
 }
 
-/// For how long a client that was seen passes for connected. No attempt may begin more than 0.1 s after its client has
-/// closed; the rest is for the system's clock of received data and for the write.
-const RECENT: Duration = Duration::from_millis(60);
+/// How long a client that was seen counts as connected. No attempt may begin more than 0.1 s after its client has
+/// closed; the difference allows for the granularity of the kernel's receive times and for the write.
+const MAX_LAST_SEEN_AGE: Duration = Duration::from_millis(60);
 
-/// After the last bytes, how long a socket has to stay empty. What waits for room in the window comes within the round
-/// trip to a client on the same machine.
+/// How long a socket has to stay empty after a read to show that the client's kernel holds no data that waits for room
+/// in the receive window: such data would arrive within the round trip to a client on the same machine.
 pub const QUIET_TIME: Duration = Duration::from_millis(4);
 
-/// A client's connection, for those that only need to know whether it is closed.
+/// The liveness of a client, for code that only needs to know whether its connection is closed.
 #[derive(Clone)]
 pub struct ClientLiveness(Rc<State>);
 
 struct State {
     stream: Rc<TcpStream>,
     last_seen: LastSeen,
-    /// Somebody needs to know whether the client is connected.
+    /// Notified when an attempt needs to know whether the client is connected.
     verification_wanted: Notify,
-    /// The connection was read on.
+    /// Notified when more of the connection has been read.
     verification_done: Notify,
 }
 
 impl ClientLiveness {
-    /// The liveness of the client at the other end of `stream`, which was not seen yet.
+    /// The liveness of the client at the other end of `stream`, which has not been seen yet.
     pub fn of(stream: &Rc<TcpStream>) -> Self {
         Self(Rc::new(State {
             stream: Rc::clone(stream),
@@ -70,13 +70,13 @@
         }))
     }
 
-    /// When the client was last seen.
+    /// When the client was last known to be connected.
     pub fn last_seen(&self) -> &LastSeen {
         &self.0.last_seen
     }
 
-    /// Whether the client has closed or reset its connection. Asks the socket, as the runtime may not have polled the end
-    /// yet, and the runtime, as the end may lie behind unread bytes.
+    /// Whether the client has closed or reset its connection. Checks the socket, as the runtime may not have polled the
+    /// FIN yet, and the runtime's readiness, as the FIN may be behind unread bytes.
     pub fn is_closed(&self) -> bool {
         let ended = match peek(&self.0.stream) {
             Ok(length) => length == 0,
@@ -87,29 +87,29 @@
         ended || matches!(polled, Poll::Ready(Ok(ready)) if ready.is_read_closed())
     }
 
-    /// Whether the client is connected and nothing is unread: no bytes, no end, no reset. The socket shows that at once,
-    /// where `is_closed` may have to wait for the next poll to notice an end behind unread bytes.
+    /// Whether the client is connected and nothing is unread: no bytes, no FIN, no reset. The socket shows that at
+    /// once, whereas `is_closed` may notice a FIN behind unread bytes only after the runtime's next poll.
     pub fn has_nothing_unread(&self) -> bool {
         peek(&self.0.stream) == Err(IoFailure::NotReady)
     }
 
-    /// Whether the client is surely connected, or was within the last moment: nothing is unread that could hide its end,
-    /// or it was seen since.
+    /// Whether the client is connected for certain, or was a moment ago (`MAX_LAST_SEEN_AGE`): either nothing is unread
+    /// that could hide a FIN, or the client was seen recently.
     pub fn is_known_connected(&self) -> bool {
         !self.is_closed() && (self.has_nothing_unread() || self.was_seen_recently())
     }
 
-    /// Whether the client was seen within the last moment.
+    /// Whether the client was seen within `MAX_LAST_SEEN_AGE`.
     pub fn was_seen_recently(&self) -> bool {
-        self.0.last_seen.is_within(RECENT, Instant::now())
+        self.0.last_seen.is_within(MAX_LAST_SEEN_AGE, Instant::now())
     }
 
-    /// Waits until the client was seen just now, or has closed its connection. Where unread bytes hide that, whoever
-    /// reads from the connection has to take part, see [`Self::wait_for_verification_request`].
+    /// Waits until the client was seen recently or has closed its connection. While unread bytes hide that, the task
+    /// that reads from the connection has to take part, see [`Self::wait_for_verification_request`].
     pub async fn wait_until_verified(&self) {
         while !self.is_closed() && !self.was_seen_recently() {
             if self.has_nothing_unread() {
-                self.observe_quiet().await;
+                self.wait_for_quiet().await;
             } else {
                 let done = self.0.verification_done.notified();
                 self.0.verification_wanted.notify_one();
@@ -118,21 +118,21 @@
         }
     }
 
-    /// Waits for as long as an empty socket has to stay so to show that its client is connected.
-    async fn observe_quiet(&self) {
-        let bytes_read = self.0.last_seen.bytes_read_in_all();
+    /// Waits for [`QUIET_TIME`]; if the socket stayed empty, records the client as seen.
+    async fn wait_for_quiet(&self) {
+        let bytes_read = self.0.last_seen.total_bytes_read();
         sleep(QUIET_TIME).await;
-        if self.has_nothing_unread() && self.0.last_seen.bytes_read_in_all() == bytes_read {
-            self.0.last_seen.socket_quiet(Instant::now());
+        if self.has_nothing_unread() && self.0.last_seen.total_bytes_read() == bytes_read {
+            self.0.last_seen.record_socket_quiet(Instant::now());
         }
     }
 
-    /// Waits until somebody needs to know whether the client is connected, and unread bytes hide it.
+    /// Waits until an attempt needs to know whether the client is connected while unread bytes hide it.
     pub async fn wait_for_verification_request(&self) {
         self.0.verification_wanted.notified().await;
     }
 
-    /// Notifies those who wait that the connection was read on.
+    /// Notifies the waiting attempts that more of the connection has been read.
     pub fn notify_verification_done(&self) {
         self.0.verification_done.notify_waiters();
     }
--- a/crates/sidecar/src/client_liveness/last_seen.rs
+++ b/crates/sidecar/src/client_liveness/last_seen.rs
@@ -1,100 +1,107 @@
-//! When a client was surely connected, by what was read from its connection.
+//! When a client was last known to be connected, derived from the reads on its connection.
 //!
-//! All that a client has sent is here once its socket stays empty for a moment after a read: its system has nothing left
-//! that waits for room in the receive window, so an end would be here as well. An empty socket alone tells less, as a
-//! read that makes room lets more come.
+//! If a socket stays empty for a moment after a read, everything that the client has sent has been received: the
+//! client's kernel has no data left that waits for room in the receive window, so a FIN would have been received as
+//! well. A socket that is empty just after a read proves less, as the read makes room for more data.
 
 use std::cell::Cell;
 use std::time::Duration;
 use tokio::time::Instant;
 
-/// A socket that was empty for so long held nothing back: a multiple of the round trip to a client on the same machine,
-/// and of the unit in which the system tells when data came.
+/// A socket that was empty for this long had no data waiting for room in the receive window. It is a multiple of the
+/// round trip to a client on the same machine, and of the granularity of the kernel's receive times.
 const MIN_QUIET_SPAN: Duration = Duration::from_millis(10);
-/// Fewer bytes than this in [`MIN_QUIET_SPAN`] are not what was held back: that would be as much as the window has room for.
-const QUIET_BYTES: usize = 32 << 10;
+/// Fewer bytes than this, received within [`MIN_QUIET_SPAN`], were not waiting for room in the receive window: a client
+/// with waiting data sends as much as the window has room for.
+const MIN_BLOCKED_BYTES: usize = 32 << 10;
 
-/// When a client was surely connected.
+/// When a client was last known to be connected.
 pub struct LastSeen {
-    at: Cell<Option<Instant>>,
-    /// Since when it is known what came; none at the start of a request, before which nothing was held back.
-    empty_since: Cell<Option<Instant>>,
-    /// Bytes that were read since.
-    read_since: Cell<usize>,
-    /// The socket was empty when it was last read.
+    last_seen_at: Cell<Option<Instant>>,
+    /// The start of the current span of observation, when the socket was empty. `None` at the start of a request,
+    /// before which no data was waiting for room in the receive window.
+    span_start: Cell<Option<Instant>>,
+    /// Bytes read since the start of the span.
+    read_in_span: Cell<usize>,
+    /// Whether the socket was empty at the last read.
     is_empty: Cell<bool>,
-    /// Bytes that were ever read.
-    bytes_read: Cell<u64>,
+    /// All bytes read from the connection.
+    total_bytes_read: Cell<u64>,
 }
 
 impl Default for LastSeen {
-    /// A client whose connection was just accepted, at whatever time it was made.
+    /// The state for a connection that was just accepted, whenever it was established.
     fn default() -> Self {
         Self {
-            at: Cell::default(),
-            empty_since: Cell::default(),
-            read_since: Cell::default(),
+            last_seen_at: Cell::default(),
+            span_start: Cell::default(),
+            read_in_span: Cell::default(),
             is_empty: Cell::new(true),
-            bytes_read: Cell::default(),
+            total_bytes_read: Cell::default(),
         }
     }
 }
 
 impl LastSeen {
-    /// Whether the client was connected at some time within the last `span`.
+    /// Whether the client is known to have been connected at some time within the last `span`.
     pub fn is_within(&self, span: Duration, now: Instant) -> bool {
-        self.at.get().is_some_and(|at| now.saturating_duration_since(at) <= span)
+        self.last_seen_at.get().is_some_and(|at| now.saturating_duration_since(at) <= span)
     }
 
-    /// How many bytes were ever read.
-    pub fn bytes_read_in_all(&self) -> u64 {
-        self.bytes_read.get()
+    /// The number of all bytes read from the connection.
+    pub fn total_bytes_read(&self) -> u64 {
+        self.total_bytes_read.get()
     }
 
-    /// Records that the client was sent its answer: it sends the next request from now on.
-    pub fn request_begins(&self, now: Instant) {
-        self.at.set(Some(now));
-        self.empty_since.set(None);
-        self.read_since.set(0);
+    /// Records that the response was sent to the client, which may send its next request from now on.
+    pub fn record_response_sent(&self, now: Instant) {
+        self.last_seen_at.set(Some(now));
+        self.span_start.set(None);
+        self.read_in_span.set(0);
         self.is_empty.set(true);
     }
 
     /// Records that the socket is empty.
-    pub fn socket_empty(&self, now: Instant) {
+    pub fn record_socket_empty(&self, now: Instant) {
         self.is_empty.set(true);
-        let is_quiet = self.empty_since.get().is_none_or(|since| now >= since + MIN_QUIET_SPAN);
-        if !is_quiet {
+        let span_is_over = self.span_start.get().is_none_or(|since| now >= since + MIN_QUIET_SPAN);
+        if !span_is_over {
             return;
         }
-        if self.read_since.get() < QUIET_BYTES {
-            self.at.set(Some(now));
+        if self.read_in_span.get() < MIN_BLOCKED_BYTES {
+            self.last_seen_at.set(Some(now));
         }
-        self.empty_since.set(Some(now));
-        self.read_since.set(0);
+        self.span_start.set(Some(now));
+        self.read_in_span.set(0);
     }
 
-    /// Records that the socket stayed empty for long enough to hold nothing back.
-    pub fn socket_quiet(&self, now: Instant) {
-        self.at.set(Some(now));
-        self.empty_since.set(Some(now));
-        self.read_since.set(0);
+    /// Records that the socket stayed empty for long enough to show that no data was waiting for room in the receive
+    /// window.
+    pub fn record_socket_quiet(&self, now: Instant) {
+        self.last_seen_at.set(Some(now));
+        self.span_start.set(Some(now));
+        self.read_in_span.set(0);
         self.is_empty.set(true);
     }
 
-    /// Records that so many bytes were read. Where more may be unread, `age` tells how long ago the last ones came.
-    pub fn bytes_read(&self, length: usize, age: impl FnOnce() -> Option<Duration>, now: Instant) {
-        self.bytes_read.set(self.bytes_read.get() + length as u64);
+    /// Records that `length` bytes were read. If more may be unread, `age` tells how long ago the last ones were
+    /// received.
+    pub fn record_bytes_read(&self, length: usize, age: impl FnOnce() -> Option<Duration>, now: Instant) {
+        self.total_bytes_read.set(self.total_bytes_read.get() + length as u64);
         let was_empty = self.is_empty.replace(false);
-        let before = self.read_since.replace(self.read_since.get() + length);
-        // What came after a quiet time was not held back before.
-        if !was_empty || before >= QUIET_BYTES {
+        let read_before = self.read_in_span.replace(self.read_in_span.get() + length);
+        // Data received after a quiet span was not waiting for room before, so the client was connected when it
+        // arrived.
+        if !was_empty || read_before >= MIN_BLOCKED_BYTES {
             return;
         }
-        let came = age().and_then(|age| now.checked_sub(age));
-        let is_after_quiet =
-            |came: &Instant| self.empty_since.get().is_none_or(|since| *came >= since + MIN_QUIET_SPAN);
-        if let Some(came) = came.filter(is_after_quiet) {
-            self.at.set(Some(self.at.get().map_or(came, |at| at.max(came))));
+        let received_at = age().and_then(|age| now.checked_sub(age));
+        let is_after_quiet = |received_at: &Instant| {
+            self.span_start.get().is_none_or(|since| *received_at >= since + MIN_QUIET_SPAN)
+        };
+        if let Some(received_at) = received_at.filter(is_after_quiet) {
+            self.last_seen_at
+                .set(Some(self.last_seen_at.get().map_or(received_at, |at| at.max(received_at))));
         }
     }
 }
--- a/crates/sidecar/src/connection.rs
+++ b/crates/sidecar/src/connection.rs
@@ -1,5 +1,5 @@
-//! HTTP/1.1 connections that carry one request at a time. Whoever uses a connection drives it, so that cancelling an
-//! attempt (dropping its future) closes the connection, and nothing is written after that.
+//! HTTP/1.1 connections that carry one request at a time. No task drives a connection in the background; its user polls
+//! it. Cancelling an attempt (dropping its future) therefore closes the connection, and nothing is written after that.
 
 use crate::body::RequestBody;
 use crate::client_liveness::peek;
@@ -23,23 +23,24 @@
 use tokio::io::{AsyncRead, AsyncWrite, ReadBuf};
 use tokio::net::{TcpSocket, TcpStream};
 
-/// Longest head of an answer.
-const MAX_HEAD_BYTES: usize = 16 << 10;
+/// Maximum length of a response head, in bytes.
+const MAX_RESPONSE_HEAD_BYTES: usize = 16 << 10;
 
-/// A socket that records the progress of a request, and that can be examined while hyper owns it.
+/// A socket that writes a request only while the send is permitted, and records the request's progress. It can be
+/// examined while hyper owns it.
 struct GatedStream {
     stream: Rc<TcpStream>,
     progress: Rc<RefCell<WriteProgress>>,
-    /// The peer has closed or reset it.
+    /// Whether the peer has closed or reset the connection.
     broken: Rc<Cell<bool>>,
 }
 
 impl GatedStream {
-    /// Ready if the call is to be retried now.
+    /// Ready if the call is to be retried now, or has failed with a final error.
     fn poll_retry(&self, error: io::Error, cx: &mut Context<'_>) -> Poll<io::Result<()>> {
         match IoFailure::of(&error) {
             IoFailure::NotReady | IoFailure::Interrupted => Poll::Ready(Ok(())),
-            // Retried on the next turn of the runtime; the caller bounds the time.
+            // Retried at the task's next poll; the caller limits the time.
             IoFailure::Shortage => {
                 cx.waker().wake_by_ref();
                 Poll::Pending
@@ -59,7 +60,7 @@
             match self.stream.try_read(buf.initialize_unfilled()) {
                 Ok(length) => {
                     self.broken.set(length == 0);
-                    // The end of the connection is not part of an answer.
+                    // The end of the stream is not part of a response.
                     if length > 0 {
                         self.progress.borrow().record_received();
                     }
@@ -78,7 +79,7 @@
             ready!(self.stream.poll_write_ready(cx))?;
             // This is the only place where requests are written.
             if !self.progress.borrow().may_write() {
-                return Poll::Ready(Err(io::Error::other("the send was denied")));
+                return Poll::Ready(Err(io::Error::other("the send is not permitted any more")));
             }
             match self.stream.try_write(buf) {
                 Ok(length) => {
@@ -99,12 +100,12 @@
     }
 }
 
-/// A socket to connect with. Fails if no descriptor is free.
+/// Creates a socket to connect to that address. Fails if no descriptor is free.
 pub fn socket_for(address: SocketAddr) -> io::Result<TcpSocket> {
     if address.is_ipv4() { TcpSocket::new_v4() } else { TcpSocket::new_v6() }
 }
 
-/// The connection ended without an answer.
+/// The connection ended without a response.
 #[derive(Debug)]
 pub struct ConnectionLost;
 
@@ -127,13 +128,13 @@
 }
 
 impl Connection {
-    /// Connects; the caller bounds the time.
+    /// Connects; the caller limits the time.
     pub async fn open(address: SocketAddr) -> io::Result<Self> {
-        Self::over(socket_for(address)?, address).await
+        Self::connect_with(socket_for(address)?, address).await
     }
 
-    /// Connects over that socket; the caller bounds the time.
-    pub async fn over(socket: TcpSocket, address: SocketAddr) -> io::Result<Self> {
+    /// Connects with that socket; the caller limits the time.
+    pub async fn connect_with(socket: TcpSocket, address: SocketAddr) -> io::Result<Self> {
         let stream = Rc::new(socket.connect(address).await?);
         stream.set_nodelay(true)?;
         let progress = Rc::new(RefCell::new(WriteProgress::default()));
@@ -143,29 +144,30 @@
             progress: Rc::clone(&progress),
             broken: Rc::clone(&broken),
         };
-        let handshake = http1::Builder::new().max_buf_size(MAX_HEAD_BYTES).handshake(TokioIo::new(gated));
+        let handshake =
+            http1::Builder::new().max_buf_size(MAX_RESPONSE_HEAD_BYTES).handshake(TokioIo::new(gated));
         let (sender, driver) = handshake.await.map_err(io::Error::other)?;
         Ok(Self { sender, driver, ended: false, stream, progress, broken })
     }
 
-    /// Whether a request may be written: the peer has neither closed it nor sent anything unasked. Asks the socket itself,
-    /// as the runtime may not have polled its end yet.
+    /// Whether a request may be written: the peer has neither closed the connection nor sent unexpected bytes. Checks
+    /// the socket itself, as the runtime may not have polled a close yet.
     pub fn usable(&self) -> bool {
         !self.ended && peek(&self.stream) == Err(IoFailure::NotReady)
     }
 
-    /// Whether the peer has closed or reset it.
+    /// Whether the peer has closed or reset the connection.
     pub fn is_broken(&self) -> bool {
         self.broken.get()
     }
 
-    /// The outcome of a request that was written and got no usable answer: the connection broke, or the answer is
-    /// invalid. An endpoint that sends an invalid answer has not lost its process.
+    /// The outcome of a request that was written and got no usable response: the connection was lost, or the response
+    /// is invalid. An invalid response does not mean that the endpoint's process has ended.
     pub fn failure(&self) -> Outcome {
         if self.broken.get() { Outcome::Reset } else { Outcome::Error }
     }
 
-    /// Sends a request and waits for the head of its answer.
+    /// Sends a request and waits for the head of its response.
     pub async fn request(
         &mut self,
         request: Request<RequestBody>,
@@ -173,18 +175,18 @@
     ) -> Result<Response<Incoming>, ConnectionLost> {
         *self.progress.borrow_mut() = progress;
         let Self { sender, driver, ended, .. } = self;
-        let answer = async {
+        let exchange = async {
             sender.ready().await?;
             sender.send_request(request).await
         };
-        match drive(driver, ended, answer).await {
+        match drive(driver, ended, exchange).await {
             Some(Ok(response)) => Ok(response),
             _ => Err(ConnectionLost),
         }
     }
 
-    /// Polls the driver once, so that it notices whether the last answer announced the end of the connection.
-    pub async fn turn(&mut self) {
+    /// Polls the driver once, so that it notices whether the last response announced the close of the connection.
+    pub async fn poll_driver(&mut self) {
         poll_fn(|cx| {
             self.ended = self.ended || Pin::new(&mut self.driver).poll(cx).is_ready();
             Poll::Ready(())
@@ -205,8 +207,8 @@
 ) -> Option<T> {
     let mut future = pin!(future);
     poll_fn(|cx| {
-        // Polled before and after the driver: the future passes the request to the driver first, and an answer that
-        // came with the end of the connection still counts.
+        // Polled before and after the driver: the future passes the request to the driver first, and a response that
+        // arrived together with the end of the connection still counts.
         if let Poll::Ready(value) = future.as_mut().poll(cx) {
             return Poll::Ready(Some(value));
         }
--- a/crates/sidecar/src/connection_age.rs
+++ b/crates/sidecar/src/connection_age.rs
@@ -1,18 +1,21 @@
-//! How long ago a connection was made, and how long ago data came on it, from the system's `TCP_INFO` (see tcp(7)).
+//! How long ago a connection was established, and how long ago data was received on it, from the kernel's `TCP_INFO`
+//! (see tcp(7)).
 
 use std::mem::{MaybeUninit, size_of};
 use std::os::fd::AsRawFd;
 use std::time::Duration;
 use tokio::net::TcpStream;
 
-/// How long ago a connection was made on which nothing has been sent yet, as the system counts the time since the last
-/// send from the handshake. The time at which bytes were received would not do: bytes for which the buffer has no room
-/// come late, though their client wrote them earlier and waits since then. `None` where the system does not tell.
-pub fn age_of_unanswered(stream: &TcpStream) -> Option<Duration> {
+/// How long ago a connection was established on which nothing has been sent yet: the kernel counts the time since the
+/// last send from the handshake. The time since data was received would not do: bytes for which the receive buffer has
+/// no room are received late, although their client wrote them earlier and has been waiting since. `None` if the kernel
+/// does not report it.
+pub fn age_before_first_send(stream: &TcpStream) -> Option<Duration> {
     tcp_info(stream).map(|info| Duration::from_millis(u64::from(info.tcpi_last_data_sent)))
 }
 
-/// How long ago the system took the last data of a connection, in steps of its clock. `None` where it does not tell.
+/// How long ago the kernel received the last data of a connection, in ticks of its clock. `None` if it does not report
+/// that.
 pub fn age_of_received_data(stream: &TcpStream) -> Option<Duration> {
     tcp_info(stream).map(|info| Duration::from_millis(u64::from(info.tcpi_last_data_recv)))
 }
--- a/crates/sidecar/src/connection_limiter.rs
+++ b/crates/sidecar/src/connection_limiter.rs
@@ -1,8 +1,9 @@
-//! Limits the number of clients' connections, and evicts idle ones when more than half of the permits are taken.
+//! Limits the number of client connections, and evicts idle ones while more than half of the permits are in use.
 //!
-//! Half, and not all: clients may be limited to fewer connections than there are permits. Were all of theirs idle, no
-//! further one would come to show that a permit is wanted. It also keeps permits free for a sudden rush. A client that
-//! keeps more idle connections than half of the permits loses some and has to connect again.
+//! The threshold is half and not all: clients may be limited to fewer connections than there are permits. If all of
+//! theirs were idle, no further connection would arrive to show that a permit is needed. The threshold also keeps
+//! permits free for a sudden burst. A client that keeps more idle connections than half of the permits loses some and
+//! has to connect again.
 
 use std::cell::{Cell, RefCell};
 use std::collections::BTreeMap;
@@ -11,44 +12,45 @@
 use tokio::sync::Notify;
 use tokio::time::{Instant, timeout_at};
 
-/// A client sends its first request at once, so a new connection need not wait long for it.
-const NEW_GRACE: Duration = Duration::from_millis(50);
-/// The same for a connection between requests.
-const IDLE_GRACE: Duration = Duration::from_millis(100);
-/// The same for a connection whose request is being read.
-const READING_GRACE: Duration = Duration::from_millis(500);
+/// How long a new connection is safe from eviction. It need not be long, as a client sends its first request at once.
+const NEW_GRACE_PERIOD: Duration = Duration::from_millis(50);
+/// How long a connection between requests is safe from eviction.
+const IDLE_GRACE_PERIOD: Duration = Duration::from_millis(100);
+/// How long a connection whose request is being read is safe from eviction.
+const READING_GRACE_PERIOD: Duration = Duration::from_millis(500);
 
-/// Why a connection has no request that could be answered.
+/// What a connection without a complete request is waiting for.
 #[derive(Clone, Copy)]
 pub enum WaitState {
-    /// It was just accepted.
+    /// The connection was just accepted, and waits for its first request.
     New,
-    /// It has carried requests, and waits for the next one.
+    /// The connection has carried requests, and waits for the next one.
     Used,
-    /// Its request is being read.
+    /// The request is being read.
     ReadingRequest,
 }
 
 impl WaitState {
     /// How long the connection is safe from eviction.
-    fn grace(self) -> Duration {
+    fn grace_period(self) -> Duration {
         match self {
-            Self::New => NEW_GRACE,
-            Self::Used => IDLE_GRACE,
-            Self::ReadingRequest => READING_GRACE,
+            Self::New => NEW_GRACE_PERIOD,
+            Self::Used => IDLE_GRACE_PERIOD,
+            Self::ReadingRequest => READING_GRACE_PERIOD,
         }
     }
 }
 
-/// The permits for clients' connections.
+/// The permits for client connections.
 pub struct ConnectionLimiter {
     permits: usize,
-    taken: Cell<usize>,
+    in_use: Cell<usize>,
     /// Connections that were asked to close and still hold their permits.
     closing: Cell<usize>,
-    /// Connections that may be evicted, by the time from which on they may.
+    /// Connections that may be evicted, ordered by the time from which they may be.
     evictable: RefCell<BTreeMap<(Instant, u64), Rc<Notify>>>,
     released: Notify,
+    /// Notified when [`Self::evict_above_threshold`] has to look again.
     changed: Notify,
     last_number: Cell<u64>,
 }
@@ -71,7 +73,7 @@
     pub fn new(permits: usize) -> Rc<Self> {
         Rc::new(Self {
             permits,
-            taken: Cell::new(0),
+            in_use: Cell::new(0),
             closing: Cell::new(0),
             evictable: RefCell::default(),
             released: Notify::new(),
@@ -82,22 +84,22 @@
 
     /// Waits for a permit.
     pub async fn acquire(self: &Rc<Self>) -> ConnectionPermit {
-        while self.taken.get() >= self.permits {
+        while self.in_use.get() >= self.permits {
             self.released.notified().await;
         }
-        self.taken.set(self.taken.get() + 1);
+        self.in_use.set(self.in_use.get() + 1);
         self.last_number.set(self.last_number.get() + 1);
         self.changed.notify_one();
         ConnectionPermit { limiter: Rc::clone(self), number: self.last_number.get() }
     }
 
-    /// While more than half of the permits are taken, evicts connections whose grace has ended, the longest over it
-    /// first, and no more than needed. Never returns.
-    pub async fn evict_when_crowded(self: Rc<Self>) {
+    /// While more than half of the permits are in use, evicts connections whose grace period has ended, those whose
+    /// period ended first before others, and no more than needed. Never returns.
+    pub async fn evict_above_threshold(self: Rc<Self>) {
         loop {
-            let crowded = self.taken.get() - self.closing.get() > self.permits / 2;
+            let above_threshold = self.in_use.get() - self.closing.get() > self.permits / 2;
             let first = self.evictable.borrow().first_key_value().map(|((from, _), _)| *from);
-            match first.filter(|_| crowded) {
+            match first.filter(|_| above_threshold) {
                 Some(from) if from <= Instant::now() => self.evict_first(),
                 Some(from) => drop(timeout_at(from, self.changed.notified()).await),
                 None => self.changed.notified().await,
@@ -114,9 +116,9 @@
 }
 
 impl ConnectionPermit {
-    /// Marks the connection as evictable once the grace of its state has ended.
+    /// Marks the connection as evictable once the grace period of its state has ended.
     pub fn evictable(&self, state: WaitState) -> EvictableConnection<'_> {
-        let from = Instant::now() + state.grace();
+        let from = Instant::now() + state.grace_period();
         let evict = Rc::new(Notify::new());
         self.limiter.evictable.borrow_mut().insert((from, self.number), Rc::clone(&evict));
         self.limiter.changed.notify_one();
@@ -135,7 +137,8 @@
     fn drop(&mut self) {
         let limiter = &self.permit.limiter;
         if limiter.evictable.borrow_mut().remove(&(self.from, self.permit.number)).is_none() {
-            // Evicted, but its request has come after all: it stays, and another has to be evicted in its place.
+            // Evicted, but its request has arrived after all: the connection stays, and another has to be evicted in
+            // its place.
             limiter.closing.set(limiter.closing.get() - 1);
         }
         limiter.changed.notify_one();
@@ -144,7 +147,7 @@
 
 impl Drop for ConnectionPermit {
     fn drop(&mut self) {
-        self.limiter.taken.set(self.limiter.taken.get() - 1);
+        self.limiter.in_use.set(self.limiter.in_use.get() - 1);
         self.limiter.released.notify_one();
     }
 }
--- a/crates/sidecar/src/idle_bound.rs
+++ b/crates/sidecar/src/idle_bound.rs
@@ -1,30 +1,31 @@
-//! Learns how long an idle connection may be trusted, from the settings and from connections that broke when they were
-//! reused.
+//! An adaptive idle timeout: determines how long an idle connection may be reused, from the settings and from
+//! connections that were lost when they were reused.
 //!
-//! Endpoints, and what lies on the way to them, may silently drop idle connections sooner than agreed; the next request
-//! then ends as a reset, after which it may have run. The same helps against any short memory of connections on the way
-//! (address translation, a proxy, changed settings of an endpoint). It does harm where one endpoint alone drops them
-//! early: all are then dialled more often, and each dial costs a handshake.
+//! Endpoints, and devices on the path to them, may silently drop idle connections sooner than the settings say; the
+//! next request then ends with a reset, after which it may have run. The adaptive timeout covers anything that forgets
+//! idle connections early (address translation, a proxy, changed settings of an endpoint). It does harm if a single
+//! endpoint drops them early: connections to all endpoints are then dialled more often, and each dial costs a
+//! handshake.
 
 use std::time::Duration;
 use tokio::time::Instant;
 
 /// The end of the first range of idle ages, in seconds.
 const FIRST_RANGE_SECONDS: f64 = 0.005;
-/// Each further range is longer by this factor.
+/// Factor between the ends of one range and the next.
 const RANGE_FACTOR: f64 = 1.25;
 /// The number of ranges.
 const RANGES: usize = 48;
-/// A range remembers about so many of its last uses.
+/// Approximate number of recent uses that a range remembers.
 const MAX_USES: u32 = 32;
-/// Connections that have to be lost before an age counts as too old: networks break connections of any age.
+/// Minimum number of lost connections for an age to count as too old: networks break connections of any age.
 const MIN_LOST: u32 = 4;
-/// More than one in so many used connections have to be lost, as chance may break some in a row.
-const LOST_SHARE: u32 = 4;
-/// By how much higher than among new connections the share of lost ones has to be.
+/// More than one in this many used connections has to be lost, as several in a row may break by chance.
+const LOST_DIVISOR: u32 = 4;
+/// The share of lost connections has to exceed that among new connections by this factor.
 const MIN_RATIO_TO_NEW: u32 = 2;
-/// With none lost for so long, the bound moves up by a range: whatever dropped connections may have stopped.
-const WIDEN_INTERVAL: Duration = Duration::from_secs(10);
+/// If no connection is lost for this long, the timeout rises by one range, as the cause of the losses may be gone.
+const RAISE_INTERVAL: Duration = Duration::from_secs(10);
 
 /// Uses of connections of similar idle age.
 #[derive(Clone, Copy, Default)]
@@ -42,13 +43,13 @@
     }
 
     fn many_lost(self) -> bool {
-        self.lost >= MIN_LOST && self.lost * LOST_SHARE > self.used
+        self.lost >= MIN_LOST && self.lost * LOST_DIVISOR > self.used
     }
 }
 
 /// The idle age up to which connections are reused.
-pub struct IdleBound {
-    agreed: Duration,
+pub struct AdaptiveIdleTimeout {
+    configured: Duration,
     uses: [Uses; RANGES],
     new: Uses,
     /// The first range that is too old, and since when that is so.
@@ -56,30 +57,36 @@
     since: Instant,
 }
 
-impl IdleBound {
-    /// Trusts connections for the agreed time, until their use shows otherwise.
-    pub fn new(agreed: Duration, now: Instant) -> Self {
-        Self { agreed, uses: [Uses::default(); RANGES], new: Uses::default(), too_old: RANGES, since: now }
+impl AdaptiveIdleTimeout {
+    /// Starts with the configured time, until the use of connections shows that it is too long.
+    pub fn new(configured: Duration, now: Instant) -> Self {
+        Self {
+            configured,
+            uses: [Uses::default(); RANGES],
+            new: Uses::default(),
+            too_old: RANGES,
+            since: now,
+        }
     }
 
-    /// The current bound.
+    /// The current timeout.
     pub fn get(&mut self, now: Instant) -> Duration {
-        if self.too_old < RANGES && now.saturating_duration_since(self.since) >= WIDEN_INTERVAL {
+        if self.too_old < RANGES && now.saturating_duration_since(self.since) >= RAISE_INTERVAL {
             (self.too_old, self.since) = (self.too_old + 1, now);
         }
         if self.too_old == RANGES {
-            return self.agreed;
+            return self.configured;
         }
-        let bound = FIRST_RANGE_SECONDS * RANGE_FACTOR.powi(self.too_old as i32 - 1);
-        Duration::from_secs_f64(bound).min(self.agreed)
+        let timeout = FIRST_RANGE_SECONDS * RANGE_FACTOR.powi(self.too_old as i32 - 1);
+        Duration::from_secs_f64(timeout).min(self.configured)
     }
 
-    /// Records whether a new connection was lost before any byte of an answer.
+    /// Records whether a new connection was lost before any byte of a response.
     pub fn record_new(&mut self, lost: bool) {
         self.new.add(lost);
     }
 
-    /// Records the same of a connection that had been idle for that time.
+    /// Records the same for a connection that had been idle for that time.
     pub fn record_reused(&mut self, now: Instant, idle: Duration, lost: bool) {
         let range = range_of(idle);
         self.uses[range].add(lost);
@@ -88,7 +95,7 @@
             used: sum.used + uses.used,
             lost: sum.lost + uses.lost,
         });
-        // Where new ones are lost as well, age is not the cause.
+        // If new connections are lost as well, age is not the cause.
         let lost_of_older = older.lost * self.new.used.max(1);
         let lost_of_new = self.new.lost * older.used;
         let by_age = lost_of_older > MIN_RATIO_TO_NEW * lost_of_new;
--- a/crates/sidecar/src/idle_bound/tests.rs
+++ b/crates/sidecar/src/idle_bound/tests.rs
@@ -1,50 +1,50 @@
 use super::*;
 
-const AGREED: Duration = Duration::from_secs(8);
+const CONFIGURED: Duration = Duration::from_secs(8);
 const MS: Duration = Duration::from_millis(1);
 
-fn bound() -> (IdleBound, Instant) {
+fn configured_timeout() -> (AdaptiveIdleTimeout, Instant) {
     let now = Instant::now();
-    (IdleBound::new(AGREED, now), now)
+    (AdaptiveIdleTimeout::new(CONFIGURED, now), now)
 }
 
 #[test]
-fn idle_bound_falls_to_the_age_of_losses_and_widens_again() {
-    let (mut bound, now) = bound();
+fn idle_timeout_falls_to_the_age_of_losses_and_rises_again() {
+    let (mut timeout, now) = configured_timeout();
     for _ in 0..20 {
-        bound.record_new(false);
-        bound.record_reused(now, 40 * MS, false);
-        bound.record_reused(now, 150 * MS, true);
+        timeout.record_new(false);
+        timeout.record_reused(now, 40 * MS, false);
+        timeout.record_reused(now, 150 * MS, true);
     }
-    let learnt = bound.get(now);
-    assert!(learnt > 40 * MS && learnt <= 150 * MS, "{learnt:?}");
-    let later = now + WIDEN_INTERVAL;
-    let wider = bound.get(later);
-    assert!(wider > learnt && wider < learnt * 2, "{wider:?}");
-    // Further losses at this age lower the bound at once; without any it widens up to the agreed time.
+    let lowered = timeout.get(now);
+    assert!(lowered > 40 * MS && lowered <= 150 * MS, "{lowered:?}");
+    let later = now + RAISE_INTERVAL;
+    let higher = timeout.get(later);
+    assert!(higher > lowered && higher < lowered * 2, "{higher:?}");
+    // Further losses at this age lower the timeout at once; without any it rises up to the configured time.
     for _ in 0..MIN_LOST {
-        bound.record_reused(later, 150 * MS, true);
+        timeout.record_reused(later, 150 * MS, true);
     }
-    assert!(bound.get(later) <= 150 * MS);
+    assert!(timeout.get(later) <= 150 * MS);
     for step in 2..100 {
-        bound.get(now + WIDEN_INTERVAL * step);
+        timeout.get(now + RAISE_INTERVAL * step);
     }
-    assert_eq!(bound.get(now + WIDEN_INTERVAL * 100), AGREED);
+    assert_eq!(timeout.get(now + RAISE_INTERVAL * 100), CONFIGURED);
 }
 
 // A network that breaks one connection in ten does so whatever their age.
 #[test]
-fn losses_unrelated_to_age_leave_idle_bound_unchanged() {
-    let (mut bound, now) = bound();
+fn losses_unrelated_to_age_leave_idle_timeout_unchanged() {
+    let (mut timeout, now) = configured_timeout();
     for n in 0..1000 {
-        bound.record_reused(now, 20 * MS, n % 10 == 0);
-        bound.record_reused(now, 200 * MS, n % 10 == 0);
+        timeout.record_reused(now, 20 * MS, n % 10 == 0);
+        timeout.record_reused(now, 200 * MS, n % 10 == 0);
     }
-    assert_eq!(bound.get(now), AGREED);
+    assert_eq!(timeout.get(now), CONFIGURED);
     for n in 0..1000 {
-        bound.record_new(n % 2 == 0);
-        bound.record_reused(now, 20 * MS, n % 2 == 0);
-        bound.record_reused(now, 200 * MS, n % 2 == 0);
+        timeout.record_new(n % 2 == 0);
+        timeout.record_reused(now, 20 * MS, n % 2 == 0);
+        timeout.record_reused(now, 200 * MS, n % 2 == 0);
     }
-    assert_eq!(bound.get(now), AGREED);
+    assert_eq!(timeout.get(now), CONFIGURED);
 }
--- a/crates/sidecar/src/inbound.rs
+++ b/crates/sidecar/src/inbound.rs
@@ -1,5 +1,5 @@
-//! Serves clients' connections: accepts them, reads one request at a time from each, submits it to the engine and writes
-//! its answer. Every wait on a client is bounded, so that none can hold a place for long.
+//! Serves client connections: accepts them, reads one request at a time from each, submits it to the engine and writes
+//! the response. Every wait for a client has a time limit, so that no client can hold a connection permit for long.
 
 mod accept;
 mod await_request;
--- a/crates/sidecar/src/inbound/accept.rs
+++ b/crates/sidecar/src/inbound/accept.rs
@@ -1,9 +1,9 @@
-//! Accepts clients' connections, until the sidecar stops accepting.
+//! Accepts client connections until the sidecar stops accepting.
 
 use super::connection::serve_connection;
 use super::shared::InboundContext;
 use super::timing::SOCKET_POLL_TIME;
-use crate::connection_age::age_of_unanswered;
+use crate::connection_age::age_before_first_send;
 use crate::connection_limiter::ConnectionLimiter;
 use crate::io_failure::{IoFailure, RESOURCE_PAUSE};
 use crate::log::{ThrottledLog, log_line};
@@ -19,37 +19,42 @@
 use tokio::task::spawn_local;
 use tokio::time::{Instant, sleep, timeout};
 
-/// Connections that the system may queue until they are accepted.
+/// Length of the kernel's queue of connections that have not been accepted yet.
 const BACKLOG: u32 = 1024;
-/// At the end of accepting, how long accepts may fail before the rest of the queue is given up.
-const MAX_SHORTAGE: Duration = Duration::from_secs(1);
-/// Least time between two log lines about failed accepts.
-const FAILURE_LOG_SPACING: Duration = Duration::from_secs(60);
+/// How long accepts may keep failing while the queue is drained, before the rest of the queue is abandoned.
+const MAX_DRAIN_FAILURE_TIME: Duration = Duration::from_secs(1);
+/// Minimum time between two log lines about failed accepts.
+const FAILURE_LOG_INTERVAL: Duration = Duration::from_secs(60);
 
 /// Binds the address that clients connect to.
 pub fn bind(address: SocketAddr) -> io::Result<TcpListener> {
     let socket = if address.is_ipv4() { TcpSocket::new_v4() } else { TcpSocket::new_v6() }?;
-    // A restart must not wait for the connections of the process before it.
+    // Allows a restarted process to bind while connections of its predecessor are still closing.
     socket.set_reuseaddr(true)?;
     socket.bind(address)?;
     socket.listen(BACKLOG)
 }
 
-/// Accepts and serves up to `clients` connections at a time. Of a shared socket, other processes accept what is queued
-/// at the end.
-pub async fn accept(listener: TcpListener, shared_socket: bool, clients: usize, context: Rc<InboundContext>) {
-    let limiter = ConnectionLimiter::new(clients);
-    spawn_local(Rc::clone(&limiter).evict_when_crowded());
+/// Accepts and serves up to `max_connections` connections at a time, until the sidecar stops accepting. Connections
+/// that are still queued then are served as well, unless the socket is shared: then other processes accept them.
+pub async fn accept(
+    listener: TcpListener,
+    shared_socket: bool,
+    max_connections: usize,
+    context: Rc<InboundContext>,
+) {
+    let limiter = ConnectionLimiter::new(max_connections);
+    spawn_local(Rc::clone(&limiter).evict_above_threshold());
     let mut service = context.service.clone();
     let stopped =
         async move { service.wait_for(|state| *state >= ServiceState::NotAccepting).await.map(drop) };
     let mut stopped = pin!(stopped);
-    let mut failure_log = ThrottledLog::new(FAILURE_LOG_SPACING);
+    let mut failure_log = ThrottledLog::new(FAILURE_LOG_INTERVAL);
     if shared_socket {
-        // The runtime has not polled the socket yet, and would take it for empty.
+        // Until the runtime has polled the socket, it reports the queue as empty.
         sleep(SOCKET_POLL_TIME).await;
     }
-    let mut queue = Queue { listener, empty_at: Instant::now(), may_hold_older: shared_socket };
+    let mut queue = AcceptQueue { listener, empty_at: Instant::now(), may_hold_older: shared_socket };
     loop {
         let accepted = tokio::select! {
             biased;
@@ -71,21 +76,21 @@
     }
 }
 
-/// The system's queue of connections that are not accepted yet.
-struct Queue {
+/// The kernel's queue of connections that have not been accepted yet.
+struct AcceptQueue {
     listener: TcpListener,
-    /// When it was last empty: no connection accepted since came before that.
+    /// When the queue was last seen empty: connections accepted since then were established after this time.
     empty_at: Instant,
-    /// It may hold connections older than this process: the socket was inherited, and was never empty since.
+    /// The queue may hold connections older than this process: the socket was inherited and has not been empty since.
     may_hold_older: bool,
 }
 
-impl Queue {
-    /// When an accepted connection was made at the earliest.
-    fn not_before(&self, stream: &TcpStream) -> Instant {
-        let age = Some(stream).filter(|_| self.may_hold_older).and_then(age_of_unanswered);
-        let made = age.and_then(|age| Instant::now().checked_sub(age));
-        made.map_or(self.empty_at, |made| made.min(self.empty_at))
+impl AcceptQueue {
+    /// The earliest time at which an accepted connection can have been established.
+    fn earliest_connect_time(&self, stream: &TcpStream) -> Instant {
+        let age = Some(stream).filter(|_| self.may_hold_older).and_then(age_before_first_send);
+        let connected_at = age.and_then(|age| Instant::now().checked_sub(age));
+        connected_at.map_or(self.empty_at, |connected_at| connected_at.min(self.empty_at))
     }
 
     /// Accepts the next connection.
@@ -93,7 +98,7 @@
         let mut empty = false;
         let accepted = poll_fn(|cx| {
             let accepted = self.listener.poll_accept(cx);
-            // A task that has used up its budget is not told what the queue holds.
+            // A task that has used up its cooperative budget gets `Pending`, whatever the queue holds.
             empty = empty || accepted.is_pending() && has_budget_remaining();
             accepted
         })
@@ -105,16 +110,16 @@
         accepted.map(|(stream, _)| stream)
     }
 
-    /// Serves an accepted connection, once there is a permit for it. Further ones wait in the system's queue meanwhile,
-    /// where they take no descriptor of this process.
+    /// Serves an accepted connection once there is a permit for it. Until then further connections wait in the kernel's
+    /// queue, where they take no descriptor of this process.
     async fn serve(&self, stream: TcpStream, limiter: &Rc<ConnectionLimiter>, context: &Rc<InboundContext>) {
-        let not_before = self.not_before(&stream);
+        let not_before = self.earliest_connect_time(&stream);
         let permit = limiter.acquire().await;
         spawn_local(serve_connection(stream, not_before, permit, Rc::clone(context)));
     }
 
-    /// Accepts what the queue holds at the end of accepting, as the clients take it for accepted. A failed accept says
-    /// nothing of the connections behind it.
+    /// Accepts the connections left in the queue when the sidecar stops accepting, as for their clients they are
+    /// already established. A failed accept says nothing about the connections behind it in the queue.
     async fn drain(&mut self, limiter: &Rc<ConnectionLimiter>, context: &Rc<InboundContext>) {
         let mut failing_since = None;
         while let Ok(accepted) = timeout(SOCKET_POLL_TIME, self.accept()).await {
@@ -125,8 +130,8 @@
                 }
                 Err(e) => {
                     let since = *failing_since.get_or_insert_with(Instant::now);
-                    if since.elapsed() > MAX_SHORTAGE {
-                        log_line!("cannot accept what still waits: {e}");
+                    if since.elapsed() > MAX_DRAIN_FAILURE_TIME {
+                        log_line!("giving up on the connections left in the accept queue: {e}");
                         return;
                     }
                     if IoFailure::of_accept(&e) == IoFailure::Shortage {
--- a/crates/sidecar/src/inbound/await_request.rs
+++ b/crates/sidecar/src/inbound/await_request.rs
@@ -8,34 +8,35 @@
 use std::time::Duration;
 use tokio::time::{Instant, sleep_until, timeout};
 
-/// While out of service, how long the first request of a new connection is waited for.
+/// How long to wait for the first request of a new connection while out of service.
 const OUT_OF_SERVICE_WAIT: Duration = Duration::from_millis(500);
 
-/// How a wait for a request ends.
-pub(super) enum Awaited<'a> {
+/// How a wait for a request ended.
+pub(super) enum WaitOutcome<'a> {
     /// The request's first byte was received.
-    Begun,
+    RequestBegun,
     /// The client has closed its connection.
     ClientClosed,
-    /// There is none, and the connection has to close. Its permit counts as given up for as long as this is held.
+    /// No request was received, and the connection has to be closed. While the contained value is held, the connection
+    /// stays marked as evictable, and no other one is evicted in its place.
     Close(EvictableConnection<'a>),
 }
 
 impl Client {
-    /// Waits for the first byte of a request. A connection that has to close, for whatever reason, is read once more, as
-    /// a request may have come. Out of service, idle connections close at once; a client that has just connected still
-    /// gets the answer to its first request.
+    /// Waits for the first byte of a request. Before a connection is closed, for whatever reason, it is read once more
+    /// in case a request has just arrived. While out of service, idle connections are closed at once; a new connection
+    /// still gets the response to its first request.
     pub(super) async fn await_request<'a>(
         &mut self,
         permit: &'a ConnectionPermit,
-        new: bool,
+        is_new: bool,
         mut until: Instant,
         context: &InboundContext,
-    ) -> Awaited<'a> {
-        if !self.unread.is_empty() {
-            return Awaited::Begun;
+    ) -> WaitOutcome<'a> {
+        if !self.unparsed.is_empty() {
+            return WaitOutcome::RequestBegun;
         }
-        let evictable = permit.evictable(if new { WaitState::New } else { WaitState::Used });
+        let evictable = permit.evictable(if is_new { WaitState::New } else { WaitState::Used });
         let mut service = context.service.clone();
         let mut serving = *service.borrow_and_update() == ServiceState::Serving;
         if !serving {
@@ -48,7 +49,7 @@
                 () = evictable.evicted() => break None,
                 () = sleep_until(until) => break None,
                 _ = service.changed(), if serving => {
-                    if !new {
+                    if !is_new {
                         break None;
                     }
                     serving = false;
@@ -61,9 +62,9 @@
             None => timeout(SOCKET_POLL_TIME, self.fill(READ_BYTES)).await,
         };
         match read {
-            Ok(Ok(())) => Awaited::Begun,
-            Ok(Err(_)) => Awaited::ClientClosed,
-            Err(_) => Awaited::Close(evictable),
+            Ok(Ok(())) => WaitOutcome::RequestBegun,
+            Ok(Err(_)) => WaitOutcome::ClientClosed,
+            Err(_) => WaitOutcome::Close(evictable),
         }
     }
 }
--- a/crates/sidecar/src/inbound/client.rs
+++ b/crates/sidecar/src/inbound/client.rs
@@ -1,6 +1,6 @@
 //! A client's connection: reading, writing and closing.
 
-use super::timing::REQUEST_TIME;
+use super::timing::REQUEST_READ_TIMEOUT;
 use crate::body::MAX_BODY_BYTES;
 use crate::client_liveness::ClientLiveness;
 use crate::connection_age::age_of_received_data;
@@ -17,23 +17,24 @@
 use tokio::net::TcpStream;
 use tokio::time::{Instant, sleep, timeout};
 
-/// Bytes that are read at once, but for streamed bodies.
+/// Bytes requested by one read, except for streamed bodies.
 pub(super) const READ_BYTES: usize = 2 << 10;
-/// Bytes that are read at once to be dropped.
-const DROPPED_READ_BYTES: usize = 4 * READ_BYTES;
-/// Most buffers that are written at once: the head of an answer, and a chunk between its size and its end.
+/// Bytes requested by one read whose data is discarded.
+const DISCARD_READ_BYTES: usize = 4 * READ_BYTES;
+/// Maximum number of buffers in one vectored write: the head of a response, and a chunk between its size line and its
+/// line end.
 const MAX_WRITE_BUFFERS: usize = 4;
-/// After the end of what is written, how long a connection is still read: closing it with unread bytes resets it, and
-/// the client may lose an answer that it has not read yet.
+/// How long a connection is still read after its write side is shut down: closing a socket with unread bytes resets the
+/// connection, and the client may lose a response that it has not read yet.
 const LINGER_TIME: Duration = Duration::from_millis(200);
-/// How many bytes are still read then.
+/// How many bytes are read and discarded in that time.
 const LINGER_BYTES: usize = 256 << 10;
 
-/// Why a connection carries no further request.
+/// Why a request failed and its connection carries no further one.
 pub(super) enum RequestError {
-    /// The request is rejected with this status, and nothing behind it is looked at.
+    /// The request is rejected with this status, and bytes after it are ignored.
     Rejected(StatusCode),
-    /// The client has closed its connection, or does not read an answer.
+    /// The client has closed its connection, or does not read its response.
     ClientClosed,
 }
 
@@ -43,18 +44,18 @@
     }
 }
 
-/// A client's connection, and the bytes that were received and not looked at yet.
+/// A client's connection, and the received bytes that have not been parsed yet.
 pub(super) struct Client {
     pub(super) stream: Rc<TcpStream>,
     /// Whether the client is still connected.
     pub(super) liveness: ClientLiveness,
-    pub(super) unread: BytesMut,
-    /// The last byte read so far came no earlier than this, as the socket was empty then. The time that a request waited
-    /// in the socket is part of its client's time.
-    pub(super) arrived: Instant,
-    /// The end of a body was not read.
+    pub(super) unparsed: BytesMut,
+    /// Lower bound for the arrival of the last byte read: the socket was empty at this time. Deadlines count from here,
+    /// so that they include the time that a request waited in the socket.
+    pub(super) earliest_arrival: Instant,
+    /// The body of the last request was not read to its end.
     pub(super) body_unfinished: bool,
-    /// A request that was read completely, or whose body is being streamed, and whose answer has not begun.
+    /// A request that was read completely or whose body is being streamed, and whose response has not begun.
     pub(super) pending: Option<Rc<RequestLifecycle>>,
 }
 
@@ -69,43 +70,43 @@
 }
 
 impl Client {
-    /// A connection on which nothing came before `not_before`.
+    /// A connection on which no data arrived before `not_before`.
     pub(super) fn new(stream: TcpStream, not_before: Instant) -> Self {
         let stream = Rc::new(stream);
         Self {
             liveness: ClientLiveness::of(&stream),
             stream,
-            unread: BytesMut::new(),
-            arrived: not_before,
+            unparsed: BytesMut::new(),
+            earliest_arrival: not_before,
             body_unfinished: false,
             pending: None,
         }
     }
 
-    /// Reads what comes, `most` bytes of it. The end of the connection is an error.
-    pub(super) async fn fill(&mut self, most: usize) -> io::Result<()> {
-        self.unread.reserve(most);
+    /// Waits for data and reads up to `max` bytes of it. The end of the stream is an error.
+    pub(super) async fn fill(&mut self, max: usize) -> io::Result<()> {
+        self.unparsed.reserve(max);
         let last_seen = self.liveness.last_seen();
         loop {
-            match self.stream.try_read_buf(&mut (&mut self.unread).limit(most)) {
+            match self.stream.try_read_buf(&mut (&mut self.unparsed).limit(max)) {
                 Ok(0) => return Err(io::ErrorKind::UnexpectedEof.into()),
                 Ok(length) => {
-                    // More may be unread where it took all of the room.
-                    let age = || (length == most).then(|| age_of_received_data(&self.stream)).flatten();
-                    last_seen.bytes_read(length, age, Instant::now());
+                    // A read that filled the buffer may have left more bytes in the socket.
+                    let age = || (length == max).then(|| age_of_received_data(&self.stream)).flatten();
+                    last_seen.record_bytes_read(length, age, Instant::now());
                     return Ok(());
                 }
                 Err(e) if IoFailure::of(&e) == IoFailure::NotReady => {
-                    last_seen.socket_empty(Instant::now());
+                    last_seen.record_socket_empty(Instant::now());
                     self.stream.readable().await?;
-                    self.arrived = Instant::now();
+                    self.earliest_arrival = Instant::now();
                 }
                 Err(e) => wait_to_retry(e).await?,
             }
         }
     }
 
-    /// Writes some bytes.
+    /// Writes as many bytes as the socket accepts.
     pub(super) async fn write(&self, bytes: &mut impl Buf) -> io::Result<()> {
         loop {
             self.stream.writable().await?;
@@ -129,10 +130,10 @@
         Ok(())
     }
 
-    /// Closes an idle connection. What comes after the end of what is written may be a request: it is left unread, and
-    /// closing resets the connection, so that the client knows and sends it again. Nothing else is lost by that, as
-    /// clients send a request only once they have the answer before it.
-    pub(super) async fn close_unread(self) {
+    /// Closes an idle connection. Bytes that arrive after the write side is shut down may be a request. They are left
+    /// unread, so that closing resets the connection and the client knows that it may send the request again. The reset
+    /// loses no response, as clients send a request only after they have received the previous response.
+    pub(super) async fn close_idle(self) {
         let closed = async {
             SockRef::from(&*self.stream).shutdown(Shutdown::Write)?;
             loop {
@@ -143,27 +144,31 @@
                 }
             }
         };
-        // However it ends, there is nothing left to do.
+        // The connection is dropped whatever the result.
         let _ = timeout(LINGER_TIME, closed).await;
     }
 
-    /// Closes a connection after an answer that announced it. Ends what is written and lets the client read it: a reset
-    /// could take the answer with it. What comes meanwhile is no request, as the client knows.
-    pub(super) async fn close_answered(mut self) {
-        let (time, most) =
-            if self.body_unfinished { (REQUEST_TIME, MAX_BODY_BYTES) } else { (LINGER_TIME, LINGER_BYTES) };
+    /// Closes a connection after a response that announced it. Shuts down the write side and keeps reading while the
+    /// client reads the response, which a reset could make it lose. The bytes received meanwhile are discarded: as the
+    /// close was announced, the client knows that they are not taken as a request.
+    pub(super) async fn close_after_response(mut self) {
+        let (time, max_bytes) = if self.body_unfinished {
+            (REQUEST_READ_TIMEOUT, MAX_BODY_BYTES)
+        } else {
+            (LINGER_TIME, LINGER_BYTES)
+        };
         let closed = async {
             SockRef::from(&*self.stream).shutdown(Shutdown::Write)?;
-            self.unread = BytesMut::new();
-            let mut dropped = 0;
-            while dropped < most {
-                self.fill(DROPPED_READ_BYTES).await?;
-                dropped += self.unread.len();
-                self.unread.clear();
+            self.unparsed = BytesMut::new();
+            let mut discarded = 0;
+            while discarded < max_bytes {
+                self.fill(DISCARD_READ_BYTES).await?;
+                discarded += self.unparsed.len();
+                self.unparsed.clear();
             }
             io::Result::Ok(())
         };
-        // However it ends, there is nothing left to do.
+        // The connection is dropped whatever the result.
         let _ = timeout(time, closed).await;
     }
 }
--- a/crates/sidecar/src/inbound/connection.rs
+++ b/crates/sidecar/src/inbound/connection.rs
@@ -1,11 +1,11 @@
 //! Serves one client's connection, request after request.
 
-use super::await_request::Awaited;
+use super::await_request::WaitOutcome;
 use super::client::{Client, RequestError};
 use super::reply::Reply;
 use super::serve_request::ServedRequest;
 use super::shared::InboundContext;
-use super::timing::REQUEST_TIME;
+use super::timing::REQUEST_READ_TIMEOUT;
 use crate::connection_limiter::ConnectionPermit;
 use crate::metrics::{ConnectionEnd, RequestOutcome};
 use crate::service_state::ServiceState;
@@ -17,34 +17,35 @@
 /// How long a connection that has carried a request may be idle.
 const IDLE_TIME: Duration = Duration::from_secs(60);
 
-/// Serves a connection on which nothing came before `not_before`.
+/// Serves a connection on which no data arrived before `not_before`.
 pub(super) async fn serve_connection(
     stream: TcpStream,
     not_before: Instant,
     permit: ConnectionPermit,
     context: Rc<InboundContext>,
 ) {
-    // Without it an answer may wait for an acknowledgement; a failure is no reason to reject the client.
+    // Without `TCP_NODELAY` a response may be delayed until an acknowledgement arrives. A failure to set it is no
+    // reason to reject the client.
     let _ = stream.set_nodelay(true);
     let mut client = Client::new(stream, not_before);
-    let mut until = Instant::now() + REQUEST_TIME;
-    let mut new = true;
+    let mut until = Instant::now() + REQUEST_READ_TIMEOUT;
+    let mut is_new = true;
     let is_serving = || *context.service.borrow() == ServiceState::Serving;
     loop {
-        match client.await_request(&permit, new, until, &context).await {
-            Awaited::Begun => {}
-            Awaited::ClientClosed => return ConnectionEnd::ClientClosed.count(),
-            // The permit is as good as free, so no other connection has to be evicted for it.
-            Awaited::Close(_evictable) => {
+        match client.await_request(&permit, is_new, until, &context).await {
+            WaitOutcome::RequestBegun => {}
+            WaitOutcome::ClientClosed => return ConnectionEnd::ClientClosed.count(),
+            // Holding `_evictable` during the close keeps the limiter from evicting another connection as well.
+            WaitOutcome::Close(_evictable) => {
                 let end = if is_serving() { ConnectionEnd::Idle } else { ConnectionEnd::OutOfService };
                 end.count();
-                return client.close_unread().await;
+                return client.close_idle().await;
             }
         }
-        if !new {
-            until = Instant::now() + REQUEST_TIME;
+        if !is_new {
+            until = Instant::now() + REQUEST_READ_TIMEOUT;
         }
-        new = false;
+        is_new = false;
         let (keep_alive, reply) = match client.serve_request(&permit, until, &context).await {
             Ok(ServedRequest { keep_alive, reply }) => {
                 (keep_alive && !client.body_unfinished && is_serving(), reply)
@@ -60,11 +61,11 @@
         }
         if !keep_alive {
             ConnectionEnd::AfterAnswer.count();
-            return client.close_answered().await;
+            return client.close_after_response().await;
         }
-        // Clients send the next request once they have this answer.
-        client.arrived = Instant::now();
-        client.liveness.last_seen().request_begins(client.arrived);
-        until = client.arrived + IDLE_TIME;
+        // Clients send the next request only after they have received this response.
+        client.earliest_arrival = Instant::now();
+        client.liveness.last_seen().record_response_sent(client.earliest_arrival);
+        until = client.earliest_arrival + IDLE_TIME;
     }
 }
--- a/crates/sidecar/src/inbound/pace.rs
+++ b/crates/sidecar/src/inbound/pace.rs
@@ -1,47 +1,48 @@
-//! How fast clients have to send their bodies and to take their answers.
+//! Minimum rates at which clients have to send request bodies and read responses.
 
-use super::timing::REQUEST_TIME;
+use super::timing::REQUEST_READ_TIMEOUT;
 use std::time::Duration;
 use tokio::time::Instant;
 
-/// When a client that stops in the middle of a body has to be rejected, after it connected or began to send its request:
-/// 3 s, less what a delayed process may add.
-const MAX_BODY_PAUSE: Duration = Duration::from_millis(2800);
-/// Bytes a second that clients have to send or take on average. They may send 64 kB; half of that allows for the network
-/// and this process.
+/// How long a client may take for a body in addition to the time at the minimum rate. A client that stops in the middle
+/// of a body has to be rejected within 3 s of connecting or of beginning its request; the difference allows for
+/// scheduling delays of this process.
+const BODY_GRACE_TIME: Duration = Duration::from_millis(2800);
+/// Minimum average rate at which clients have to send or read. Clients are permitted to send at 64 kB/s; half of that
+/// allows for delays of the network and of this process.
 const MIN_BYTES_PER_SECOND: usize = 32_000;
 
-/// How fast a body is received.
+/// Tracks how fast a body is received.
 pub(super) struct Pace {
     began: Instant,
-    last: Instant,
+    last_progress: Instant,
 }
 
 impl Pace {
-    /// The pace of a request that began to come then.
+    /// The pace of a request that began to arrive at `began`.
     pub(super) fn since(began: Instant) -> Self {
-        Self { began, last: Instant::now() }
+        Self { began, last_progress: Instant::now() }
     }
 
-    /// By when the next byte has to come, after so many.
-    pub(super) fn next_byte_by(&self, received: usize) -> Instant {
-        let by_average = self.began + MAX_BODY_PAUSE + transfer_time(received);
-        by_average.min(self.last + REQUEST_TIME)
+    /// The deadline for the next byte after `received` bytes of the body.
+    pub(super) fn next_byte_deadline(&self, received: usize) -> Instant {
+        let by_average = self.began + BODY_GRACE_TIME + transfer_time(received);
+        by_average.min(self.last_progress + REQUEST_READ_TIMEOUT)
     }
 
     /// Records that bytes were received.
     pub(super) fn record_progress(&mut self) {
-        self.last = Instant::now();
+        self.last_progress = Instant::now();
     }
 
-    /// Excludes a time in which nothing was read from the client.
+    /// Excludes a period in which nothing was read from the client.
     pub(super) fn exclude(&mut self, time: Duration) {
         self.began += time;
-        self.last += time;
+        self.last_progress += time;
     }
 }
 
-/// The longest that a client may take to send or take so many bytes.
+/// The maximum time that a client may take to send or read that many bytes.
 pub(super) fn transfer_time(bytes: usize) -> Duration {
     Duration::from_secs_f64(bytes as f64 / MIN_BYTES_PER_SECOND as f64)
 }
--- a/crates/sidecar/src/inbound/read_ahead.rs
+++ b/crates/sidecar/src/inbound/read_ahead.rs
@@ -1,5 +1,5 @@
-//! Reads the body of a waiting request on, to find out whether its client is still connected: its end may lie behind
-//! bytes for which the receive window has no room.
+//! Reads more of the body of a waiting request, to find out whether its client is still connected: the client's FIN is
+//! not received while it is queued behind bytes for which the receive window has no room.
 
 use super::client::{Client, RequestError};
 use super::shared::InboundContext;
@@ -10,11 +10,12 @@
 use tokio::task::yield_now;
 use tokio::time::{Instant, timeout};
 
-/// Bytes that are read at once.
+/// Bytes requested by one read.
 const READ_AHEAD_BYTES: usize = 64 << 10;
-/// One request may take this part of the memory for bodies.
-const MEMORY_PART: usize = 2;
-/// The memory of what was read ahead of a body, held until its end has been passed on.
+/// One request may read ahead up to this fraction, 1 / `MEMORY_DIVISOR`, of the memory for bodies.
+const MEMORY_DIVISOR: usize = 2;
+
+/// The memory for the part of a body that was read ahead, reserved until the end of the body has been forwarded.
 #[derive(Default)]
 pub(super) struct ReadAhead {
     reservations: Vec<MemoryReservation>,
@@ -23,12 +24,12 @@
 }
 
 impl ReadAhead {
-    /// Makes sure that there is memory for one read; whether there is.
+    /// Reserves memory for one read; returns whether there is enough.
     fn reserve(&mut self, context: &InboundContext) -> bool {
         if self.read_bytes + READ_AHEAD_BYTES <= self.reserved_bytes {
             return true;
         }
-        if self.reserved_bytes + READ_AHEAD_BYTES > context.memory.total_bytes() / MEMORY_PART {
+        if self.reserved_bytes + READ_AHEAD_BYTES > context.memory.total_bytes() / MEMORY_DIVISOR {
             return false;
         }
         let Some(reservation) = context.memory.try_reserve(READ_AHEAD_BYTES) else { return false };
@@ -39,8 +40,8 @@
 }
 
 impl Client {
-    /// Reads on until the socket shows whether the client is connected. Where memory ends first, the request is shed: it
-    /// may not be sent for a client that may be gone.
+    /// Reads until the socket shows whether the client is connected. If memory runs out first, the request is shed: it
+    /// must not be sent on behalf of a client that may have disconnected.
     pub(super) async fn read_ahead(
         &mut self,
         read_ahead: &mut ReadAhead,
@@ -51,13 +52,13 @@
             if !read_ahead.reserve(context) {
                 return Err(RequestError::Rejected(unverified_status(lifecycle)));
             }
-            let unread = self.unread.len();
+            let unparsed_before = self.unparsed.len();
             match timeout(QUIET_TIME, self.fill(READ_AHEAD_BYTES)).await {
                 Ok(read) => read?,
-                Err(_) => self.liveness.last_seen().socket_quiet(Instant::now()),
+                Err(_) => self.liveness.last_seen().record_socket_quiet(Instant::now()),
             }
-            read_ahead.read_bytes += self.unread.len() - unread;
-            // A long body must not keep the others waiting.
+            read_ahead.read_bytes += self.unparsed.len() - unparsed_before;
+            // A long body must not starve other tasks.
             yield_now().await;
         }
         self.liveness.notify_verification_done();
@@ -65,7 +66,8 @@
     }
 }
 
-/// The answer to a request whose client can't be verified. Only one that never began to be sent is surely not run.
+/// The status for a request whose client could not be verified as connected. 503 promises that the request was not
+/// processed, which is certain only if no attempt has begun to be written.
 fn unverified_status(lifecycle: &RequestLifecycle) -> StatusCode {
     if lifecycle.has_begun() { StatusCode::BAD_GATEWAY } else { StatusCode::SERVICE_UNAVAILABLE }
 }
--- a/crates/sidecar/src/inbound/read_request.rs
+++ b/crates/sidecar/src/inbound/read_request.rs
@@ -3,7 +3,7 @@
 use super::client::{Client, READ_BYTES, RequestError};
 use super::pace::Pace;
 use super::shared::InboundContext;
-use super::timing::REQUEST_TIME;
+use super::timing::REQUEST_READ_TIMEOUT;
 use crate::body::{BodyDecoder, Framing, MAX_BUFFERED_BYTES, STREAMING_BYTES};
 use crate::memory_budget::MemoryReservation;
 use crate::request::{RequestHead, RequestMetadata};
@@ -14,21 +14,21 @@
 use std::time::Duration;
 use tokio::time::{Instant, timeout_at};
 
-/// Most bytes of a body that are read at once.
+/// Maximum number of bytes requested by one read of a body.
 const BODY_READ_BYTES: usize = 16 << 10;
 
-/// A request, as far as it is read at first.
+/// A request whose head has been read, with its body as far as it is buffered.
 pub(super) enum ReadRequest {
-    /// It asks whether the sidecar is in service.
-    Up {
-        /// The connection may carry a further request.
+    /// A health check of the sidecar: it asks whether the sidecar is in service.
+    HealthCheck {
+        /// Whether the connection may carry a further request.
         keep_alive: bool,
     },
-    /// It is for an endpoint.
+    /// A request to forward to an endpoint.
     Api(Box<ApiRequest>),
 }
 
-/// A request for an endpoint.
+/// A request to forward to an endpoint.
 pub(super) struct ApiRequest {
     pub(super) head: RequestHead,
     pub(super) metadata: RequestMetadata,
@@ -40,7 +40,7 @@
 }
 
 impl Client {
-    /// Reads a request, whose head has to be complete by `until`. An invalid one is rejected as early as possible.
+    /// Reads a request whose head has to be complete by `until`. An invalid one is rejected as early as possible.
     pub(super) async fn read_request(
         &mut self,
         until: Instant,
@@ -50,14 +50,14 @@
         let head = timeout_at(until, self.read_head()).await.map_err(late)??;
         match head.uri.path() {
             "/up" if head.body == Framing::Sized(0) => {
-                return Ok(ReadRequest::Up { keep_alive: head.keep_alive });
+                return Ok(ReadRequest::HealthCheck { keep_alive: head.keep_alive });
             }
             path if path == "/api" || path.starts_with("/api/") => {}
             _ => return Err(RequestError::Rejected(StatusCode::NOT_FOUND)),
         }
         let metadata = RequestMetadata::parse(&context.traffic_classes, &head);
         let metadata = metadata.ok_or(RequestError::Rejected(StatusCode::BAD_REQUEST))?;
-        let mut pace = Pace::since(until - REQUEST_TIME);
+        let mut pace = Pace::since(until - REQUEST_READ_TIMEOUT);
         let began = Instant::now();
         let reservation = self.reserve_body(&head, metadata.time_left, began, context).await?;
         pace.exclude(began.elapsed());
@@ -66,7 +66,8 @@
         Ok(ReadRequest::Api(Box::new(ApiRequest { head, metadata, body, decoder, pace, reservation })))
     }
 
-    /// Reserves memory for a body. Its client may be waiting for the answer already, so that is bounded by its time.
+    /// Reserves memory for a body. The client may be waiting for its response already, so the wait for memory is
+    /// limited by the client's remaining time.
     async fn reserve_body(
         &self,
         head: &RequestHead,
@@ -76,7 +77,7 @@
     ) -> Result<MemoryReservation, RequestError> {
         let buffered = head.body.length().filter(|length| *length <= MAX_BUFFERED_BYTES);
         let time_left = Duration::from_micros(time_left.unsigned_abs());
-        let until = (self.arrived + time_left).min(began + REQUEST_TIME);
+        let until = (self.earliest_arrival + time_left).min(began + REQUEST_READ_TIMEOUT);
         let client = self.liveness.clone();
         tokio::select! {
             biased;
@@ -87,41 +88,41 @@
         }
     }
 
-    /// Reads a head. It is parsed again only once there is twice as much of it, or a blank line; otherwise one that comes
-    /// byte by byte would be parsed as many times.
+    /// Reads a head. It is parsed again only once it has doubled in size or a blank line has been received: a head that
+    /// arrives byte by byte would otherwise be parsed once for each byte.
     async fn read_head(&mut self) -> Result<RequestHead, RequestError> {
         let (mut searched, mut parse_at) = (0, 0);
         loop {
-            let new = &self.unread[searched..];
+            let new = &self.unparsed[searched..];
             let ended = new.windows(3).any(|w| w == b"\n\r\n") || new.windows(2).any(|w| w == b"\n\n");
-            if ended || self.unread.len() >= parse_at.min(MAX_HEAD_BYTES) {
-                let parsed = RequestHead::parse(&self.unread).map_err(RequestError::Rejected)?;
+            if ended || self.unparsed.len() >= parse_at.min(MAX_HEAD_BYTES) {
+                let parsed = RequestHead::parse(&self.unparsed).map_err(RequestError::Rejected)?;
                 if let Some((head, length)) = parsed {
-                    self.unread.advance(length);
+                    self.unparsed.advance(length);
                     return Ok(head);
                 }
-                parse_at = 2 * self.unread.len();
+                parse_at = 2 * self.unparsed.len();
             }
-            // The blank line may come in pieces.
-            searched = self.unread.len().saturating_sub(2);
+            // The blank line may be split between two reads.
+            searched = self.unparsed.len().saturating_sub(2);
             self.fill(READ_BYTES).await?;
         }
     }
 
-    /// Reads the body behind a head, or as much of it as is buffered.
+    /// Reads the body that follows a head, or as much of it as is buffered.
     async fn read_body(
         &mut self,
         head: &RequestHead,
         decoder: &mut BodyDecoder,
         pace: &mut Pace,
     ) -> Result<Bytes, RequestError> {
-        let incomplete = head.body.length().is_none_or(|length| self.unread.len() < length);
+        let incomplete = head.body.length().is_none_or(|length| self.unparsed.len() < length);
         if head.expects_continue && incomplete {
             self.write_all(&b"HTTP/1.1 100 Continue\r\n\r\n"[..]).await?;
         }
         let mut buffer = BytesMut::new();
         while !decoder.ended() && buffer.len() < MAX_BUFFERED_BYTES {
-            match decoder.decode(&mut self.unread).map_err(RequestError::Rejected)? {
+            match decoder.decode(&mut self.unparsed).map_err(RequestError::Rejected)? {
                 Some(piece) if buffer.is_empty() && decoder.ended() => return Ok(piece),
                 Some(piece) => buffer.extend_from_slice(&piece),
                 None if decoder.ended() => {}
@@ -137,8 +138,8 @@
         decoder: &BodyDecoder,
         pace: &mut Pace,
     ) -> Result<(), RequestError> {
-        let wanted = decoder.wanted(BODY_READ_BYTES);
-        match timeout_at(pace.next_byte_by(decoder.received()), self.fill(wanted)).await {
+        let max_bytes = decoder.max_read_bytes(BODY_READ_BYTES);
+        match timeout_at(pace.next_byte_deadline(decoder.received()), self.fill(max_bytes)).await {
             Ok(read) => read?,
             Err(_) => return Err(RequestError::Rejected(StatusCode::REQUEST_TIMEOUT)),
         }
--- a/crates/sidecar/src/inbound/reply.rs
+++ b/crates/sidecar/src/inbound/reply.rs
@@ -1,4 +1,4 @@
-//! The answer to a client, and how it is encoded.
+//! The response to a client and its encoding.
 
 use crate::body::AnswerBody;
 use crate::engine_input::{Answer, ServedAnswer};
@@ -12,23 +12,23 @@
 /// Microseconds in a second.
 const MICROS_PER_SECOND: f64 = 1e6;
 
-/// An answer to a client.
+/// A response to a client.
 pub(super) struct Reply {
     pub(super) status: StatusCode,
     pub(super) headers: HeaderMap,
     /// Seconds until a retry may succeed.
     pub(super) retry_after: Option<f64>,
     pub(super) body: AnswerBody,
-    /// The body is sent in chunks.
+    /// The body is sent with chunked encoding.
     pub(super) chunked: bool,
-    /// Held until the answer is written.
+    /// The memory of the body, reserved until the response is written.
     pub(super) _reservation: Option<MemoryReservation>,
-    /// Held until the answer is written.
+    /// The id of the request, open until the response is written.
     pub(super) _id: Option<OpenRequestId>,
 }
 
 impl Reply {
-    /// A status alone.
+    /// A response with a status and no body.
     pub(super) fn without_body(status: StatusCode) -> Self {
         Self {
             status,
@@ -41,7 +41,7 @@
         }
     }
 
-    /// The answer to the request of that id.
+    /// The response to the request with that id.
     pub(super) fn of(answer: Answer, id: OpenRequestId) -> Self {
         let mut reply = match answer {
             Answer::Served(ServedAnswer { headers, body, reservation }) => Self {
--- a/crates/sidecar/src/inbound/serve_request.rs
+++ b/crates/sidecar/src/inbound/serve_request.rs
@@ -1,5 +1,5 @@
-//! Serves one request: reads it, submits it to the engine and waits for its answer, while a body that is too large to be
-//! buffered is streamed.
+//! Serves one request: reads it, submits it to the engine and waits for the response, streaming a body that is too
+//! large to be buffered.
 
 use super::client::{Client, READ_BYTES, RequestError};
 use super::pace::{Pace, transfer_time};
@@ -24,14 +24,14 @@
 use std::time::Duration;
 use tokio::time::{Instant, sleep_until, timeout};
 
-/// Time in which the balancer decides on a request that has come after its deadline.
+/// Time allowed for the balancer to reject a request that arrived after its deadline.
 const LATE_DECISION_TIME: Duration = Duration::from_millis(10);
 
-/// What a request ends with, as far as its client's connection is concerned.
+/// The result of a request, as far as its client's connection is concerned.
 pub(super) struct ServedRequest {
-    /// The connection may carry a further request.
+    /// Whether the connection may carry a further request.
     pub(super) keep_alive: bool,
-    /// The answer.
+    /// The response.
     pub(super) reply: Reply,
 }
 
@@ -39,13 +39,13 @@
 struct Submitted {
     response: PendingResponse,
     lifecycle: Rc<RequestLifecycle>,
-    /// The rest of the body, until it has come.
+    /// The rest of the body, until it has been received.
     streaming: Option<StreamingBody>,
     time_left: Micros,
     deadline: Micros,
 }
 
-/// The rest of a body that is passed on as it comes.
+/// The rest of a body that is forwarded as it arrives.
 struct StreamingBody {
     decoder: BodyDecoder,
     pace: Pace,
@@ -54,7 +54,7 @@
 }
 
 impl Client {
-    /// Reads one request, whose head has to be complete by `until`, and gets its answer.
+    /// Reads one request, whose head has to be complete by `until`, and waits for its response.
     pub(super) async fn serve_request(
         &mut self,
         permit: &ConnectionPermit,
@@ -69,7 +69,7 @@
         };
         drop(evictable);
         match request {
-            ReadRequest::Up { keep_alive } => {
+            ReadRequest::HealthCheck { keep_alive } => {
                 let serving = *context.service.borrow() == ServiceState::Serving;
                 let status = if serving { StatusCode::OK } else { StatusCode::SERVICE_UNAVAILABLE };
                 Ok(ServedRequest { keep_alive, reply: Reply::without_body(status) })
@@ -83,12 +83,13 @@
         request: ApiRequest,
         context: &InboundContext,
     ) -> Result<ServedRequest, RequestError> {
-        // Clients send one request at a time. What follows one without an answer is not a request of our client, or
-        // belongs to a body that is longer than announced.
-        if request.decoder.ended() && !self.unread.is_empty() {
+        // Clients send one request at a time. Bytes that follow a request before its response were not sent by a
+        // conforming client, or belong to a body that is longer than announced.
+        if request.decoder.ended() && !self.unparsed.is_empty() {
             return Err(RequestError::Rejected(StatusCode::BAD_REQUEST));
         }
-        // Held until the answer is written, as an endpoint can't tell two requests of one id apart.
+        // The id stays open until the response is written, as an endpoint can't distinguish two requests with the same
+        // id.
         let id = context.ids.open(&request.metadata.id, Instant::now());
         let id = id.ok_or(RequestError::Rejected(StatusCode::CONFLICT))?;
         let (keep_alive, is_http_1_0) = (request.head.keep_alive, request.head.is_http_1_0);
@@ -96,7 +97,7 @@
         let answer = self.await_answer(&mut submitted, context).await?;
         self.body_unfinished = submitted.streaming.is_some();
         let mut reply = Reply::of(answer, id);
-        // Without chunks, the end of the connection marks the end of the body.
+        // Without chunked encoding, the end of the connection marks the end of the body.
         reply.chunked = reply.body.length.is_none() && !is_http_1_0;
         let delimited = reply.chunked || reply.body.length.is_some();
         Ok(ServedRequest { keep_alive: keep_alive && delimited, reply })
@@ -104,7 +105,7 @@
 
     /// The deadline of a request whose last byte was just read.
     fn deadline(&self, time_left: Micros, context: &InboundContext) -> Micros {
-        context.engine.time_of(self.arrived).saturating_add(time_left)
+        context.engine.time_of(self.earliest_arrival).saturating_add(time_left)
     }
 
     /// Submits a request to the engine.
@@ -115,7 +116,7 @@
         let mut deadline = earliest_deadline;
         let (mut streaming, mut rest) = (None, None);
         if !decoder.ended() {
-            // The client's time counts from its last byte, which is some way off.
+            // The client's time limit counts from the last byte of its request, which is still to be received.
             let length = decoder.length();
             let outstanding = length.unwrap_or(MAX_BODY_BYTES).saturating_sub(decoder.received());
             let transfer = Micros::try_from(transfer_time(outstanding).as_micros());
@@ -150,15 +151,16 @@
         Submitted { response, lifecycle, streaming, time_left, deadline }
     }
 
-    /// Waits for the answer. The balancer answers in time by itself; the deadline and the shutdown are bounds from
-    /// outside. Dropping the pending response, as they do and a client that closes or sends too much, abandons the
-    /// request.
+    /// Waits for the response. The balancer normally ends a request in time; the deadline and the shutdown are enforced
+    /// here as a safeguard. The request is abandoned when its pending response is dropped: at the deadline, at the
+    /// shutdown, and when the client closes its connection or sends unexpected bytes.
     async fn await_answer(
         &mut self,
         submitted: &mut Submitted,
         context: &InboundContext,
     ) -> Result<Answer, RequestError> {
-        // A request that has come too late is shed by the balancer, with the promise that it has not run.
+        // A request that arrived after its deadline is shed by the balancer, with a status that promises that it was
+        // not processed.
         let decision_by = Instant::now() + LATE_DECISION_TIME;
         let mut service = context.service.clone();
         loop {
@@ -182,7 +184,8 @@
         }
     }
 
-    /// Handles the end of a streamed body. Without one, bytes behind the request were received.
+    /// Handles the end of a streamed body. Without a streamed body, bytes were received after a complete request, which
+    /// are rejected.
     fn body_received(&self, submitted: &mut Submitted, context: &InboundContext) -> Result<(), RequestError> {
         let Some(streaming) = submitted.streaming.take() else {
             return Err(RequestError::Rejected(StatusCode::BAD_REQUEST));
@@ -195,7 +198,8 @@
         Ok(())
     }
 
-    /// Passes on the rest of a body up to its end. Without one, waits for bytes that must not come.
+    /// Forwards the rest of a streamed body up to its end. Without a streamed body, waits for bytes after the request,
+    /// which the caller rejects.
     async fn receive_rest(
         &mut self,
         streaming: &mut Option<StreamingBody>,
@@ -204,19 +208,19 @@
     ) -> Result<(), RequestError> {
         let Some(streaming) = streaming else { return Ok(self.fill(READ_BYTES).await?) };
         while !streaming.decoder.ended() {
-            match streaming.decoder.decode(&mut self.unread).map_err(RequestError::Rejected)? {
-                Some(piece) => self.pass_on(piece, streaming, lifecycle, context).await?,
+            match streaming.decoder.decode(&mut self.unparsed).map_err(RequestError::Rejected)? {
+                Some(piece) => self.forward_piece(piece, streaming, lifecycle, context).await?,
                 None if streaming.decoder.ended() => {}
                 None => self.fill_body(&streaming.decoder, &mut streaming.pace).await?,
             }
         }
-        // Bytes behind the body are no request of our client.
-        if self.unread.is_empty() { Ok(()) } else { Err(RequestError::Rejected(StatusCode::BAD_REQUEST)) }
+        // Bytes after the body are rejected, as clients send one request at a time.
+        if self.unparsed.is_empty() { Ok(()) } else { Err(RequestError::Rejected(StatusCode::BAD_REQUEST)) }
     }
 
-    /// Passes on a piece of a body, once the endpoint takes it. The client is not read from meanwhile, unless an attempt
-    /// needs to know whether it is connected.
-    async fn pass_on(
+    /// Forwards a piece of a body once the endpoint accepts it. Meanwhile nothing is read from the client, unless an
+    /// attempt needs to know whether the client is connected.
+    async fn forward_piece(
         &mut self,
         piece: Bytes,
         streaming: &mut StreamingBody,
@@ -226,9 +230,9 @@
         let StreamingBody { decoder, pace, sender, read_ahead } = streaming;
         let client = self.liveness.clone();
         let since = Instant::now();
-        if self.unread.is_empty() && !decoder.ended() {
-            // What is read next may have come since, while this piece waits for the endpoint.
-            self.arrived = since;
+        if self.unparsed.is_empty() && !decoder.ended() {
+            // The bytes read next may arrive from now on, while this piece waits for the endpoint.
+            self.earliest_arrival = since;
         }
         let mut sending = pin!(timeout(context.max_stall, sender.send(piece)));
         let sent = loop {
@@ -244,7 +248,7 @@
                 pace.exclude(since.elapsed());
                 Ok(())
             }
-            // The request is over; its answer is about to be handled.
+            // The request has ended; its response is about to be handled.
             Ok(false) => std::future::pending().await,
             Err(_) => Err(RequestError::Rejected(StatusCode::GATEWAY_TIMEOUT)),
         }
--- a/crates/sidecar/src/inbound/shared.rs
+++ b/crates/sidecar/src/inbound/shared.rs
@@ -1,4 +1,4 @@
-//! What all clients' connections share.
+//! State shared by all client connections.
 
 use crate::engine::EngineHandle;
 use crate::memory_budget::MemoryBudget;
@@ -8,18 +8,18 @@
 use std::time::Duration;
 use tokio::sync::watch;
 
-/// What all clients' connections share.
+/// State shared by all client connections.
 pub struct InboundContext {
     /// Classes and tenants.
     pub traffic_classes: TrafficClasses,
-    /// The engine.
+    /// Handle to the engine.
     pub engine: EngineHandle,
-    /// Memory for the bodies of requests.
+    /// Memory for request bodies.
     pub memory: MemoryBudget,
-    /// Ids of requests.
+    /// Ids of open and recently completed requests.
     pub ids: RequestIds,
     /// Whether the sidecar is in service.
     pub service: watch::Receiver<ServiceState>,
-    /// How long a streamed body may make no progress towards its endpoint.
+    /// Maximum time that a streamed body may make no progress towards its endpoint.
     pub max_stall: Duration,
 }
--- a/crates/sidecar/src/inbound/timing.rs
+++ b/crates/sidecar/src/inbound/timing.rs
@@ -1,9 +1,10 @@
-//! Times that several parts of a connection's service depend on.
+//! Time limits used by several parts of serving a connection.
 
 use std::time::Duration;
 
-/// How long a request's head may take after its first byte, the first one after the connection was made, and a body
-/// may make no progress. Clients may take 2 s for a head, and whoever is no client has to be rejected after 3 s.
-pub(super) const REQUEST_TIME: Duration = Duration::from_millis(2500);
-/// Time in which the runtime notices what the system's socket holds already.
+/// Maximum time from the first byte of a request to the end of its head; for the first request, from accepting the
+/// connection. Also the maximum time that a body may make no progress. Clients may take 2 s to send a head; a
+/// connection that is not used as clients do has to be rejected within 3 s.
+pub(super) const REQUEST_READ_TIMEOUT: Duration = Duration::from_millis(2500);
+/// Time allowed for the runtime to notice data or connections that a socket already holds.
 pub(super) const SOCKET_POLL_TIME: Duration = Duration::from_millis(2);
--- a/crates/sidecar/src/inbound/write_reply.rs
+++ b/crates/sidecar/src/inbound/write_reply.rs
@@ -1,4 +1,4 @@
-//! Writes answers to clients.
+//! Writes responses to clients.
 
 use super::client::Client;
 use super::pace::transfer_time;
@@ -11,13 +11,13 @@
 use tokio::sync::watch;
 use tokio::time::timeout;
 
-/// How long a client may take to read a buffered answer.
-const WRITE_TIME: Duration = Duration::from_secs(2);
-/// The end of a body in chunks.
+/// How long a client may take to read a buffered response.
+const WRITE_TIMEOUT: Duration = Duration::from_secs(2);
+/// The end of a chunked body.
 const LAST_CHUNK: &[u8] = b"0\r\n\r\n";
 
 impl Client {
-    /// Writes an answer; returns whether the client has taken it completely.
+    /// Writes a response; returns whether all of it was written.
     pub(super) async fn write_reply(
         &mut self,
         mut reply: Reply,
@@ -29,14 +29,14 @@
         let first = std::mem::take(&mut reply.body.first);
         let bytes = head.chain(reply.piece(first));
         let Some(mut rest) = reply.body.rest.take() else {
-            return matches!(timeout(WRITE_TIME, self.write_all(bytes)).await, Ok(Ok(())));
+            return matches!(timeout(WRITE_TIMEOUT, self.write_all(bytes)).await, Ok(Ok(())));
         };
-        // With much of it in the system's buffer, a slow client would seem to take nothing for a long time. The system
-        // holds up to twice as much as it is told, and may want room for all of that before it takes more.
+        // With a large send buffer, a slow client would seem to make no progress for a long time. The kernel holds up
+        // to twice the size that it is given, and may accept more only once all of that is free.
         let _ = SockRef::from(&*self.stream).set_send_buffer_size(STREAMING_BYTES);
-        let stall = transfer_time(2 * STREAMING_BYTES);
-        let mut taken = self.write_with_progress(bytes, stall).await;
-        while taken {
+        let max_stall = transfer_time(2 * STREAMING_BYTES);
+        let mut written = self.write_with_progress(bytes, max_stall).await;
+        while written {
             let next = tokio::select! {
                 biased;
                 piece = rest.recv() => piece,
@@ -44,9 +44,9 @@
             };
             match next {
                 Some(piece) if !piece.is_empty() => {
-                    taken = self.write_with_progress(reply.piece(piece), stall).await;
+                    written = self.write_with_progress(reply.piece(piece), max_stall).await;
                 }
-                Some(_) => return !reply.chunked || self.write_with_progress(LAST_CHUNK, stall).await,
+                Some(_) => return !reply.chunked || self.write_with_progress(LAST_CHUNK, max_stall).await,
                 None => {
                     self.mark_incomplete(&reply);
                     return false;
@@ -56,17 +56,18 @@
         false
     }
 
-    /// A client that knows the end of a body only by that of the connection must see a reset.
+    /// Makes the connection end with a reset if the client could otherwise take the end of the connection for the end
+    /// of the body.
     fn mark_incomplete(&self, reply: &Reply) {
         if !reply.chunked && reply.body.length.is_none() {
             let _ = SockRef::from(&*self.stream).set_linger(Some(Duration::ZERO));
         }
     }
 
-    /// Writes all bytes, as long as the client takes some within each `stall`; returns whether it did.
-    async fn write_with_progress(&mut self, mut bytes: impl Buf, stall: Duration) -> bool {
+    /// Writes all bytes, as long as the socket accepts some within each `max_stall`; returns whether it did.
+    async fn write_with_progress(&mut self, mut bytes: impl Buf, max_stall: Duration) -> bool {
         while bytes.has_remaining() {
-            if !matches!(timeout(stall, self.write(&mut bytes)).await, Ok(Ok(()))) {
+            if !matches!(timeout(max_stall, self.write(&mut bytes)).await, Ok(Ok(()))) {
                 return false;
             }
         }
--- a/crates/sidecar/src/inbound/write_reply/tests.rs
+++ b/crates/sidecar/src/inbound/write_reply/tests.rs
@@ -5,19 +5,20 @@
 use tokio::net::{TcpListener, TcpStream};
 use tokio::time::Instant;
 
-// Otherwise it would keep its permit, its request id and the memory of its answer for as long as it likes.
+// A client that never reads must not hold its connection permit, its request id and the memory of its response for an
+// unlimited time.
 #[tokio::test]
-async fn gives_up_client_that_never_reads_its_answer() {
-    let listener = TcpListener::bind("127.0.0.1:0").await.expect("a free port");
-    let address = listener.local_addr().expect("an address");
-    let _peer = TcpStream::connect(address).await.expect("it connects");
-    let (stream, _) = listener.accept().await.expect("a connection");
+async fn gives_up_on_client_that_never_reads_its_response() {
+    let listener = TcpListener::bind("127.0.0.1:0").await.expect("bind a free port");
+    let address = listener.local_addr().expect("local address");
+    let _peer = TcpStream::connect(address).await.expect("connect");
+    let (stream, _) = listener.accept().await.expect("accept a connection");
     let mut client = Client::new(stream, Instant::now());
     let (_service, mut in_service) = watch::channel(ServiceState::Serving);
-    let more_than_the_system_holds = AnswerBody::buffered(Bytes::from(vec![0; 64 << 20]));
-    let reply = Reply { body: more_than_the_system_holds, ..Reply::without_body(StatusCode::OK) };
+    let larger_than_socket_buffers = AnswerBody::buffered(Bytes::from(vec![0; 64 << 20]));
+    let reply = Reply { body: larger_than_socket_buffers, ..Reply::without_body(StatusCode::OK) };
     assert!(!client.write_reply(reply, true, &mut in_service).await);
-    // The same where the answer is streamed.
+    // The same for a streamed response.
     let (pieces, rest) = tokio::sync::mpsc::channel(1);
     let body = AnswerBody { first: Bytes::new(), rest: Some(rest), length: Some(64 << 20) };
     let reply = Reply { body, ..Reply::without_body(StatusCode::OK) };
--- a/crates/sidecar/src/io_failure.rs
+++ b/crates/sidecar/src/io_failure.rs
@@ -1,5 +1,5 @@
-//! Classifies failed calls on sockets and files into transient and final ones. All code that treats a failure as the end
-//! of a connection or the absence of a file asks here first.
+//! Classifies failed calls on sockets and files into transient and final failures. All code that treats a failure as
+//! the end of a connection or the absence of a file uses this classification.
 
 use std::io;
 use std::time::Duration;
@@ -13,13 +13,13 @@
 const ENOBUFS: i32 = 105;
 const EDQUOT: i32 = 122;
 
-/// Pause before a call that failed for want of a resource is retried.
+/// Pause before a call that failed for lack of a resource is retried.
 pub const RESOURCE_PAUSE: Duration = Duration::from_millis(10);
 
 /// What a failed call means.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum IoFailure {
-    /// The call would block; the system notifies when it would not.
+    /// The call would block; the runtime notifies when it would not.
     NotReady,
     /// The call was interrupted, and may be retried at once.
     Interrupted,
@@ -55,7 +55,7 @@
     }
 
     /// Classifies the failure of an accept, which is never final: it concerns one connection, and the next one in the
-    /// queue may be good. Were the listener itself broken, there would be nothing better to do than to retry.
+    /// queue may be good. If the listener itself is broken, there is nothing better to do than to retry.
     pub fn of_accept(error: &io::Error) -> Self {
         match error.kind() {
             // The client closed the connection before it was accepted.
@@ -67,8 +67,8 @@
         }
     }
 
-    /// Classifies the failure of a connect. That no local address is free is this machine's shortage, and no fault of
-    /// the peer.
+    /// Classifies the failure of a connect. Having no free local address is a resource shortage of this machine, not a
+    /// fault of the peer.
     pub fn of_connect(error: &io::Error) -> Self {
         match error.raw_os_error() {
             Some(EADDRNOTAVAIL) => Self::Shortage,
--- a/crates/sidecar/src/memory_budget.rs
+++ b/crates/sidecar/src/memory_budget.rs
@@ -1,5 +1,5 @@
-//! The memory that bodies may take. Thousands of connections, each with a large body, would exceed what the process is
-//! allowed.
+//! A budget for the memory of bodies. Thousands of connections, each with a large body, would exceed what the process
+//! is allowed.
 
 use std::sync::Arc;
 use tokio::sync::{OwnedSemaphorePermit, Semaphore};
@@ -13,7 +13,7 @@
     total_units: usize,
 }
 
-/// A part of the budget, given back when dropped.
+/// A part of the budget, released when dropped.
 pub struct MemoryReservation {
     _units: Option<OwnedSemaphorePermit>,
 }
@@ -25,7 +25,7 @@
         Self { units: Arc::new(Semaphore::new(total_units)), total_units }
     }
 
-    /// Waits for that many bytes, first come, first served. The caller bounds the time.
+    /// Waits for that many bytes, first come, first served. The caller limits the time.
     pub async fn reserve(&self, bytes: usize) -> MemoryReservation {
         let units = bytes.div_ceil(UNIT_BYTES).min(self.total_units);
         MemoryReservation { _units: Arc::clone(&self.units).acquire_many_owned(units as u32).await.ok() }
--- a/crates/sidecar/src/outgoing_request.rs
+++ b/crates/sidecar/src/outgoing_request.rs
@@ -10,10 +10,10 @@
 use std::rc::Rc;
 use tokio::time::Instant;
 
-/// Header of requests, from clients and to endpoints: how long the answer is waited for.
+/// Header of requests, from clients and to endpoints: for how long the sender waits for the response.
 pub const TIME_LEFT: HeaderName = HeaderName::from_static("x-time-left");
 
-/// A request as it is sent to endpoints, the same at each attempt but for the time left.
+/// A request as it is sent to endpoints, the same in each attempt except for the time left.
 pub struct OutgoingRequest {
     /// The method.
     pub method: Method,
@@ -25,9 +25,9 @@
     pub body: Bytes,
     /// The rest of a streamed body.
     pub rest: Option<BodyStream>,
-    /// The state of the request.
+    /// The state of the request that sends depend on.
     pub lifecycle: Rc<RequestLifecycle>,
-    /// The memory that the body takes.
+    /// The memory reserved for the body.
     pub _reservation: Option<MemoryReservation>,
 }
 
@@ -37,8 +37,8 @@
         self.rest.as_ref().is_some_and(BodyStream::is_consumed)
     }
 
-    /// The request as it is sent now, if it must be answered by `until`.
-    pub fn request(&self, until: Instant, progress: &WriteProgress) -> Option<Request<RequestBody>> {
+    /// The request to send now, whose response has to arrive by `until`.
+    pub fn to_http_request(&self, until: Instant, progress: &WriteProgress) -> Option<Request<RequestBody>> {
         let body = RequestBody::new(self.body.clone(), self.rest.clone(), progress.clone());
         let mut request = Request::new(body);
         *request.method_mut() = self.method.clone();
--- a/crates/sidecar/src/request.rs
+++ b/crates/sidecar/src/request.rs
@@ -1,4 +1,4 @@
-//! One request as a client sends it: its head, what that says of it, and the headers that are sent on.
+//! A request as its client sends it: its head, the metadata in its headers, and the headers that are forwarded.
 
 mod head;
 mod metadata;
@@ -8,7 +8,7 @@
 
 use hyper::header::{self, HeaderMap, HeaderName};
 
-/// Headers that belong to one connection (RFC 9110 section 7.6.1).
+/// Hop-by-hop headers, which belong to one connection (RFC 9110 section 7.6.1).
 const HOP_BY_HOP: [HeaderName; 7] = [
     header::CONNECTION,
     HeaderName::from_static("keep-alive"),
@@ -19,7 +19,7 @@
     header::UPGRADE,
 ];
 
-/// The headers without those that belong to one connection or frame one message.
+/// The headers that are forwarded: without those that belong to one connection or frame one message.
 pub fn end_to_end(mut headers: HeaderMap) -> HeaderMap {
     let values = headers.get_all(header::CONNECTION).iter().filter_map(|value| value.to_str().ok());
     let options = values.flat_map(|value| value.split(','));
--- a/crates/sidecar/src/request/head.rs
+++ b/crates/sidecar/src/request/head.rs
@@ -1,12 +1,12 @@
-//! Parses the head of a request. Whatever could be read in two ways is rejected, as another reader behind this one may
-//! read it in the other (request smuggling, RFC 9112 section 11.2).
+//! Parses the head of a request. Ambiguous input is rejected, as the next parser of the request may interpret it
+//! differently (request smuggling, RFC 9112 section 11.2).
 
 use crate::body::{Framing, MAX_BODY_BYTES};
 use crate::resource_limits::MAX_HEAD_BYTES;
 use hyper::header::{self, HeaderMap, HeaderName, HeaderValue};
 use hyper::{Method, StatusCode, Uri};
 
-/// Most headers of a request.
+/// Maximum number of headers of a request.
 const MAX_HEADERS: usize = 64;
 
 /// The head of a request.
@@ -18,19 +18,19 @@
     pub uri: Uri,
     /// The headers.
     pub headers: HeaderMap,
-    /// How the body behind it is framed.
+    /// How the body that follows is framed.
     pub body: Framing,
-    /// The client speaks HTTP/1.0, which has no chunked encoding.
+    /// Whether the client speaks HTTP/1.0, which has no chunked encoding.
     pub is_http_1_0: bool,
-    /// The connection may carry a further request.
+    /// Whether the connection may carry a further request.
     pub keep_alive: bool,
-    /// The client waits for `100 Continue` before it sends the body.
+    /// Whether the client waits for `100 Continue` before it sends the body.
     pub expects_continue: bool,
 }
 
 impl RequestHead {
-    /// Parses a head and returns it with its length in bytes; `None` while it is incomplete, and the status to answer
-    /// with if it is invalid.
+    /// Parses a head and returns it with its length in bytes; `None` while it is incomplete. Fails with the status to
+    /// respond with if it is invalid.
     pub fn parse(bytes: &[u8]) -> Result<Option<(Self, usize)>, StatusCode> {
         let mut fields = [httparse::EMPTY_HEADER; MAX_HEADERS];
         let mut parsed = httparse::Request::new(&mut fields);
@@ -89,8 +89,9 @@
     expectation.is_some_and(|value| value.as_bytes().eq_ignore_ascii_case(b"100-continue"))
 }
 
-/// How the body is framed: by one plain `Content-Length`, in chunks, or there is none. With two lengths, one beside an
-/// encoding, or an unknown encoding, a body may hide a further request.
+/// How the body is framed: by one plain `Content-Length`, by chunked encoding, or there is none. A head with two
+/// lengths, with a length beside an encoding, or with an unknown encoding is rejected, as its body may hide a further
+/// request.
 fn framing(headers: &HeaderMap, is_http_1_0: bool) -> Result<Framing, StatusCode> {
     let mut encodings = headers.get_all(header::TRANSFER_ENCODING).iter();
     let mut lengths = headers.get_all(header::CONTENT_LENGTH).iter();
@@ -104,7 +105,7 @@
     if lengths.next().is_some() || digits.is_empty() || !digits.iter().all(u8::is_ascii_digit) {
         return Err(StatusCode::BAD_REQUEST);
     }
-    // Digits that do not parse are a number too large.
+    // Digits that fail to parse are a number that is too large.
     let length = length.to_str().ok().and_then(|digits| digits.parse().ok());
     let accepted = length.filter(|length| *length <= MAX_BODY_BYTES);
     accepted.map(Framing::Sized).ok_or(StatusCode::PAYLOAD_TOO_LARGE)
--- a/crates/sidecar/src/request/head/tests.rs
+++ b/crates/sidecar/src/request/head/tests.rs
@@ -1,25 +1,25 @@
 use super::*;
 
-// A reader that interprets such a head differently finds a further request in the body.
+// A parser that interprets such a head differently finds a further request in the body.
 #[test]
 fn rejects_ambiguous_body_framing() {
-    let read = |lines: &str| {
+    let parse = |lines: &str| {
         let head = format!("POST /api HTTP/1.1\r\nHost: x\r\n{lines}\r\n");
         RequestHead::parse(head.as_bytes()).map(|head| head.map(|(head, _)| head.body))
     };
-    assert_eq!(read(""), Ok(Some(Framing::Sized(0))));
-    assert_eq!(read("Content-Length: 17\r\n"), Ok(Some(Framing::Sized(17))));
+    assert_eq!(parse(""), Ok(Some(Framing::Sized(0))));
+    assert_eq!(parse("Content-Length: 17\r\n"), Ok(Some(Framing::Sized(17))));
     let (bad, large) = (StatusCode::BAD_REQUEST, StatusCode::PAYLOAD_TOO_LARGE);
     for value in ["", "-1", "+1", "1 1", "1,1", "0x1", "1.0", "one"] {
-        assert_eq!(read(&format!("Content-Length: {value}\r\n")), Err(bad), "{value}");
+        assert_eq!(parse(&format!("Content-Length: {value}\r\n")), Err(bad), "{value}");
     }
     for value in ["33554433", "3000000000", "99999999999999999999999999"] {
-        assert_eq!(read(&format!("Content-Length: {value}\r\n")), Err(large), "{value}");
+        assert_eq!(parse(&format!("Content-Length: {value}\r\n")), Err(large), "{value}");
     }
-    assert_eq!(read("Content-Length: 4\r\nContent-Length: 4\r\n"), Err(bad));
+    assert_eq!(parse("Content-Length: 4\r\nContent-Length: 4\r\n"), Err(bad));
     let encoded = "Transfer-Encoding: chunked\r\n";
-    assert_eq!(read(encoded), Ok(Some(Framing::Chunked)));
-    assert_eq!(read("Transfer-Encoding: Chunked\r\n"), Ok(Some(Framing::Chunked)));
+    assert_eq!(parse(encoded), Ok(Some(Framing::Chunked)));
+    assert_eq!(parse("Transfer-Encoding: Chunked\r\n"), Ok(Some(Framing::Chunked)));
     for lines in [
         "Transfer-Encoding: x\r\n",
         "Transfer-Encoding: gzip, chunked\r\n",
@@ -29,11 +29,11 @@
         &format!("{encoded}Content-Length: 4\r\n"),
         &format!("{encoded}{encoded}"),
     ] {
-        assert_eq!(read(lines), Err(bad), "{lines}");
+        assert_eq!(parse(lines), Err(bad), "{lines}");
     }
-    let old = format!("POST /api HTTP/1.0\r\nHost: x\r\n{encoded}\r\n");
-    assert_eq!(RequestHead::parse(old.as_bytes()).err(), Some(bad));
-    assert_eq!(read("Content-Length : 4\r\n"), Err(bad));
+    let http_1_0 = format!("POST /api HTTP/1.0\r\nHost: x\r\n{encoded}\r\n");
+    assert_eq!(RequestHead::parse(http_1_0.as_bytes()).err(), Some(bad));
+    assert_eq!(parse("Content-Length : 4\r\n"), Err(bad));
 }
 
 #[test]
--- a/crates/sidecar/src/request/metadata.rs
+++ b/crates/sidecar/src/request/metadata.rs
@@ -1,5 +1,5 @@
-//! What the headers of a request say of it, in the terms of the balancer. This is where the protocol's header names are
-//! mapped to these.
+//! The metadata of a request, parsed from its headers into the terms of the balancer. The protocol's names of request
+//! headers are mapped here.
 
 use super::head::RequestHead;
 use crate::body::Framing;
@@ -10,7 +10,7 @@
 use lotusmoor_balancer::{Idempotency, Micros};
 use std::hash::{DefaultHasher, Hash, Hasher};
 
-/// Longest correlation id, in bytes.
+/// Maximum length of a correlation id, in bytes.
 const MAX_ID_BYTES: usize = 256;
 /// Microseconds in a millisecond.
 const MICROS_PER_MILLI: f64 = 1000.0;
@@ -36,7 +36,7 @@
 }
 
 impl TrafficClasses {
-    /// The classes and tenants of a configuration.
+    /// Takes the classes and tenants of a configuration.
     pub fn new(config: &Config) -> Self {
         let decoded = &config.decoded;
         let classes = decoded.classes.iter().zip(&decoded.settings.classes);
@@ -49,32 +49,32 @@
     }
 }
 
-/// What the headers say of a request.
+/// The metadata in the headers of a request.
 pub struct RequestMetadata {
     /// The number of its class.
     pub class: usize,
     /// The number of its tenant.
     pub tenant: Option<usize>,
-    /// The object that it is about, by which requests are partitioned.
+    /// The key by which requests are partitioned, from the cookie `obj`.
     pub partition_key: Option<u64>,
     /// How long its client waits, limited to the deadline of its class: a client that asks for an hour must not keep a
     /// request open for one.
     pub time_left: Micros,
-    /// The client's estimate of the work.
+    /// The client's estimate of the work, if it gives one.
     pub expected_work: Option<Micros>,
-    /// The client has sent it before.
+    /// Whether the client has sent the request before.
     pub is_client_retry: bool,
     /// Its correlation id.
     pub id: Box<[u8]>,
 }
 
 impl RequestMetadata {
-    /// Reads the headers; `None` if the request is invalid.
-    pub fn parse(known: &TrafficClasses, head: &RequestHead) -> Option<Self> {
+    /// Parses the headers; `None` if the request is invalid.
+    pub fn parse(traffic_classes: &TrafficClasses, head: &RequestHead) -> Option<Self> {
         let headers = &head.headers;
         let class_name = single_text(headers, &SERVICE_CLASS)?;
-        let number = known.classes.iter().position(|class| class.name == class_name)?;
-        let class = &known.classes[number];
+        let number = traffic_classes.classes.iter().position(|class| class.name == class_name)?;
+        let class = &traffic_classes.classes[number];
         let id = single_text(headers, &CORRELATION_ID)?;
         if !fits_class(head, class.idempotency) || id.is_empty() || id.len() > MAX_ID_BYTES {
             return None;
@@ -83,7 +83,7 @@
         let work = single_text(headers, &EXPECTED_WORK).and_then(|work| work.parse().ok());
         Some(Self {
             class: number,
-            tenant: tenant.and_then(|tenant| known.tenants.iter().position(|name| name == tenant)),
+            tenant: tenant.and_then(|tenant| traffic_classes.tenants.iter().position(|name| name == tenant)),
             partition_key: partition_key(headers),
             time_left: parse_time(single_text(headers, &TIME_LEFT)?)?.min(class.deadline),
             expected_work: work.filter(|work: &Micros| *work > 0),
@@ -93,7 +93,7 @@
     }
 }
 
-/// Whether a request has the form that its class promises.
+/// Whether a request has the method, the body and the idempotency key that its class requires.
 fn fits_class(head: &RequestHead, idempotency: Idempotency) -> bool {
     match idempotency {
         Idempotency::Idempotent => head.method == Method::GET && head.body == Framing::Sized(0),
@@ -129,7 +129,8 @@
     Some((number * micros_per_unit) as Micros)
 }
 
-/// The object that a request is about: the cookie `obj`, a hexadecimal number or any other text.
+/// The partition key of a request: the value of the cookie `obj` if it is a hexadecimal number, and a hash of any other
+/// value.
 fn partition_key(headers: &HeaderMap) -> Option<u64> {
     let cookies = headers.get_all(header::COOKIE).iter().filter_map(|value| value.to_str().ok());
     let mut pairs = cookies.flat_map(|cookies| cookies.split(';'));
--- a/crates/sidecar/src/request_ids.rs
+++ b/crates/sidecar/src/request_ids.rs
@@ -1,4 +1,5 @@
-//! Correlation ids of requests. Each is new, so that an endpoint never sees one id for two requests.
+//! Correlation ids of requests. An id that is already known is rejected, so that an endpoint never sees one id for two
+//! requests.
 
 use std::cell::RefCell;
 use std::collections::{HashSet, VecDeque};
@@ -6,9 +7,10 @@
 use std::time::Duration;
 use tokio::time::Instant;
 
-/// How long an id stays known after its request: a copy of the request may come a little later than the answer.
+/// How long an id stays known after its request has completed: a duplicate of the request may arrive a little later
+/// than the response.
 const RETENTION: Duration = Duration::from_secs(5);
-/// Ids of completed requests that are remembered at the most.
+/// Maximum number of ids of completed requests that are remembered.
 const MAX_RETAINED: usize = 8192;
 
 /// The ids of open and of recently completed requests.
--- a/crates/sidecar/src/request_ids/tests.rs
+++ b/crates/sidecar/src/request_ids/tests.rs
@@ -11,5 +11,5 @@
     for number in 0..2 * MAX_RETAINED {
         assert!(ids.open(&number.to_be_bytes(), now).is_some());
     }
-    assert!(ids.0.borrow().ids.len() <= MAX_RETAINED + 2, "they would grow for good");
+    assert!(ids.0.borrow().ids.len() <= MAX_RETAINED + 2, "the ids of completed requests exceed their limit");
 }
--- a/crates/sidecar/src/upstream.rs
+++ b/crates/sidecar/src/upstream.rs
@@ -1,21 +1,21 @@
-//! The endpoints, the connections to them, and the attempts made over these.
+//! Endpoints, the connections to them, and the attempts made over these connections.
 
 mod attempt;
+mod attempt_target;
 mod endpoint;
 mod exchange;
-mod exchanged;
-mod grant;
+mod exchange_result;
 mod load_report;
 mod pool;
 mod pooled_connection;
 mod response;
 mod timing;
 
+pub use attempt_target::AttemptTarget;
 pub use endpoint::Endpoint;
-pub use grant::AttemptTarget;
 pub use timing::MAX_STALL;
 
-use crate::idle_bound::IdleBound;
+use crate::idle_bound::AdaptiveIdleTimeout;
 use crate::memory_budget::MemoryBudget;
 use crate::resource_limits::ResourceLimits;
 use lotusmoor_balancer::Micros;
@@ -27,40 +27,42 @@
 use tokio::sync::{Notify, Semaphore};
 use tokio::time::Instant;
 
-/// An idle connection is retired this part of its idle time before the endpoint would close it: a request written later
-/// would end as a reset.
-const IDLE_MARGIN: u32 = 8;
-/// Idle time of endpoints where the settings do not give it.
+/// An idle connection is closed before the endpoint would close it, earlier by 1 / `IDLE_MARGIN_DIVISOR` of the
+/// endpoint's idle time: a request written later would end with a reset.
+const IDLE_MARGIN_DIVISOR: u32 = 8;
+/// Time after which endpoints close idle connections, where the settings do not give it.
 const DEFAULT_IDLE_CLOSE_US: Micros = 10_000_000;
-/// Time to connect where the settings do not give it.
+/// Time limit for connecting, where the settings do not give it.
 const DEFAULT_DIAL_TIMEOUT_US: Micros = 250_000;
+
 /// All endpoints, and the limits on connections to them.
 pub struct Upstream {
     endpoints: RefCell<Vec<Rc<Endpoint>>>,
     permits: Arc<Semaphore>,
     memory: MemoryBudget,
     dial_timeout: Duration,
-    idle_bound: RefCell<IdleBound>,
-    parked: Notify,
+    idle_timeout: RefCell<AdaptiveIdleTimeout>,
+    connection_pooled: Notify,
 }
 
 impl Upstream {
-    /// Allows as many connections as `limits` say, made within `dial_timeout`, closed by endpoints after `idle_close`; 0
-    /// stands for the defaults.
+    /// Creates an upstream without endpoints. `limits` bounds the number of connections, `dial_timeout` the time to
+    /// connect; endpoints close idle connections after `idle_close`. A time of 0 stands for its default.
     pub fn new(limits: ResourceLimits, dial_timeout: Micros, idle_close: Micros) -> Self {
         let idle_close = duration_or(idle_close, DEFAULT_IDLE_CLOSE_US);
-        let idle_bound = IdleBound::new(idle_close - idle_close / IDLE_MARGIN, Instant::now());
+        let idle_timeout =
+            AdaptiveIdleTimeout::new(idle_close - idle_close / IDLE_MARGIN_DIVISOR, Instant::now());
         Self {
             endpoints: RefCell::default(),
             permits: Arc::new(Semaphore::new(limits.upstream)),
             memory: MemoryBudget::new(limits.body_bytes),
             dial_timeout: duration_or(dial_timeout, DEFAULT_DIAL_TIMEOUT_US),
-            idle_bound: RefCell::new(idle_bound),
-            parked: Notify::new(),
+            idle_timeout: RefCell::new(idle_timeout),
+            connection_pooled: Notify::new(),
         }
     }
 
-    /// The endpoint of that number. It is created with all of smaller numbers if need be.
+    /// Returns the endpoint with that number. It is created, with all of smaller numbers, if necessary.
     pub fn endpoint(&self, id: usize) -> Rc<Endpoint> {
         let mut endpoints = self.endpoints.borrow_mut();
         while endpoints.len() <= id {
@@ -78,7 +80,8 @@
         }
     }
 
-    /// Forgets a removed endpoint, whose number may be given to another. What still refers to it writes nothing.
+    /// Forgets a removed endpoint, whose number may be reused for another. Attempts that still refer to it have lost
+    /// their permission and write nothing.
     pub fn forget(&self, id: usize) {
         if let Some(endpoint) = self.endpoints.borrow_mut().get_mut(id) {
             endpoint.update(None, false, 0);
--- a/crates/sidecar/src/upstream/attempt.rs
+++ b/crates/sidecar/src/upstream/attempt.rs
@@ -1,9 +1,9 @@
 //! Attempts of requests and health checks, from the decision to send to their end.
 
 use super::Upstream;
+use super::attempt_target::AttemptTarget;
 use super::endpoint::Endpoint;
-use super::exchanged::{AnswerStream, Exchanged, Target};
-use super::grant::AttemptTarget;
+use super::exchange_result::{ExchangeResult, ExchangeTarget, ResponseStream};
 use super::timing::MAX_STALL;
 use crate::body::{BodyStream, MAX_BODY_BYTES};
 use crate::engine_input::{AttemptResult, HealthCheckResult, Input, Inputs};
@@ -20,51 +20,52 @@
 use std::time::Duration;
 use tokio::time::{Instant, sleep, timeout_at};
 
-/// How long a health check may take.
-const HEALTH_CHECK_TIME: Duration = Duration::from_secs(1);
+/// Time limit for a health check.
+const HEALTH_CHECK_TIMEOUT: Duration = Duration::from_secs(1);
 
 impl Upstream {
     /// Makes an attempt, and reports how it ended.
     pub async fn attempt(
         self: Rc<Self>,
         (request, attempt): (RequestId, AttemptNumber),
-        grant: AttemptTarget,
+        attempt_target: AttemptTarget,
         outgoing: Rc<OutgoingRequest>,
         inputs: Inputs,
     ) {
-        let AttemptTarget { endpoint, permission, until, write_by } = grant;
+        let AttemptTarget { endpoint, permission, until, write_by } = attempt_target;
         let length = outgoing.rest.as_ref().map_or(Some(outgoing.body.len()), BodyStream::length);
         let streams_body = outgoing.rest.is_some();
         let send = GatedSend::new(SendPermit {
             lifecycle: Rc::clone(&outgoing.lifecycle),
             endpoint: endpoint.permission_check(permission),
-            // The time of a streamed body is its client's.
+            // A streamed body takes as long as its client takes to send it, so it has no deadline of its own here.
             until: (!streams_body).then_some(until),
             write_by,
         });
-        // Also where this attempt is cancelled, which drops it here.
+        // Ends the send when dropped, also when this attempt is cancelled.
         let _guard = SendGuard(Rc::clone(&send));
-        let progress = WriteProgress::of_send(length, send);
-        let target = Target { endpoint: &endpoint, permission, until };
+        let progress = WriteProgress::for_gated_send(length, send);
+        let target = ExchangeTarget { endpoint: &endpoint, permission, until };
         let exchange = self.exchange(target, &outgoing, &progress);
         // The balancer ends a streamed request that is overdue after its last byte.
-        let exchanged = if streams_body { Ok(exchange.await) } else { timeout_at(until, exchange).await };
-        // What was not completely written never began to run, whoever gave up first.
-        let exchanged = exchanged.unwrap_or_else(|_| {
+        let result = if streams_body { Ok(exchange.await) } else { timeout_at(until, exchange).await };
+        // An endpoint runs a request only after its last byte, so one that was not completely written has not run, even
+        // if this side timed out.
+        let result = result.unwrap_or_else(|_| {
             let written = progress.is_complete();
-            Exchanged::without_answer(if written { Outcome::TimedOut } else { Outcome::ConnectFailed })
+            ExchangeResult::without_answer(if written { Outcome::TimedOut } else { Outcome::ConnectFailed })
         });
-        let Exchanged { outcome, answer, load, stream } = exchanged;
+        let ExchangeResult { outcome, answer, load, stream } = result;
         inputs.send(Input::AttemptEnded(AttemptResult { request, attempt, outcome, answer, load }));
         if let Some(stream) = stream {
-            self.stream_answer(&endpoint, *stream).await;
+            self.stream_response(&endpoint, *stream).await;
         }
     }
 
-    /// Passes on the rest of an answer as fast as its client takes it. Whatever interrupts it leaves the client without
-    /// the end.
-    async fn stream_answer(&self, endpoint: &Endpoint, stream: AnswerStream) {
-        let AnswerStream { mut pooled, permission, mut body, mut received, client } = stream;
+    /// Forwards the rest of a response as fast as its client reads it. If that is interrupted, the client does not get
+    /// the end of the body.
+    async fn stream_response(&self, endpoint: &Endpoint, stream: ResponseStream) {
+        let ResponseStream { mut pooled, permission, mut body, mut received, client } = stream;
         loop {
             let frame = tokio::select! {
                 biased;
@@ -78,13 +79,13 @@
                 _ => return,
             };
             received += piece.len();
-            // Trailers are not passed on.
+            // Trailers are not forwarded.
             if received > MAX_BODY_BYTES || !piece.is_empty() && client.send(piece).await.is_err() {
                 return;
             }
         }
         if client.send(Bytes::new()).await.is_ok() {
-            self.park(endpoint, permission, pooled).await;
+            self.return_to_pool(endpoint, permission, pooled).await;
         }
     }
 
@@ -92,7 +93,7 @@
     pub async fn health_check(self: Rc<Self>, id: usize, inputs: Inputs) {
         let (start, endpoint) = (Instant::now(), self.endpoint(id));
         let outgoing = health_check_request();
-        let (until, permission) = (start + HEALTH_CHECK_TIME, endpoint.permission());
+        let (until, permission) = (start + HEALTH_CHECK_TIMEOUT, endpoint.permission());
         let send = GatedSend::new(SendPermit {
             lifecycle: Rc::clone(&outgoing.lifecycle),
             endpoint: endpoint.permission_check(permission),
@@ -100,11 +101,11 @@
             write_by: None,
         });
         let _guard = SendGuard(Rc::clone(&send));
-        let progress = WriteProgress::of_send(Some(0), send);
-        let target = Target { endpoint: &endpoint, permission, until };
+        let progress = WriteProgress::for_gated_send(Some(0), send);
+        let target = ExchangeTarget { endpoint: &endpoint, permission, until };
         let exchange = self.exchange(target, &outgoing, &progress);
         let (outcome, load) = match timeout_at(until, exchange).await {
-            Ok(exchanged) => (exchanged.outcome, exchanged.load),
+            Ok(result) => (result.outcome, result.load),
             Err(_) => (Outcome::TimedOut, LoadReport::default()),
         };
         let duration = Micros::try_from(start.elapsed().as_micros()).unwrap_or(Micros::MAX);
--- a/crates/sidecar/src/upstream/exchange.rs
+++ b/crates/sidecar/src/upstream/exchange.rs
@@ -1,8 +1,8 @@
-//! One exchange of a request and its answer with an endpoint.
+//! Sends one request to an endpoint and receives its response.
 
 use super::Upstream;
 use super::endpoint::{Endpoint, SendPermission};
-use super::exchanged::{Exchanged, Target};
+use super::exchange_result::{ExchangeResult, ExchangeTarget};
 use super::pooled_connection::PooledConnection;
 use crate::connection::Connection;
 use crate::outgoing_request::OutgoingRequest;
@@ -12,35 +12,36 @@
 use tokio::time::Instant;
 
 impl Upstream {
-    /// Sends a request and receives its answer, over an idle connection where there is one.
+    /// Sends a request and receives its response, over an idle connection if there is one.
     pub(super) async fn exchange(
         &self,
-        target: Target<'_>,
+        target: ExchangeTarget<'_>,
         outgoing: &OutgoingRequest,
         progress: &WriteProgress,
-    ) -> Exchanged {
+    ) -> ExchangeResult {
         let endpoint = target.endpoint;
         let Some(permission) = target.permission else {
-            return Exchanged::without_answer(Outcome::NotSent);
+            return ExchangeResult::without_answer(Outcome::NotSent);
         };
         loop {
-            // Before a connection is taken from the pool, as what that one holds may be out of date after a wait.
+            // The client is verified before a connection is taken from the pool: after that wait, what was known of the
+            // connection could be out of date.
             outgoing.lifecycle.client_verified().await;
             let (mut pooled, idle) = match self.connection(endpoint, permission).await {
                 Ok(connection) => connection,
-                Err(outcome) => return Exchanged::without_answer(outcome),
+                Err(outcome) => return ExchangeResult::without_answer(outcome),
             };
             if idle.is_none() {
                 outgoing.lifecycle.client_verified().await;
             }
-            // A new connection may have come up late, and be of use to the next request. A reused one is written to at
-            // once.
+            // Connecting may have taken so long that the request may not be sent any more; the new connection can still
+            // serve another request. A reused connection is written to at once.
             if idle.is_none() && !progress.may_write() {
-                self.park(endpoint, permission, pooled).await;
-                return Exchanged::without_answer(Outcome::NotSent);
+                self.return_to_pool(endpoint, permission, pooled).await;
+                return ExchangeResult::without_answer(Outcome::NotSent);
             }
-            let Some(request) = outgoing.request(target.until, progress) else {
-                return Exchanged::without_answer(Outcome::NotSent);
+            let Some(request) = outgoing.to_http_request(target.until, progress) else {
+                return ExchangeResult::without_answer(Outcome::NotSent);
             };
             let sent = Instant::now();
             let response = pooled.connection.request(request, progress.clone()).await;
@@ -49,12 +50,13 @@
             if let Ok(response) = response {
                 return self.receive(target.endpoint, permission, pooled, response, sent).await;
             }
-            // Closed by the endpoint in the moment in which it was reused, before anything was written.
+            // Retries on another connection if the endpoint closed the idle one just as it was reused, before anything
+            // was written.
             let unwritten = !progress.has_begun() && !outgoing.body_consumed();
             if !progress.is_denied() && idle.is_some() && unwritten {
                 continue;
             }
-            return Exchanged::without_answer(failure(&pooled.connection, progress, idle.is_some()));
+            return ExchangeResult::without_answer(failure(&pooled.connection, progress, idle.is_some()));
         }
     }
 
@@ -71,7 +73,7 @@
     }
 }
 
-/// The outcome of a request that got no answer.
+/// The outcome of a request that got no response.
 fn failure(connection: &Connection, progress: &WriteProgress, reused: bool) -> Outcome {
     if progress.is_denied() {
         return Outcome::NotSent;
--- a/crates/sidecar/src/upstream/exchanged.rs
+++ b/crates/sidecar/src/upstream/exchange_result.rs
@@ -1,4 +1,4 @@
-//! Where a request is sent, and what the exchange ends with.
+//! The target of an exchange and its result.
 
 use super::endpoint::{Endpoint, SendPermission};
 use super::pooled_connection::PooledConnection;
@@ -10,32 +10,32 @@
 use tokio::sync::mpsc;
 use tokio::time::Instant;
 
-/// Where a request is sent, and how long its answer is waited for.
+/// Where a request is sent, and until when its response is waited for.
 #[derive(Clone, Copy)]
-pub(super) struct Target<'a> {
+pub(super) struct ExchangeTarget<'a> {
     pub(super) endpoint: &'a Rc<Endpoint>,
     pub(super) permission: Option<SendPermission>,
     pub(super) until: Instant,
 }
 
-/// What an exchange ends with.
-pub(super) struct Exchanged {
+/// The result of an exchange.
+pub(super) struct ExchangeResult {
     pub(super) outcome: Outcome,
     pub(super) answer: Option<Answer>,
     pub(super) load: LoadReport,
-    /// The rest of a streamed answer.
-    pub(super) stream: Option<Box<AnswerStream>>,
+    /// The rest of a streamed response.
+    pub(super) stream: Option<Box<ResponseStream>>,
 }
 
-impl Exchanged {
-    /// An exchange that brought no answer.
+impl ExchangeResult {
+    /// An exchange without a response.
     pub(super) fn without_answer(outcome: Outcome) -> Self {
         Self { outcome, answer: None, load: LoadReport::default(), stream: None }
     }
 }
 
-/// The rest of an answer, on its way to the client.
-pub(super) struct AnswerStream {
+/// The rest of a response that is streamed to the client.
+pub(super) struct ResponseStream {
     pub(super) pooled: PooledConnection,
     pub(super) permission: SendPermission,
     pub(super) body: Incoming,
--- a/crates/sidecar/src/upstream/load_report.rs
+++ b/crates/sidecar/src/upstream/load_report.rs
@@ -1,4 +1,5 @@
-//! The load reports that endpoints send along with their answers. This is where the protocol's names are mapped.
+//! Parses the load reports that endpoints send in a header of their responses, and maps the protocol's names to those
+//! of the balancer.
 
 use hyper::header::HeaderValue;
 use lotusmoor_balancer::LoadReport;
--- a/crates/sidecar/src/upstream/pool.rs
+++ b/crates/sidecar/src/upstream/pool.rs
@@ -1,4 +1,5 @@
-//! Connections to endpoints: dialled, reused while they are idle, and retired in time.
+//! The pool of connections to endpoints: dials them, reuses idle ones, and closes those that have been idle for too
+//! long.
 
 use super::Upstream;
 use super::endpoint::{Endpoint, SendPermission};
@@ -13,40 +14,40 @@
 use tokio::time::{Instant, sleep_until, timeout};
 
 impl Upstream {
-    /// The most recently used idle connection that has settled and is still usable, and how long it was idle. The others
-    /// may then grow old and be closed.
+    /// Takes the most recently used idle connection that has been idle for at least [`SETTLE_TIME`] and is still
+    /// usable, and returns for how long it was idle. The connections used less recently may then expire.
     pub(super) fn reuse(&self, endpoint: &Endpoint) -> Option<(PooledConnection, Duration)> {
-        let bound = self.idle_bound.borrow_mut().get(Instant::now());
+        let max_idle = self.idle_timeout.borrow_mut().get(Instant::now());
         let mut idle = endpoint.idle.borrow_mut();
         loop {
-            let settled = idle.iter().rposition(|idle| idle.since.elapsed() >= SETTLE_TIME)?;
-            let IdleConnection { pooled, since } = idle.remove(settled);
-            if since.elapsed() < bound && pooled.connection.usable() {
+            let position = idle.iter().rposition(|idle| idle.since.elapsed() >= SETTLE_TIME)?;
+            let IdleConnection { pooled, since } = idle.remove(position);
+            if since.elapsed() < max_idle && pooled.connection.usable() {
                 return Some((pooled, since.elapsed()));
             }
         }
     }
 
-    /// Records whether a connection was lost before any byte of an answer; `idle` is for how long it had been idle, if
-    /// it was not new.
+    /// Records whether a connection was lost before any byte of a response; `idle` is for how long it had been idle, or
+    /// `None` for a new one.
     pub(super) fn record_use(&self, idle: Option<Duration>, lost: bool) {
-        let mut bound = self.idle_bound.borrow_mut();
+        let mut idle_timeout = self.idle_timeout.borrow_mut();
         match idle {
-            None => bound.record_new(lost),
-            Some(idle) => bound.record_reused(Instant::now(), idle, lost),
+            None => idle_timeout.record_new(lost),
+            Some(idle) => idle_timeout.record_reused(Instant::now(), idle, lost),
         }
     }
 
-    /// Connects to an address. A shortage of this machine is no fault of the endpoint's.
+    /// Connects to an address. A resource shortage of this machine does not count as a failure of the endpoint.
     pub(super) async fn dial(&self, address: SocketAddr) -> Result<PooledConnection, Outcome> {
         let permit = self.permits.clone().try_acquire_owned().or_else(|full| {
             self.close_oldest_idle();
             self.permits.clone().try_acquire_owned().map_err(|_| full)
         });
-        // Before the dial, as a connection without a permit must not cost the endpoint a handshake.
+        // Acquired before dialling, so that a connection over the limit does not cost the endpoint a handshake.
         let permit = permit.map_err(|_| Outcome::NotSent)?;
         let socket = socket_for(address).map_err(|_| Outcome::NotSent)?;
-        match timeout(self.dial_timeout, Connection::over(socket, address)).await {
+        match timeout(self.dial_timeout, Connection::connect_with(socket, address)).await {
             Ok(Ok(connection)) => Ok(PooledConnection { connection, _permit: permit }),
             Ok(Err(e)) if IoFailure::of_connect(&e) == IoFailure::Shortage => Err(Outcome::NotSent),
             _ => Err(Outcome::ConnectFailed),
@@ -64,32 +65,32 @@
         }
     }
 
-    /// Keeps a connection for the next request, unless either side wants it closed.
-    pub(super) async fn park(
+    /// Returns a connection to the pool for the next request, unless either side wants it closed.
+    pub(super) async fn return_to_pool(
         &self,
         endpoint: &Endpoint,
         permission: SendPermission,
         mut pooled: PooledConnection,
     ) {
-        pooled.connection.turn().await;
+        pooled.connection.poll_driver().await;
         if endpoint.permission() == Some(permission) && pooled.connection.usable() {
             endpoint.idle.borrow_mut().push(IdleConnection { pooled, since: Instant::now() });
-            self.parked.notify_one();
+            self.connection_pooled.notify_one();
         }
     }
 
-    /// Closes idle connections as their time comes. Never returns.
+    /// Closes connections that have been idle for too long. Never returns.
     pub async fn retire_idle(self: Rc<Self>) {
         loop {
             let first = |endpoint: &Rc<Endpoint>| endpoint.idle.borrow().first().map(|idle| idle.since);
             let oldest = self.endpoints.borrow().iter().filter_map(first).min();
-            let bound = self.idle_bound.borrow_mut().get(Instant::now());
+            let max_idle = self.idle_timeout.borrow_mut().get(Instant::now());
             match oldest {
-                None => self.parked.notified().await,
-                Some(since) => sleep_until(since + bound).await,
+                None => self.connection_pooled.notified().await,
+                Some(since) => sleep_until(since + max_idle).await,
             }
             for endpoint in self.endpoints.borrow().iter() {
-                endpoint.idle.borrow_mut().retain(|idle| idle.since.elapsed() < bound);
+                endpoint.idle.borrow_mut().retain(|idle| idle.since.elapsed() < max_idle);
             }
         }
     }
--- a/crates/sidecar/src/upstream/pooled_connection.rs
+++ b/crates/sidecar/src/upstream/pooled_connection.rs
@@ -4,7 +4,7 @@
 use tokio::sync::OwnedSemaphorePermit;
 use tokio::time::Instant;
 
-/// A connection, with its permit to exist.
+/// A connection, with the permit that counts it against the limit on connections.
 pub(super) struct PooledConnection {
     pub(super) connection: Connection,
     pub(super) _permit: OwnedSemaphorePermit,
--- a/crates/sidecar/src/upstream/response.rs
+++ b/crates/sidecar/src/upstream/response.rs
@@ -1,8 +1,8 @@
-//! Receives the answer of an endpoint: as a whole where it is short, and as a stream otherwise.
+//! Receives the response of an endpoint: buffers a short one completely, and streams a longer one.
 
 use super::Upstream;
 use super::endpoint::{Endpoint, SendPermission};
-use super::exchanged::{AnswerStream, Exchanged};
+use super::exchange_result::{ExchangeResult, ResponseStream};
 use super::load_report::parse_load_report;
 use super::pooled_connection::PooledConnection;
 use super::timing::SETTLE_TIME;
@@ -22,18 +22,18 @@
 const UNPROCESSED: HeaderName = HeaderName::from_static("x-unprocessed");
 const BACKEND_LOAD: HeaderName = HeaderName::from_static("x-backend-load");
 
-/// The start of an answer's body.
+/// The start of a response body.
 enum Buffered {
-    /// It is complete.
+    /// The body is complete.
     Complete(Bytes),
-    /// It goes on, and is streamed.
+    /// The body goes on, and is streamed.
     Partial(Bytes),
     /// The connection was lost, or the body is invalid.
     Failed,
 }
 
 impl Upstream {
-    /// Receives the answer whose head has come, to a request that was sent at `sent`.
+    /// Receives a response whose head has arrived; its request was sent at `sent`.
     pub(super) async fn receive(
         &self,
         endpoint: &Endpoint,
@@ -41,21 +41,21 @@
         mut pooled: PooledConnection,
         response: Response<Incoming>,
         sent: Instant,
-    ) -> Exchanged {
+    ) -> ExchangeResult {
         let (head, mut body) = response.into_parts();
         let load = head.headers.get(BACKEND_LOAD).map(parse_load_report).unwrap_or_default();
         let size = body.size_hint();
         let framed = is_framed(&head.headers, size.exact());
-        // The request has run, but the answer is of no use, and nothing behind it can be told apart from it: the
-        // connection is closed. A body that is too long is not read to its end, which may never come.
+        // The request has run, but the response is of no use. Bytes that follow it could not be told apart from it, so
+        // the connection is closed. A body that is too long is not read to its end, which may never come.
         if !framed || head.status.is_informational() || size.lower() > MAX_BODY_BYTES as u64 {
             return without_answer(Outcome::Error, load);
         }
         let length = size.exact().map(|length| length as usize);
         let buffered_length = length.filter(|length| *length <= MAX_BUFFERED_BYTES);
         let reservation = self.memory.reserve(buffered_length.unwrap_or(STREAMING_BYTES)).await;
-        let hold = hold_time(length, sent);
-        let first = match buffer_start(&mut pooled.connection, &mut body, hold).await {
+        let max_buffering = buffering_time(length, sent);
+        let first = match buffer_start(&mut pooled.connection, &mut body, max_buffering).await {
             Buffered::Failed => return without_answer(pooled.connection.failure(), load),
             Buffered::Partial(_) if head.status != StatusCode::OK => {
                 return without_answer(Outcome::Error, load);
@@ -65,8 +65,8 @@
                 let received = first.len();
                 let answer_body = AnswerBody { first, rest: Some(rest), length };
                 let served = ServedAnswer { headers: head.headers, body: answer_body, reservation };
-                let stream = AnswerStream { pooled, permission, body, received, client };
-                return Exchanged {
+                let stream = ResponseStream { pooled, permission, body, received, client };
+                return ExchangeResult {
                     outcome: Outcome::Ok,
                     answer: Some(Answer::Served(served)),
                     load,
@@ -75,29 +75,29 @@
             }
             Buffered::Complete(body) => body,
         };
-        self.park(endpoint, permission, pooled).await;
+        self.return_to_pool(endpoint, permission, pooled).await;
         if head.status == StatusCode::OK {
             let body = AnswerBody::buffered(first);
             let served = ServedAnswer { headers: head.headers, body, reservation };
             let answer = Some(Answer::Served(served));
-            return Exchanged { outcome: Outcome::Ok, answer, load, stream: None };
+            return ExchangeResult { outcome: Outcome::Ok, answer, load, stream: None };
         }
         unsuccessful(head.status, &head.headers, load)
     }
 }
 
-fn without_answer(outcome: Outcome, load: LoadReport) -> Exchanged {
-    Exchanged { outcome, answer: None, load, stream: None }
+fn without_answer(outcome: Outcome, load: LoadReport) -> ExchangeResult {
+    ExchangeResult { outcome, answer: None, load, stream: None }
 }
 
-/// What a complete answer other than 200 means.
-fn unsuccessful(status: StatusCode, headers: &HeaderMap, load: LoadReport) -> Exchanged {
-    // Any endpoint would blame the request in the same way, so that is passed on.
+/// The result of a complete response with a status other than 200.
+fn unsuccessful(status: StatusCode, headers: &HeaderMap, load: LoadReport) -> ExchangeResult {
+    // Any endpoint would reject the request in the same way, so the status is forwarded.
     if status.is_client_error() && status != StatusCode::TOO_MANY_REQUESTS {
         let answer = Some(Answer::ClientError(status));
-        return Exchanged { outcome: Outcome::BadRequest, answer, load, stream: None };
+        return ExchangeResult { outcome: Outcome::BadRequest, answer, load, stream: None };
     }
-    // Only believed of a complete answer: a request whose answer is corrupt has run.
+    // Honoured only on a complete response: if the response is corrupt, the request has run.
     let unprocessed = headers.get(UNPROCESSED).is_some_and(|value| value == "1");
     let rejects = matches!(status, StatusCode::SERVICE_UNAVAILABLE | StatusCode::GATEWAY_TIMEOUT);
     without_answer(if unprocessed && rejects { Outcome::Rejected } else { Outcome::Error }, load)
@@ -108,7 +108,7 @@
     let chunked = last_value_is(headers, TRANSFER_ENCODING, "chunked");
     match (headers.contains_key(CONTENT_LENGTH), chunked) {
         (true, None) | (false, Some(true)) => true,
-        // The body ends with its connection. If that was not announced, it may have been cut off.
+        // The body ends with the connection. Unless the close was announced, the body may have been truncated.
         (false, None) => last_value_is(headers, CONNECTION, "close") == Some(true) || length == Some(0),
         _ => false,
     }
@@ -121,10 +121,10 @@
     matches.next_back()
 }
 
-/// How long the start of a body is held back to become complete. A body that is known to be longer than the buffer is
-/// passed on from its first byte. One of unknown length may be the start of a long one that comes slowly: it is held
-/// back for half as long as it took to begin.
-fn hold_time(length: Option<usize>, sent: Instant) -> Duration {
+/// How long the start of a body is buffered while it is incomplete. A body that is known to be longer than the buffer
+/// is forwarded from its first byte. One of unknown length may be the start of a long one that arrives slowly: it is
+/// buffered for half as long as it took to begin, plus [`SETTLE_TIME`].
+fn buffering_time(length: Option<usize>, sent: Instant) -> Duration {
     match length {
         None => sent.elapsed() / 2 + SETTLE_TIME,
         Some(length) if length > MAX_BUFFERED_BYTES => Duration::ZERO,
@@ -132,18 +132,18 @@
     }
 }
 
-/// Buffers the start of a body, until it is complete, too long, or held back for long enough.
-async fn buffer_start(connection: &mut Connection, body: &mut Incoming, hold: Duration) -> Buffered {
+/// Buffers the start of a body until it is complete or too long, or `max_buffering` is over.
+async fn buffer_start(connection: &mut Connection, body: &mut Incoming, max_buffering: Duration) -> Buffered {
     let began = Instant::now();
     let mut buffer = BytesMut::new();
     loop {
-        let left = hold.checked_sub(began.elapsed());
-        let hold_over = left.is_none_or(|left| left.is_zero());
-        if buffer.len() > MAX_BUFFERED_BYTES || !buffer.is_empty() && hold_over {
+        let left = max_buffering.checked_sub(began.elapsed());
+        let time_is_over = left.is_none_or(|left| left.is_zero());
+        if buffer.len() > MAX_BUFFERED_BYTES || !buffer.is_empty() && time_is_over {
             return Buffered::Partial(buffer.freeze());
         }
         let frame = connection.drive(body.frame());
-        // Without a byte there is nothing to pass on yet.
+        // Without a byte there is nothing to forward yet.
         let frame = match left.filter(|_| !buffer.is_empty()) {
             Some(left) => timeout(left, frame).await,
             None => Ok(frame.await),
--- a/crates/sidecar/src/upstream/tests.rs
+++ b/crates/sidecar/src/upstream/tests.rs
@@ -14,24 +14,24 @@
 use tokio::sync::mpsc;
 
 #[tokio::test]
-async fn closes_idle_connection_for_a_new_one_or_does_not_dial() {
-    let listener = std::net::TcpListener::bind("127.0.0.1:0").expect("a free port");
-    let address = listener.local_addr().expect("an address");
+async fn at_connection_limit_closes_idle_connection_or_does_not_dial() {
+    let listener = std::net::TcpListener::bind("127.0.0.1:0").expect("bind a free port");
+    let address = listener.local_addr().expect("local address");
     let limits = ResourceLimits { clients: 1, upstream: 1, body_bytes: MAX_BUFFERED_BYTES };
     let upstream = Upstream::new(limits, 5_000_000, 10_000_000);
-    let connection = upstream.dial(address).await.expect("there is room");
+    let connection = upstream.dial(address).await.expect("a permit is free");
     assert_eq!(upstream.dial(address).await.err(), Some(Outcome::NotSent));
     let endpoint = upstream.endpoint(0);
     endpoint.update(Some(address), true, 0);
-    let permission = endpoint.permission().expect("it is ready");
-    upstream.park(&endpoint, permission, connection).await;
+    let permission = endpoint.permission().expect("the endpoint is ready");
+    upstream.return_to_pool(&endpoint, permission, connection).await;
     assert!(upstream.dial(address).await.is_ok());
     assert!(upstream.reuse(&endpoint).is_none());
-    listener.set_nonblocking(true).expect("it can");
+    listener.set_nonblocking(true).expect("set non-blocking");
     assert_eq!((0..3).filter(|_| listener.accept().is_ok()).count(), 2);
 }
 
-/// A request to be sent, of a client that is this connection's.
+/// A request of the client on that connection, or of none.
 fn outgoing(client: Option<ClientLiveness>) -> Rc<OutgoingRequest> {
     Rc::new(OutgoingRequest {
         method: Method::POST,
@@ -44,39 +44,40 @@
     })
 }
 
-/// A listener whose queue is full: whoever dials it waits until something is taken out.
-fn unaccepting_listener() -> (std::net::TcpListener, SocketAddr, std::net::TcpStream) {
-    let socket = socket2::Socket::new(socket2::Domain::IPV4, socket2::Type::STREAM, None).expect("a socket");
-    let any: SocketAddr = "127.0.0.1:0".parse().expect("an address");
-    socket.bind(&any.into()).and_then(|()| socket.listen(0)).expect("a free port");
+/// A listener whose accept queue is full: connects to it wait until a connection is accepted.
+fn listener_with_full_queue() -> (std::net::TcpListener, SocketAddr, std::net::TcpStream) {
+    let socket =
+        socket2::Socket::new(socket2::Domain::IPV4, socket2::Type::STREAM, None).expect("create a socket");
+    let any: SocketAddr = "127.0.0.1:0".parse().expect("a valid address");
+    socket.bind(&any.into()).and_then(|()| socket.listen(0)).expect("bind a free port");
     let listener = std::net::TcpListener::from(socket);
-    let address = listener.local_addr().expect("an address");
-    let filler = std::net::TcpStream::connect(address).expect("one fits");
+    let address = listener.local_addr().expect("local address");
+    let filler = std::net::TcpStream::connect(address).expect("the queue has room for one");
     (listener, address, filler)
 }
 
 type Change = fn(&Endpoint, &Rc<OutgoingRequest>, &mut Option<std::net::TcpStream>);
 
-/// What changes while a connection is being made, and whether the connection is still of use then.
+/// What changes while a connection is being established, and whether the connection goes to the pool afterwards.
 const CHANGES: [(&str, bool, Change); 8] = [
     ("nothing has changed", true, |_, _, _| {}),
-    ("its request is answered", true, |_, out, _| out.lifecycle.complete()),
-    ("its client has left", true, |_, _, client| drop(client.take())),
-    ("the window for its repeat is over", true, |_, _, _| {}),
-    ("its endpoint is leaving", false, |e, _, _| e.update(e.address.get(), false, 0)),
-    ("its endpoint was taken out, and given back since", false, |e, _, _| {
+    ("the request was answered", true, |_, out, _| out.lifecycle.complete()),
+    ("the client disconnected", true, |_, _, client| drop(client.take())),
+    ("the idempotency window expired", true, |_, _, _| {}),
+    ("the endpoint is draining", false, |e, _, _| e.update(e.address.get(), false, 0)),
+    ("the endpoint was cordoned and uncordoned", false, |e, _, _| {
         e.set_cordoned(true);
         e.set_cordoned(false);
     }),
-    ("its endpoint has moved", false, |e, _, _| {
-        let here = e.address.get();
-        e.update(here.map(|a| SocketAddr::new(a.ip(), 9)), true, 0);
-        e.update(here, true, 0);
+    ("the endpoint changed its address and changed it back", false, |e, _, _| {
+        let original = e.address.get();
+        e.update(original.map(|a| SocketAddr::new(a.ip(), 9)), true, 0);
+        e.update(original, true, 0);
     }),
-    ("its endpoint is another process, which is cold", false, |e, _, _| e.update(e.address.get(), true, 7)),
+    ("the endpoint restarted", false, |e, _, _| e.update(e.address.get(), true, 7)),
 ];
 
-/// An attempt whose connection has not come up yet.
+/// An attempt whose connection is not established yet.
 struct LateAttempt {
     what: &'static str,
     reusable: bool,
@@ -85,12 +86,13 @@
     endpoint: Rc<Endpoint>,
     upstream: Rc<Upstream>,
     attempting: tokio::task::JoinHandle<()>,
-    /// Held open.
+    /// Kept open for the duration of the test.
     _client: (Option<std::net::TcpStream>, Rc<tokio::net::TcpStream>, Rc<OutgoingRequest>),
 }
 
 impl LateAttempt {
-    /// Begins an attempt, makes the change while its connection is being made, and lets that come up.
+    /// Begins an attempt, makes the change while its connection is being established, and then lets the connection
+    /// succeed.
     async fn begin(
         number: usize,
         (what, reusable, change): (&'static str, bool, Change),
@@ -98,29 +100,29 @@
         local: &tokio::task::LocalSet,
         inputs: &Inputs,
     ) -> Self {
-        let (listener, address, filler) = unaccepting_listener();
+        let (listener, address, filler) = listener_with_full_queue();
         let limits = ResourceLimits { clients: 1, upstream: 1, body_bytes: MAX_BUFFERED_BYTES };
         let upstream = Rc::new(Upstream::new(limits, 30_000_000, 0));
         let endpoint = upstream.endpoint(0);
         endpoint.update(Some(address), true, 0);
         let client =
-            std::net::TcpStream::connect(clients.local_addr().expect("an address")).expect("it connects");
-        let (accepted, _) = clients.accept().await.expect("a connection");
+            std::net::TcpStream::connect(clients.local_addr().expect("local address")).expect("connect");
+        let (accepted, _) = clients.accept().await.expect("accept a connection");
         let (mut client, accepted) = (Some(client), Rc::new(accepted));
         let out = outgoing(Some(ClientLiveness::of(&accepted)));
         let until = Instant::now() + Duration::from_secs(60);
-        // Over before the connection is there: the system tries again to make one after a second.
+        // Expires before the connection is established: the kernel retransmits the SYN only after a second.
         let write_by = what.contains("window").then(|| Instant::now() + Duration::from_millis(100));
-        let grant = AttemptTarget {
+        let target = AttemptTarget {
             endpoint: Rc::clone(&endpoint),
             permission: endpoint.permission(),
             until,
             write_by,
         };
         let attempting =
-            Rc::clone(&upstream).attempt((number as u64, 0), grant, Rc::clone(&out), inputs.clone());
+            Rc::clone(&upstream).attempt((number as u64, 0), target, Rc::clone(&out), inputs.clone());
         let attempting = local.spawn_local(attempting);
-        // One turn: it is dialled from now on.
+        // The first poll of the attempt starts the dial.
         local.run_until(tokio::task::yield_now()).await;
         assert!(!attempting.is_finished(), "{what}");
         change(&endpoint, &out, &mut client);
@@ -129,26 +131,26 @@
         Self { what, reusable, number, listener, endpoint, upstream, attempting, _client }
     }
 
-    /// Checks what was written to the connection, and what became of it.
+    /// Checks what was written to the connection, and whether it went to the pool.
     async fn check(self, ends: &mut HashMap<u64, Outcome>, ended: &mut mpsc::UnboundedReceiver<Input>) {
         let (what, number) = (self.what, self.number as u64);
-        // The filler's, and the one that was late.
-        self.listener.set_nonblocking(true).expect("it can");
-        let listener = tokio::net::TcpListener::from_std(self.listener).expect("a listener");
-        drop(listener.accept().await.expect("a connection"));
-        let (mut late, _) = listener.accept().await.expect("a connection");
+        // The first connection is the filler's, the second is the late one.
+        self.listener.set_nonblocking(true).expect("set non-blocking");
+        let listener = tokio::net::TcpListener::from_std(self.listener).expect("register the listener");
+        drop(listener.accept().await.expect("accept a connection"));
+        let (mut late, _) = listener.accept().await.expect("accept a connection");
         if number == 0 {
             let mut seen = [0; 4];
-            late.read_exact(&mut seen).await.expect("a request");
+            late.read_exact(&mut seen).await.expect("a request arrives");
             assert_eq!(&seen, b"POST", "{what}");
             self.attempting.abort();
             return;
         }
-        self.attempting.await.expect("no panic");
-        // They end in any order.
+        self.attempting.await.expect("the attempt does not panic");
+        // The attempts end in any order.
         while !ends.contains_key(&number) {
             let Some(Input::AttemptEnded(end)) = ended.recv().await else {
-                panic!("{what}: it has not ended")
+                panic!("{what}: the attempt did not end")
             };
             ends.insert(end.request, end.outcome);
         }
@@ -158,17 +160,17 @@
         self.endpoint.close_idle();
         drop(self.upstream);
         let mut seen = Vec::new();
-        late.read_to_end(&mut seen).await.expect("it was closed");
+        late.read_to_end(&mut seen).await.expect("the connection was closed");
         assert!(seen.is_empty(), "{what}: {seen:?}");
     }
 }
 
-// A connection may come up seconds after it was asked for. Whatever has changed meanwhile, nothing is written then
-// that may not be sent any more; the connection is kept where it may serve another request.
+// A connection may be established seconds after it was dialled. If the request may not be sent any more by then,
+// nothing is written, and the connection goes to the pool if it can serve another request.
 #[tokio::test]
 async fn late_connection_carries_only_sends_that_are_still_permitted() {
     let (inputs, mut ended) = Inputs::new();
-    let clients = tokio::net::TcpListener::bind("127.0.0.1:0").await.expect("a free port");
+    let clients = tokio::net::TcpListener::bind("127.0.0.1:0").await.expect("bind a free port");
     let local = tokio::task::LocalSet::new();
     let mut attempts = Vec::new();
     for (number, change) in CHANGES.into_iter().enumerate() {
--- a/crates/sidecar/src/upstream/timing.rs
+++ b/crates/sidecar/src/upstream/timing.rs
@@ -1,10 +1,11 @@
-//! Times that several parts of an exchange depend on.
+//! Time limits used by several parts of an exchange.
 
 use std::time::Duration;
 
-/// How long a connection settles after an answer before it carries the next request. Bytes right behind an answer, a second
-/// copy of it say, have arrived by then, and would otherwise pass for the answer to that request.
+/// Minimum time between a response and the next request on the same connection. Stray bytes that directly follow a
+/// response, such as a duplicate of it, have arrived by then; otherwise they would be taken for the response to the
+/// next request.
 pub(super) const SETTLE_TIME: Duration = Duration::from_millis(5);
-/// How long an endpoint may send nothing of a streamed answer, or take nothing of a streamed body. Slow progress is
-/// allowed; the protocol counts no client as waiting for longer than this.
+/// How long an endpoint may send nothing of a streamed response, or accept nothing of a streamed body. Slow progress is
+/// allowed; by the protocol no client counts as waiting for longer than this.
 pub const MAX_STALL: Duration = Duration::from_secs(3);
--- a/crates/sidecar/src/write_progress.rs
+++ b/crates/sidecar/src/write_progress.rs
@@ -1,39 +1,40 @@
-//! How much of a request was written, and whether any of its answer was received.
+//! How much of a request was written, and whether any of its response was received.
 
 use crate::send_gate::GatedSend;
 use std::cell::Cell;
 use std::rc::Rc;
 use std::time::Duration;
 
-/// Bytes of the blank line that ends a head: CR LF CR LF.
+/// Number of bytes of the sequence that ends a head: CR LF CR LF.
 const HEAD_END_BYTES: u8 = 4;
 
-/// The progress of one request. An endpoint runs a request when its last byte has come, so until that is written it has
-/// surely not run.
+/// The progress of one request. An endpoint runs a request once its last byte has arrived, so a request whose last byte
+/// was not written has certainly not run.
 #[derive(Clone, Default)]
 pub struct WriteProgress(Rc<State>);
 
 #[derive(Default)]
 struct State {
-    /// Bytes written of the blank line that ends the head, [`HEAD_END_BYTES`] once the head is written.
+    /// Bytes written of the sequence that ends the head, [`HEAD_END_BYTES`] once the head is written.
     head_end: Cell<u8>,
+    /// Bytes of the body that are still to be written; `usize::MAX` if the length is not known.
     body_left: Cell<usize>,
     begun: Cell<bool>,
     received_any: Cell<bool>,
-    /// Decides whether the request may begin to be written; none where it always may.
+    /// Decides whether the request may begin to be written; `None` if it always may.
     send: Option<Rc<GatedSend>>,
 }
 
 impl WriteProgress {
-    /// For a request with a body of that length, or one whose length is not known.
+    /// Creates the progress of a request with a body of that length, or of one whose length is not known.
     pub fn new(body: Option<usize>) -> Self {
         let progress = Self::default();
         progress.0.body_left.set(body.unwrap_or(usize::MAX));
         progress
     }
 
-    /// The same for a request whose first byte has to be permitted.
-    pub fn of_send(body: Option<usize>, send: Rc<GatedSend>) -> Self {
+    /// Creates the progress of a request whose first byte has to be permitted by `send`.
+    pub fn for_gated_send(body: Option<usize>, send: Rc<GatedSend>) -> Self {
         let body_left = Cell::new(body.unwrap_or(usize::MAX));
         Self(Rc::new(State { body_left, send: Some(send), ..State::default() }))
     }
@@ -48,7 +49,7 @@
         self.0.send.as_ref().is_some_and(|send| send.denial().is_some())
     }
 
-    /// Records how long the endpoint is told that its answer is waited for.
+    /// Records how long the endpoint is told that its response is waited for.
     pub fn advertise_wait(&self, wait: Duration) {
         if let Some(send) = &self.0.send {
             send.advertise_wait(wait);
@@ -56,11 +57,11 @@
     }
 
     /// Records that the end of a body of unknown length is about to be written: from now on the request may run.
-    pub fn body_ends(&self) {
+    pub fn record_body_end(&self) {
         self.0.body_left.set(0);
     }
 
-    /// Records that the socket has taken these bytes.
+    /// Records that the socket has accepted these bytes.
     pub fn record_written(&self, bytes: &[u8]) {
         let state = &self.0;
         state.begun.set(true);
@@ -86,12 +87,12 @@
         self.0.begun.get()
     }
 
-    /// Whether any byte of an answer was received.
+    /// Whether any byte of a response was received.
     pub fn received_any(&self) -> bool {
         self.0.received_any.get()
     }
 
-    /// Records that some of an answer was received.
+    /// Records that some of a response was received.
     pub fn record_received(&self) {
         self.0.received_any.set(true);
     }
--- a/crates/sidecar/src/write_progress/tests.rs
+++ b/crates/sidecar/src/write_progress/tests.rs
@@ -1,6 +1,6 @@
 use super::*;
 
-// An endpoint begins a request when its last byte has come: one byte short it has surely not run.
+// An endpoint runs a request once its last byte has arrived: without that byte it has certainly not run.
 #[test]
 fn request_is_complete_only_with_its_last_byte() {
     let request = b"POST /api HTTP/1.1\r\nA: b\r\n\r\n{\r\n\r\n}";
