--- a/crates/sidecar/src/body/decoder.rs
+++ b/crates/sidecar/src/body/decoder.rs
@@ -99,7 +99,7 @@
 
     /// Decodes the size of a chunk; returns whether it was complete.
     fn chunk_size(&mut self, input: &mut BytesMut) -> Result<bool, StatusCode> {
-        // The parser would take a line without digits for a size of 0.
+        // The parser reads a line without digits as a size of 0.
         if input.first().is_some_and(|byte| !byte.is_ascii_hexdigit()) {
             return Err(StatusCode::BAD_REQUEST);
         }
--- a/crates/sidecar/src/connection_limiter.rs
+++ b/crates/sidecar/src/connection_limiter.rs
@@ -61,7 +61,7 @@
     number: u64,
 }
 
-/// Marks a connection as evictable for as long as it is held.
+/// Marks a connection as evictable until this is dropped.
 pub struct EvictableConnection<'a> {
     permit: &'a ConnectionPermit,
     from: Instant,
--- a/crates/sidecar/src/inbound/client.rs
+++ b/crates/sidecar/src/inbound/client.rs
@@ -30,7 +30,7 @@
 /// How many bytes are read and discarded in that time.
 const LINGER_BYTES: usize = 256 << 10;
 
-/// Why a request failed and its connection carries no further one.
+/// Why a request failed. Its connection carries no further request.
 pub(super) enum RequestError {
     /// The request is rejected with this status, and bytes after it are ignored.
     Rejected(StatusCode),
@@ -148,9 +148,9 @@
         let _ = timeout(LINGER_TIME, closed).await;
     }
 
-    /// Closes a connection after a response that announced it. Shuts down the write side and keeps reading while the
-    /// client reads the response, which a reset could make it lose. The bytes received meanwhile are discarded: as the
-    /// close was announced, the client knows that they are not taken as a request.
+    /// Closes a connection after a response that announced the close. Shuts down the write side and keeps reading for a
+    /// while, as a reset could make the client lose the response. The bytes read are discarded: after the announcement,
+    /// the client does not expect them to be handled as a request.
     pub(super) async fn close_after_response(mut self) {
         let (time, max_bytes) = if self.body_unfinished {
             (REQUEST_READ_TIMEOUT, MAX_BODY_BYTES)
--- a/crates/sidecar/src/upstream/attempt.rs
+++ b/crates/sidecar/src/upstream/attempt.rs
@@ -38,7 +38,7 @@
         let send = GatedSend::new(SendPermit {
             lifecycle: Rc::clone(&outgoing.lifecycle),
             endpoint: endpoint.permission_check(permission),
-            // A streamed body takes as long as its client takes to send it, so it has no deadline of its own here.
+            // The time of a streamed body depends on its client, so the send has no deadline of its own here.
             until: (!streams_body).then_some(until),
             write_by,
         });
--- a/crates/sidecar/src/upstream/exchange.rs
+++ b/crates/sidecar/src/upstream/exchange.rs
@@ -24,8 +24,8 @@
             return ExchangeResult::without_answer(Outcome::NotSent);
         };
         loop {
-            // The client is verified before a connection is taken from the pool: after that wait, what was known of the
-            // connection could be out of date.
+            // Wait for the verification before a connection is taken from the pool: what is known of a pooled
+            // connection could be out of date after the wait.
             outgoing.lifecycle.client_verified().await;
             let (mut pooled, idle) = match self.connection(endpoint, permission).await {
                 Ok(connection) => connection,
@@ -34,7 +34,7 @@
             if idle.is_none() {
                 outgoing.lifecycle.client_verified().await;
             }
-            // Connecting may have taken so long that the request may not be sent any more; the new connection can still
+            // The send may have become forbidden while the connection was established; the new connection can still
             // serve another request. A reused connection is written to at once.
             if idle.is_none() && !progress.may_write() {
                 self.return_to_pool(endpoint, permission, pooled).await;
--- a/crates/sidecar/src/upstream/response.rs
+++ b/crates/sidecar/src/upstream/response.rs
@@ -46,8 +46,8 @@
         let load = head.headers.get(BACKEND_LOAD).map(parse_load_report).unwrap_or_default();
         let size = body.size_hint();
         let framed = is_framed(&head.headers, size.exact());
-        // The request has run, but the response is of no use. Bytes that follow it could not be told apart from it, so
-        // the connection is closed. A body that is too long is not read to its end, which may never come.
+        // The request has run, but the response can't be used. Bytes that follow it could not be distinguished from it,
+        // so the connection is closed. A body that is too long is not read to its end, which may never come.
         if !framed || head.status.is_informational() || size.lower() > MAX_BODY_BYTES as u64 {
             return without_answer(Outcome::Error, load);
         }
