--- a/crates/balancer/src/action.rs
+++ b/crates/balancer/src/action.rs
@@ -1,20 +1,20 @@
-//! What a balancer wants done.
+//! Output actions of the balancer.
 
 use crate::ids::{AttemptNumber, EndpointId, Micros, RequestId};
 
-/// What a balancer wants done.
+/// An action that the balancer asks its caller to carry out.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Action {
     /// Send an attempt.
     Send {
         /// The request.
         request: RequestId,
-        /// Where to.
+        /// The endpoint.
         endpoint: EndpointId,
         /// Its time-out.
         timeout: Micros,
-        /// A retry of what may have been executed must begin to be written within this time, however long its
-        /// connection takes: endpoints deduplicate its idempotency key no longer than that.
+        /// Time within which a retry with an idempotency key must begin to be written, however long it takes
+        /// to connect: endpoints deduplicate the key no longer than that. `None` if there is no such limit.
         idempotency_window: Option<Micros>,
     },
     /// Final answer: rejected, and the client may safely retry.
@@ -35,22 +35,22 @@
     },
     /// Send a health check to an endpoint.
     HealthCheck(EndpointId),
-    /// Call back in `after` with `token`.
+    /// Set a timer.
     SetTimer {
         /// Time from now.
         after: Micros,
         /// Returned in [`Event::Timer`](crate::Event::Timer).
         token: u64,
     },
-    /// Subscribe to list changes, or end that.
+    /// Subscribe to changes of the endpoint list (true), or unsubscribe (false).
     Subscribe(bool),
-    /// Poll discovery once for the complete list.
+    /// Poll discovery once for the complete endpoint list.
     FetchEndpointList,
     /// Close idle connections to an endpoint.
     CloseIdleConnections(EndpointId),
     /// Send a message of at most 256 bytes to a peer, or to all.
     SendPeerMessage {
-        /// The peer's index; `None` is everyone.
+        /// The peer's index, or `None` for all peers.
         to: Option<u32>,
         /// The content.
         bytes: Vec<u8>,
--- a/crates/balancer/src/balancer.rs
+++ b/crates/balancer/src/balancer.rs
@@ -1,9 +1,9 @@
 //! The balancer: a state machine from [`Event`]s to [`Action`]s.
 //!
-//! The way of a request: `admit` (or shed), `dispatch` to the endpoint that `choose` picks (the next turn of
-//! a weighted round robin, past open circuits and full endpoints) with `send`; when the attempt has ended,
-//! `record_outcome` and `attempt_ended`. Then the request is answered and removed by `complete_request`, or
-//! `schedule_retry` leads back to `dispatch` after a backoff, or `reject_or_fail` gives the final answer.
+//! Life cycle of a request: `admit` sheds it or calls `dispatch`, which calls `send` for the endpoint that
+//! `choose` picks: the next one in a weighted round robin that is not full and has no open circuit. When the
+//! attempt ends, `attempt_ended` updates the endpoint (`record_outcome`) and calls `complete_request`,
+//! `schedule_retry` (back to `dispatch` after a backoff) or `reject_or_fail`, which gives the final answer.
 
 mod admission;
 mod circuit_breaker;
@@ -38,12 +38,12 @@
 use slow_start::Throughput;
 use std::collections::{BTreeMap, BTreeSet};
 
-/// Clock readings beyond this are taken as this.
+/// Clock readings are clamped to plus or minus this value.
 const MAX_CLOCK_US: Micros = Micros::MAX / 4;
 
-/// The decisions of one sidecar. Feed it events in order; it answers with actions.
+/// The decision logic of one sidecar: takes events in order and returns actions.
 pub struct Balancer {
-    /// Time of the event being handled, and its actions so far.
+    /// Time of the event being handled, and the actions that it has caused so far.
     now: Micros,
     actions: Vec<Action>,
     settings: Settings,
@@ -59,9 +59,9 @@
     round_robin: RoundRobin,
     throughput: Throughput,
     longest_deadline: f64,
-    /// Retries that may be sent; each first attempt adds a part of one.
+    /// Retries that may be sent (token bucket); each request adds a fraction of one.
     retry_budget: f64,
-    /// Trials of open circuits that may be sent; each request adds a part of one.
+    /// Trials of open circuits that may be sent (token bucket); each request adds a fraction of one.
     trial_budget: f64,
     subscribed: bool,
     discovery_failures: u32,
@@ -69,7 +69,7 @@
 }
 
 impl Balancer {
-    /// A fresh instance; fails on settings under which no request could be decided.
+    /// Creates a balancer; fails if the settings are invalid.
     pub fn new(settings: Settings, seed: u64) -> Result<Self, SettingsError> {
         settings.check()?;
         Ok(Self {
@@ -95,7 +95,7 @@
         })
     }
 
-    /// Takes one event that happens at `now` and appends what is to be done.
+    /// Handles an event that occurred at `now` and appends the resulting actions to `out`.
     pub fn handle(&mut self, now: Micros, event: Event, out: &mut Vec<Action>) {
         self.now = now.clamp(-MAX_CLOCK_US, MAX_CLOCK_US);
         if !self.subscribed && self.settings.discovery == DiscoveryMode::Polled {
--- a/crates/balancer/src/balancer/admission.rs
+++ b/crates/balancer/src/balancer/admission.rs
@@ -3,7 +3,7 @@
 use super::*;
 
 impl Balancer {
-    /// Takes a new request: it is shed at once or dispatched.
+    /// Sheds a new request at once, or dispatches it.
     pub(super) fn admit(&mut self, new: NewRequest) {
         if self.requests.contains_key(&new.id) || new.class >= self.settings.classes.len() {
             return;
@@ -11,13 +11,13 @@
         let default_work = self.latency.class_work[new.class];
         let own_work = new.expected_work.map_or(default_work, |w| w.clamp(1, MAX_DURATION_US) as f64);
         let class = &self.settings.classes[new.class];
-        let grown = class.latency_objective as f64 + class.objective_per_work * own_work;
-        let latency_objective = grown.min(class.deadline.max(class.latency_objective) as f64);
+        let scaled_objective = class.latency_objective as f64 + class.objective_per_work * own_work;
+        let latency_objective = scaled_objective.min(class.deadline.max(class.latency_objective) as f64);
         self.shedding.record_received(self.now);
         self.trial_budget = (self.trial_budget + TRIALS_PER_REQUEST).min(MAX_TRIAL_BUDGET);
         self.retry_budget = (self.retry_budget + RETRIES_PER_REQUEST).min(MAX_RETRY_BUDGET);
         let expected_work = self.latency.record_request(own_work, latency_objective);
-        // A client's retry has spent part of its objective already.
+        // A client's retry has already used part of its latency objective.
         let low_priority = self.quotas.count(self.now, new.tenant, &self.settings) || new.is_client_retry;
         let shed = self.shedding.should_shed(self.now, low_priority, self.rng.f64());
         let request = Request {
@@ -39,7 +39,7 @@
         if shed { self.reject_or_fail(new.id) } else { self.dispatch(new.id) }
     }
 
-    /// The time that a client takes to send its body counts neither against endpoints nor the objective.
+    /// The time that a client takes to send its body counts neither as latency nor against the objective.
     pub(super) fn body_received(&mut self, id: RequestId, deadline: Micros) {
         let deadline = self.answer_by(deadline);
         let Some(request) = self.requests.get_mut(&id) else { return };
@@ -50,7 +50,7 @@
         self.endpoints.iter_mut().for_each(|e| e.in_flight.body_received(id));
     }
 
-    /// A client's deadline, less two calls with events: one to notice it and one to spare.
+    /// A client's deadline minus two ticks: one until the next event, which notices it, and one as a margin.
     fn answer_by(&self, deadline: Micros) -> Micros {
         deadline.clamp(self.now, self.now + MAX_DURATION_US) - 2 * self.settings.tick
     }
--- a/crates/balancer/src/balancer/circuit_breaker.rs
+++ b/crates/balancer/src/balancer/circuit_breaker.rs
@@ -1,28 +1,28 @@
-//! Circuit breakers of endpoints, and of classes at an endpoint. An open circuit admits nothing for a time,
-//! which doubles with each opening, and then one trial attempt at a time.
+//! Circuit breakers per endpoint, and per request class at an endpoint. An open circuit admits no attempts
+//! for a period, which doubles with each opening, and then one trial attempt at a time (half-open).
 
 use super::*;
 
 const MAX_DOUBLINGS: u32 = 3;
-/// The first opening lasts this many rounds of turns at the least.
+/// The first opening lasts at least this many round-robin passes over the subset.
 const MIN_OPEN_ROUNDS: f64 = 2.0;
 /// Share of requests that may be trials while other circuits are closed.
 pub(super) const TRIALS_PER_REQUEST: f64 = 0.05;
 pub(super) const MAX_TRIAL_BUDGET: f64 = 1.0;
-const OPENINGS_FORGIVEN: u32 = 2;
+const OPENINGS_DEDUCTED_ON_CLOSE: u32 = 2;
 
 impl Balancer {
-    /// Whether the circuit that a request of that class meets there keeps it out.
+    /// Whether a circuit bars requests of the class from the endpoint.
     pub(super) fn circuit_blocks(&self, endpoint: &Endpoint, class: ClassId) -> bool {
         let circuit = endpoint.circuit_for(class);
-        // Many open circuits must not make a trial of every other request.
-        let others_serve = || self.endpoints.iter().any(|e| e.serves(class));
-        let over_budget = || self.trial_budget < MAX_TRIAL_BUDGET && others_serve();
+        // However many circuits are open, trials must remain a small share of the requests.
+        let others_available = || self.endpoints.iter().any(|e| e.serves(class));
+        let over_budget = || self.trial_budget < MAX_TRIAL_BUDGET && others_available();
         circuit != Circuit::Closed
             && (circuit.is_open(self.now) || endpoint.has_trial_in_flight(class) || over_budget())
     }
 
-    /// Opens the circuit of an endpoint, or of one class there: longer with each opening, and jittered.
+    /// Opens the circuit of an endpoint, or of a class there, for a jittered time, doubled with each opening.
     pub(super) fn open_circuit(&mut self, i: EndpointId, class: Option<ClassId>) {
         let round = self.subset_size() / self.shedding.request_rate(self.now);
         let first = (self.settings.longest_latency_objective() as f64).max(MIN_OPEN_ROUNDS * round);
@@ -40,15 +40,15 @@
         }
     }
 
-    /// Closes the circuit of an endpoint, or of one class there, after a trial that succeeded.
+    /// Closes the circuit of an endpoint, or of a class there, after a successful trial.
     pub(super) fn close_circuit(&mut self, i: EndpointId, class: Option<ClassId>) {
         let health = self.endpoints[i].health_mut(self.now, class);
-        let consecutive_openings = health.consecutive_openings.saturating_sub(OPENINGS_FORGIVEN);
+        let consecutive_openings = health.consecutive_openings.saturating_sub(OPENINGS_DEDUCTED_ON_CLOSE);
         *health = Health { consecutive_openings, ..Health::unknown(self.now) };
         if class.is_none() {
             self.endpoints[i].class_health.clear();
-            // It lost its connections, so it has likely restarted, whatever the list says so far.
-            if self.endpoints[i].take_restart() {
+            // Failed connections indicate a restart that the endpoint list may not report yet.
+            if self.endpoints[i].take_inferred_restart() {
                 self.begin_slow_start(i, self.now);
             }
         }
--- a/crates/balancer/src/balancer/dispatch.rs
+++ b/crates/balancer/src/balancer/dispatch.rs
@@ -1,20 +1,20 @@
-//! Sending of attempts, what follows from their end, and the queue of requests that wait for capacity.
+//! Sending of attempts, handling of their ends, and the queue of requests that wait for capacity.
 
 use super::*;
 use std::ops::Bound;
 
-/// Part of the latency objective that a request waits for capacity.
+/// Longest wait for capacity, as a share of the latency objective.
 pub(super) const QUEUE_TIMEOUT_SHARE: f64 = 0.15;
 
 impl Request {
-    /// Position in the queue: low priority comes last, and among equals who expires first comes first.
+    /// Position in the queue: low priority comes last; within a priority, the earliest to expire comes first.
     pub(super) fn queue_key(&self, id: RequestId) -> (bool, Micros, RequestId) {
         (self.low_priority, self.queued_until, id)
     }
 }
 
 impl Balancer {
-    /// Its deadline has passed, or it has waited long enough for capacity.
+    /// Whether the request's deadline or its time-out in the queue has passed.
     pub(super) fn has_expired(&self, id: RequestId) -> bool {
         self.requests.get(&id).is_some_and(|r| match r.state {
             RequestState::Streaming => false,
@@ -23,12 +23,12 @@
         })
     }
 
-    /// Sends the request to the endpoint chosen, or queues it while all are at their limits.
+    /// Sends the request to the chosen endpoint, or queues it if all are at their limits.
     pub(super) fn dispatch(&mut self, id: RequestId) {
         let Some(request) = self.requests.get(&id) else { return };
         match self.choose(request) {
             Choice::Endpoint(endpoint) => self.send(id, endpoint),
-            Choice::AllOpen => self.schedule_retry(id),
+            Choice::NoneAvailable => self.schedule_retry(id),
             Choice::AtLimits => {
                 let Some(request) = self.requests.get_mut(&id) else { return };
                 request.queued_until = after(self.now, request.latency_objective * QUEUE_TIMEOUT_SHARE);
@@ -39,7 +39,7 @@
         }
     }
 
-    /// Whether the protocol's rules allow an attempt there now.
+    /// Whether the protocol's rules allow sending the request to the endpoint now.
     pub(super) fn may_send(&self, request: &Request, endpoint: EndpointId) -> bool {
         let limits = &self.settings.limits;
         self.endpoints[endpoint].is_ready()
@@ -50,7 +50,7 @@
             && self.may_execute(request, endpoint)
     }
 
-    /// The only place that sends an attempt.
+    /// Sends an attempt if the protocol's rules allow it. All attempts are sent here.
     pub(super) fn send(&mut self, id: RequestId, endpoint: EndpointId) {
         let Some(request) = self.requests.get(&id) else { return };
         if !self.may_send(request, endpoint) {
@@ -92,14 +92,14 @@
         if end.request_completed || matches!(end.outcome, Outcome::Ok | Outcome::BadRequest) {
             let age = (self.now - request.received_at) as f64;
             let in_time = end.outcome == Outcome::Ok && age <= request.latency_objective;
-            // A client whose requests nobody can serve must not get others' requests shed.
+            // A client that sends invalid requests must not cause other clients' requests to be shed.
             self.complete_request(id, (end.outcome != Outcome::BadRequest).then_some(in_time));
         } else if request.state == RequestState::Sent && request.attempts_in_flight().next().is_none() {
             if end.body_consumed { self.reject_or_fail(id) } else { self.schedule_retry(id) }
         }
     }
 
-    /// The answer has begun: no deadline runs any more, and the other attempts are cancelled.
+    /// The answer has begun to stream: the deadline no longer applies, and other attempts are cancelled.
     pub(super) fn stream_started(&mut self, id: RequestId, attempt: AttemptNumber) {
         let Some(request) = self.requests.get_mut(&id) else { return };
         request.state = RequestState::Streaming;
@@ -109,20 +109,20 @@
         self.cancel(id, others);
     }
 
-    /// Sends what has capacity by now.
+    /// Sends the queued requests for which there is capacity now.
     pub(super) fn serve_queue(&mut self) {
         let mut next = self.queue.first().copied();
         while let Some(key) = next {
             let Some(request) = self.requests.get(&key.2) else { return };
             match self.choose(request) {
-                // Only retries are bound to some endpoints: where a first attempt finds none, no other will.
+                // A first attempt may go to any endpoint: without capacity for it there is none for others.
                 Choice::AtLimits if request.attempts.is_empty() => return,
                 Choice::AtLimits => {}
                 Choice::Endpoint(endpoint) => {
                     self.queue.remove(&key);
                     self.send(key.2, endpoint);
                 }
-                Choice::AllOpen => {
+                Choice::NoneAvailable => {
                     self.queue.remove(&key);
                     self.schedule_retry(key.2);
                 }
--- a/crates/balancer/src/balancer/endpoint_list.rs
+++ b/crates/balancer/src/balancer/endpoint_list.rs
@@ -1,15 +1,17 @@
-//! Changes of the endpoint list, and operators' cordons.
+//! Endpoint list updates, and operators' cordons.
 
 use super::*;
 
-/// Endpoint numbers are dense: one beyond this is a caller's error, and is ignored.
+/// Endpoint ids are dense: one beyond this is an error of the caller, and is ignored.
 const MAX_ENDPOINTS: EndpointId = 1 << 20;
-/// Longest backoff as a part of the longest time between polls, and the first as a part of that.
+/// The longest backoff is the longest time between polls divided by this.
 const MAX_BACKOFF_POLL_DIVISOR: f64 = 2.0;
-const FIRST_BACKOFF_DIVISOR: f64 = 16.0;
+/// The shortest backoff is the longest one divided by this.
+const MIN_BACKOFF_DIVISOR: f64 = 16.0;
 const MAX_BACKOFF_DOUBLINGS: u32 = 8;
 const MIN_SIZE: f64 = 1e-3;
 const MAX_SIZE: f64 = 1e6;
+/// Initial slow-start budget of an uncordoned endpoint, in requests of mean work.
 const UNCORDONED_BUDGET_REQUESTS: f64 = 2.0;
 
 impl Balancer {
@@ -36,8 +38,8 @@
         (e.zone, e.cell, e.machine_type) = (entry.zone, entry.cell, entry.machine_type);
         e.size = if entry.size > 0.0 { entry.size.clamp(MIN_SIZE, MAX_SIZE) } else { 1.0 };
         if entry.started_at > e.started_at {
-            // A new process: nothing learnt of the old one holds, but an open circuit closes by a trial only.
-            e.forget_process(self.latency.per_work);
+            // A new process: the old one's state is discarded, but an open circuit closes only by a trial.
+            e.reset_for_new_process(self.latency.per_work);
             if e.health.circuit != Circuit::Closed {
                 e.health.circuit = Circuit::Open(self.now);
             }
@@ -49,12 +51,12 @@
         self.discovery_failures += 1;
         let max = self.settings.rules.max_poll_interval as f64 / MAX_BACKOFF_POLL_DIVISOR;
         let factor = f64::from(1u32 << self.discovery_failures.min(MAX_BACKOFF_DOUBLINGS));
-        let grown = (max / FIRST_BACKOFF_DIVISOR * factor).min(max);
-        let backoff = grown * (0.5 + 0.5 * self.rng.f64());
+        let full_backoff = (max / MIN_BACKOFF_DIVISOR * factor).min(max);
+        let backoff = full_backoff * (0.5 + 0.5 * self.rng.f64());
         self.timers.schedule(after(self.now, backoff), Timer::Resubscribe);
     }
 
-    /// What operators uncordon works and was restarted: it gets the next turn, in slow start.
+    /// An uncordoned endpoint is taken to be healthy and restarted: it gets the next turn, in slow start.
     pub(super) fn set_cordoned(&mut self, i: EndpointId, cordoned: bool) {
         if i >= MAX_ENDPOINTS {
             return;
@@ -64,21 +66,21 @@
         if was_cordoned && !cordoned {
             self.begin_slow_start(i, self.now);
             let endpoint = &mut self.endpoints[i];
-            endpoint.forget_process(self.latency.per_work);
+            endpoint.reset_for_new_process(self.latency.per_work);
             endpoint.health = Health::unknown(endpoint.health.last_outcome_at);
             endpoint.next_turn = self.round_robin.virtual_time;
             endpoint.slow_start_budget = UNCORDONED_BUDGET_REQUESTS * self.latency.mean_work;
         }
     }
 
-    /// The number may be given to another endpoint, to which nothing learnt of this one must stick.
+    /// Discards the state of an endpoint, as its id may be reused for another.
     pub(super) fn release_endpoint(&mut self, i: EndpointId) {
         if i < self.endpoints.len() {
             self.endpoints[i] = self.unknown_endpoint();
         }
     }
 
-    /// Creates endpoints up to that number, each at a random place in the round robin's order.
+    /// Creates endpoints up to that id, each at a random position in the round-robin order.
     fn ensure_endpoint(&mut self, i: EndpointId) {
         while self.endpoints.len() <= i {
             let order = &mut self.round_robin.order;
--- a/crates/balancer/src/balancer/health.rs
+++ b/crates/balancer/src/balancer/health.rs
@@ -1,16 +1,16 @@
-//! What the end of an attempt says about its endpoint: latency, concurrency limit, circuit breaker.
+//! Updates an endpoint's latency, concurrency limit and circuit breakers when an attempt ends.
 
 use super::*;
 
 /// Error rate that opens a circuit: three errors in a row, as two may be chance.
 const ERROR_RATE_THRESHOLD: f64 = 0.6;
-/// Up to this error rate another class shows that the endpoint is sound, and the fault the class's own.
-const SOUND_ERROR_RATE: f64 = 0.3;
+/// Another class with an error rate below this shows that the fault is the failing class's own.
+const HEALTHY_ERROR_RATE: f64 = 0.3;
 
 impl Balancer {
     pub(super) fn record_outcome(&mut self, end: AttemptEnd, attempt: &InFlightAttempt) {
-        // A network fault breaks all idle connections, which must not open circuits of sound endpoints. One
-        // that breaks each connection after its first answer is not detected, and costs an attempt each time.
+        // A network fault that breaks all idle connections must not open circuits of healthy endpoints. As a
+        // result, one that breaks each connection after its first answer is not detected and costs attempts.
         if matches!(
             end.outcome,
             Outcome::Cancelled | Outcome::BadRequest | Outcome::NotSent | Outcome::ReusedConnectionReset
@@ -18,7 +18,7 @@
             return;
         }
         let duration = end.duration.clamp(1, MAX_DURATION_US) as f64;
-        // A stream lasts as long as it has something to say.
+        // The duration of a stream depends on its content, not on the endpoint's latency.
         if !attempt.streaming && matches!(end.outcome, Outcome::Ok | Outcome::TimedOut) {
             self.record_latency(end, attempt, duration);
         }
@@ -46,9 +46,9 @@
         let is_trial = e.health.circuit != Circuit::Closed;
         e.count_connect_failure(self.now, end.outcome, duration);
         e.health.last_outcome_at = self.now;
-        // A failed connection is no fault of a class.
-        let may_blame_class = !is_trial && end.outcome != Outcome::ConnectFailed;
-        if may_blame_class && self.record_class_health(i, class, is_error) {
+        // A failed connection is not related to the request's class.
+        let may_be_class_fault = !is_trial && end.outcome != Outcome::ConnectFailed;
+        if may_be_class_fault && self.record_class_health(i, class, is_error) {
             return;
         }
         let health = &mut self.endpoints[i].health;
@@ -60,13 +60,13 @@
         }
     }
 
-    /// An endpoint may fail one class alone: others' successes would keep its circuit closed, with that class
-    /// taking its turns there, or its errors open it for all. Tells whether that class alone is to blame.
+    /// Tracks each class by itself, so that its errors neither open the circuit for all classes nor are
+    /// outweighed by the successes of others. Returns whether the class alone is at fault.
     fn record_class_health(&mut self, i: EndpointId, class: ClassId, is_error: bool) -> bool {
         let since = self.now - self.latency.stale_after as Micros;
         let classes = &mut self.endpoints[i].class_health;
-        let is_sound = |h: &Health| h.last_outcome_at >= since && h.error_rate < SOUND_ERROR_RATE;
-        let others_succeed = classes.iter().any(|(other, health)| *other != class && is_sound(health));
+        let is_healthy = |h: &Health| h.last_outcome_at >= since && h.error_rate < HEALTHY_ERROR_RATE;
+        let others_succeed = classes.iter().any(|(other, health)| *other != class && is_healthy(health));
         let health = classes.entry(class).or_insert(Health::unknown(self.now));
         let gain = health.gain(self.now, self.longest_deadline);
         health.update_error_rate(gain, is_error);
--- a/crates/balancer/src/balancer/idempotency.rs
+++ b/crates/balancer/src/balancer/idempotency.rs
@@ -1,9 +1,9 @@
-//! No request has its effect twice.
+//! Idempotency: keeps requests from taking effect twice.
 
 use super::*;
 
 impl Balancer {
-    /// What may have run runs again only if it is idempotent, or where and while its key is deduplicated.
+    /// Whether it is idempotent, has not been executed so far, or its key is still deduplicated there.
     pub(super) fn may_execute(&self, request: &Request, endpoint: EndpointId) -> bool {
         let mut executions = request.possible_executions();
         match self.settings.classes[request.class].idempotency {
--- a/crates/balancer/src/balancer/retry.rs
+++ b/crates/balancer/src/balancer/retry.rs
@@ -5,15 +5,15 @@
 const MIN_BACKOFF_IN_OBJECTIVES: f64 = 1.0 / 64.0;
 const MAX_BACKOFF_IN_OBJECTIVES: f64 = 1.0 / 8.0;
 const MAX_BACKOFF_DOUBLINGS: u32 = 16;
-/// Retry budget: what a request adds to it, and the most it holds.
+/// Retry budget: what each request adds to it, and its maximum.
 pub(super) const RETRIES_PER_REQUEST: f64 = 0.1;
 pub(super) const MAX_RETRY_BUDGET: f64 = 3.0;
-/// A time-out must leave an attempt this multiple of what its work is expected to take.
+/// Retries are planned only if each attempt gets at least this multiple of its expected latency.
 const MIN_TIMEOUT_IN_EXPECTED_LATENCIES: f64 = 8.0;
 const MAX_PLANNED_RETRIES: u32 = 9;
 
 impl Balancer {
-    /// Lets the request wait for its retry, longer after each failure and jittered, or answers it.
+    /// Schedules a retry after an exponential backoff with jitter, or gives the final answer.
     pub(super) fn schedule_retry(&mut self, id: RequestId) {
         let Some(request) = self.requests.get_mut(&id) else { return };
         request.failures += 1;
@@ -41,7 +41,7 @@
         let useful_until = if late_has_value { request.deadline } else { objective_at };
         let attempts = request.failures.max(request.attempts.len() as u32);
         let may_have_run = request.attempts.iter().any(|a| a.may_have_run);
-        // In an outage every request would be retried several times and nothing recover: hence the budget.
+        // Without the budget, every request is retried several times in an outage, which prevents recovery.
         self.endpoints.iter().any(Endpoint::is_ready)
             && attempts < self.settings.limits.max_attempts
             && !(may_have_run && class.idempotency == Idempotency::NonIdempotent)
@@ -49,8 +49,8 @@
             && at < useful_until.min(request.deadline)
     }
 
-    /// Time-out of the next attempt: as many retries as leave each attempt its least time, with
-    /// (retries + 1) x time-out + retries x longest backoff inside the time left.
+    /// Time-out of the next attempt: plans as many retries as leave each attempt its minimum, with
+    /// (retries + 1) x time-out + retries x longest backoff within the time left.
     pub(super) fn attempt_timeout(&self, request: &Request, endpoint: EndpointId) -> Micros {
         let time_left = (request.deadline - self.now) as f64;
         let max_backoff = request.latency_objective * MAX_BACKOFF_IN_OBJECTIVES;
@@ -65,7 +65,7 @@
         timeout(retries.unwrap_or(0.0)).max(1.0) as Micros
     }
 
-    /// The final answer: a rejection if a repeat at its `Retry-After` is provably safe, else a failure.
+    /// Gives the final answer: rejected if a repeat at its `Retry-After` is provably safe, else failed.
     pub(super) fn reject_or_fail(&mut self, id: RequestId) {
         let Some(request) = self.requests.get(&id) else { return };
         let idempotency = self.settings.classes[request.class].idempotency;
@@ -83,7 +83,7 @@
         self.complete_request(id, Some(false));
     }
 
-    /// At the first trial while all circuits are open, jittered since all clients are told that.
+    /// Time to the first trial if all circuits are open, jittered as all clients are told it; else `default`.
     fn retry_after(&mut self, default: f64) -> Micros {
         let trial = first_trial_at(&self.endpoints);
         let delay = trial.map(|at| (at - self.now) as f64 * (0.75 + 0.5 * self.rng.f64()));
@@ -92,10 +92,10 @@
         (delay.unwrap_or(default) as Micros).clamp(0, max)
     }
 
-    /// Removes a request that is over, answered in time or not if that counts for load shedding.
+    /// Removes a completed request; `None` is not counted by load shedding as in time or not.
     pub(super) fn complete_request(&mut self, id: RequestId, in_time: Option<bool>) {
         let Some(request) = self.requests.remove(&id) else { return };
-        // A request that only waited for capacity is no sign that work sent comes to nothing.
+        // A request that was only queued says nothing about whether sent requests are answered in time.
         if let Some(in_time) = in_time.filter(|_| request.shed || !request.attempts.is_empty()) {
             self.shedding.record_completed(self.now, request.shed, in_time);
         }
--- a/crates/balancer/src/circuit.rs
+++ b/crates/balancer/src/circuit.rs
@@ -3,8 +3,8 @@
 use crate::Micros;
 use crate::decaying_sum::decay;
 
-/// Least weight of the newest outcome in an error rate. It weighs more the longer the last is ago: with thin
-/// traffic three in a row may take several times as long as any client waits.
+/// Least weight of the newest outcome in an error rate. The weight grows with the time since the previous
+/// one, as with sparse traffic three errors in a row may take several times as long as any client waits.
 const MIN_OUTCOME_GAIN: f64 = 0.3;
 
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
@@ -22,7 +22,7 @@
     }
 }
 
-/// How an endpoint does, as a whole or with one class of requests.
+/// Health of an endpoint, as a whole or for one request class.
 #[derive(Default)]
 pub(crate) struct Health {
     pub(crate) circuit: Circuit,
@@ -37,7 +37,7 @@
         Self { last_outcome_at: now, ..Self::default() }
     }
 
-    /// Weight of an outcome that comes now.
+    /// Weight in the error rate of an outcome that is observed now.
     pub(crate) fn gain(&self, now: Micros, longest_deadline: f64) -> f64 {
         MIN_OUTCOME_GAIN.max(1.0 - decay(now, self.last_outcome_at, longest_deadline))
     }
--- a/crates/balancer/src/endpoint.rs
+++ b/crates/balancer/src/endpoint.rs
@@ -1,4 +1,4 @@
-//! What is known of an endpoint.
+//! State of an endpoint.
 
 use crate::attempt::{Attempt, InFlightAttempts};
 use crate::circuit::{Circuit, Health};
@@ -6,9 +6,9 @@
 use crate::{ClassId, DedupScope, MachineTypeId, Micros, Outcome, Rules, ZoneId};
 use std::collections::BTreeMap;
 
-/// Failed connections in a row after which a process counts as restarted.
+/// Failed connections in a row that indicate a restart of the process.
 const RESTART_CONNECT_FAILURES: u32 = 2;
-const MIN_WARMTH: f64 = 0.01;
+const MIN_CAPACITY_SHARE: f64 = 0.01;
 
 #[derive(Default)]
 pub(crate) struct Endpoint {
@@ -36,7 +36,7 @@
     /// Work that it may be sent in slow start, as of `budget_updated_at`.
     pub(crate) slow_start_budget: f64,
     pub(crate) budget_updated_at: Micros,
-    /// From 0 to 1: how far its answers, while requests wait, show that it bears more than the least.
+    /// From 0 to 1: how far its answers while requests wait show more than its guaranteed capacity.
     pub(crate) proven_capacity: f64,
 }
 
@@ -45,11 +45,11 @@
         self.listed_ready && !self.cordoned
     }
 
-    pub(crate) fn is_closed(&self) -> bool {
+    pub(crate) fn is_available(&self) -> bool {
         self.is_ready() && self.health.circuit == Circuit::Closed
     }
 
-    /// The circuit that a request of that class meets.
+    /// The circuit that applies to requests of the class: the endpoint's own unless that is closed.
     pub(crate) fn circuit_for(&self, class: ClassId) -> Circuit {
         match self.health.circuit {
             Circuit::Closed => self.class_health.get(&class).map_or(Circuit::Closed, |h| h.circuit),
@@ -75,12 +75,12 @@
         }
     }
 
-    /// Least share of its capacity that it has: in slow start it grows evenly to 1.
-    pub(crate) fn warmth(&self, now: Micros, rules: &Rules) -> f64 {
+    /// Guaranteed share of its full capacity, which grows linearly to 1 during slow start.
+    pub(crate) fn capacity_share(&self, now: Micros, rules: &Rules) -> f64 {
         let Some(started_at) = self.started_at else { return 1.0 };
         let age = now.saturating_sub(started_at).max(0) as f64 / (rules.slow_start_duration as f64).max(1.0);
         let initial = rules.initial_capacity_share;
-        (initial + (1.0 - initial) * age).clamp(MIN_WARMTH, 1.0)
+        (initial + (1.0 - initial) * age).clamp(MIN_CAPACITY_SHARE, 1.0)
     }
 
     pub(crate) fn deduplicates(&self, attempt: &Attempt, scope: DedupScope) -> bool {
@@ -91,16 +91,16 @@
         }
     }
 
-    /// Its process was replaced: nothing learnt of it holds, but for an open circuit.
-    pub(crate) fn forget_process(&mut self, latency_per_work: f64) {
+    /// Discards what was learnt about a process that has been replaced, except an open circuit.
+    pub(crate) fn reset_for_new_process(&mut self, latency_per_work: f64) {
         self.health.error_rate = 0.0;
         self.class_health.clear();
         self.connect_failures = 0;
         self.latency_per_work = latency_per_work;
     }
 
-    /// Counts failed connections up to an answer. Only several in a row indicate a restart, and an answer to
-    /// what was sent before them that there was none. Slow start in error loses an endpoint for seconds.
+    /// Counts failed connections since the last answer. Only several in a row indicate a restart, which an
+    /// answer to an earlier attempt disproves: a mistaken slow start costs capacity for seconds.
     pub(crate) fn count_connect_failure(&mut self, now: Micros, outcome: Outcome, duration: f64) {
         if outcome == Outcome::ConnectFailed {
             let is_first = self.connect_failures == 0;
@@ -109,21 +109,21 @@
             return;
         }
         let sent_before = now - (duration as Micros) < self.first_connect_failure_at;
-        if outcome == Outcome::Ok && (self.is_closed() || sent_before) {
+        if outcome == Outcome::Ok && (self.is_available() || sent_before) {
             self.connect_failures = 0;
         }
     }
 
-    /// Whether its process has likely restarted since its last answer; resets the count.
-    pub(crate) fn take_restart(&mut self) -> bool {
+    /// Whether failed connections indicate a restart since the last answer; resets their count.
+    pub(crate) fn take_inferred_restart(&mut self) -> bool {
         std::mem::take(&mut self.connect_failures) >= RESTART_CONNECT_FAILURES
     }
 }
 
-/// Attempts in flight at closed circuits, one more counted in, and the sum of their concurrency limits.
+/// Attempts in flight at available endpoints, plus the next one, and the sum of their concurrency limits.
 pub(crate) fn load_and_limits(endpoints: &[Endpoint]) -> (f64, f64) {
-    let closed = endpoints.iter().filter(|e| e.is_closed());
-    closed.fold((1.0, 0.0), |(load, limits), e| (load + e.in_flight.load(), limits + e.concurrency_limit))
+    let available = endpoints.iter().filter(|e| e.is_available());
+    available.fold((1.0, 0.0), |(load, limits), e| (load + e.in_flight.load(), limits + e.concurrency_limit))
 }
 
 /// When the first trial is due, if the circuits of all ready endpoints are open.
--- a/crates/balancer/src/event.rs
+++ b/crates/balancer/src/event.rs
@@ -1,13 +1,13 @@
-//! What happens to a balancer.
+//! Input events of the balancer.
 
 use crate::ids::{AttemptNumber, ClassId, EndpointId, MachineTypeId, Micros, RequestId, TenantId, ZoneId};
 
-/// State of an endpoint as discovery sees it.
+/// Status of an endpoint in discovery's list.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum EndpointStatus {
-    /// Takes requests.
+    /// Accepts requests.
     Ready,
-    /// Finishes what it has in flight and gets no new attempts.
+    /// Completes its requests in flight and gets no new attempts.
     Draining,
     /// No longer listed.
     Removed,
@@ -24,24 +24,24 @@
     pub cell: u64,
     /// Its machine type: the latency of one endpoint is the estimate for others of its type.
     pub machine_type: Option<MachineTypeId>,
-    /// Its state.
+    /// Its status.
     pub status: EndpointStatus,
     /// Its size; see [`WeightSource`](crate::WeightSource).
     pub size: f64,
-    /// When it last started; `None` is long ago.
+    /// When its process started, or `None` if that is long ago.
     pub started_at: Option<Micros>,
 }
 
-/// What a list event holds.
+/// Content of an endpoint list event.
 #[derive(Clone, Debug)]
 pub enum EndpointListUpdate {
     /// Entries that changed.
     Delta(Vec<EndpointEntry>),
     /// The complete list; endpoints that are missing are removed.
     Full(Vec<EndpointEntry>),
-    /// The complete list as cached before a restart, possibly old.
+    /// The complete list as cached before a restart, possibly out of date.
     Cached(Vec<EndpointEntry>),
-    /// A call to discovery failed or the subscription broke; the present list stays in force.
+    /// A call to discovery failed or the subscription broke; the current list stays in use.
     Failed,
 }
 
@@ -60,7 +60,7 @@
     pub deadline: Micros,
     /// Expected work on a standard core, where known.
     pub expected_work: Option<Micros>,
-    /// The client marks it as a retry of its own.
+    /// The client marked it as a retry.
     pub is_client_retry: bool,
     /// Its body is still being received; no endpoint begins to execute it before it is complete.
     pub body_incomplete: bool,
@@ -69,13 +69,13 @@
 /// How an attempt or health check ended.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Outcome {
-    /// Served.
+    /// Answered successfully.
     Ok,
     /// The endpoint answered with an error; it may have been executed.
     Error,
     /// Rejected by the endpoint before execution.
     Rejected,
-    /// No answer in time; it may have been executed.
+    /// No answer within its time-out; it may have been executed.
     TimedOut,
     /// No connection in time; it was never executed.
     ConnectFailed,
@@ -86,8 +86,8 @@
     ReusedConnectionReset,
     /// Cancelled; it may have been executed.
     Cancelled,
-    /// Answered that the request itself is invalid: the answer goes to the client and says nothing about the
-    /// endpoint's health.
+    /// The endpoint answered that the request is invalid. The answer goes to the client, and says nothing
+    /// about the endpoint's health.
     BadRequest,
     /// Never sent: the request had completed, its deadline had passed, its attempts were used up, or the
     /// sidecar had no capacity for a connection.
@@ -108,7 +108,7 @@
     pub active: Option<f64>,
     /// Requests waiting.
     pub waiting: Option<f64>,
-    /// Share of its processors in use.
+    /// CPU utilization.
     pub cpu: Option<f64>,
     /// Recent service time in milliseconds.
     pub avg_ms: Option<f64>,
@@ -125,13 +125,13 @@
     pub request: RequestId,
     /// Its attempt.
     pub attempt: AttemptNumber,
-    /// Where it was sent.
+    /// The endpoint.
     pub endpoint: EndpointId,
     /// How it ended.
     pub outcome: Outcome,
     /// Time since the send.
     pub duration: Micros,
-    /// The request has its final answer already.
+    /// The request already has its final answer.
     pub request_completed: bool,
     /// The request can't be sent again: its body was forwarded while it was being received.
     pub body_consumed: bool,
@@ -139,16 +139,16 @@
     pub load_report: LoadReport,
 }
 
-/// What happens to a balancer.
+/// An event that the caller passes to the balancer.
 #[derive(Clone, Debug)]
 pub enum Event {
     /// The endpoint list changed.
     EndpointList(EndpointListUpdate),
-    /// The endpoint was removed and has nothing in flight; its number may be assigned to another from now on.
+    /// The endpoint was removed and has nothing in flight; its id may be reused for another from now on.
     EndpointReleased(EndpointId),
-    /// Operators cordon the endpoint: whatever the list says, it counts as draining.
+    /// Operators cordoned the endpoint: it counts as draining, whatever the list says.
     Cordoned(EndpointId),
-    /// Operators uncordon the endpoint: it gets attempts again, in slow start, once it is listed ready.
+    /// Operators uncordoned the endpoint: it gets attempts again, in slow start, if it is listed as ready.
     Uncordoned(EndpointId),
     /// A client's request; it gets exactly one final answer.
     RequestReceived(NewRequest),
@@ -180,7 +180,7 @@
         /// Load report of the endpoint.
         load_report: LoadReport,
     },
-    /// The client disconnected, or its answer is overdue: no final answer is wanted any more.
+    /// The client disconnected, or its answer is overdue: no final answer is needed any more.
     RequestAbandoned(RequestId),
     /// A message from another instance.
     PeerMessage {
--- a/crates/balancer/src/ids.rs
+++ b/crates/balancer/src/ids.rs
@@ -1,5 +1,5 @@
-//! Time, and the numbers by which callers identify things. Times are whole microseconds on one monotonic
-//! clock; ids are small numbers that carry no meaning of their own.
+//! Types for time and ids. Times are whole microseconds on one monotonic clock; ids are small numbers that
+//! carry no meaning of their own.
 
 /// Microseconds: an instant on the caller's clock, or a duration.
 pub type Micros = i64;
@@ -8,8 +8,8 @@
 /// Number of an attempt within its request, from 0, in the order in which
 /// [`Action::Send`](crate::Action::Send) was issued.
 pub type AttemptNumber = u32;
-/// An endpoint, numbered densely from 0 by the caller. The number of a removed endpoint with nothing in
-/// flight may be assigned again.
+/// An endpoint, numbered densely from 0 by the caller. The id of a removed endpoint with nothing in flight
+/// may be reused.
 pub type EndpointId = usize;
 /// Position of a class in [`Settings::classes`](crate::Settings::classes).
 pub type ClassId = usize;
--- a/crates/balancer/src/interner.rs
+++ b/crates/balancer/src/interner.rs
@@ -1,8 +1,8 @@
-//! Names by number and back.
+//! Interning of names: from names to dense ids and back.
 
 use std::collections::HashMap;
 
-/// Gives names dense numbers.
+/// Assigns dense ids to names.
 #[derive(Default)]
 pub struct Interner {
     ids: HashMap<String, usize>,
@@ -11,7 +11,7 @@
 }
 
 impl Interner {
-    /// The number of a name, given out in the order of first mention; numbers that are free again come first.
+    /// The id of a name. A new name gets a released id if there is one, or else the next in order.
     pub fn intern(&mut self, name: &str) -> usize {
         if let Some(id) = self.ids.get(name) {
             return *id;
@@ -25,26 +25,26 @@
         id
     }
 
-    /// Forgets the name of a number, which may then be given to another.
+    /// Removes the name of an id, which may then be assigned to another name.
     pub fn release(&mut self, id: usize) {
-        // A name has one number, so one that is not found is free already.
+        // Each name has one id, so an id whose name is not found has been released already.
         if self.ids.remove(&self.names[id]).is_some() {
             self.names[id] = String::new();
             self.free.push(id);
         }
     }
 
-    /// The numbers that have a name.
+    /// The ids that have a name.
     pub fn ids(&self) -> impl Iterator<Item = usize> {
         self.ids.values().copied()
     }
 
-    /// The name of a number that was given out.
+    /// The name of an id; empty if it was released.
     pub fn name(&self, id: usize) -> &str {
         &self.names[id]
     }
 
-    /// The number of a name mentioned before.
+    /// The id of a name, if it has one.
     pub fn find(&self, name: &str) -> Option<usize> {
         self.ids.get(name).copied()
     }
--- a/crates/balancer/src/interner/tests.rs
+++ b/crates/balancer/src/interner/tests.rs
@@ -1,8 +1,8 @@
 use super::*;
 
-// A fleet that replaces its machines for months would else grow every table that is kept by number.
+// Otherwise tables indexed by id grow without bound in a fleet that replaces its machines for months.
 #[test]
-fn reuses_number_of_released_name() {
+fn reuses_id_of_released_name() {
     let mut names = Interner::default();
     let (a, b) = (names.intern("a"), names.intern("b"));
     names.release(a);
--- a/crates/balancer/src/latency.rs
+++ b/crates/balancer/src/latency.rs
@@ -1,4 +1,4 @@
-//! Learnt latency per unit of work of endpoints, machine types and the fleet; learnt work of classes.
+//! Estimates of latency per unit of work (endpoints, machine types, the fleet) and of work (classes).
 
 use crate::decaying_sum::decay;
 use crate::endpoint::Endpoint;
@@ -9,23 +9,23 @@
 const ENDPOINT_GAIN: f64 = 0.2;
 const FLEET_GAIN: f64 = 0.02;
 const CLASS_WORK_GAIN: f64 = 0.002;
-/// Its weight in a known unloaded latency below: a jam must not pass for the usual latency.
+/// The same once the unloaded latency is known: overload must not be learnt as the normal latency.
 const UNLOADED_GAIN: f64 = 0.00001;
-/// Answers that make the unloaded latency known.
+/// Answers after which the unloaded latency is known.
 const MIN_ANSWERS: f64 = 50.0;
-/// Growth of an endpoint's unloaded latency with each answer.
+/// Maximum growth factor of an endpoint's unloaded latency with each answer.
 const UNLOADED_GROWTH: f64 = 1.0005;
-/// Work of a class before any answer, as a part of its latency objective.
+/// Assumed work of a class before any answer, as a share of its latency objective.
 const INITIAL_WORK_SHARE: f64 = 1.0 / 8.0;
-/// What is known of an endpoint decays over this many deadlines without outcomes.
+/// An endpoint's estimates decay over this many deadlines without outcomes.
 const STALE_AFTER_DEADLINES: f64 = 4.0 / 3.0;
-/// One answer in twenty takes three times the mean where latencies spread like waits in a queue.
+/// Target mean latency as a share of the objective: in a queue, one answer in twenty takes 3 times the mean.
 const TARGET_OBJECTIVE_SHARE: f64 = 0.35;
-/// Target latency as a multiple of the unloaded latency, at most.
-const TARGET_STRETCH: f64 = 3.6;
-/// Caps on samples, as multiples of the latency known.
-const MAX_FLEET_STRETCH: f64 = 20.0;
-const MAX_MACHINE_TYPE_STRETCH: f64 = 4.0;
+/// Maximum target latency, as a multiple of the unloaded latency.
+const MAX_TARGET_FACTOR: f64 = 3.6;
+/// Caps on samples, as multiples of the estimate that they update.
+const MAX_FLEET_SAMPLE_FACTOR: f64 = 20.0;
+const MAX_MACHINE_TYPE_SAMPLE_FACTOR: f64 = 4.0;
 const MIN_WEIGHT_FACTOR: f64 = 0.1;
 const MAX_WEIGHT_FACTOR: f64 = 2.0;
 
@@ -34,7 +34,7 @@
     pub(crate) stale_after: f64,
     pub(crate) class_work: Vec<f64>,
     pub(crate) mean_work: f64,
-    /// Mean share of its latency objective that a request's work is.
+    /// Mean expected work of a request, as a share of its latency objective.
     objective_share: f64,
     pub(crate) per_work: f64,
     /// Latency of each machine type, and when it was last updated.
@@ -60,7 +60,7 @@
         }
     }
 
-    /// Expected work of a new request. Half is others', or servers would look slow to tiny requests.
+    /// Expected work of a new request: half is the mean, or endpoints would look slow for tiny requests.
     pub(crate) fn record_request(&mut self, own_work: f64, objective: f64) -> f64 {
         self.mean_work += FLEET_GAIN * (own_work - self.mean_work);
         let work = (own_work + self.mean_work) / 2.0;
@@ -68,34 +68,34 @@
         work
     }
 
-    /// Latency of an endpoint; as its answers grow old (with many sidecars they are few), of its type.
-    pub(crate) fn of(&self, now: Micros, endpoint: &Endpoint) -> f64 {
+    /// An endpoint's latency, which reverts to its type's as samples age: with many sidecars they are few.
+    pub(crate) fn endpoint_latency(&self, now: Micros, endpoint: &Endpoint) -> f64 {
         let machine_type = self.by_machine_type.get(&endpoint.machine_type).map_or(self.per_work, |t| t.0);
         let known = decay(now, endpoint.health.last_outcome_at, self.stale_after);
         machine_type + (endpoint.latency_per_work - machine_type) * known
     }
 
-    /// 1 for an endpoint as fast as the fleet.
+    /// Factor on an endpoint's round-robin weight: 1 if it is as fast as the fleet.
     pub(crate) fn weight(&self, now: Micros, endpoint: &Endpoint) -> f64 {
-        (self.per_work / self.of(now, endpoint)).clamp(MIN_WEIGHT_FACTOR, MAX_WEIGHT_FACTOR)
+        (self.per_work / self.endpoint_latency(now, endpoint)).clamp(MIN_WEIGHT_FACTOR, MAX_WEIGHT_FACTOR)
     }
 
     /// The mean latency up to which concurrency limits grow.
     pub(crate) fn target(&self, endpoint: &Endpoint) -> f64 {
         let unloaded = self.unloaded.max(endpoint.unloaded_latency);
-        (TARGET_OBJECTIVE_SHARE / self.objective_share).min(TARGET_STRETCH * unloaded)
+        (TARGET_OBJECTIVE_SHARE / self.objective_share).min(MAX_TARGET_FACTOR * unloaded)
     }
 
     pub(crate) fn sample(&self, duration: f64, work: f64) -> f64 {
-        (duration / work.max(1.0)).min(MAX_FLEET_STRETCH * self.per_work)
+        (duration / work.max(1.0)).min(MAX_FLEET_SAMPLE_FACTOR * self.per_work)
     }
 
     pub(crate) fn record_sample(&mut self, now: Micros, endpoint: &mut Endpoint, sample: f64) {
-        let latency = self.of(now, endpoint);
+        let latency = self.endpoint_latency(now, endpoint);
         endpoint.latency_per_work = latency + ENDPOINT_GAIN * (sample - latency);
         let known = self.by_machine_type.entry(endpoint.machine_type).or_insert((self.per_work, now));
         let gain = (1.0 - decay(now, known.1, self.stale_after)).max(FLEET_GAIN);
-        let sample = sample.min(MAX_MACHINE_TYPE_STRETCH * known.0);
+        let sample = sample.min(MAX_MACHINE_TYPE_SAMPLE_FACTOR * known.0);
         *known = (known.0 + gain * (sample - known.0), now);
     }
 
@@ -111,11 +111,11 @@
 }
 
 impl Endpoint {
-    /// Its unloaded latency follows its latency down at once and up slowly. In a fleet of unlike machines the
-    /// fleet's is that of the fast ones, and the others would look crowded when idle.
+    /// Follows decreases of its latency at once and increases slowly. The fleet's unloaded latency is that of
+    /// the fastest machine types, against which slower ones would look overloaded when idle.
     pub(crate) fn update_unloaded_latency(&mut self) {
         let first = self.unloaded_latency == 0.0;
-        let grown = (self.unloaded_latency * UNLOADED_GROWTH).min(self.latency_per_work);
-        self.unloaded_latency = if first { self.latency_per_work } else { grown };
+        let increased = (self.unloaded_latency * UNLOADED_GROWTH).min(self.latency_per_work);
+        self.unloaded_latency = if first { self.latency_per_work } else { increased };
     }
 }
--- a/crates/balancer/src/load_shedding.rs
+++ b/crates/balancer/src/load_shedding.rs
@@ -1,16 +1,16 @@
-//! Load shedding: when little of the recent work was answered in time, sidecars admit little more than that.
+//! Load shedding: admits at most a multiple, the admission factor, of the requests recently answered in time.
 //!
-//! Concurrency limits alone do not help: in a large fleet even one request in flight for each is too much.
+//! Concurrency limits alone are not enough: in a large fleet one request in flight per sidecar is too much.
 
 use crate::decaying_sum::DecayingSum;
 use crate::{Micros, Settings};
 
-/// Leeway beyond 1 when all that was sent was answered in time.
-const MAX_EXTRA_LEEWAY: f64 = 4.0;
-/// Part of the leeway left to client retries and tenants over their quota.
-const LOW_PRIORITY_LEEWAY_SHARE: f64 = 0.75;
+/// Added to an admission factor of 1 when all requests sent were answered in time.
+const MAX_EXTRA_ADMISSION_FACTOR: f64 = 4.0;
+/// Share of the admission factor for client retries and tenants over their quota.
+const LOW_PRIORITY_SHARE: f64 = 0.75;
 const WINDOW_IN_DEADLINES: f64 = 4.0 / 3.0;
-/// Requests counted into each sum in any case.
+/// Requests that each sum counts in addition to those recorded.
 const MIN_REQUESTS: f64 = 1.0;
 
 /// Recent requests and how they ended.
@@ -29,7 +29,7 @@
         Self { window, ..Self::default() }
     }
 
-    /// Requests received in a microsecond.
+    /// Requests received per microsecond.
     pub(crate) fn request_rate(&self, now: Micros) -> f64 {
         self.received.rate(now, 2 * self.window)
     }
@@ -47,18 +47,18 @@
     /// Whether to reject a new request at once; `sample` is uniform in 0 to 1.
     pub(crate) fn should_shed(&self, now: Micros, low_priority: bool, sample: f64) -> bool {
         let [completed, in_time] = [&self.completed, &self.answered_in_time].map(|s| self.recent(now, s));
-        let leeway_share = if low_priority { LOW_PRIORITY_LEEWAY_SHARE } else { 1.0 };
-        sample * completed > in_time * self.leeway(now) * leeway_share
+        let priority_share = if low_priority { LOW_PRIORITY_SHARE } else { 1.0 };
+        sample * completed > in_time * self.admission_factor(now) * priority_share
     }
 
-    /// From 1 to 5: high while what was sent is answered in time, low while it fails.
-    pub(crate) fn leeway(&self, now: Micros) -> f64 {
+    /// From 1 to 5: high while requests sent are answered in time, low while they are late or fail.
+    pub(crate) fn admission_factor(&self, now: Micros) -> f64 {
         let [sent, in_time] = [&self.sent, &self.answered_in_time].map(|s| self.recent(now, s));
-        1.0 + MAX_EXTRA_LEEWAY * (in_time / sent).powi(4)
+        1.0 + MAX_EXTRA_ADMISSION_FACTOR * (in_time / sent).powi(4)
     }
 
-    /// Before the process began all counts as answered in time: else the first few errors were an overload.
+    /// Assumes that requests before the start were in time, or the first errors would look like overload.
     fn recent(&self, now: Micros, sum: &DecayingSum) -> f64 {
-        MIN_REQUESTS + self.received.before_start(now, self.window) + sum.value(now, self.window)
+        MIN_REQUESTS + self.received.extrapolated_before_start(now, self.window) + sum.value(now, self.window)
     }
 }
--- a/crates/balancer/src/log.rs
+++ b/crates/balancer/src/log.rs
@@ -1,10 +1,10 @@
-//! Log lines, limited in rate.
+//! Rate-limited log.
 
 use crate::{Action, Micros};
 
 const MIN_INTERVAL_US: Micros = 1_000_000;
 
-/// Passes at most one line a second, so that the first sign of a fault is not drowned by what follows.
+/// Writes at most one line a second, so that the first line about a fault is not lost among its consequences.
 #[derive(Default)]
 pub(crate) struct RateLimitedLog {
     last_line_at: Option<Micros>,
--- a/crates/balancer/src/quota.rs
+++ b/crates/balancer/src/quota.rs
@@ -1,9 +1,9 @@
-//! Tenants' use of their quotas.
+//! Tenants' usage of their quotas.
 
 use crate::decaying_sum::DecayingSum;
 use crate::{Micros, Settings, TenantId};
 
-/// A tenant is over its quota if it uses this multiple of the part that tenants use on average.
+/// A tenant is over its quota if its requests relative to its quota exceed the average by this factor.
 const OVER_QUOTA_FACTOR: f64 = 1.2;
 
 pub(crate) struct QuotaUsage {
@@ -15,7 +15,7 @@
         Self { requests: vec![DecayingSum::default(); tenants] }
     }
 
-    /// Counts a request. Tells whether its tenant is over its quota.
+    /// Counts a request and returns whether its tenant is over its quota.
     pub(crate) fn count(&mut self, now: Micros, tenant: Option<TenantId>, settings: &Settings) -> bool {
         let Some(tenant) = tenant.filter(|t| *t < settings.tenants.len()) else { return false };
         let window = 2 * settings.longest_latency_objective();
--- a/crates/balancer/src/request.rs
+++ b/crates/balancer/src/request.rs
@@ -1,4 +1,4 @@
-//! The record of a request without a final answer yet.
+//! State of a request that has no final answer yet.
 
 use crate::attempt::Attempt;
 use crate::{AttemptNumber, ClassId, Micros};
@@ -16,7 +16,7 @@
     Streaming,
 }
 
-/// A request without a final answer yet.
+/// A request that has no final answer yet.
 pub(crate) struct Request {
     pub(crate) class: ClassId,
     pub(crate) latency_objective: f64,
@@ -31,7 +31,7 @@
     pub(crate) low_priority: bool,
     pub(crate) shed: bool,
     pub(crate) body_incomplete: bool,
-    /// Attempts that failed, and times that every circuit was open.
+    /// Failed attempts, plus the times that no endpoint was available.
     pub(crate) failures: u32,
     pub(crate) attempts: Vec<Attempt>,
     pub(crate) state: RequestState,
--- a/crates/balancer/src/settings.rs
+++ b/crates/balancer/src/settings.rs
@@ -13,23 +13,23 @@
 pub enum DedupScope {
     /// Every endpoint.
     All,
-    /// Those in the zone of the endpoint that may have run it.
+    /// Those in the zone of the endpoint that may have executed it.
     Zone,
-    /// Those in its cell.
+    /// Those in the cell of the endpoint that may have executed it.
     Cell,
 }
 
 /// Whether a request that may have been executed may be sent again.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Idempotency {
-    /// It may be repeated at any time.
+    /// It may be executed any number of times.
     Idempotent,
     /// It carries an idempotency key: endpoints in `scope` deduplicate it for `ttl` after the earliest
     /// attempt that may have been executed.
     WithKey {
         /// Which endpoints deduplicate.
         scope: DedupScope,
-        /// For how long.
+        /// How long they deduplicate.
         ttl: Micros,
     },
     /// It must never be executed twice.
@@ -49,7 +49,7 @@
     pub late_value_share: f64,
     /// Priority weight of one request.
     pub priority_weight: f64,
-    /// Whether it may be executed twice.
+    /// Whether and how it may be executed twice.
     pub idempotency: Idempotency,
     /// Responses are streamed.
     pub streaming: bool,
@@ -58,13 +58,13 @@
 /// A tenant and its quota.
 #[derive(Clone, Debug)]
 pub struct Tenant {
-    /// Requests a second within its quota, over all sidecars.
+    /// Its quota in requests per second, over all sidecars.
     pub quota_per_s: f64,
     /// Its share of the service's capacity.
     pub capacity_share: f64,
 }
 
-/// How the list of endpoints reaches an instance.
+/// How the endpoint list reaches a balancer.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum DiscoveryMode {
     /// Changes are pushed.
@@ -81,14 +81,14 @@
     Unweighted,
     /// The size as registered, or an estimate of it.
     Nominal,
-    /// Size over load, as measured some time ago.
+    /// Size divided by a load that was measured some time before.
     Live,
 }
 
 /// Where load reports come from.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum LoadReportSource {
-    /// With the ends of attempts and of health checks.
+    /// With the ends of attempts and health checks.
     Piggybacked,
     /// With health checks only.
     HealthCheck,
@@ -96,14 +96,14 @@
     Unavailable,
 }
 
-/// What a balancer may do.
+/// What the balancer may do, and bounds on it.
 #[derive(Clone, Debug)]
 pub struct Limits {
     /// Attempts for one request.
     pub max_attempts: u32,
     /// Longest `Retry-After` that clients honour.
     pub max_retry_after: Micros,
-    /// Whether rejected clients get a `Retry-After`.
+    /// Whether rejections carry a `Retry-After`.
     pub sends_retry_after: bool,
     /// Whether attempts may be cancelled.
     pub may_cancel: bool,
@@ -124,22 +124,22 @@
     pub answer_grace: Micros,
     /// Longest time between two polls of discovery without a subscription.
     pub max_poll_interval: Micros,
-    /// Least share of its capacity that an endpoint has at its start.
+    /// Guaranteed share of its full capacity that an endpoint has at its start.
     pub initial_capacity_share: f64,
     /// Longest time from its start until an endpoint has its full capacity (slow start).
     pub slow_start_duration: Micros,
-    /// An endpoint in slow start collapses under more than this multiple of its present capacity ...
+    /// An endpoint in slow start collapses under more than this multiple of its current capacity ...
     pub overload_factor: f64,
-    /// ... over this time.
+    /// ... that lasts this long.
     pub overload_collapse_after: Micros,
 }
 
-/// Prices, in points of the result.
+/// Costs that the simulator deducts from its score, in points. The balancer only decodes them.
 #[derive(Clone, Debug, Default)]
 pub struct Prices {
     /// For attempts that cross zones.
     pub cross_zone: f64,
-    /// For work that served no answer.
+    /// For work whose answer was not used.
     pub waste: f64,
     /// For value not served within its latency objective.
     pub late_fail: f64,
@@ -149,20 +149,20 @@
     pub handshake: f64,
 }
 
-/// Weights of the parts of the result.
+/// Weights of the components of the simulator's score. The balancer only decodes them.
 #[derive(Clone, Debug, Default)]
 pub struct Goal {
-    /// All of the time.
+    /// Score over the whole run.
     pub overall: f64,
-    /// The class served worst.
+    /// Score of the worst-served class.
     pub worst_class: f64,
-    /// The tenant served worst.
+    /// Score of the worst-served tenant.
     pub worst_tenant: f64,
-    /// The worst interval of time.
+    /// Score of the worst time window.
     pub worst_window: f64,
 }
 
-/// Settings of a balancer, fixed at its start.
+/// Settings of a balancer, fixed for its lifetime.
 #[derive(Clone, Debug)]
 pub struct Settings {
     /// Request classes; at least one.
@@ -181,13 +181,13 @@
     pub weights: WeightSource,
     /// Where load reports come from.
     pub load_reports: LoadReportSource,
-    /// What may be done.
+    /// What the balancer may do.
     pub limits: Limits,
     /// Parameters of the protocol's rules.
     pub rules: Rules,
-    /// Prices.
+    /// Costs that the simulator deducts from its score.
     pub prices: Prices,
-    /// Goal weights.
+    /// Weights of the simulator's score.
     pub goal: Goal,
     /// Factor on the priority weight of traffic over a tenant's quota.
     pub over_quota_weight: f64,
@@ -195,7 +195,7 @@
     pub priority_by_work: bool,
     /// Clients mark their retries.
     pub clients_mark_retries: bool,
-    /// Least time between two calls with events.
+    /// Shortest time between two calls with events.
     pub tick: Micros,
 }
 
@@ -205,12 +205,12 @@
         self.classes.iter().map(|c| c.latency_objective).max().unwrap_or(1)
     }
 
-    /// The longest that a client of any class waits, held to an hour.
+    /// The longest deadline of any class, at most an hour.
     pub fn longest_deadline(&self) -> Micros {
         self.classes.iter().map(|c| c.deadline).max().unwrap_or(1).clamp(1, 3_600_000_000)
     }
 
-    /// Whether requests can be decided under these settings.
+    /// Checks that all values are in their valid ranges.
     pub fn check(&self) -> Result<(), SettingsError> {
         if self.classes.is_empty() {
             return Err(SettingsError::NoClasses);
--- a/crates/balancer/src/settings/decode.rs
+++ b/crates/balancer/src/settings/decode.rs
@@ -1,5 +1,5 @@
 //! Decoding of the settings object, which an instance is given as JSON at its start, on the simulator's wire
-//! and in a sidecar's configuration alike. Its keys stand here and nowhere else.
+//! and in a sidecar's configuration alike. This module defines the keys of the JSON object.
 
 use super::{DecodeError, DedupScope, DiscoveryMode, Goal, Idempotency, Limits, LoadReportSource, Prices};
 use super::{RequestClass, Rules, Settings, Tenant, WeightSource};
@@ -7,15 +7,15 @@
 use crate::interner::Interner;
 use serde::Deserialize;
 
-/// The content of a settings object: the settings, and the names behind the numbers in them.
+/// A decoded settings object: the settings, and the names behind their ids.
 pub struct DecodedSettings {
     /// The settings.
     pub settings: Settings,
-    /// Classes by their numbers.
+    /// Names of the classes, by id.
     pub classes: Vec<String>,
-    /// Tenants by their numbers.
+    /// Names of the tenants, by id.
     pub tenants: Vec<String>,
-    /// Zones by their numbers; lists may name further ones.
+    /// Names of the zones, by id; endpoint lists may add further ones.
     pub zones: Interner,
     /// How long an endpoint keeps an idle connection; 0 if absent.
     pub idle_timeout: Micros,
@@ -32,7 +32,7 @@
     Ok(DecodedSettings { settings, classes, tenants, zones, idle_timeout })
 }
 
-/// The object as it is written. What has a default may be absent.
+/// The JSON form of the settings object; fields with a default may be absent.
 #[derive(Deserialize)]
 struct EncodedSettings {
     #[serde(rename = "Balancers", default = "one_instance")]
@@ -241,7 +241,7 @@
             "pure" => Idempotency::Idempotent,
             "token" => Idempotency::WithKey { scope, ttl: self.key_ttl_us },
             "side_effect" => Idempotency::NonIdempotent,
-            _ => return Err(DecodeError::UnknownEffect { class: self.name, effect: self.idempotency }),
+            _ => return Err(DecodeError::UnknownIdempotency { class: self.name, effect: self.idempotency }),
         };
         Ok(RequestClass {
             latency_objective: self.latency_objective_us,
--- a/crates/balancer/src/settings/error.rs
+++ b/crates/balancer/src/settings/error.rs
@@ -1,4 +1,4 @@
-//! Errors of settings and of their decoding.
+//! Errors in settings and in decoding them.
 
 use std::error::Error;
 use std::fmt;
@@ -6,18 +6,18 @@
 const MAX_TIME_US: f64 = (1_u64 << 50) as f64;
 const MAX_FACTOR: f64 = 1e9;
 
-/// Settings under which no request can be decided.
+/// Why settings are invalid.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum SettingsError {
-    /// They could not be decoded.
+    /// The settings object could not be decoded.
     Undecodable(&'static str),
     /// There are no request classes.
     NoClasses,
     /// A value is out of range.
     OutOfRange {
-        /// The key, as operators know it.
+        /// The setting, after its section if it has one.
         key: &'static str,
-        /// What is valid.
+        /// The valid range.
         range: ValidRange,
     },
 }
@@ -35,7 +35,7 @@
 
 impl Error for SettingsError {}
 
-/// The values that a setting may have.
+/// The values that are valid for a setting.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum ValidRange {
     /// Above 0.
@@ -75,16 +75,16 @@
     }
 }
 
-/// A settings object that cannot be decoded.
+/// Why a settings object cannot be decoded.
 #[derive(Debug)]
 pub enum DecodeError {
-    /// It is no JSON, or not of the right form.
+    /// It is not valid JSON, or a field is missing or of the wrong type.
     Json(serde_json::Error),
-    /// A class has an unknown kind of idempotency.
-    UnknownEffect {
+    /// The idempotency (`Effect`) of a class is unknown.
+    UnknownIdempotency {
         /// The class.
         class: String,
-        /// What is written.
+        /// The value found.
         effect: String,
     },
 }
@@ -93,7 +93,7 @@
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         match self {
             Self::Json(error) => error.fmt(f),
-            Self::UnknownEffect { effect, .. } => write!(f, "unknown Effect {effect}"),
+            Self::UnknownIdempotency { effect, .. } => write!(f, "unknown Effect {effect}"),
         }
     }
 }
@@ -102,7 +102,7 @@
     fn source(&self) -> Option<&(dyn Error + 'static)> {
         match self {
             Self::Json(error) => Some(error),
-            Self::UnknownEffect { .. } => None,
+            Self::UnknownIdempotency { .. } => None,
         }
     }
 }
--- a/crates/balancer/src/timers.rs
+++ b/crates/balancer/src/timers.rs
@@ -1,31 +1,31 @@
-//! The queue of timers, behind a single timer of the caller's.
+//! Queue of timers, multiplexed onto a single timer of the caller.
 
 use crate::{Action, Micros, RequestId};
 use std::cmp::Reverse;
 use std::collections::BinaryHeap;
 
-/// Longest timer and longest duration accepted from outside: an hour.
+/// Longest timer, and longest duration accepted from the caller: an hour.
 pub(crate) const MAX_DURATION_US: Micros = 3_600_000_000;
 
-/// The instant `delay` from `now`, at least one tick of the clock and at most an hour away.
+/// The instant `delay` from `now`, at least a microsecond and at most an hour later.
 pub(crate) fn after(now: Micros, delay: f64) -> Micros {
     now.saturating_add((delay as Micros).clamp(1, MAX_DURATION_US))
 }
 
-/// What a timer is for. Timers of one instant fire in this order.
+/// Purpose of a timer. Timers that are due at the same instant fire in this order.
 #[derive(Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
 pub(crate) enum Timer {
     /// The request's deadline.
     Deadline(RequestId),
-    /// The end of its backoff.
+    /// The end of the request's backoff.
     Retry(RequestId),
-    /// The end of its wait for capacity.
+    /// The end of the request's wait for capacity.
     QueueTimeout(RequestId),
-    /// The next attempt to subscribe to the endpoint list.
+    /// The next subscription to the endpoint list after a failure.
     Resubscribe,
 }
 
-/// Timers by the time at which they fire.
+/// Pending timers, ordered by the time at which they are due.
 pub(crate) struct Timers {
     pending: BinaryHeap<Reverse<(Micros, Timer)>>,
     /// When the caller's timer fires; `Micros::MAX` if it is not set.
@@ -43,7 +43,7 @@
         self.pending.push(Reverse((at, timer)));
     }
 
-    /// Sets the caller's timer if the next of ours comes before it.
+    /// Sets the caller's timer if the earliest pending timer is due before it fires.
     pub(crate) fn arm(&mut self, now: Micros, out: &mut Vec<Action>) {
         if let Some(&Reverse((at, _))) = self.pending.peek()
             && at < self.armed_for
--- a/crates/balancer/tests/settings.rs
+++ b/crates/balancer/tests/settings.rs
@@ -1,4 +1,4 @@
-//! The settings object: each key of the encoding, and what it means.
+//! Decoding of each key of the settings object, and validation of the settings.
 
 mod common;
 use common::*;
@@ -20,7 +20,7 @@
 "Zones": ["a", "b", "c"], "Tenants": [{"Name": "one", "QuotaPerS": 8.5, "Share": 0.9}]}"#;
 
 #[test]
-fn decodes_every_key_of_the_settings_object() {
+fn decodes_every_key_of_settings_object() {
     let decoded = decode(SETTINGS).expect("a valid object");
     let s = &decoded.settings;
     assert_eq!((s.instances, s.index, s.zone, s.tick), (7, 3, Some(1), 401));
@@ -46,7 +46,7 @@
 }
 
 #[test]
-fn decodes_every_key_of_a_class() {
+fn decodes_every_key_of_class() {
     let decoded = decode(SETTINGS).expect("a valid object");
     let [look, book, read] = &decoded.settings.classes[..] else { panic!("three classes") };
     assert_eq!((look.latency_objective, look.deadline), (101, 102));
@@ -58,37 +58,38 @@
 }
 
 #[test]
-fn decode_errors_name_the_key_and_the_place() {
+fn decode_errors_name_key_and_position() {
     let error = |text: &str| decode(text).map(|_| ()).expect_err("an invalid object");
-    let misspelt = error(&SETTINGS.replace("\"Effect\": \"pure\"", "\"Effect\": \"odd\""));
-    assert!(
-        matches!(&misspelt, DecodeError::UnknownEffect { class, effect } if class == "read" && effect == "odd")
-    );
-    assert_eq!(misspelt.to_string(), "unknown Effect odd");
+    let unknown = error(&SETTINGS.replace("\"Effect\": \"pure\"", "\"Effect\": \"odd\""));
+    assert!(matches!(
+        &unknown,
+        DecodeError::UnknownIdempotency { class, effect } if class == "read" && effect == "odd"
+    ));
+    assert_eq!(unknown.to_string(), "unknown Effect odd");
     let missing = error(&SETTINGS.replace("\"MaxAttempts\": 5,", ""));
     assert!(matches!(missing, DecodeError::Json(_)));
     assert!(missing.to_string().starts_with("missing field `MaxAttempts` at line "), "{missing}");
 }
 
 #[test]
-fn rejects_unusable_settings() {
-    let spoil = |f: fn(&mut Settings)| {
-        let mut set = settings();
-        f(&mut set);
-        Balancer::new(set, 1).is_err()
+fn rejects_invalid_settings() {
+    let rejects = |edit: fn(&mut Settings)| {
+        let mut settings = settings();
+        edit(&mut settings);
+        Balancer::new(settings, 1).is_err()
     };
-    assert!(spoil(|s| s.classes.clear()));
-    assert!(spoil(|s| s.classes[0].latency_objective = 0));
-    assert!(spoil(|s| s.rules.initial_capacity_share = f64::NAN));
-    assert!(spoil(|s| s.rules.slow_start_duration = -1));
-    assert!(spoil(|s| s.limits.max_attempts = 0));
-    assert!(!spoil(|_| ()));
+    assert!(rejects(|s| s.classes.clear()));
+    assert!(rejects(|s| s.classes[0].latency_objective = 0));
+    assert!(rejects(|s| s.rules.initial_capacity_share = f64::NAN));
+    assert!(rejects(|s| s.rules.slow_start_duration = -1));
+    assert!(rejects(|s| s.limits.max_attempts = 0));
+    assert!(!rejects(|_| ()));
 }
 
 #[test]
-fn settings_error_names_the_setting() {
-    type Spoil = fn(&mut Settings);
-    let spoilt: [(Spoil, &str); 8] = [
+fn settings_error_names_setting() {
+    type Edit = fn(&mut Settings);
+    let invalid: [(Edit, &str); 8] = [
         (|s| s.classes.clear(), "classes"),
         (|s| s.classes[1].latency_objective = 0, "aim"),
         (|s| s.classes[0].deadline = -1, "deadline"),
@@ -98,10 +99,10 @@
         (|s| s.rules.overload_collapse_after = Micros::MAX, "tip_after"),
         (|s| s.tick = -5, "tick"),
     ];
-    for (spoil, word) in spoilt {
-        let mut set = settings();
-        spoil(&mut set);
-        let error = Balancer::new(set, 1).err().expect(word).to_string();
-        assert!(error.contains(word), "{error}");
+    for (edit, name) in invalid {
+        let mut settings = settings();
+        edit(&mut settings);
+        let error = Balancer::new(settings, 1).err().expect(name).to_string();
+        assert!(error.contains(name), "{error}");
     }
 }
