--- a/crates/balancer/tests/common/mod.rs
+++ b/crates/balancer/tests/common/mod.rs
@@ -1,4 +1,4 @@
-//! A test harness: a sidecar in miniature that holds the clock, fires timers and records attempts in flight.
+//! Test harness that drives a balancer with simulated time: fires timers and records attempts in flight.
 #![allow(dead_code)]
 
 use lotusmoor_balancer::*;
@@ -11,13 +11,13 @@
 pub const START: Micros = 50_000 * MS;
 
 pub fn settings() -> Settings {
-    let class = |effect| RequestClass {
+    let class = |idempotency| RequestClass {
         latency_objective: 1000 * MS,
         objective_per_work: 0.0,
         deadline: 4000 * MS,
         late_value_share: 0.0,
         priority_weight: 1.0,
-        idempotency: effect,
+        idempotency,
         streaming: false,
     };
     let keyed = Idempotency::WithKey { scope: DedupScope::Cell, ttl: 1200 * MS };
@@ -57,7 +57,7 @@
     }
 }
 
-/// An entry that is ready; two endpoints to a cell and to a zone.
+/// The entry of a ready endpoint. Endpoints 2n and 2n + 1 share a cell and a zone.
 pub fn ready_entry(endpoint: EndpointId) -> EndpointEntry {
     let (zone, cell) = (Some(endpoint / 2), endpoint as u64 / 2);
     EndpointEntry {
@@ -112,10 +112,10 @@
         for action in &actions {
             match *action {
                 Action::Send { request, endpoint, timeout, .. } => {
-                    let n = self.attempts_sent.entry(request).or_default();
+                    let attempt = self.attempts_sent.entry(request).or_default();
                     self.in_flight
-                        .insert((request, *n), SentAttempt { endpoint, sent_at: self.now, timeout });
-                    *n += 1;
+                        .insert((request, *attempt), SentAttempt { endpoint, sent_at: self.now, timeout });
+                    *attempt += 1;
                 }
                 Action::SetTimer { after, token } => self.timers.push((self.now + after, token)),
                 _ => {}
@@ -124,16 +124,16 @@
         actions
     }
 
-    /// Moves the clock, and fires the timers and time-outs on the way.
+    /// Advances the clock, firing the timers and time-outs that are due on the way.
     pub fn advance_to(&mut self, to: Micros) -> Vec<Action> {
         let mut actions = Vec::new();
         loop {
             let timer = (0..self.timers.len()).min_by_key(|i| self.timers[*i].0);
             let timer = timer.map(|i| (self.timers[i].0, i)).filter(|(at, _)| *at <= to);
-            let over = self.in_flight.iter().map(|(key, o)| (o.sent_at + o.timeout, *key)).min();
-            if let Some((at, (id, n))) = over.filter(|(at, _)| *at <= timer.map_or(to, |t| t.0)) {
+            let timeout = self.in_flight.iter().map(|(key, a)| (a.sent_at + a.timeout, *key)).min();
+            if let Some((at, (id, attempt))) = timeout.filter(|(at, _)| *at <= timer.map_or(to, |t| t.0)) {
                 self.now = self.now.max(at);
-                actions.extend(self.end_attempt(id, n, Outcome::TimedOut));
+                actions.extend(self.end_attempt(id, attempt, Outcome::TimedOut));
             } else if let Some((at, i)) = timer {
                 self.now = self.now.max(at);
                 let (_, token) = self.timers.swap_remove(i);
@@ -156,20 +156,20 @@
     pub fn request_with(
         &mut self,
         class: ClassId,
-        left: Micros,
+        time_left: Micros,
         tenant: Option<TenantId>,
-        work: Option<Micros>,
+        expected_work: Option<Micros>,
     ) -> (RequestId, Vec<Action>) {
         let id = self.next_request;
         self.next_request += 1;
-        let due = self.now + left;
+        let deadline = self.now + time_left;
         let new = NewRequest {
             id,
             class,
             tenant,
             partition_key: Some(7),
-            deadline: due,
-            expected_work: work,
+            deadline,
+            expected_work,
             is_client_retry: false,
             body_incomplete: false,
         };
@@ -182,20 +182,20 @@
         attempt: AttemptNumber,
         outcome: Outcome,
     ) -> Vec<Action> {
-        let out = self.in_flight.remove(&(request, attempt)).expect("an attempt in flight");
+        let sent = self.in_flight.remove(&(request, attempt)).expect("an attempt in flight");
         self.handle(Event::AttemptEnded(AttemptEnd {
             request,
             attempt,
-            endpoint: out.endpoint,
+            endpoint: sent.endpoint,
             outcome,
-            duration: self.now - out.sent_at,
+            duration: self.now - sent.sent_at,
             request_completed: outcome == Outcome::Ok,
             body_consumed: false,
             load_report: LoadReport::default(),
         }))
     }
 
-    /// Answers all attempts in flight, and those that follow from it, after `time` each.
+    /// Answers all attempts in flight after `time`, and so on until no attempts follow.
     pub fn answer_all(&mut self, time: Micros) {
         while !self.in_flight.is_empty() {
             self.advance(time);
@@ -206,9 +206,10 @@
     }
 }
 
+/// The endpoints to which attempts are sent.
 pub fn targets(actions: &[Action]) -> Vec<EndpointId> {
-    let to = |a: &Action| if let Action::Send { endpoint, .. } = a { Some(*endpoint) } else { None };
-    actions.iter().filter_map(to).collect()
+    let target = |a: &Action| if let Action::Send { endpoint, .. } = a { Some(*endpoint) } else { None };
+    actions.iter().filter_map(target).collect()
 }
 
 pub fn is_rejected(actions: &[Action], id: RequestId) -> bool {
@@ -223,6 +224,7 @@
     harness.handle(Event::EndpointList(EndpointListUpdate::Delta(vec![entry])))
 }
 
+/// Answers requests one after the other within 20 ms each, and returns the targets of their attempts.
 pub fn serve_requests(harness: &mut Harness, requests: usize) -> Vec<EndpointId> {
     let mut all = Vec::new();
     for _ in 0..requests {
@@ -232,26 +234,26 @@
     all
 }
 
-/// Targets of each of 100 sidecars in the last of five seconds at 16 requests a second, with 64 endpoints and
-/// deadlines of a second; the first `cold` endpoints are in slow start from the third second on.
-pub fn targets_of_many_sidecars(cold: usize) -> Vec<Vec<EndpointId>> {
+/// Targets of each of 100 sidecars that have 64 endpoints, deadlines of a second and 16 requests a second, in
+/// the last of five seconds. The first `in_slow_start` endpoints begin slow start after two seconds.
+pub fn targets_of_many_sidecars(in_slow_start: usize) -> Vec<Vec<EndpointId>> {
     let sidecar = |seed| {
-        let mut set = Settings { instances: 100, ..settings() };
-        set.classes.iter_mut().for_each(|c| (c.latency_objective, c.deadline) = (250 * MS, 1000 * MS));
-        let mut harness = Harness::new(set, 64, seed);
-        let mut to = Vec::new();
+        let mut settings = Settings { instances: 100, ..settings() };
+        settings.classes.iter_mut().for_each(|c| (c.latency_objective, c.deadline) = (250 * MS, 1000 * MS));
+        let mut harness = Harness::new(settings, 64, seed);
+        let mut last_targets = Vec::new();
         for n in 0..80 {
             if n == 32 {
-                let started = Some(harness.now);
-                let cold = (0..cold).map(|e| EndpointEntry { started_at: started, ..ready_entry(e) });
-                harness.handle(Event::EndpointList(EndpointListUpdate::Delta(cold.collect())));
+                let started_at = Some(harness.now);
+                let restarted = (0..in_slow_start).map(|e| EndpointEntry { started_at, ..ready_entry(e) });
+                harness.handle(Event::EndpointList(EndpointListUpdate::Delta(restarted.collect())));
             }
             let (_, actions) = harness.request_with(IDEMPOTENT, 800 * MS, None, None);
-            to.extend(targets(&actions).into_iter().filter(|_| n >= 64));
+            last_targets.extend(targets(&actions).into_iter().filter(|_| n >= 64));
             harness.answer_all(20 * MS);
             harness.advance(42 * MS);
         }
-        to
+        last_targets
     };
     (0..100).map(sidecar).collect()
 }
--- a/crates/balancer/tests/concurrency_limit.rs
+++ b/crates/balancer/tests/concurrency_limit.rs
@@ -4,33 +4,31 @@
 use common::*;
 use lotusmoor_balancer::*;
 
-/// One warm endpoint among nine in slow start: how many of eight requests it is sent at once, after each
-/// request was answered within 20 ms for a while.
+/// A fleet of one warm endpoint and nine in slow start: in each round, eight requests are sent at once and
+/// answered after 20 ms. Returns how many of the eight in the last round the warm endpoint is sent.
 fn concurrent_attempts_at_warm_endpoint(rounds: usize) -> usize {
     let mut harness = Harness::new(settings(), 10, 1);
     let mut to_warm = 0;
     for round in 0..=rounds {
-        let started = Some(harness.now);
-        (1..10).for_each(|e| {
-            drop(update_entry(&mut harness, EndpointEntry { started_at: started, ..ready_entry(e) }))
-        });
-        let sends = (0..8).flat_map(|_| targets(&harness.request(IDEMPOTENT).1));
-        to_warm = sends.filter(|e| *e == 0 && round == rounds).count();
+        let started_at = Some(harness.now);
+        (1..10)
+            .for_each(|e| drop(update_entry(&mut harness, EndpointEntry { started_at, ..ready_entry(e) })));
+        let targets = (0..8).flat_map(|_| targets(&harness.request(IDEMPOTENT).1));
+        to_warm = targets.filter(|e| *e == 0 && round == rounds).count();
         harness.answer_all(20 * MS);
         harness.advance(50 * MS);
     }
     to_warm
 }
 
-// Nine limits that can't be reached, as their endpoints are in slow start, don't mean that the tenth is high
-// enough.
+// The unused limits of nine endpoints in slow start must not keep the limit of the tenth from growing.
 #[test]
-fn full_limit_grows_while_requests_wait_whatever_others_have_left() {
+fn full_limit_grows_while_requests_wait_regardless_of_unused_limits() {
     let to_warm = concurrent_attempts_at_warm_endpoint(100);
     assert!(to_warm >= 6, "{to_warm}");
 }
 
-// The fair share of what is in flight is small if most of it belongs to endpoints that get nothing now.
+// A warm endpoint's fair share would be small if endpoints without slow-start budget kept theirs.
 #[test]
 fn fair_share_of_endpoints_without_slow_start_budget_goes_to_others() {
     let to_warm = concurrent_attempts_at_warm_endpoint(0);
@@ -39,16 +37,16 @@
 
 #[test]
 fn tenants_over_quota_queue_behind_others() {
-    let mut set = settings();
-    set.tenants = vec![Tenant { quota_per_s: 10.0, capacity_share: 0.5 }; 2];
-    let mut harness = Harness::new(set, 1, 1);
+    let mut settings = settings();
+    settings.tenants = vec![Tenant { quota_per_s: 10.0, capacity_share: 0.5 }; 2];
+    let mut harness = Harness::new(settings, 1, 1);
     let request =
         |harness: &mut Harness, tenant| harness.request_with(IDEMPOTENT, 3000 * MS, Some(tenant), None).0;
     let burst: Vec<_> = (0..12).map(|_| request(&mut harness, 0)).collect();
     let other = request(&mut harness, 1);
     harness.advance(50 * MS);
     harness.end_attempt(burst[0], 0, Outcome::Ok);
-    assert!(harness.in_flight.contains_key(&(other, 0)), "it came last and goes first");
+    assert!(harness.in_flight.contains_key(&(other, 0)), "the last to arrive is sent first");
 }
 
 #[test]
@@ -59,13 +57,13 @@
     harness.end_attempt(ids[0], 0, Outcome::Error);
     harness.request(IDEMPOTENT);
     let early = harness.advance(100 * MS);
-    assert!(!is_rejected(&early, ids[0]), "its first wait is long over, this one is not");
+    assert!(!is_rejected(&early, ids[0]), "its first queue time-out has passed, the second has not");
     harness.end_attempt(ids[1], 0, Outcome::Ok);
     assert!(harness.in_flight.contains_key(&(ids[0], 1)));
 }
 
 #[test]
-fn first_queue_timeout_does_not_end_second_wait() {
+fn first_queue_timeout_does_not_end_second_time_in_queue() {
     let mut harness = Harness::new(settings(), 1, 1);
     let first: Vec<_> = (0..2).map(|_| harness.request(IDEMPOTENT).0).collect();
     let (id, _) = harness.request(IDEMPOTENT);
@@ -73,8 +71,8 @@
     harness.end_attempt(first[0], 0, Outcome::Ok);
     harness.request(IDEMPOTENT);
     harness.end_attempt(id, 0, Outcome::Error);
-    let seen = harness.advance(100 * MS);
-    assert!(!is_rejected(&seen, id), "its second wait began less than 0.15 of the objective ago");
+    let actions = harness.advance(100 * MS);
+    assert!(!is_rejected(&actions, id), "queued again less than 0.15 of the objective ago");
     harness.end_attempt(first[1], 0, Outcome::Ok);
     assert!(harness.in_flight.contains_key(&(id, 1)));
 }
@@ -84,31 +82,31 @@
     let mut harness = Harness::new(settings(), 1, 1);
     let first = harness.request(IDEMPOTENT).0;
     harness.request(IDEMPOTENT);
-    let due = harness.now + 3000 * MS;
-    let (id, class, repeat, coming) = (0, IDEMPOTENT, true, false);
-    let repeat = NewRequest {
+    let deadline = harness.now + 3000 * MS;
+    let (id, class, is_client_retry, body_incomplete) = (0, IDEMPOTENT, true, false);
+    let client_retry = NewRequest {
         id,
         class,
         tenant: None,
         partition_key: None,
-        deadline: due,
+        deadline,
         expected_work: None,
-        is_client_retry: repeat,
-        body_incomplete: coming,
+        is_client_retry,
+        body_incomplete,
     };
-    harness.handle(Event::RequestReceived(repeat));
-    let fresh = harness.request(IDEMPOTENT).0;
+    harness.handle(Event::RequestReceived(client_retry));
+    let new = harness.request(IDEMPOTENT).0;
     harness.advance(50 * MS);
     let actions = harness.end_attempt(first, 0, Outcome::Ok);
-    let of = |a: &Action| if let Action::Send { request, .. } = a { Some(*request) } else { None };
-    assert_eq!(actions.iter().find_map(of), Some(fresh), "it came last and goes first");
+    let sent = |a: &Action| if let Action::Send { request, .. } = a { Some(*request) } else { None };
+    assert_eq!(actions.iter().find_map(sent), Some(new), "the last to arrive is sent first");
 }
 
 #[test]
-fn short_objectives_do_not_starve_behind_long_ones_in_queue() {
-    let mut set = settings();
-    set.classes[WITH_KEY].latency_objective = 300 * MS;
-    let mut harness = Harness::new(set, 1, 1);
+fn requests_with_short_objective_do_not_starve_behind_long_ones_in_queue() {
+    let mut settings = settings();
+    settings.classes[WITH_KEY].latency_objective = 300 * MS;
+    let mut harness = Harness::new(settings, 1, 1);
     let first: Vec<_> = (0..8).map(|_| harness.request(IDEMPOTENT).0).collect();
     let urgent = harness.request(WITH_KEY).0;
     harness.advance(30 * MS);
@@ -117,7 +115,7 @@
 }
 
 #[test]
-fn tiny_requests_do_not_make_fleet_look_crowded() {
+fn tiny_requests_do_not_lower_limits() {
     let mut harness = Harness::new(settings(), 2, 1);
     for n in 0..400 {
         (0..6).for_each(|i| {
@@ -131,23 +129,23 @@
 }
 
 #[test]
-fn limits_rise_by_even_steps_from_the_smallest() {
-    // Steps in proportion to the limit would keep sidecars apart once one has fallen behind; and a limit
-    // under two must not count as unused while the one attempt that it allows is in flight.
+fn limits_increase_additively_even_below_two() {
+    // With steps in proportion to the limit, a sidecar with a low limit would never catch up with the others.
+    // A limit below two must not count as unused while the one attempt that it allows is in flight.
     let mut harness = Harness::new(Settings { instances: 4, ..settings() }, 1, 1);
     serve_requests(&mut harness, 60);
-    let mut held = Vec::new();
+    let mut in_flight = Vec::new();
     for _ in 0..12 {
         (0..100).for_each(|_| drop(harness.request(IDEMPOTENT)));
-        held.push(harness.in_flight.len());
+        in_flight.push(harness.in_flight.len());
         harness.answer_all(20 * MS);
     }
-    assert!(held[11] > 20 && held[11] < 90, "{held:?}");
+    assert!(in_flight[11] > 20 && in_flight[11] < 90, "{in_flight:?}");
 }
 
 #[test]
-fn limits_fall_while_calls_take_half_of_their_objective() {
-    // The mean is inside the objective, but latencies spread as in a queue, and one in seven is late.
+fn limits_fall_while_answers_take_half_of_objective() {
+    // The mean is within the objective, but latencies vary as in a queue, and one in seven is late.
     let mut harness = Harness::new(settings(), 4, 1);
     (0..80).for_each(|_| {
         harness.request(IDEMPOTENT);
@@ -162,14 +160,14 @@
 }
 
 #[test]
-fn initial_limits_are_divided_by_root_of_number_of_sidecars() {
+fn initial_limits_are_divided_by_square_root_of_number_of_sidecars() {
     let mut harness = Harness::new(Settings { instances: 16, ..settings() }, 4, 1);
     let sent: usize = (0..12).map(|_| targets(&harness.request(IDEMPOTENT).1).len()).sum();
-    assert_eq!(sent, 4, "half a request each is one at a time, where one sidecar alone has two");
+    assert_eq!(sent, 4, "an initial limit of 2 / sqrt(16) allows one attempt at a time");
 }
 
 #[test]
-fn quiet_sidecar_among_many_is_not_rejected_bursts_of_three() {
+fn bursts_of_three_are_not_rejected_at_idle_sidecar_among_many() {
     let mut harness = Harness::new(Settings { instances: 150, ..settings() }, 10, 1);
     serve_requests(&mut harness, 30);
     for _ in 0..20 {
@@ -183,12 +181,12 @@
 fn queues_requests_only_while_all_endpoints_are_at_their_limits() {
     let mut harness = Harness::new(settings(), 2, 4);
     let ids: Vec<_> = (0..5).map(|_| harness.request(IDEMPOTENT)).collect();
-    let waiting: Vec<_> = ids.iter().filter(|(_, a)| targets(a).is_empty()).map(|(id, _)| *id).collect();
-    assert_eq!(waiting.len(), 1, "limits of two at two endpoints");
+    let queued: Vec<_> = ids.iter().filter(|(_, a)| targets(a).is_empty()).map(|(id, _)| *id).collect();
+    assert_eq!(queued.len(), 1, "two endpoints with limits of two");
     harness.advance(50 * MS);
-    let after = harness.end_attempt(ids[0].0, 0, Outcome::Ok);
-    assert_eq!(targets(&after).len(), 1);
-    assert!(harness.in_flight.contains_key(&(waiting[0], 0)));
+    let actions = harness.end_attempt(ids[0].0, 0, Outcome::Ok);
+    assert_eq!(targets(&actions).len(), 1);
+    assert!(harness.in_flight.contains_key(&(queued[0], 0)));
 }
 
 #[test]
@@ -199,8 +197,8 @@
 }
 
 #[test]
-fn limits_grow_with_answers_in_time_and_shrink_with_late_ones() {
-    let most = |time: Micros| {
+fn limits_grow_with_fast_answers_and_shrink_with_slow_ones() {
+    let in_flight_after = |time: Micros| {
         let mut harness = Harness::new(settings(), 2, 4);
         for _ in 0..30 {
             (0..12).for_each(|_| drop(harness.request(IDEMPOTENT)));
@@ -210,28 +208,28 @@
         (0..40).for_each(|_| drop(harness.request(IDEMPOTENT)));
         harness.in_flight.len()
     };
-    let (quick, slow) = (most(30 * MS), most(900 * MS));
-    assert!(quick > 8 && slow < 8, "{quick} {slow}");
+    let (fast, slow) = (in_flight_after(30 * MS), in_flight_after(900 * MS));
+    assert!(fast > 8 && slow < 8, "{fast} {slow}");
 }
 
-// Slow clients would else fill every limit while the endpoints wait for them, and all others be rejected.
+// Otherwise slow clients would use up all limits while the endpoints wait for them, and others be rejected.
 #[test]
 fn request_with_incomplete_body_takes_no_capacity() {
     let mut harness = Harness::new(settings(), 2, 1);
-    let request = |harness: &mut Harness, coming| {
+    let request = |harness: &mut Harness, body_incomplete| {
         let id = harness.next_request;
         harness.next_request += 1;
-        let (class, due, tenant, key, work, repeat) =
+        let (class, deadline, tenant, partition_key, expected_work, is_client_retry) =
             (WITH_KEY, harness.now + 60_000 * MS, None, None, None, false);
         let new = NewRequest {
             id,
             class,
             tenant,
-            partition_key: key,
-            deadline: due,
-            expected_work: work,
-            is_client_retry: repeat,
-            body_incomplete: coming,
+            partition_key,
+            deadline,
+            expected_work,
+            is_client_retry,
+            body_incomplete,
         };
         (id, targets(&harness.handle(Event::RequestReceived(new))).len())
     };
@@ -239,14 +237,14 @@
     assert!(slow.iter().all(|(_, sent)| *sent == 1));
     assert_eq!(request(&mut harness, false).1, 1);
     harness.answer_all(50 * MS);
-    // Its objective counts from the end of its body, and so does its duration.
+    // Both its objective and its latency count from the end of its body.
     let (id, _) = request(&mut harness, true);
     harness.advance(3000 * MS);
-    let due = harness.now + 4000 * MS;
-    harness.handle(Event::BodyReceived { request: id, deadline: due });
+    let deadline = harness.now + 4000 * MS;
+    harness.handle(Event::BodyReceived { request: id, deadline });
     assert!(!is_failed(&harness.advance(3900 * MS), id));
     assert!(is_failed(&harness.advance(200 * MS), id) || !harness.in_flight.contains_key(&(id, 0)));
-    // Complete requests count.
+    // Requests with a complete body take capacity.
     let slow: Vec<_> = (0..60).map(|_| request(&mut harness, true)).collect();
     for (request, _) in slow {
         harness.handle(Event::BodyReceived { request, deadline: harness.now + 4000 * MS });
--- a/crates/balancer/tests/endpoint_list.rs
+++ b/crates/balancer/tests/endpoint_list.rs
@@ -15,9 +15,9 @@
     }
 }
 
-// The number may be given to another endpoint, to which what the last one did must not count.
+// The id may be reused for another endpoint, which must not inherit the state of the released one.
 #[test]
-fn forgets_endpoint_when_its_number_is_released() {
+fn discards_state_of_endpoint_when_its_id_is_released() {
     for released in [false, true] {
         let mut harness = Harness::new(settings(), 1, 1);
         for _ in 0..6 {
@@ -31,9 +31,9 @@
             harness.handle(Event::EndpointReleased(0));
         }
         update_entry(&mut harness, ready_entry(0));
-        // Some requests are shed after so many errors, whatever is known of endpoints.
-        let went = (0..50).any(|_| !targets(&harness.request(IDEMPOTENT).1).is_empty());
-        assert_eq!(went, released);
+        // After so many errors some requests are shed, whatever the state of the endpoint.
+        let sent = (0..50).any(|_| !targets(&harness.request(IDEMPOTENT).1).is_empty());
+        assert_eq!(sent, released);
     }
 }
 
@@ -63,9 +63,9 @@
 
 #[test]
 fn subscribes_at_start_and_after_failures_with_backoff() {
-    let mut set = settings();
-    set.discovery = DiscoveryMode::Polled;
-    let mut balancer = Balancer::new(set.clone(), 1).expect("usable settings");
+    let mut settings = settings();
+    settings.discovery = DiscoveryMode::Polled;
+    let mut balancer = Balancer::new(settings.clone(), 1).expect("valid settings");
     let mut actions = Vec::new();
     balancer.handle(
         START,
@@ -73,41 +73,41 @@
         &mut actions,
     );
     assert!(actions.contains(&Action::Subscribe(true)));
-    let mut harness = Harness::new(set, 1, 1);
-    let mut waits = Vec::new();
+    let mut harness = Harness::new(settings, 1, 1);
+    let mut backoffs = Vec::new();
     for _ in 0..12 {
         harness.handle(Event::EndpointList(EndpointListUpdate::Failed));
-        let failed = harness.now;
+        let failed_at = harness.now;
         while harness.advance(10 * MS).iter().all(|a| *a != Action::Subscribe(true)) {
             assert!(
-                harness.now - failed < harness.settings.rules.max_poll_interval,
-                "asks inside the interval"
+                harness.now - failed_at < harness.settings.rules.max_poll_interval,
+                "subscribes again within the poll interval"
             );
         }
-        waits.push(harness.now - failed);
+        backoffs.push(harness.now - failed_at);
     }
-    assert!(waits[3] > waits[0], "{waits:?}");
+    assert!(backoffs[3] > backoffs[0], "{backoffs:?}");
     harness.handle(Event::EndpointList(EndpointListUpdate::Delta(Vec::new())));
     harness.handle(Event::EndpointList(EndpointListUpdate::Failed));
-    assert!(harness.advance(1500 * MS).contains(&Action::Subscribe(true)), "a success starts the waits anew");
+    assert!(harness.advance(1500 * MS).contains(&Action::Subscribe(true)), "a success resets the backoff");
 }
 
 #[test]
-fn ignores_out_of_range_endpoint_number() {
+fn ignores_out_of_range_endpoint_id() {
     let mut harness = Harness::new(settings(), 2, 1);
     update_entry(&mut harness, ready_entry(EndpointId::MAX));
     assert!(serve_requests(&mut harness, 8).iter().all(|e| *e < 2));
 }
 
 #[test]
-fn sends_nothing_to_cordoned_endpoint_whatever_the_list_says() {
+fn sends_nothing_to_cordoned_endpoint_even_if_listed_as_ready() {
     let mut harness = Harness::new(settings(), 2, 1);
     harness.handle(Event::Cordoned(0));
     harness.handle(Event::Cordoned(0));
-    let again = EndpointEntry { started_at: Some(harness.now), ..ready_entry(0) };
+    let restarted = EndpointEntry { started_at: Some(harness.now), ..ready_entry(0) };
     for list in [
         EndpointListUpdate::Delta(vec![ready_entry(0)]),
-        EndpointListUpdate::Full(vec![again, ready_entry(1)]),
+        EndpointListUpdate::Full(vec![restarted, ready_entry(1)]),
     ] {
         harness.handle(Event::EndpointList(list));
         for outcome in [Outcome::Ok, Outcome::Rejected, Outcome::Ok] {
@@ -115,11 +115,11 @@
             assert_eq!(targets(&actions), [1]);
             harness.advance(100 * MS);
             harness.end_attempt(id, 0, outcome);
-            assert!(!targets(&harness.advance(300 * MS)).contains(&0), "a retry went there");
+            assert!(!targets(&harness.advance(300 * MS)).contains(&0), "no retry to a cordoned endpoint");
             harness.answer_all(100 * MS);
         }
     }
-    // The number is another endpoint's.
+    // The id is reused for another endpoint, which is not cordoned.
     harness.handle(Event::EndpointReleased(0));
     harness.handle(Event::EndpointList(EndpointListUpdate::Delta(vec![ready_entry(0)])));
     assert!((0..4).any(|_| targets(&harness.request(IDEMPOTENT).1) == [0]));
@@ -128,30 +128,30 @@
 #[test]
 fn rejects_at_once_when_all_endpoints_are_cordoned() {
     let mut harness = Harness::new(settings(), 2, 1);
-    let (out, _) = harness.request(IDEMPOTENT);
-    let waits = harness.in_flight[&(out, 0)].endpoint;
-    harness.handle(Event::Cordoned(1 - waits));
-    harness.handle(Event::Cordoned(waits));
+    let (in_flight, _) = harness.request(IDEMPOTENT);
+    let busy = harness.in_flight[&(in_flight, 0)].endpoint;
+    harness.handle(Event::Cordoned(1 - busy));
+    harness.handle(Event::Cordoned(busy));
     let (id, actions) = harness.request(NON_IDEMPOTENT);
     assert!(is_rejected(&actions, id) && targets(&actions).is_empty());
-    // Attempts in flight may finish.
-    assert!(harness.in_flight.contains_key(&(out, 0)));
-    let actions = harness.end_attempt(out, 0, Outcome::Error);
-    assert!(is_rejected(&actions, out), "{actions:?}");
+    // Attempts in flight may complete.
+    assert!(harness.in_flight.contains_key(&(in_flight, 0)));
+    let actions = harness.end_attempt(in_flight, 0, Outcome::Error);
+    assert!(is_rejected(&actions, in_flight), "{actions:?}");
 }
 
-// An uncordoned endpoint was restarted: it is used again soon, and within its slow-start budget.
+// An uncordoned endpoint is taken to be restarted: it gets the next attempt, but is then in slow start.
 #[test]
 fn uses_uncordoned_endpoint_at_once_within_its_slow_start_budget() {
     let mut harness = Harness::new(settings(), 4, 1);
     let serve = |harness: &mut Harness, requests: usize| {
-        let mut to = [0; 4];
+        let mut attempts = [0; 4];
         for _ in 0..requests {
             let (_, actions) = harness.request(IDEMPOTENT);
-            targets(&actions).iter().for_each(|e| to[*e] += 1);
+            targets(&actions).iter().for_each(|e| attempts[*e] += 1);
             harness.answer_all(100 * MS);
         }
-        to
+        attempts
     };
     assert!(serve(&mut harness, 40)[0] > 5);
     // Its circuit opens before it is cordoned.
@@ -166,6 +166,6 @@
     assert_eq!(serve(&mut harness, 40)[0], 0);
     harness.handle(Event::Uncordoned(0));
     assert_eq!(serve(&mut harness, 1), [1, 0, 0, 0]);
-    let rest = serve(&mut harness, 20);
-    assert!(rest[0] < rest[1] && rest[0] < 5, "{rest:?}");
+    let later = serve(&mut harness, 20);
+    assert!(later[0] < later[1] && later[0] < 5, "{later:?}");
 }
--- a/crates/balancer/tests/limits.rs
+++ b/crates/balancer/tests/limits.rs
@@ -1,14 +1,14 @@
-//! The decision logic stays small enough to be read in a sitting.
+//! Limits on the size of the decision logic and of its source files.
 
 use std::fs;
 use std::path::{Path, PathBuf};
 
-/// The operators don't run a decision module with more non-blank lines.
+/// Operators don't run a balancer whose `policy` files in deploy/balancer.toml have more non-blank lines.
 const MAX_POLICY_LINES: usize = 1200;
 const MAX_FILE_LINES: usize = 400;
 const MAX_COLUMNS: usize = 110;
 
-/// Files that hold no decisions: the interface, the settings' encoding, records and plain data structures.
+/// Files without decision logic: the interface, the decoding of settings, records and plain data structures.
 const OUTSIDE_POLICY: [&str; 11] = [
     "action.rs",
     "attempt.rs",
@@ -27,11 +27,11 @@
     Path::new(env!("CARGO_MANIFEST_DIR")).join("../..")
 }
 
-/// The paths that `policy` of the deploy file lists.
+/// The paths listed under `policy` in the deploy file.
 fn policy_files() -> Vec<String> {
     let deploy = fs::read_to_string(repository().join("deploy/balancer.toml")).expect("a deploy file");
     let (_, list) = deploy.split_once("\npolicy = [").expect("a policy list");
-    let (list, _) = list.split_once(']').expect("its end");
+    let (list, _) = list.split_once(']').expect("the end of the policy list");
     list.split('"').skip(1).step_by(2).map(str::to_owned).collect()
 }
 
@@ -60,7 +60,7 @@
 }
 
 #[test]
-fn decision_logic_fits_the_operators_limit() {
+fn decision_logic_fits_operators_limit() {
     let files = policy_files();
     assert!(files.contains(&"crates/balancer/src/balancer.rs".to_owned()), "{files:?}");
     let count = |path: &String| read(path).lines().filter(|l| !l.trim().is_empty()).count();
@@ -69,7 +69,7 @@
 }
 
 #[test]
-fn every_file_with_decisions_is_listed_as_policy() {
+fn every_file_with_decision_logic_is_listed_as_policy() {
     let policy = policy_files();
     for path in sources("crates/balancer/src").into_iter().filter(|path| !is_test(path)) {
         let name = path.strip_prefix("crates/balancer/src/").expect("a source of this crate");
@@ -84,7 +84,7 @@
 }
 
 #[test]
-fn sources_are_short_and_narrow() {
+fn source_files_and_lines_are_short() {
     for path in sources("crates/balancer/src") {
         let text = read(&path);
         let lines = text.lines().count();
@@ -95,7 +95,7 @@
 }
 
 #[test]
-fn decision_logic_names_its_interface_first() {
+fn doc_of_decision_logic_begins_with_its_interface() {
     let text = read("crates/balancer/src/balancer.rs");
     let first = text.lines().next().expect("a first line");
     assert!(first.contains("[`Event`]") && first.contains("[`Action`]"), "{first}");
--- a/crates/balancer/tests/request.rs
+++ b/crates/balancer/tests/request.rs
@@ -1,4 +1,4 @@
-//! A request's life.
+//! Life cycle of a request: deadline, streaming, events out of order, abandonment.
 
 mod common;
 use common::*;
@@ -9,9 +9,9 @@
     for class in [IDEMPOTENT, WITH_KEY, NON_IDEMPOTENT] {
         let mut harness = Harness::new(settings(), 2, 1);
         let (id, _) = harness.request_with(class, 700 * MS, None, None);
-        let due = START + 700 * MS;
+        let deadline = START + 700 * MS;
         let mut actions = Vec::new();
-        while harness.now < due {
+        while harness.now < deadline {
             actions.extend(harness.advance(5 * MS));
         }
         assert!(is_rejected(&actions, id) || is_failed(&actions, id), "class {class}");
@@ -20,25 +20,25 @@
 }
 
 #[test]
-fn rejects_request_past_its_deadline_unsent() {
-    for left in [0, -5, 1, 10] {
+fn rejects_request_past_its_deadline_without_sending_it() {
+    for time_left in [0, -5, 1, 10] {
         let mut harness = Harness::new(settings(), 2, 1);
-        let (id, actions) = harness.request_with(NON_IDEMPOTENT, left * MS, None, None);
-        assert!(is_rejected(&actions, id) && targets(&actions).is_empty(), "{left} ms left");
+        let (id, actions) = harness.request_with(NON_IDEMPOTENT, time_left * MS, None, None);
+        assert!(is_rejected(&actions, id) && targets(&actions).is_empty(), "{time_left} ms left");
     }
 }
 
 #[test]
-fn started_stream_has_no_deadline_and_its_interruption_ends_request() {
+fn started_stream_has_no_deadline_and_gets_no_final_answer() {
     let mut harness = Harness::new(settings(), 2, 1);
     let (id, _) = harness.request_with(IDEMPOTENT, 500 * MS, None, None);
     harness.handle(Event::StreamStarted { request: id, attempt: 0 });
-    let out = harness.in_flight.remove(&(id, 0)).expect("sent");
+    let sent = harness.in_flight.remove(&(id, 0)).expect("sent");
     assert!(!harness.advance(5000 * MS).iter().any(|a| matches!(a, Action::Reject { .. } | Action::Fail(_))));
     let end = AttemptEnd {
         request: id,
         attempt: 0,
-        endpoint: out.endpoint,
+        endpoint: sent.endpoint,
         outcome: Outcome::Reset,
         duration: 5000 * MS,
         request_completed: true,
@@ -67,7 +67,7 @@
         body_consumed: false,
         load_report: LoadReport::default(),
     };
-    for odd in [
+    for event in [
         Event::Timer(99),
         Event::RequestAbandoned(77),
         Event::StreamStarted { request: 77, attempt: 3 },
@@ -82,8 +82,8 @@
         },
         Event::PeerMessage { from: 3, bytes: vec![1, 2] },
     ] {
-        let text = format!("{odd:?}");
-        assert!(harness.handle(odd).is_empty(), "{text}");
+        let description = format!("{event:?}");
+        assert!(harness.handle(event).is_empty(), "{description}");
     }
     harness.handle(Event::AttemptEnded(end));
     assert!(harness.handle(Event::AttemptEnded(end)).is_empty());
--- a/crates/balancer/tests/rules.rs
+++ b/crates/balancer/tests/rules.rs
@@ -1,37 +1,39 @@
-//! The protocol's rules 1 to 3 over random event sequences with fixed seeds, checked by an implementation apart.
+//! The protocol's rules 1 to 3 over random event sequences with fixed seeds: which attempts may be sent, no
+//! unsafe second execution, and one final answer in time. The checker is independent of the code under test.
 
 mod common;
 use common::*;
 use lotusmoor_balancer::*;
 use std::collections::{BTreeMap, BTreeSet};
 
-struct Sent {
+struct AttemptRecord {
     endpoint: EndpointId,
-    at: Micros,
+    sent_at: Micros,
     outcome: Option<Outcome>,
 }
 
-struct Open {
+struct OpenRequest {
     class: ClassId,
-    due: Micros,
-    attempts: Vec<Sent>,
-    /// The attempt whose answer has begun.
+    deadline: Micros,
+    attempts: Vec<AttemptRecord>,
+    /// The attempt whose answer has begun to stream.
     streaming: Option<AttemptNumber>,
 }
 
-/// What the protocol's rules allow, implemented apart from the crate under test.
+/// Checks actions against the protocol's rules, independently of the crate under test.
 struct RuleChecker {
-    set: Settings,
-    open: BTreeMap<RequestId, Open>,
-    ended: BTreeSet<RequestId>,
-    status: Vec<EndpointEntry>,
+    settings: Settings,
+    open: BTreeMap<RequestId, OpenRequest>,
+    completed: BTreeSet<RequestId>,
+    listed: Vec<EndpointEntry>,
     cordoned: BTreeSet<EndpointId>,
     answered: usize,
 }
 
 impl RuleChecker {
-    fn ran(open: &Open) -> impl Iterator<Item = &Sent> {
-        open.attempts.iter().filter(|a| a.outcome.is_none_or(|o| !o.was_never_executed()))
+    /// Attempts of a request that may have been executed.
+    fn possible_executions(request: &OpenRequest) -> impl Iterator<Item = &AttemptRecord> {
+        request.attempts.iter().filter(|a| a.outcome.is_none_or(|o| !o.was_never_executed()))
     }
 
     fn check(&mut self, now: Micros, actions: &[Action]) {
@@ -39,79 +41,79 @@
             match *action {
                 Action::Send { request, endpoint, timeout, .. } => {
                     let open = self.open.get_mut(&request).expect("a send for an open request");
-                    let to = &self.status[endpoint];
+                    let to = &self.listed[endpoint];
                     assert_eq!(to.status, EndpointStatus::Ready, "no attempt at a draining endpoint");
                     assert!(!self.cordoned.contains(&endpoint), "no attempt at a cordoned endpoint");
-                    assert!(timeout > 0 && now < open.due && open.streaming.is_none());
-                    assert!((open.attempts.len() as u32) < self.set.limits.max_attempts);
-                    let live = open.attempts.iter().filter(|a| a.outcome.is_none()).count();
-                    assert!(live == 0 || self.set.limits.may_hedge, "one attempt at a time");
-                    for earlier in Self::ran(open) {
-                        match self.set.classes[open.class].idempotency {
+                    assert!(timeout > 0 && now < open.deadline && open.streaming.is_none());
+                    assert!((open.attempts.len() as u32) < self.settings.limits.max_attempts);
+                    let in_flight = open.attempts.iter().filter(|a| a.outcome.is_none()).count();
+                    assert!(in_flight == 0 || self.settings.limits.may_hedge, "one attempt at a time");
+                    for earlier in Self::possible_executions(open) {
+                        match self.settings.classes[open.class].idempotency {
                             Idempotency::Idempotent => {}
                             Idempotency::NonIdempotent => {
                                 panic!("a request that is not idempotent sent twice")
                             }
                             Idempotency::WithKey { scope, ttl } => {
-                                let from = &self.status[earlier.endpoint];
-                                let same = match scope {
+                                let from = &self.listed[earlier.endpoint];
+                                let in_scope = match scope {
                                     DedupScope::All => true,
                                     DedupScope::Zone => from.zone == to.zone,
                                     DedupScope::Cell => from.cell == to.cell,
                                 };
-                                assert!(same && now - earlier.at < ttl, "inside the group and its time");
+                                assert!(in_scope && now - earlier.sent_at < ttl, "key not deduplicated");
                             }
                         }
                     }
-                    open.attempts.push(Sent { endpoint, at: now, outcome: None });
+                    open.attempts.push(AttemptRecord { endpoint, sent_at: now, outcome: None });
                 }
                 Action::Reject { request, .. } => {
-                    let open = self.open.remove(&request).expect("a refusal of an open request");
-                    let harmless = match self.set.classes[open.class].idempotency {
+                    let open = self.open.remove(&request).expect("a rejection of an open request");
+                    let is_safe = match self.settings.classes[open.class].idempotency {
                         Idempotency::Idempotent | Idempotency::WithKey { scope: DedupScope::All, .. } => true,
-                        _ => Self::ran(&open).next().is_none(),
+                        _ => Self::possible_executions(&open).next().is_none(),
                     };
-                    assert!(harmless, "rejected though it may have run");
-                    self.close(request);
+                    assert!(is_safe, "rejected though it may have been executed");
+                    self.complete(request);
                 }
                 Action::Fail(request) => {
                     self.open.remove(&request).expect("a failure of an open request");
-                    self.close(request);
+                    self.complete(request);
                 }
-                Action::Cancel { .. } => assert!(self.set.limits.may_cancel),
-                Action::HealthCheck(_) => assert!(self.set.limits.may_health_check),
-                Action::SendPeerMessage { .. } => assert!(self.set.limits.may_gossip),
+                Action::Cancel { .. } => assert!(self.settings.limits.may_cancel),
+                Action::HealthCheck(_) => assert!(self.settings.limits.may_health_check),
+                Action::SendPeerMessage { .. } => assert!(self.settings.limits.may_gossip),
                 Action::SetTimer { after, .. } => assert!((0..=71 * 60_000 * MS).contains(&after)),
                 _ => {}
             }
         }
         for (id, open) in &self.open {
-            let end = open.due + self.set.rules.answer_grace;
-            assert!(open.streaming.is_some() || now <= end, "request {id} is unanswered after its deadline");
+            let latest = open.deadline + self.settings.rules.answer_grace;
+            assert!(open.streaming.is_some() || now <= latest, "request {id} has no answer in time");
         }
     }
 
-    fn close(&mut self, request: RequestId) {
-        assert!(self.ended.insert(request), "a second final answer");
+    fn complete(&mut self, request: RequestId) {
+        assert!(self.completed.insert(request), "a second final answer");
         self.answered += 1;
     }
 }
 
 fn random_settings(rng: &mut fastrand::Rng) -> Settings {
-    let mut set = settings();
+    let mut settings = settings();
     let scopes = [DedupScope::All, DedupScope::Zone, DedupScope::Cell];
-    set.classes[WITH_KEY].idempotency =
+    settings.classes[WITH_KEY].idempotency =
         Idempotency::WithKey { scope: *rng.choice(&scopes).expect("three"), ttl: rng.i64(50..2000) * MS };
-    set.classes[IDEMPOTENT].streaming = rng.bool();
-    set.classes.iter_mut().for_each(|c| c.latency_objective = rng.i64(100..1500) * MS);
-    set.classes.iter_mut().for_each(|c| c.late_value_share = if rng.bool() { 0.3 } else { 0.0 });
-    set.limits.may_hedge = rng.bool();
-    set.limits.may_cancel = rng.bool();
-    set.limits.max_attempts = rng.u32(1..6);
-    set.instances = rng.u32(1..20);
-    set.discovery = if rng.bool() { DiscoveryMode::Polled } else { DiscoveryMode::Pushed };
-    set.tenants = vec![Tenant { quota_per_s: 10.0, capacity_share: 0.5 }; rng.usize(0..3)];
-    set
+    settings.classes[IDEMPOTENT].streaming = rng.bool();
+    settings.classes.iter_mut().for_each(|c| c.latency_objective = rng.i64(100..1500) * MS);
+    settings.classes.iter_mut().for_each(|c| c.late_value_share = if rng.bool() { 0.3 } else { 0.0 });
+    settings.limits.may_hedge = rng.bool();
+    settings.limits.may_cancel = rng.bool();
+    settings.limits.max_attempts = rng.u32(1..6);
+    settings.instances = rng.u32(1..20);
+    settings.discovery = if rng.bool() { DiscoveryMode::Polled } else { DiscoveryMode::Pushed };
+    settings.tenants = vec![Tenant { quota_per_s: 10.0, capacity_share: 0.5 }; rng.usize(0..3)];
+    settings
 }
 
 /// How attempts end; most succeed.
@@ -128,19 +130,19 @@
 const STATUSES: [EndpointStatus; 4] =
     [EndpointStatus::Ready, EndpointStatus::Ready, EndpointStatus::Draining, EndpointStatus::Removed];
 
-/// Plays a random sequence and returns all actions.
-fn play(seed: u64, steps: usize) -> Vec<String> {
-    let mut play = RandomPlay::new(seed);
+/// Runs a random event sequence under the checker and returns all actions.
+fn run_random_events(seed: u64, steps: usize) -> Vec<String> {
+    let mut run = RandomRun::new(seed);
     for _ in 0..steps {
-        play.step();
+        run.step();
     }
-    play.answer_everything();
-    assert!(play.checker.open.is_empty(), "every request is answered");
-    assert_eq!(play.checker.answered, play.requests);
-    play.log
+    run.complete_requests();
+    assert!(run.checker.open.is_empty(), "every request is answered");
+    assert_eq!(run.checker.answered, run.requests);
+    run.log
 }
 
-struct RandomPlay {
+struct RandomRun {
     rng: fastrand::Rng,
     settings: Settings,
     harness: Harness,
@@ -150,15 +152,16 @@
     log: Vec<String>,
 }
 
-impl RandomPlay {
+impl RandomRun {
     fn new(seed: u64) -> Self {
         let mut rng = fastrand::Rng::with_seed(seed);
         let settings = random_settings(&mut rng);
         let endpoints = rng.usize(1..9);
         let harness = Harness::new(settings.clone(), endpoints, seed);
-        let status = (0..endpoints).map(ready_entry).collect();
-        let (open, ended, cordoned) = Default::default();
-        let checker = RuleChecker { set: settings.clone(), open, ended, status, cordoned, answered: 0 };
+        let listed = (0..endpoints).map(ready_entry).collect();
+        let (open, completed, cordoned) = Default::default();
+        let checker =
+            RuleChecker { settings: settings.clone(), open, completed, listed, cordoned, answered: 0 };
         Self { rng, settings, harness, checker, endpoints, requests: 0, log: Vec::new() }
     }
 
@@ -173,7 +176,7 @@
             81..84 => self.cordon(),
             _ => {
                 let time = self.rng.i64(1..120) * MS;
-                self.pass(time);
+                self.advance(time);
             }
         }
     }
@@ -186,15 +189,15 @@
     fn request(&mut self) {
         let rng = &mut self.rng;
         let class = rng.usize(0..3);
-        let left = rng.i64(-20..2500) * MS;
+        let time_left = rng.i64(-20..2500) * MS;
         let tenants = self.settings.tenants.len();
         let tenant = (tenants > 0).then(|| rng.usize(0..tenants));
-        let work = rng.bool().then(|| rng.i64(0..400) * MS);
+        let expected_work = rng.bool().then(|| rng.i64(0..400) * MS);
         let id = self.harness.next_request;
-        let due = self.harness.now + left.max(0);
-        self.checker.open.insert(id, Open { class, due, attempts: Vec::new(), streaming: None });
+        let deadline = self.harness.now + time_left.max(0);
+        self.checker.open.insert(id, OpenRequest { class, deadline, attempts: Vec::new(), streaming: None });
         self.requests += 1;
-        let (_, actions) = self.harness.request_with(class, left.max(0), tenant, work);
+        let (_, actions) = self.harness.request_with(class, time_left.max(0), tenant, expected_work);
         self.checker.check(self.harness.now, &actions);
         self.log.push(format!("{actions:?}"));
     }
@@ -223,18 +226,18 @@
         let keys: Vec<_> = self.checker.open.keys().copied().collect();
         let Some(&id) = self.rng.choice(&keys) else { return };
         self.checker.open.remove(&id);
-        self.checker.close(id);
+        self.checker.complete(id);
         self.handle(Event::RequestAbandoned(id));
     }
 
     fn update_list(&mut self) {
-        let entry = &mut self.checker.status[self.rng.usize(0..self.endpoints)];
+        let entry = &mut self.checker.listed[self.rng.usize(0..self.endpoints)];
         entry.status = *self.rng.choice(&STATUSES).expect("some");
         entry.started_at = self.rng.bool().then_some(self.harness.now - self.rng.i64(0..8000) * MS);
         let list = if self.rng.bool() {
             EndpointListUpdate::Delta(vec![entry.clone()])
         } else {
-            let listed = self.checker.status.iter().filter(|l| l.status != EndpointStatus::Removed);
+            let listed = self.checker.listed.iter().filter(|l| l.status != EndpointStatus::Removed);
             EndpointListUpdate::Full(listed.cloned().collect())
         };
         self.handle(Event::EndpointList(list));
@@ -251,10 +254,10 @@
         }
     }
 
-    /// Lets time pass until every request has its answer, and ends streams.
-    fn answer_everything(&mut self) {
+    /// Advances the time until every request has its final answer, and completes streams.
+    fn complete_requests(&mut self) {
         for _ in 0..80 {
-            self.pass(50 * MS);
+            self.advance(50 * MS);
             let streams: Vec<_> =
                 self.checker.open.iter().filter(|(_, o)| o.streaming.is_some()).map(|(id, _)| *id).collect();
             let attempts = self.harness.in_flight.keys().copied().filter(|key| streams.contains(&key.0));
@@ -274,7 +277,7 @@
             request_completed = outcome == Outcome::Ok || open.streaming == Some(attempt);
             if request_completed {
                 self.checker.open.remove(&request);
-                self.checker.close(request);
+                self.checker.complete(request);
             }
         }
         let actions = self.harness.handle(Event::AttemptEnded(AttemptEnd {
@@ -291,19 +294,20 @@
         self.log.push(format!("{actions:?}"));
     }
 
-    /// Lets time pass a tick at a time, with timers and time-outs as they come.
-    fn pass(&mut self, time: Micros) {
+    /// Advances the time tick by tick, with the timers and time-outs that are due.
+    fn advance(&mut self, time: Micros) {
         let to = self.harness.now + time;
         while self.harness.now < to {
             self.harness.now += 5 * MS;
             let now = self.harness.now;
-            let streaming = |id| self.checker.open.get(id).is_some_and(|o: &Open| o.streaming.is_some());
-            let over = self
+            let streaming =
+                |id| self.checker.open.get(id).is_some_and(|r: &OpenRequest| r.streaming.is_some());
+            let timed_out = self
                 .harness
                 .in_flight
                 .iter()
-                .filter(|(k, o)| o.sent_at + o.timeout <= now && !streaming(&k.0));
-            for key in over.map(|(k, _)| *k).collect::<Vec<_>>() {
+                .filter(|(k, a)| a.sent_at + a.timeout <= now && !streaming(&k.0));
+            for key in timed_out.map(|(k, _)| *k).collect::<Vec<_>>() {
                 self.end_attempt(key, Outcome::TimedOut);
             }
             let due: Vec<_> = self.harness.timers.iter().filter(|t| t.0 <= now).copied().collect();
@@ -321,13 +325,13 @@
 #[test]
 fn protocol_rules_hold_over_random_sequences() {
     for seed in 0..300 {
-        assert!(!play(seed, 400).is_empty());
+        assert!(!run_random_events(seed, 400).is_empty());
     }
 }
 
 #[test]
 fn same_events_give_same_actions() {
     for seed in 0..20 {
-        assert_eq!(play(seed, 200), play(seed, 200));
+        assert_eq!(run_random_events(seed, 200), run_random_events(seed, 200));
     }
 }
--- a/crates/balancer/tests/selection.rs
+++ b/crates/balancer/tests/selection.rs
@@ -1,4 +1,4 @@
-//! Weighted round robin over a subset.
+//! Weighted round robin over a subset of the endpoints.
 
 mod common;
 use common::*;
@@ -7,31 +7,31 @@
 #[test]
 fn failing_endpoints_do_not_extend_subset_to_whole_fleet() {
     let mut harness = Harness::new(Settings { instances: 1000, ..settings() }, 64, 5);
-    let mut met = std::collections::BTreeSet::new();
+    let mut used = std::collections::BTreeSet::new();
     for _ in 0..200 {
         harness.request(NON_IDEMPOTENT);
-        for ((id, attempt), out) in harness.in_flight.clone() {
-            met.insert(out.endpoint);
-            harness.end_attempt(id, attempt, if out.endpoint % 4 > 0 { Outcome::Error } else { Outcome::Ok });
+        for ((id, n), sent) in harness.in_flight.clone() {
+            used.insert(sent.endpoint);
+            harness.end_attempt(id, n, if sent.endpoint % 4 > 0 { Outcome::Error } else { Outcome::Ok });
         }
         harness.advance(500 * MS);
     }
-    assert!(met.len() <= 32, "{} of 64 tried with three in four sick", met.len());
+    assert!(used.len() <= 32, "{} of 64 used while three in four fail", used.len());
 }
 
-// A sidecar that used the whole fleet would meet each endpoint once in seconds: it would learn that one fails
-// only by losing a request, and hold a connection to each.
+// A sidecar with little traffic that used the whole fleet would send to each endpoint only every few seconds:
+// each failure would cost it a request, and it would hold a connection to every endpoint.
 #[test]
-fn subset_is_as_large_as_traffic_can_learn_of() {
-    for mut to in targets_of_many_sidecars(0) {
-        to.sort_unstable();
-        to.dedup();
-        assert!((6..=10).contains(&to.len()), "{to:?}");
+fn subset_size_is_limited_by_traffic() {
+    for mut endpoints in targets_of_many_sidecars(0) {
+        endpoints.sort_unstable();
+        endpoints.dedup();
+        assert!((6..=10).contains(&endpoints.len()), "{endpoints:?}");
     }
 }
 
 #[test]
-fn turns_go_round_all_endpoints() {
+fn all_endpoints_get_equal_turns() {
     let mut harness = Harness::new(settings(), 4, 1);
     let mut counts = [0; 4];
     for _ in 0..40 {
@@ -72,7 +72,7 @@
 }
 
 #[test]
-fn replaces_lost_endpoint_of_subset() {
+fn replaces_removed_endpoint_of_subset() {
     let mut harness = Harness::new(settings(), 64, 1);
     let mut first = None;
     for _ in 0..40 {
@@ -81,8 +81,8 @@
         harness.answer_all(20 * MS);
         harness.advance(480 * MS);
     }
-    let gone = EndpointEntry { status: EndpointStatus::Removed, ..ready_entry(first.expect("a pick")) };
-    harness.handle(Event::EndpointList(EndpointListUpdate::Delta(vec![gone])));
+    let removed = EndpointEntry { status: EndpointStatus::Removed, ..ready_entry(first.expect("a target")) };
+    harness.handle(Event::EndpointList(EndpointListUpdate::Delta(vec![removed])));
     for _ in 0..40 {
         let (_, actions) = harness.request(IDEMPOTENT);
         assert!(targets(&actions).len() == 1 && targets(&actions).first() != first.as_ref());
--- a/crates/balancer/tests/slow_start.rs
+++ b/crates/balancer/tests/slow_start.rs
@@ -4,81 +4,80 @@
 use common::*;
 use lotusmoor_balancer::*;
 
-/// Attempts at one of two endpoints over 4 s of traffic, after its attempts have ended in these ways.
-fn attempts_after(ends: &[Outcome]) -> usize {
+/// Attempts at one of two endpoints in 4 s of traffic, after its first attempts had these outcomes.
+fn attempts_after(outcomes: &[Outcome]) -> usize {
     let mut harness = Harness::new(settings(), 2, 1);
     serve_requests(&mut harness, 100);
-    let mut left = ends.iter();
+    let mut outcomes = outcomes.iter();
     let mut count = 0;
     for _ in 0..200 {
         harness.request(IDEMPOTENT);
         harness.advance(20 * MS);
-        for (key, out) in harness.in_flight.iter().map(|(k, o)| (*k, *o)).collect::<Vec<_>>() {
-            let end = if out.endpoint == 0 { left.next() } else { None };
-            count += usize::from(out.endpoint == 0 && end.is_none());
-            harness.end_attempt(key.0, key.1, end.copied().unwrap_or(Outcome::Ok));
+        for (key, sent) in harness.in_flight.iter().map(|(k, a)| (*k, *a)).collect::<Vec<_>>() {
+            let outcome = if sent.endpoint == 0 { outcomes.next() } else { None };
+            count += usize::from(sent.endpoint == 0 && outcome.is_none());
+            harness.end_attempt(key.0, key.1, outcome.copied().unwrap_or(Outcome::Ok));
         }
     }
-    assert_eq!(left.next(), None, "some were never tried");
+    assert_eq!(outcomes.next(), None, "some outcomes were not used");
     count
 }
 
-// Connections that a network resets say nothing about the process behind them, nor does one that could not be
-// made: slow start in error sends an endpoint next to nothing for seconds. Several failed connections without
-// an answer indicate a restart.
+// Neither connections reset by the network nor a single failed connection indicate a restart; several failed
+// connections without an answer do. A mistaken slow start leaves an endpoint nearly idle for seconds.
 #[test]
 fn broken_connections_alone_do_not_begin_slow_start() {
     use Outcome::{ConnectFailed, Reset};
-    let cold = attempts_after(&[ConnectFailed; 3]);
-    for ends in [[Reset; 3], [Reset, ConnectFailed, Reset], [Reset, Reset, ConnectFailed]] {
-        let kept = attempts_after(&ends);
-        assert!(2 * kept > 3 * cold, "{ends:?}: {kept} {cold}");
+    let in_slow_start = attempts_after(&[ConnectFailed; 3]);
+    for outcomes in [[Reset; 3], [Reset, ConnectFailed, Reset], [Reset, Reset, ConnectFailed]] {
+        let attempts = attempts_after(&outcomes);
+        assert!(2 * attempts > 3 * in_slow_start, "{outcomes:?}: {attempts} {in_slow_start}");
     }
 }
 
-// Whatever broke the connections, a process that answers an earlier request was not restarted.
+// Whatever broke the connections, a process that answers an earlier attempt was not restarted.
 #[test]
 fn answer_to_earlier_attempt_proves_that_process_did_not_restart() {
-    for lives in [false, true] {
+    for answers_earlier in [false, true] {
         let mut harness = Harness::new(settings(), 1, 1);
         serve_requests(&mut harness, 100);
-        let (long, _) = harness.request(IDEMPOTENT);
+        let (earlier, _) = harness.request(IDEMPOTENT);
         for _ in 0..3 {
             let (id, _) = harness.request(NON_IDEMPOTENT);
             harness.end_attempt(id, 0, Outcome::ConnectFailed);
             harness.handle(Event::RequestAbandoned(id));
         }
-        if lives {
-            harness.end_attempt(long, 0, Outcome::Ok);
+        if answers_earlier {
+            harness.end_attempt(earlier, 0, Outcome::Ok);
         } else {
-            harness.handle(Event::RequestAbandoned(long));
+            harness.handle(Event::RequestAbandoned(earlier));
             harness.advance(4000 * MS);
             let (trial, _) = harness.request(IDEMPOTENT);
             harness.end_attempt(trial, 0, Outcome::Ok);
         }
         let sent: usize = (0..10).map(|_| targets(&harness.request(IDEMPOTENT).1).len()).sum();
-        assert_eq!(sent > 2, lives, "{sent}");
+        assert_eq!(sent > 2, answers_earlier, "{sent}");
     }
 }
 
 #[test]
-fn endpoint_in_slow_start_gets_a_small_share_that_grows() {
+fn endpoint_in_slow_start_gets_small_share_that_grows() {
     let mut harness = Harness::new(settings(), 4, 1);
     serve_requests(&mut harness, 200);
     let now = harness.now;
     update_entry(&mut harness, EndpointEntry { started_at: Some(now), ..ready_entry(3) });
-    let part = |harness: &mut Harness| serve_requests(harness, 60).iter().filter(|e| **e == 3).count();
-    let cold = part(&mut harness);
+    let attempts = |harness: &mut Harness| serve_requests(harness, 60).iter().filter(|e| **e == 3).count();
+    let at_start = attempts(&mut harness);
     harness.advance(3000 * MS);
     serve_requests(&mut harness, 60);
-    let mid = part(&mut harness);
+    let later = attempts(&mut harness);
     harness.advance(9000 * MS);
-    let warm = part(&mut harness);
-    assert!(cold <= 6 && cold < mid && mid <= warm && warm >= 13, "{cold} {mid} {warm}");
+    let warm = attempts(&mut harness);
+    assert!(at_start <= 6 && at_start < later && later <= warm && warm >= 13, "{at_start} {later} {warm}");
 }
 
 #[test]
-fn burst_does_not_overload_only_endpoint_in_slow_start() {
+fn burst_does_not_overload_sole_endpoint_in_slow_start() {
     let mut harness = Harness::new(settings(), 4, 1);
     serve_requests(&mut harness, 60);
     for _ in 0..12 {
@@ -87,43 +86,43 @@
     }
     harness.advance(9000 * MS);
     let now = harness.now;
-    let full = EndpointEntry { started_at: Some(now), ..ready_entry(0) };
-    harness.handle(Event::EndpointList(EndpointListUpdate::Full(vec![full])));
+    let only = EndpointEntry { started_at: Some(now), ..ready_entry(0) };
+    harness.handle(Event::EndpointList(EndpointListUpdate::Full(vec![only])));
     let burst: usize = (0..50).map(|_| targets(&harness.request(IDEMPOTENT).1).len()).sum();
     assert!(burst <= 2, "{burst}");
 }
 
-// After a release most of the fleet is in slow start. What warm endpoints serve is the measure for the
-// others: divided among those in slow start as well, it leaves them idle while the warm ones are overloaded.
+// After a release most of the fleet is in slow start. Slow-start budgets follow the throughput per warm
+// endpoint: if it were divided among all endpoints, most would be idle while the warm ones are overloaded.
 #[test]
 fn many_endpoints_in_slow_start_each_get_their_capacity() {
     let mut harness = Harness::new(settings(), 12, 1);
-    let mut to = [0; 12];
+    let mut attempts = [0; 12];
     for step in 0..80 {
         for _ in 0..6 {
             targets(&harness.request(NON_IDEMPOTENT).1)
                 .into_iter()
-                .for_each(|e| to[e] += u32::from(step >= 40));
+                .for_each(|e| attempts[e] += u32::from(step >= 40));
         }
         harness.answer_all(50 * MS);
         harness.advance(50 * MS);
         if step == 20 {
-            let started = Some(harness.now);
+            let started_at = Some(harness.now);
             (2..12).for_each(|e| {
-                drop(update_entry(&mut harness, EndpointEntry { started_at: started, ..ready_entry(e) }))
+                drop(update_entry(&mut harness, EndpointEntry { started_at, ..ready_entry(e) }))
             });
         }
     }
-    let (warm, cold) = (to[..2].iter().sum::<u32>(), to[2..].iter().sum::<u32>());
-    // Ten at 0.4 to 0.8 of their capacity.
-    assert!(2 * cold > 5 * warm, "{to:?}");
+    let (warm, in_slow_start) = (attempts[..2].iter().sum::<u32>(), attempts[2..].iter().sum::<u32>());
+    // Ten endpoints at 0.4 to 0.8 of their capacity.
+    assert!(2 * in_slow_start > 5 * warm, "{attempts:?}");
 }
 
-// An endpoint that fails all its attempts serves nothing: it is no measure for those in slow start.
+// Endpoints that fail all their attempts must not lower the throughput that slow-start budgets follow.
 #[test]
 fn slow_start_budget_follows_endpoints_that_serve() {
     let mut harness = Harness::new(settings(), 6, 1);
-    let mut to_cold = 0;
+    let mut to_slow_start = 0;
     for step in 0..200 {
         if step == 100 {
             let now = harness.now;
@@ -131,41 +130,40 @@
         }
         (0..4).for_each(|_| drop(harness.request(IDEMPOTENT)));
         harness.advance(20 * MS);
-        for ((id, n), out) in harness.in_flight.clone() {
-            to_cold += usize::from(out.endpoint == 5 && step >= 100);
-            let how = if (1..5).contains(&out.endpoint) { Outcome::Error } else { Outcome::Ok };
-            harness.end_attempt(id, n, how);
+        for ((id, n), sent) in harness.in_flight.clone() {
+            to_slow_start += usize::from(sent.endpoint == 5 && step >= 100);
+            let outcome = if (1..5).contains(&sent.endpoint) { Outcome::Error } else { Outcome::Ok };
+            harness.end_attempt(id, n, outcome);
         }
         harness.advance(10 * MS);
     }
-    assert!(to_cold >= 75, "{to_cold} of 400");
+    assert!(to_slow_start >= 75, "{to_slow_start} of 400");
 }
 
-// What endpoints in slow start serve follows from their budgets: measured by it, a process that starts when
-// most are in slow start takes seconds to find out what they can do.
+// The throughput of endpoints in slow start follows from their budgets. If budgets were derived from it, a
+// sidecar that starts while most endpoints are in slow start would take seconds to learn their capacity.
 #[test]
-fn slow_start_budget_soon_follows_warm_endpoints_when_most_are_in_slow_start() {
+fn slow_start_budget_follows_warm_endpoints_only() {
     let mut harness = Harness::new(settings(), 10, 1);
-    let started = Some(harness.now);
-    (1..10).for_each(|e| {
-        drop(update_entry(&mut harness, EndpointEntry { started_at: started, ..ready_entry(e) }))
-    });
-    let mut to = [0; 10];
-    // Twice the time in which an endpoint collapses under overload.
+    let started_at = Some(harness.now);
+    (1..10).for_each(|e| drop(update_entry(&mut harness, EndpointEntry { started_at, ..ready_entry(e) })));
+    let mut attempts = [0; 10];
+    // Twice the time in which an overloaded endpoint collapses.
     for _ in 0..100 {
-        (0..20).for_each(|_| targets(&harness.request(IDEMPOTENT).1).into_iter().for_each(|e| to[e] += 1));
+        (0..20)
+            .for_each(|_| targets(&harness.request(IDEMPOTENT).1).into_iter().for_each(|e| attempts[e] += 1));
         harness.answer_all(20 * MS);
         harness.advance(10 * MS);
     }
-    // Nine at 0.3 to 0.5 of their capacity.
-    assert!(2 * to[1..].iter().sum::<u32>() > 5 * to[0], "{to:?}");
+    // Nine endpoints at 0.3 to 0.5 of their capacity.
+    assert!(2 * attempts[1..].iter().sum::<u32>() > 5 * attempts[0], "{attempts:?}");
 }
 
-// Slow endpoints are warm, and yet no measure of what another can do.
+// The throughput of slow endpoints, though they are warm, says nothing about the capacity of others.
 #[test]
-fn slow_start_budget_does_not_follow_slow_endpoints() {
+fn slow_start_budget_is_not_lowered_by_slow_endpoints() {
     let mut harness = Harness::new(settings(), 5, 1);
-    let mut to_cold = 0;
+    let mut to_slow_start = 0;
     for step in 0..300 {
         if step == 100 {
             let now = harness.now;
@@ -173,22 +171,22 @@
         }
         (0..4).for_each(|_| drop(harness.request(IDEMPOTENT)));
         harness.advance(20 * MS);
-        for ((id, n), out) in harness.in_flight.clone() {
-            let slow = (1..4).contains(&out.endpoint);
-            if !slow || harness.now - out.sent_at >= 400 * MS {
-                to_cold += usize::from(out.endpoint == 4 && step >= 100);
+        for ((id, n), sent) in harness.in_flight.clone() {
+            let slow = (1..4).contains(&sent.endpoint);
+            if !slow || harness.now - sent.sent_at >= 400 * MS {
+                to_slow_start += usize::from(sent.endpoint == 4 && step >= 100);
                 harness.end_attempt(id, n, Outcome::Ok);
             }
         }
     }
-    assert!(to_cold >= 150, "{to_cold} of 800");
+    assert!(to_slow_start >= 150, "{to_slow_start} of 800");
 }
 
-/// Attempts at an endpoint in slow start beside a warm one in a second, with more requests than both can
-/// serve and answers that take `time`.
+/// Attempts in a second at an endpoint in slow start beside a warm one, with answers that take `time` and
+/// more requests than both endpoints can serve.
 fn attempts_at_endpoint_in_slow_start(time: Micros) -> usize {
     let mut harness = Harness::new(settings(), 2, 1);
-    let mut to_cold = 0;
+    let mut to_slow_start = 0;
     for step in 0..160 {
         if step == 60 {
             let now = harness.now;
@@ -196,18 +194,18 @@
         }
         (0..8).for_each(|_| drop(harness.request(IDEMPOTENT)));
         harness.advance(10 * MS);
-        for ((id, n), out) in harness.in_flight.clone() {
-            if harness.now - out.sent_at >= time {
-                to_cold += usize::from(out.endpoint == 1 && step >= 60);
+        for ((id, n), sent) in harness.in_flight.clone() {
+            if harness.now - sent.sent_at >= time {
+                to_slow_start += usize::from(sent.endpoint == 1 && step >= 60);
                 harness.end_attempt(id, n, Outcome::Ok);
             }
         }
     }
-    to_cold
+    to_slow_start
 }
 
-// The rules state the least that an endpoint in slow start can do, and most can do more: while requests wait
-// it is sent more, as long as its answers come in time.
+// The rules state the guaranteed capacity of an endpoint in slow start, and most have more: while requests
+// wait it is sent more, as long as its answers are in time.
 #[test]
 fn endpoint_in_slow_start_that_answers_in_time_gets_more_while_requests_wait() {
     let (in_time, late) =
@@ -217,87 +215,91 @@
 
 #[test]
 fn many_quiet_sidecars_do_not_overload_endpoint_in_slow_start() {
-    let mut to_cold = 0;
+    let mut to_slow_start = 0;
     for index in 0..200 {
-        let set = Settings { instances: 200, index, ..settings() };
-        let mut harness = Harness::new(set, 4, u64::from(index));
+        let settings = Settings { instances: 200, index, ..settings() };
+        let mut harness = Harness::new(settings, 4, u64::from(index));
         serve_requests(&mut harness, 8);
         let now = harness.now;
         update_entry(&mut harness, EndpointEntry { started_at: Some(now), ..ready_entry(3) });
         harness.advance(50 * MS);
-        to_cold += serve_requests(&mut harness, 4).iter().filter(|e| **e == 3).count();
+        to_slow_start += serve_requests(&mut harness, 4).iter().filter(|e| **e == 3).count();
     }
-    assert!(to_cold <= 20, "{to_cold} of 800 requests to one that started a moment ago");
+    assert!(to_slow_start <= 20, "{to_slow_start} of 800 requests to an endpoint that has just started");
 }
 
 #[test]
 fn fleet_in_slow_start_gets_little_and_is_fully_used_once_warm() {
     let mut harness = Harness::new(Settings { instances: 200, ..settings() }, 0, 3);
-    let cold = |endpoint| EndpointEntry { started_at: Some(START), ..ready_entry(endpoint) };
-    harness.handle(Event::EndpointList(EndpointListUpdate::Full((0..50).map(cold).collect())));
-    let served = |harness: &mut Harness, until: Micros| {
+    let entry = |endpoint| EndpointEntry { started_at: Some(START), ..ready_entry(endpoint) };
+    harness.handle(Event::EndpointList(EndpointListUpdate::Full((0..50).map(entry).collect())));
+    let serve = |harness: &mut Harness, until: Micros| {
         let before = harness.attempts_sent.len();
-        let mut asked = 0;
+        let mut requests = 0;
         while harness.now < until {
             harness.request(IDEMPOTENT);
             harness.answer_all(20 * MS);
             harness.advance(80 * MS);
-            asked += 1;
+            requests += 1;
         }
-        (harness.attempts_sent.len() - before, asked)
+        (harness.attempts_sent.len() - before, requests)
     };
-    let (cold, _) = served(&mut harness, START + 8000 * MS);
-    assert!((1..=45).contains(&cold), "{cold}");
-    let (warm, asked) = {
+    let (in_slow_start, _) = serve(&mut harness, START + 8000 * MS);
+    assert!((1..=45).contains(&in_slow_start), "{in_slow_start}");
+    let (warm, requests) = {
         harness.advance(1500 * MS);
         let until = harness.now + 2000 * MS;
-        served(&mut harness, until)
+        serve(&mut harness, until)
     };
-    assert_eq!(warm, asked);
+    assert_eq!(warm, requests);
 }
 
 #[test]
-fn endpoint_back_after_lost_connections_begins_slow_start_before_it_is_listed() {
+fn endpoint_back_after_failed_connections_begins_slow_start_before_list_reports_restart() {
     let mut harness = Harness::new(settings(), 4, 1);
     for _ in 0..40 {
         let (id, actions) = harness.request(IDEMPOTENT);
-        let died = targets(&actions)[0] == 2;
+        let is_down = targets(&actions)[0] == 2;
         harness.advance(10 * MS);
-        harness.end_attempt(id, 0, if died { Outcome::ConnectFailed } else { Outcome::Ok });
+        harness.end_attempt(id, 0, if is_down { Outcome::ConnectFailed } else { Outcome::Ok });
         harness.answer_all(20 * MS);
     }
     harness.advance(9000 * MS);
-    let back = serve_requests(&mut harness, 60).iter().filter(|e| **e == 2).count();
-    assert!((1..=8).contains(&back), "{back}");
+    let attempts = serve_requests(&mut harness, 60).iter().filter(|e| **e == 2).count();
+    assert!((1..=8).contains(&attempts), "{attempts}");
 }
 
-// The few sidecars whose subsets hold an endpoint in slow start have to send it all that it can do.
+// An endpoint in slow start is in the subsets of a few sidecars only, which must use its full capacity.
 #[test]
 fn sidecars_with_subsets_send_endpoints_in_slow_start_their_full_share() {
-    let to: Vec<_> = targets_of_many_sidecars(32).concat();
-    let cold = to.iter().filter(|e| **e < 32).count();
-    // At about half of their capacity they have a third of the whole.
-    assert!(4 * cold > to.len() && 2 * cold < to.len(), "{cold} of {}", to.len());
+    let targets: Vec<_> = targets_of_many_sidecars(32).concat();
+    let in_slow_start = targets.iter().filter(|e| **e < 32).count();
+    // Half of the endpoints at about half of their capacity make up a third of the whole fleet's.
+    assert!(
+        4 * in_slow_start > targets.len() && 2 * in_slow_start < targets.len(),
+        "{in_slow_start} of {}",
+        targets.len()
+    );
 }
 
-// A sidecar that has just started may find most of its endpoints in slow start: what it serves in its first
-// moments is no small part of what they can do.
+// A sidecar that has just started may find most of its endpoints in slow start. Its throughput so far is low,
+// which must not be taken as a low capacity of the endpoints.
 #[test]
 fn new_sidecar_sends_endpoint_in_slow_start_its_share_from_the_start() {
-    let to_cold: usize = (1..=10)
+    let to_slow_start: usize = (1..=10)
         .map(|seed| {
             let mut harness = Harness::new(settings(), 4, seed);
-            let cold = EndpointEntry { started_at: Some(harness.now), ..ready_entry(0) };
-            harness.handle(Event::EndpointList(EndpointListUpdate::Delta(vec![cold])));
-            let mut to_cold = 0;
-            // A third of the time over which throughput is summed up.
+            let restarted = EndpointEntry { started_at: Some(harness.now), ..ready_entry(0) };
+            harness.handle(Event::EndpointList(EndpointListUpdate::Delta(vec![restarted])));
+            let mut to_slow_start = 0;
+            // A third of the window over which throughput is measured.
             for _ in 0..10 {
                 let sends: Vec<_> = (0..4).flat_map(|_| targets(&harness.request(IDEMPOTENT).1)).collect();
-                to_cold += sends.iter().filter(|e| **e == 0).count();
+                to_slow_start += sends.iter().filter(|e| **e == 0).count();
                 harness.answer_all(100 * MS);
             }
-            to_cold
+            to_slow_start
         })
         .sum();
-    assert!(to_cold >= 15, "{to_cold} of 400");
+    assert!(to_slow_start >= 15, "{to_slow_start} of 400");
 }
