--- a/crates/balancer/src/balancer/concurrency_limit.rs
+++ b/crates/balancer/src/balancer/concurrency_limit.rs
@@ -34,7 +34,7 @@
             total_weight: serving().filter(|e| has_budget(e)).map(|e| self.weight(e)).sum(),
             subset_share: (subset_size / serving().count() as f64).min(1.0),
             // With many sidecars each limit is below one, so they bind only as a sum. Without overload the
-            // admission factor keeps it at 5, or a lightly loaded fleet would reject bursts of two or three.
+            // admission factor (5) bounds it below, or a quiet fleet would reject bursts of two or three.
             all_full: in_flight > limits.max(self.shedding.admission_factor(self.now)),
             subset_size,
         }
--- a/crates/balancer/src/balancer/retry.rs
+++ b/crates/balancer/src/balancer/retry.rs
@@ -41,7 +41,7 @@
         let useful_until = if late_has_value { request.deadline } else { objective_at };
         let attempts = request.failures.max(request.attempts.len() as u32);
         let may_have_run = request.attempts.iter().any(|a| a.may_have_run);
-        // Without the budget, every request is retried several times in an outage, which prevents recovery.
+        // Without a budget, all requests would be retried several times in an outage, preventing recovery.
         self.endpoints.iter().any(Endpoint::is_ready)
             && attempts < self.settings.limits.max_attempts
             && !(may_have_run && class.idempotency == Idempotency::NonIdempotent)
@@ -92,7 +92,7 @@
         (delay.unwrap_or(default) as Micros).clamp(0, max)
     }
 
-    /// Removes a completed request; `None` is not counted by load shedding as in time or not.
+    /// Removes a completed request. Load shedding counts it as in time or not, or does not count it (`None`).
     pub(super) fn complete_request(&mut self, id: RequestId, in_time: Option<bool>) {
         let Some(request) = self.requests.remove(&id) else { return };
         // A request that was only queued says nothing about whether sent requests are answered in time.
--- a/crates/balancer/src/balancer/selection.rs
+++ b/crates/balancer/src/balancer/selection.rs
@@ -40,7 +40,7 @@
             if self.circuit_blocks(e, request.class) {
                 continue;
             }
-            // A trial of the endpoint's circuit is the only attempt there; a trial for a class may not be.
+            // A trial of the endpoint's circuit needs no limit: unlike one of a class, it is alone there.
             let is_full = e.is_available() && self.is_at_limit(e, request, &load);
             if is_full || !has_budget(e) {
                 at_limits = true;
--- a/crates/balancer/src/balancer/slow_start.rs
+++ b/crates/balancer/src/balancer/slow_start.rs
@@ -5,7 +5,7 @@
 
 use super::*;
 
-/// Initial share of the overload factor; it doubles as `proven_capacity` rises to 1.
+/// Share of the overload factor that is used at first; it doubles as `proven_capacity` rises to 1.
 const OVERLOAD_SHARE: f64 = 0.4;
 /// The budget holds at most its gain in the time to collapse under overload, divided by this.
 const MAX_BUDGET_COLLAPSE_TIME_DIVISOR: f64 = 4.0;
--- a/crates/balancer/src/endpoint.rs
+++ b/crates/balancer/src/endpoint.rs
@@ -36,7 +36,7 @@
     /// Work that it may be sent in slow start, as of `budget_updated_at`.
     pub(crate) slow_start_budget: f64,
     pub(crate) budget_updated_at: Micros,
-    /// From 0 to 1: how far its answers while requests wait show more than its guaranteed capacity.
+    /// From 0 to 1: how far answers in time while requests waited indicate more than the guaranteed capacity.
     pub(crate) proven_capacity: f64,
 }
 
--- a/crates/balancer/src/latency.rs
+++ b/crates/balancer/src/latency.rs
@@ -9,7 +9,7 @@
 const ENDPOINT_GAIN: f64 = 0.2;
 const FLEET_GAIN: f64 = 0.02;
 const CLASS_WORK_GAIN: f64 = 0.002;
-/// The same once the unloaded latency is known: overload must not be learnt as the normal latency.
+/// Weight once the unloaded latency is known: overload must not be learnt as the normal latency.
 const UNLOADED_GAIN: f64 = 0.00001;
 /// Answers after which the unloaded latency is known.
 const MIN_ANSWERS: f64 = 50.0;
