--- a/crates/registry/src/explore/readers.rs
+++ b/crates/registry/src/explore/readers.rs
@@ -151,7 +151,7 @@
         let after = (version.epoch > 0).then_some(version.index);
         let read = node.read_services(after, &self.services);
         let replica_list = &node.applied_state().state().list;
-        if read.reading == ReadConsistency::Unavailable || read.update.version.epoch == 0 {
+        if read.consistency == ReadConsistency::Unavailable || read.update.version.epoch == 0 {
             return None;
         }
         let update = apply_defect(read.update, replica_list, after, defect);
--- a/crates/registry/src/explore/schedule/calls.rs
+++ b/crates/registry/src/explore/schedule/calls.rs
@@ -124,7 +124,7 @@
 
     fn read_local(&self) -> CallResult {
         let read = self.node.read(None);
-        let age = match read.reading {
+        let age = match read.consistency {
             ReadConsistency::Fresh(age) | ReadConsistency::Stale(age) => age,
             ReadConsistency::Unavailable => return CallResult::Failed,
         };
--- a/crates/registry/src/http/discovery.rs
+++ b/crates/registry/src/http/discovery.rs
@@ -73,7 +73,7 @@
     services: Option<&[String]>,
 ) -> String {
     let ListAnswer { list, age, waited } = answer;
-    let stale = matches!(state.node.reading(), ReadConsistency::Stale(_));
+    let stale = matches!(state.node.read_consistency(), ReadConsistency::Stale(_));
     format!(
         "{{\"epoch\":{},\"index\":{},\"snapshot\":{},\"digest\":{},\"replica\":{},\"age_ms\":{},\"waited_ms\":{},\
          \"stale\":{stale},{}\"endpoints\":",
@@ -130,7 +130,7 @@
         let deadline = began + Duration::from_millis(wait_ms.min(MAX_WAIT_MS));
         watch(state, after, deadline, services).await?;
     }
-    let (ReadConsistency::Fresh(age) | ReadConsistency::Stale(age)) = state.node.reading() else {
+    let (ReadConsistency::Fresh(age) | ReadConsistency::Stale(age)) = state.node.read_consistency() else {
         state.metrics.too_stale.inc();
         return Err(ErrorResponse::unavailable("this replica can't tell how old its list is", SECOND));
     };
--- a/crates/registry/src/http/serve.rs
+++ b/crates/registry/src/http/serve.rs
@@ -52,7 +52,7 @@
 /// Publishes whether quorum contact has been lost for so long that the list may not be served.
 async fn watch_quorum_contact<T: Transport>(node: Node<T>, quorum_lost: watch::Sender<bool>) {
     loop {
-        let is_lost = node.reading() == ReadConsistency::Unavailable;
+        let is_lost = node.read_consistency() == ReadConsistency::Unavailable;
         quorum_lost.send_if_modified(|known| std::mem::replace(known, is_lost) != is_lost);
         tokio::time::sleep(QUORUM_CHECK_INTERVAL).await;
     }
--- a/crates/registry/src/node/reads.rs
+++ b/crates/registry/src/node/reads.rs
@@ -14,7 +14,7 @@
 /// What a replica gives to a reader.
 pub struct Read {
     /// Whether and how it may be used.
-    pub reading: ReadConsistency,
+    pub consistency: ReadConsistency,
     /// The list, or changes.
     pub update: ListUpdate,
 }
@@ -23,28 +23,28 @@
     /// The list of this replica, or its changes after an index, with its age.
     pub fn read(&self, after: Option<u64>) -> Read {
         // The age is determined first: entries applied in between only make the list newer.
-        let reading = self.reading();
+        let consistency = self.read_consistency();
         let update = self.inner.applied_state.state().list.update(after);
-        self.with_age(reading, update)
+        self.with_age(consistency, update)
     }
 
     /// Like [`Self::read`], of some services alone, which must be sorted by name.
     pub fn read_services(&self, after: Option<u64>, services: &[String]) -> Read {
-        let reading = self.reading();
+        let consistency = self.read_consistency();
         let update = self.inner.applied_state.state().list.update_for_services(after, services);
-        self.with_age(reading, update)
+        self.with_age(consistency, update)
     }
 
-    fn with_age(&self, reading: ReadConsistency, mut update: ListUpdate) -> Read {
+    fn with_age(&self, consistency: ReadConsistency, mut update: ListUpdate) -> Read {
         update.replica = self.inner.settings.id;
-        if let ReadConsistency::Fresh(age) | ReadConsistency::Stale(age) = reading {
+        if let ReadConsistency::Fresh(age) | ReadConsistency::Stale(age) = consistency {
             update.age_ms = millis(age);
         }
-        Read { reading, update }
+        Read { consistency, update }
     }
 
     /// Whether and how the list may be used now.
-    pub fn reading(&self) -> ReadConsistency {
+    pub fn read_consistency(&self) -> ReadConsistency {
         lock(&self.inner.freshness).consistency(self.now())
     }
 
