--- a/crates/sidecar/src/connection/tests.rs
+++ b/crates/sidecar/src/connection/tests.rs
@@ -7,7 +7,8 @@
 /// Progress of a request without a body that may begin while that holds.
 fn gated(holds: impl Fn() -> bool + 'static) -> WriteProgress {
     let lifecycle = RequestLifecycle::new(b"1", None, false);
-    let permit = SendPermit { lifecycle, endpoint: Box::new(holds), until: None, write_by: None };
+    let permit =
+        SendPermit { lifecycle, endpoint_permits: Box::new(holds), attempt_deadline: None, write_by: None };
     WriteProgress::of_send(Some(0), GatedSend::new(permit))
 }
 
--- a/crates/sidecar/src/inbound/read_ahead.rs
+++ b/crates/sidecar/src/inbound/read_ahead.rs
@@ -67,5 +67,5 @@
 
 /// The answer to a request whose client can't be verified. Only one that never began to be sent is surely not run.
 fn unverified_status(lifecycle: &RequestLifecycle) -> StatusCode {
-    if lifecycle.has_begun() { StatusCode::BAD_GATEWAY } else { StatusCode::SERVICE_UNAVAILABLE }
+    if lifecycle.any_send_began() { StatusCode::BAD_GATEWAY } else { StatusCode::SERVICE_UNAVAILABLE }
 }
--- a/crates/sidecar/src/request_lifecycle.rs
+++ b/crates/sidecar/src/request_lifecycle.rs
@@ -25,7 +25,7 @@
     /// Attempts that have begun to be written and are not over.
     sends_in_flight: Cell<u32>,
     /// An attempt has begun to be written, whatever became of it.
-    has_begun: Cell<bool>,
+    any_send_began: Cell<bool>,
 }
 
 impl RequestLifecycle {
@@ -38,7 +38,7 @@
             streams_body: Cell::new(streams_body),
             earliest_deadline: Cell::default(),
             sends_in_flight: Cell::default(),
-            has_begun: Cell::default(),
+            any_send_began: Cell::default(),
         })
     }
 
@@ -110,13 +110,13 @@
     }
 
     /// Whether an attempt has ever begun to be written.
-    pub fn has_begun(&self) -> bool {
-        self.has_begun.get()
+    pub fn any_send_began(&self) -> bool {
+        self.any_send_began.get()
     }
 
     /// Records that an attempt has begun to be written.
     pub fn send_began(&self) {
-        self.has_begun.set(true);
+        self.any_send_began.set(true);
         self.sends_in_flight.set(self.sends_in_flight.get() + 1);
     }
 
--- a/crates/sidecar/src/send_gate.rs
+++ b/crates/sidecar/src/send_gate.rs
@@ -17,9 +17,9 @@
     /// The request.
     pub lifecycle: Rc<RequestLifecycle>,
     /// Whether the endpoint still permits the send.
-    pub endpoint: Box<dyn Fn() -> bool>,
+    pub endpoint_permits: Box<dyn Fn() -> bool>,
     /// No answer is waited for after this, where the attempt has a deadline of its own.
-    pub until: Option<Instant>,
+    pub attempt_deadline: Option<Instant>,
     /// Nothing may begin to be written after this.
     pub write_by: Option<Instant>,
 }
@@ -28,11 +28,11 @@
     /// Whether the send may begin now.
     fn check(&self) -> Result<(), SendDenial> {
         let now = Instant::now();
-        if !(self.endpoint)() {
+        if !(self.endpoint_permits)() {
             return Err(SendDenial::PermissionRevoked);
         }
         self.lifecycle.check_sendable()?;
-        if self.until.is_some_and(|until| now >= until) {
+        if self.attempt_deadline.is_some_and(|deadline| now >= deadline) {
             return Err(SendDenial::DeadlineExceeded);
         }
         if self.write_by.is_some_and(|write_by| now >= write_by) {
@@ -106,7 +106,7 @@
         if lifecycle.is_completed() {
             lifecycle.report_violation(RuleViolation::AfterCompletion);
         }
-        if permit.is_some_and(|permit| !(permit.endpoint)()) {
+        if permit.is_some_and(|permit| !(permit.endpoint_permits)()) {
             lifecycle.report_violation(RuleViolation::NotPermitted);
         }
         if lifecycle.sends_in_flight() > 0 {
--- a/crates/sidecar/src/send_gate/tests.rs
+++ b/crates/sidecar/src/send_gate/tests.rs
@@ -3,13 +3,13 @@
 /// A send of that request which the endpoint permits, with other bounds as given.
 fn send(
     lifecycle: &Rc<RequestLifecycle>,
-    until: Option<Instant>,
+    attempt_deadline: Option<Instant>,
     write_by: Option<Instant>,
 ) -> Rc<GatedSend> {
     GatedSend::new(SendPermit {
         lifecycle: Rc::clone(lifecycle),
-        endpoint: Box::new(|| true),
-        until,
+        endpoint_permits: Box::new(|| true),
+        attempt_deadline,
         write_by,
     })
 }
@@ -40,8 +40,8 @@
     let permits = Rc::clone(&endpoint);
     let permit = SendPermit {
         lifecycle: lifecycle(),
-        endpoint: Box::new(move || permits.get()),
-        until: None,
+        endpoint_permits: Box::new(move || permits.get()),
+        attempt_deadline: None,
         write_by: None,
     };
     let revoked = GatedSend::new(permit);
@@ -70,8 +70,12 @@
     settled.complete();
     send(&settled, None, None).begin();
     assert_eq!(before(), [1, 0, 0, 0]);
-    let permit =
-        SendPermit { lifecycle: lifecycle(), endpoint: Box::new(|| false), until: None, write_by: None };
+    let permit = SendPermit {
+        lifecycle: lifecycle(),
+        endpoint_permits: Box::new(|| false),
+        attempt_deadline: None,
+        write_by: None,
+    };
     GatedSend::new(permit).begin();
     assert_eq!(before(), [1, 1, 0, 0]);
     let twice = lifecycle();
--- a/crates/sidecar/src/upstream/attempt.rs
+++ b/crates/sidecar/src/upstream/attempt.rs
@@ -37,9 +37,9 @@
         let streams_body = outgoing.rest.is_some();
         let send = GatedSend::new(SendPermit {
             lifecycle: Rc::clone(&outgoing.lifecycle),
-            endpoint: endpoint.permission_check(permission),
+            endpoint_permits: endpoint.permission_check(permission),
             // The time of a streamed body is its client's.
-            until: (!streams_body).then_some(until),
+            attempt_deadline: (!streams_body).then_some(until),
             write_by,
         });
         // Also where this attempt is cancelled, which drops it here.
@@ -95,8 +95,8 @@
         let (until, permission) = (start + HEALTH_CHECK_TIME, endpoint.permission());
         let send = GatedSend::new(SendPermit {
             lifecycle: Rc::clone(&outgoing.lifecycle),
-            endpoint: endpoint.permission_check(permission),
-            until: Some(until),
+            endpoint_permits: endpoint.permission_check(permission),
+            attempt_deadline: Some(until),
             write_by: None,
         });
         let _guard = SendGuard(Rc::clone(&send));
