--- a/crates/sidecar/src/config.rs
+++ b/crates/sidecar/src/config.rs
@@ -1,4 +1,4 @@
-//! The sidecar's configuration: the file that `LB_CONFIG` names, and the variables beside it.
+//! The sidecar's configuration: the file that `LB_CONFIG` names, and the environment variables that override it.
 
 mod error;
 
@@ -19,48 +19,48 @@
 use std::path::Path;
 use std::time::Duration;
 
-/// The variable that names the configuration's file.
+/// The environment variable that names the configuration file.
 const FILE_VARIABLE: &str = "LB_CONFIG";
-/// The variable that gives the address that clients connect to.
+/// The environment variable for the address that clients connect to.
 const LISTEN_VARIABLE: &str = "LB_LISTEN";
-/// The variable that gives discovery's address.
+/// The environment variable for the address of discovery.
 const DISCOVERY_VARIABLE: &str = "LB_DISCOVERY";
-/// The variable that gives the address that operators call.
+/// The environment variable for the address that operators connect to.
 const MANAGEMENT_VARIABLE: &str = "LB_MANAGEMENT";
-/// How long a read of the file may last at a reload, until it is tried again.
-const RELOAD_READ_TIME: Duration = Duration::from_secs(1);
-/// Fewest file descriptors with which requests can be served at all.
+/// Time limit for reading the file at a reload. A read that times out is retried.
+const RELOAD_READ_TIMEOUT: Duration = Duration::from_secs(1);
+/// Minimum number of file descriptors with which requests can be served at all.
 const MIN_SOCKETS: usize = 32;
-/// Least memory, as the program itself takes a few MB.
+/// Minimum amount of memory, as the program itself takes a few MB.
 const MIN_MEMORY_MB: usize = 16;
-/// File descriptors where the file does not limit them.
+/// Limit on file descriptors if the file sets none.
 const DEFAULT_SOCKETS: usize = 1024;
-/// Memory where the file does not limit it.
+/// Limit on memory if the file sets none.
 const DEFAULT_MEMORY_MB: usize = 192;
 
 /// The configuration of a sidecar.
 pub struct Config {
-    /// Where clients connect.
+    /// The address that clients connect to.
     pub listen: SocketAddr,
-    /// Discovery.
+    /// The address of discovery.
     pub discovery: SocketAddr,
-    /// Where operators call.
+    /// The address that operators connect to.
     pub management: Option<SocketAddr>,
-    /// Seed for random numbers, new with each start.
+    /// Seed for random numbers; each start is given a new one.
     pub seed: u64,
-    /// File descriptors that the process may hold.
+    /// Maximum number of file descriptors that the process may hold.
     pub sockets: usize,
-    /// Memory that the process may take, in MB.
+    /// Maximum amount of memory that the process may take, in MB.
     pub memory_mb: usize,
-    /// Where peers' datagrams arrive.
+    /// The address that receives gossip datagrams from peers.
     pub peer_listen: Option<SocketAddr>,
-    /// One address for each sidecar of the tier, by number.
+    /// The gossip addresses of all sidecars of the tier, indexed by sidecar number.
     pub peers: Vec<SocketAddr>,
-    /// The address that reaches all of them.
+    /// The broadcast address that reaches all of them.
     pub peers_all: Option<SocketAddr>,
-    /// The endpoint list as last known.
-    pub known: Option<ListMessage>,
-    /// A registry, which takes discovery's place.
+    /// The cached endpoint list, used until a newer one arrives.
+    pub cached_list: Option<ListMessage>,
+    /// The registry that replaces discovery, if one is configured.
     pub registry: Option<RegistryConfig>,
     /// The decoded settings object.
     pub decoded: DecodedSettings,
@@ -100,9 +100,9 @@
 
 /// The part of the configuration that may change while the sidecar runs.
 pub struct ReloadedConfig {
-    /// Discovery.
+    /// The address of discovery.
     pub discovery: SocketAddr,
-    /// The services whose servers the registry is asked for; `None` where no registry is configured.
+    /// The services whose servers are watched; `None` if no registry is configured.
     pub services: Option<BTreeSet<String>>,
 }
 
@@ -122,12 +122,12 @@
         Ok(config)
     }
 
-    /// Reads the file again. For discovery the file's address comes first, as the environment still says what held at
-    /// the start. Everything that is not returned holds for the life of the process, but a file that a process could not
-    /// be started with is not trusted for the rest either.
+    /// Reads the file again. The address of discovery is taken from the file alone, as the environment still has the
+    /// value from the start of the process. Settings that are not returned stay fixed for the life of the process,
+    /// but a file that a process could not be started with is rejected as a whole.
     pub async fn reload() -> Result<ReloadedConfig, ConfigError> {
         let path = file_path()?;
-        let contents = file_access::read(Path::new(&path), RELOAD_READ_TIME).await;
+        let contents = file_access::read(Path::new(&path), RELOAD_READ_TIMEOUT).await;
         let text = contents.and_then(|contents| String::from_utf8(contents).map_err(io::Error::other));
         let text = match text {
             Ok(text) => text,
@@ -140,7 +140,7 @@
         Ok(ReloadedConfig { discovery: config.discovery, services })
     }
 
-    /// Parses the text of the file; addresses given beside it come first.
+    /// Parses the text of the file. The addresses `listen` and `discovery` override those in the file.
     fn parse(
         text: &str,
         listen: Option<SocketAddr>,
@@ -150,10 +150,10 @@
         let decoded = settings::decode(file.settings.get()).map_err(InvalidConfig::Settings)?;
         decoded.settings.check().map_err(InvalidConfig::SettingsCheck)?;
         if file.limits.sockets < MIN_SOCKETS {
-            return Err(InvalidConfig::TooFewSockets { least: MIN_SOCKETS });
+            return Err(InvalidConfig::TooFewSockets { min: MIN_SOCKETS });
         }
         if file.limits.memory_mb < MIN_MEMORY_MB {
-            return Err(InvalidConfig::TooLittleMemory { least_mb: MIN_MEMORY_MB });
+            return Err(InvalidConfig::TooLittleMemory { min_mb: MIN_MEMORY_MB });
         }
         if let Some(registry) = &file.registry {
             registry.check().map_err(InvalidConfig::Registry)?;
@@ -168,13 +168,13 @@
             peer_listen: file.peer_listen,
             peers: file.peers,
             peers_all: file.peers_all,
-            known: file.known,
+            cached_list: file.known,
             registry: file.registry,
             decoded,
         })
     }
 
-    /// The limits of one of several processes that are one sidecar together.
+    /// The resource limits of one of `processes` processes that share the limits of this sidecar.
     pub fn limits(&self, processes: usize) -> ResourceLimits {
         ResourceLimits::new(self.sockets / processes, self.memory_mb / processes)
     }
@@ -198,7 +198,7 @@
     }
 }
 
-/// The seed is 16 hexadecimal digits; any other text is a seed as well.
+/// The seed is usually 16 hexadecimal digits; any other text is folded into a seed.
 fn seed(text: &str) -> u64 {
     u64::from_str_radix(text, 16)
         .unwrap_or_else(|_| text.bytes().fold(0, |sum, byte| sum.rotate_left(8) ^ u64::from(byte)))
--- a/crates/sidecar/src/config/error.rs
+++ b/crates/sidecar/src/config/error.rs
@@ -1,4 +1,4 @@
-//! Why a configuration can't be used. Each error is one plain line.
+//! Why a configuration can't be used. Each error message is a single line.
 
 use crate::io_failure::IoFailure;
 use crate::registry_watch::RegistryConfigError;
@@ -9,7 +9,7 @@
 use std::io;
 use std::path::PathBuf;
 
-/// Why there is no configuration.
+/// Why the configuration can't be used.
 #[derive(Debug)]
 pub enum ConfigError {
     /// `LB_CONFIG` is not set.
@@ -21,7 +21,7 @@
         /// Why it can't be read.
         source: io::Error,
     },
-    /// A variable is not an address.
+    /// An environment variable is not an address and port.
     Address {
         /// Its name.
         variable: &'static str,
@@ -37,35 +37,35 @@
     },
 }
 
-/// Why the contents of a configuration's file can't be used.
+/// Why the contents of the configuration file can't be used.
 #[derive(Debug)]
 pub enum InvalidConfig {
-    /// It is not the JSON that is expected.
+    /// It is not valid JSON of the expected structure.
     Json(serde_json::Error),
     /// The settings object can't be decoded.
     Settings(DecodeError),
-    /// The balancer can't work with the settings.
+    /// The balancer rejects the settings.
     SettingsCheck(SettingsError),
-    /// Too few file descriptors.
+    /// The limit on file descriptors is too low.
     TooFewSockets {
-        /// The least number.
-        least: usize,
+        /// The minimum number.
+        min: usize,
     },
-    /// Too little memory.
+    /// The limit on memory is too low.
     TooLittleMemory {
-        /// The least amount, in MB.
-        least_mb: usize,
+        /// The minimum amount, in MB.
+        min_mb: usize,
     },
-    /// The registry's part can't be meant.
+    /// The registry section is invalid.
     Registry(RegistryConfigError),
-    /// There is no address that clients connect to.
+    /// There is no address for clients to connect to.
     NoListenAddress,
     /// There is no address of discovery.
     NoDiscoveryAddress,
 }
 
 impl ConfigError {
-    /// Whether another try may succeed a moment later.
+    /// Whether a retry may succeed a moment later.
     pub fn is_transient(&self) -> bool {
         matches!(self, Self::Read { source, .. } if IoFailure::of_file(source).is_transient())
     }
@@ -90,11 +90,11 @@
             Self::Json(e) => e.fmt(f),
             Self::Settings(e) => write!(f, "settings: {e}"),
             Self::SettingsCheck(e) => e.fmt(f),
-            Self::TooFewSockets { least } => write!(f, "limits: sockets must be {least} or more"),
-            Self::TooLittleMemory { least_mb } => write!(f, "limits: memory_mb must be {least_mb} or more"),
+            Self::TooFewSockets { min } => write!(f, "limits: sockets must be {min} or more"),
+            Self::TooLittleMemory { min_mb } => write!(f, "limits: memory_mb must be {min_mb} or more"),
             Self::Registry(e) => e.fmt(f),
             Self::NoListenAddress => f.write_str("no address to listen on"),
-            Self::NoDiscoveryAddress => f.write_str("no address of discovery"),
+            Self::NoDiscoveryAddress => f.write_str("no discovery address"),
         }
     }
 }
--- a/crates/sidecar/src/config/tests.rs
+++ b/crates/sidecar/src/config/tests.rs
@@ -6,16 +6,16 @@
 const ALL_KEYS: &str =
     include_str!(concat!(env!("CARGO_MANIFEST_DIR"), "/tests/fixtures/sidecar-config.json"));
 
-fn address(of: &str) -> SocketAddr {
-    of.parse().expect("an address")
+fn address(text: &str) -> SocketAddr {
+    text.parse().expect("an address")
 }
 
 fn read(text: &str) -> Config {
-    Config::parse(text, None, None).unwrap_or_else(|what| panic!("{what}: {text}"))
+    Config::parse(text, None, None).unwrap_or_else(|error| panic!("{error}: {text}"))
 }
 
 fn failure(text: &str) -> String {
-    Config::parse(text, None, None).err().expect("it can't be used").to_string()
+    Config::parse(text, None, None).err().expect("the configuration is invalid").to_string()
 }
 
 #[test]
@@ -34,58 +34,61 @@
 }
 
 #[test]
-fn every_key_of_the_known_list_is_read() {
-    let known = read(ALL_KEYS).known.expect("a list");
-    assert_eq!((known.index, known.snapshot, known.unreadable.is_none()), (41, true, true));
-    let [full, least, gone] = &known.endpoints[..] else { panic!("three entries") };
+fn every_key_of_the_cached_list_is_read() {
+    let list = read(ALL_KEYS).cached_list.expect("a list");
+    assert_eq!((list.index, list.snapshot, list.unreadable.is_none()), (41, true, true));
+    let [full, minimal, removed] = &list.endpoints[..] else { panic!("three entries") };
     assert_eq!((full.name.as_str(), full.address), ("ledger-1", Some(address("10.4.0.1:8443"))));
     assert_eq!((full.zone.as_deref(), full.machine_type.as_deref()), (Some("a"), Some("m5.large")));
     assert_eq!((full.cell, full.status), (7, ListedStatus::Active));
     assert_eq!((full.weight, full.started_ms), (2.5, 1_790_000_000_123));
-    assert_eq!((least.name.as_str(), least.status), ("ledger-2", ListedStatus::Draining));
-    assert_eq!((least.address, least.zone.as_deref(), least.machine_type.as_deref()), (None, None, None));
-    assert_eq!((least.cell, least.weight, least.started_ms), (0, 1.0, 0));
-    assert_eq!(gone.status, ListedStatus::Removed);
+    assert_eq!((minimal.name.as_str(), minimal.status), ("ledger-2", ListedStatus::Draining));
+    assert_eq!(
+        (minimal.address, minimal.zone.as_deref(), minimal.machine_type.as_deref()),
+        (None, None, None)
+    );
+    assert_eq!((minimal.cell, minimal.weight, minimal.started_ms), (0, 1.0, 0));
+    assert_eq!(removed.status, ListedStatus::Removed);
 }
 
 #[test]
-fn every_key_of_the_registry_is_read_under_its_name_roster() {
+fn every_key_of_the_registry_is_read_under_its_alias_roster() {
     let registry = read(ALL_KEYS).registry.expect("a registry");
     assert_eq!(registry.addresses, ["127.0.0.1:7101", "127.0.0.1:7102", "127.0.0.1:7103"].map(address));
     assert_eq!(registry.file.as_deref(), Some(Path::new("/var/lib/balancer/list.json")));
     assert_eq!((registry.max_removed_share, registry.stale_after_ms), (Some(0.25), Some(20_000)));
     assert_eq!(registry.services, BTreeSet::from(["ledger".to_owned(), "mail".to_owned()]));
-    let least = ALL_KEYS.replace(r#""hold_back": 0.25,"#, "").replace(r#""stale_after_ms": 20000,"#, "");
-    let least = least.replace(r#""file": "/var/lib/balancer/list.json","#, "");
-    let registry = read(&least).registry.expect("a registry");
+    let minimal = ALL_KEYS.replace(r#""hold_back": 0.25,"#, "").replace(r#""stale_after_ms": 20000,"#, "");
+    let minimal = minimal.replace(r#""file": "/var/lib/balancer/list.json","#, "");
+    let registry = read(&minimal).registry.expect("a registry");
     assert_eq!((registry.file, registry.max_removed_share, registry.stale_after_ms), (None, None, None));
 }
 
 #[test]
-fn an_unknown_key_is_let_through_but_not_in_the_registry() {
+fn unknown_keys_are_ignored_except_in_the_registry() {
     read(&ALL_KEYS.replacen('{', r#"{"unknown": [1],"#, 1));
     let unknown = ALL_KEYS.replace(r#""hold_back""#, r#""hold_bakc""#);
     assert!(failure(&unknown).contains("unknown field `hold_bakc`"), "{}", failure(&unknown));
 }
 
 #[test]
-fn what_is_absent_has_its_default_and_what_is_given_beside_the_file_holds() {
+fn absent_keys_have_defaults_and_given_addresses_override_the_file() {
     let settings = &ALL_KEYS[ALL_KEYS.find(r#""settings""#).expect("settings")..];
     let config =
         Config::parse(&format!("{{{settings}"), Some(address("127.0.0.9:1")), Some(address("127.0.0.9:2")))
-            .unwrap_or_else(|what| panic!("{what}"));
+            .unwrap_or_else(|error| panic!("{error}"));
     assert_eq!((config.listen, config.discovery), (address("127.0.0.9:1"), address("127.0.0.9:2")));
     assert_eq!((config.sockets, config.memory_mb, config.seed), (1024, 192, 0));
     assert_eq!((config.management, config.peer_listen, config.peers_all), (None, None, None));
-    assert!(config.peers.is_empty() && config.known.is_none() && config.registry.is_none());
+    assert!(config.peers.is_empty() && config.cached_list.is_none() && config.registry.is_none());
     let config = Config::parse(ALL_KEYS, Some(address("127.0.0.9:1")), Some(address("127.0.0.9:2")));
-    let config = config.unwrap_or_else(|what| panic!("{what}"));
+    let config = config.unwrap_or_else(|error| panic!("{error}"));
     assert_eq!((config.listen, config.discovery), (address("127.0.0.9:1"), address("127.0.0.9:2")));
 }
 
 #[test]
-fn what_cannot_be_meant_is_named_by_its_key() {
-    for (right, wrong, what) in [
+fn invalid_values_are_reported_by_key() {
+    for (valid, invalid, error) in [
         (r#""sockets": 2048"#, r#""sockets": 31"#, "limits: sockets must be 32 or more"),
         (r#""memory_mb": 96"#, r#""memory_mb": 15"#, "limits: memory_mb must be 16 or more"),
         (r#""hold_back": 0.25"#, r#""hold_back": 0"#, "roster: hold_back must lie above 0 and up to 1"),
@@ -98,15 +101,15 @@
         (
             r#"["127.0.0.1:7101", "127.0.0.1:7102", "127.0.0.1:7103"]"#,
             "[]",
-            "roster: addresses: at least one is wanted",
+            "roster: addresses: at least one is required",
         ),
     ] {
-        assert!(ALL_KEYS.contains(right), "{right}");
-        assert_eq!(failure(&ALL_KEYS.replace(right, wrong)), what);
+        assert!(ALL_KEYS.contains(valid), "{valid}");
+        assert_eq!(failure(&ALL_KEYS.replace(valid, invalid)), error);
     }
 }
 
-/// A configuration with only the keys that have no default, and a part for the registry.
+/// Parses a configuration that has only the keys without defaults, and the given registry section.
 fn read_with(registry: &str) -> Result<Config, InvalidConfig> {
     let settings = &ALL_KEYS[ALL_KEYS.find(r#""settings""#).expect("settings")..];
     let text = format!(r#"{{"listen":"127.0.0.1:1","discovery":"127.0.0.1:2",{registry}{settings}"#);
@@ -114,22 +117,22 @@
 }
 
 #[test]
-fn takes_the_registry_under_either_key() {
+fn accepts_the_registry_under_either_key() {
     for key in ["registry", "roster"] {
-        let part =
+        let section =
             format!(r#""{key}":{{"addresses":["127.0.0.1:7400"],"hold_back":0.25,"services":["a"]}},"#);
-        let registry = read_with(&part).expect("it is read").registry.expect("a registry");
+        let registry = read_with(&section).expect("a valid configuration").registry.expect("a registry");
         assert_eq!(registry.addresses, ["127.0.0.1:7400".parse().expect("an address")], "{key}");
         assert_eq!((registry.max_removed_share, registry.services.len()), (Some(0.25), 1), "{key}");
     }
-    assert!(read_with("").expect("it is read").registry.is_none());
+    assert!(read_with("").expect("a valid configuration").registry.is_none());
 }
 
 #[test]
-fn refuses_a_registry_that_can_not_be_used() {
+fn rejects_an_invalid_registry_section() {
     for key in ["registry", "roster"] {
         let error = read_with(&format!(r#""{key}":{{"addresses":[]}},"#)).err().map(|e| e.to_string());
-        assert_eq!(error.as_deref(), Some("roster: addresses: at least one is wanted"), "{key}");
+        assert_eq!(error.as_deref(), Some("roster: addresses: at least one is required"), "{key}");
     }
     let address = r#"{"addresses":["127.0.0.1:7400"]}"#;
     assert!(read_with(&format!(r#""registry":{address},"roster":{address},"#)).is_err(), "both keys");
--- a/crates/sidecar/src/discovery.rs
+++ b/crates/sidecar/src/discovery.rs
@@ -1,5 +1,6 @@
-//! Polls discovery for the endpoint list and passes on its answers: when the balancer says so, or all the time where
-//! the settings let changes be pushed, as discovery never calls by itself.
+//! Polls discovery for the endpoint list and forwards the answers to the engine. Discovery never connects to the
+//! sidecar, so if the settings say that changes are pushed, the sidecar long-polls continuously; otherwise it polls
+//! when the balancer says so.
 
 mod poll;
 
@@ -14,26 +15,26 @@
 use tokio::task::{AbortHandle, JoinSet, spawn_local};
 use tokio::time::{Instant, sleep, sleep_until, timeout_at};
 
-/// Least time between the starts of two polls of a watch. Discovery keeps a watch only if the next poll comes within
-/// 200 ms of the last answer; the pause keeps a discovery that answers at once from being polled in a tight loop.
+/// Minimum time between the starts of two polls of a watch, which keeps a discovery that answers at once from being
+/// polled in a tight loop. Discovery ends a watch unless the next poll arrives within 200 ms of the last answer.
 const MIN_POLL_SPACING: Duration = Duration::from_millis(50);
-/// Pause after a failed poll where the watch is kept on here. Discovery's agent is on the same machine, and a change
-/// counts as notified once it has it, so the pause is short.
+/// Pause after a failed poll of a continuous watch. It is short, as discovery's agent runs on the same machine and the
+/// sidecar counts as notified of a change once that agent has it.
 const RETRY_PAUSE: Duration = Duration::from_millis(250);
-/// Longest time from the start of a failed poll to the next one, even where the settings let the balancer wait longer:
-/// a change counts as notified 6 s after discovery had it and could be reached.
+/// Maximum time from the start of a failed poll to the next one, even where the settings let the balancer wait
+/// longer: the sidecar counts as notified of a change 6 s after discovery had it and was reachable.
 const MAX_RETRY_DELAY: Duration = Duration::from_secs(5);
 
-/// What the task that polls discovery can be told to do.
+/// A command to the task that polls discovery.
 #[derive(Clone, Copy)]
 pub enum DiscoveryCommand {
-    /// Watch for changes. After a failed poll this starts the next one, which would otherwise come later.
+    /// Watch for changes. After a failed poll, this starts the next one early.
     Watch,
     /// Stop the watch.
     StopWatch,
     /// Fetch the complete list once.
     Fetch,
-    /// Discovery has another address.
+    /// Poll discovery at another address.
     Move(SocketAddr),
 }
 
@@ -41,25 +42,25 @@
 pub struct Watch {
     /// The address of discovery.
     pub address: SocketAddr,
-    /// The watch is on from the start and never waits for a command.
-    pub pushed: bool,
-    /// The version of the list that is known already.
+    /// The watch runs from the start and retries without a command.
+    pub continuous: bool,
+    /// The version of the cached list.
     pub known_index: Option<u64>,
 }
 
-/// The version of the list that was received last.
+/// The version of the list that was received last, shared by the watch and fetches.
 type KnownIndex = Rc<Cell<Option<u64>>>;
 
-/// Carries out commands, with one watch at most at a time. Ends with the sender of commands.
+/// Executes commands, with at most one watch at a time. Ends once the sender of commands is dropped.
 pub async fn run(watch: Watch, mut commands: mpsc::UnboundedReceiver<DiscoveryCommand>, inputs: Inputs) {
-    let Watch { mut address, pushed, known_index } = watch;
+    let Watch { mut address, continuous, known_index } = watch;
     let retry_now = Rc::new(Notify::new());
     let start_watch = |address, index| {
         let (retry_now, inputs) = (Rc::clone(&retry_now), inputs.clone());
-        spawn_local(keep_watching(address, pushed, index, retry_now, inputs)).abort_handle()
+        spawn_local(poll_in_loop(address, continuous, index, retry_now, inputs)).abort_handle()
     };
     let mut index: KnownIndex = Rc::new(Cell::new(known_index));
-    let mut watch: Option<AbortHandle> = pushed.then(|| start_watch(address, Rc::clone(&index)));
+    let mut watch: Option<AbortHandle> = continuous.then(|| start_watch(address, Rc::clone(&index)));
     let mut fetches = JoinSet::new();
     while let Some(command) = commands.recv().await {
         match command {
@@ -71,9 +72,9 @@
                 fetches.spawn_local(fetch(address, Rc::clone(&index), inputs.clone()));
             }
             DiscoveryCommand::Move(to) => {
-                // Answers of the old address are ignored from now on, and its versions mean nothing at the new one,
-                // which is polled for the complete list at once. Without a watch, the balancer takes that list as it
-                // takes a fetched one.
+                // Answers from the old address are ignored from now on. Its versions are meaningless at the new
+                // address, so that is polled for the complete list at once. Without a watch, the balancer handles
+                // that list as a fetched one.
                 address = to;
                 index = Rc::new(Cell::new(None));
                 fetches.abort_all();
@@ -92,14 +93,15 @@
 }
 
 async fn fetch(address: SocketAddr, index: KnownIndex, inputs: Inputs) {
-    pass_on(poll(address, None, None, &Notify::new()).await.answer, &index, &inputs);
+    forward(poll(address, None, None, &Notify::new()).await.answer, &index, &inputs);
 }
 
-/// Polls again and again, for good. After a failure the next poll starts soon where changes are pushed; otherwise when
-/// the balancer says so, and after a while at the latest.
-async fn keep_watching(
+/// Polls in an endless loop. After a failure, a continuous watch polls again after [`RETRY_PAUSE`]; any other when the
+/// balancer says so, or else [`MAX_RETRY_DELAY`] after the start of the failed poll, but no sooner than [`RETRY_PAUSE`]
+/// after its end.
+async fn poll_in_loop(
     address: SocketAddr,
-    pushed: bool,
+    continuous: bool,
     index: KnownIndex,
     retry_now: Rc<Notify>,
     inputs: Inputs,
@@ -108,13 +110,13 @@
     loop {
         let started = Instant::now();
         polls.start(address, index.get());
-        let answered = pass_on(polls.answer(index.get()).await, &index, &inputs);
+        let answered = forward(polls.answer(index.get()).await, &index, &inputs);
         if answered {
             sleep_until(started + MIN_POLL_SPACING).await;
             continue;
         }
         let pause = async {
-            if pushed {
+            if continuous {
                 sleep(RETRY_PAUSE).await;
             } else {
                 let latest = (started + MAX_RETRY_DELAY).max(Instant::now() + RETRY_PAUSE);
@@ -123,14 +125,14 @@
         };
         tokio::select! {
             biased;
-            list = polls.late_answer() => drop(pass_on(Ok(list), &index, &inputs)),
+            list = polls.late_answer() => drop(forward(Ok(list), &index, &inputs)),
             () = pause => {}
         }
     }
 }
 
-/// Passes an answer or a failure to the engine; returns whether it was an answer.
-fn pass_on(answer: Result<ListMessage, PollError>, index: &KnownIndex, inputs: &Inputs) -> bool {
+/// Forwards an answer or a failure to the engine; returns whether it was an answer.
+fn forward(answer: Result<ListMessage, PollError>, index: &KnownIndex, inputs: &Inputs) -> bool {
     match answer {
         Ok(list) => {
             index.set(Some(list.index));
--- a/crates/sidecar/src/discovery/poll.rs
+++ b/crates/sidecar/src/discovery/poll.rs
@@ -1,4 +1,4 @@
-//! Polls of discovery: single ones, and several for the same news of which the first answer counts.
+//! Polls of discovery: single polls, and hedged polls of which the first answer counts.
 
 use crate::connection::Connection;
 use crate::endpoint_list::ListMessage;
@@ -14,29 +14,28 @@
 use tokio::task::JoinSet;
 use tokio::time::timeout;
 
-/// How long discovery may hold a poll until there is news. A poll whose answer never comes looks like one without news,
-/// and until it is given up draining endpoints are still sent to, so the time is short. It bounds the load from below as
-/// well: without news, each sidecar polls this often.
+/// How long discovery may hold a poll while nothing changes. A poll that is never answered looks like one without
+/// changes, and until it times out draining endpoints are still sent requests, so the time is short. It also sets the
+/// minimum load on discovery: without changes, each sidecar polls this often.
 const MAX_WATCH_TIME: Duration = Duration::from_secs(4);
-/// How much longer than that an answer may take before another poll is started beside it: the first one may never be
-/// answered.
-const SECOND_POLL_DELAY: Duration = Duration::from_secs(2);
-/// How much longer it may take at the most. A slow or crowded discovery still answers the polls that wait for it, and
-/// none if each is given up too soon.
+/// How much longer than that an answer may take before a hedged poll is started: the first one may never be answered.
+const HEDGE_DELAY: Duration = Duration::from_secs(2);
+/// How much longer than [`MAX_WATCH_TIME`] an answer may take before its poll times out. A slow or overloaded discovery
+/// still answers polls that wait for it, but none if each of them times out too soon.
 const MAX_ANSWER_TIME: Duration = Duration::from_secs(6);
 
-/// Why a poll brought no list.
+/// Why a poll returned no list.
 #[derive(Debug)]
 pub(super) enum PollError {
-    /// No answer in time.
+    /// No answer within the time limit.
     NoAnswer,
-    /// The answer has begun and takes long to come. It may still come.
+    /// The answer has begun but is slow. It may still arrive.
     SlowAnswer,
     /// The exchange failed.
     Get(GetError),
     /// Discovery answered with a status other than 200.
     Status(StatusCode),
-    /// The answer is no list.
+    /// The answer is not a valid list.
     Unreadable(serde_json::Error),
 }
 
@@ -44,7 +43,7 @@
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         match self {
             Self::NoAnswer => f.write_str("no answer"),
-            Self::SlowAnswer => f.write_str("no end of the answer yet"),
+            Self::SlowAnswer => f.write_str("slow answer, its body is not complete yet"),
             Self::Get(e) => e.fmt(f),
             Self::Status(status) => write!(f, "status {}", status.as_u16()),
             Self::Unreadable(e) => write!(f, "unreadable list: {e}"),
@@ -62,30 +61,30 @@
     }
 }
 
-/// What a poll ends with.
+/// The result of a poll.
 pub(super) struct Polled {
     /// The list, or why there is none.
     pub(super) answer: Result<ListMessage, PollError>,
-    /// The connection, if it can carry another poll.
+    /// The connection, if it can be reused for another poll.
     reusable: Option<Connection>,
 }
 
 /// The number of a poll of a watch.
 type PollNumber = u64;
 
-/// Polls for the same news: the one that was started last, and earlier ones that may still be answered. The first
-/// answer ends them all.
+/// The polls of a watch in flight: the one that was started last, and earlier ones that may still be answered. The
+/// first answer cancels the others.
 #[derive(Default)]
 pub(super) struct Polls {
     in_flight: JoinSet<(PollNumber, Polled)>,
     last: PollNumber,
-    /// Notified where the answer to the last one takes long to come.
+    /// Notified if the answer to the last poll is slow.
     slow: Rc<Notify>,
     reusable: Option<Connection>,
 }
 
 impl Polls {
-    /// Starts a poll for what follows the version `after`.
+    /// Starts a poll for the changes since the version `after`.
     pub(super) fn start(&mut self, address: SocketAddr, after: Option<u64>) {
         self.last += 1;
         self.slow = Rc::default();
@@ -93,10 +92,10 @@
         self.in_flight.spawn_local(async move { (number, poll(address, reusable, after, &slow).await) });
     }
 
-    /// Waits for an answer to any of them or the failure of the last one, until another poll is due: after a while, or
-    /// as the answer takes long to come.
+    /// Waits for an answer to any of the polls or the failure of the last one, until a hedged poll is due:
+    /// [`HEDGE_DELAY`] after the time that discovery may hold the poll, or as soon as the answer is slow.
     pub(super) async fn answer(&mut self, after: Option<u64>) -> Result<ListMessage, PollError> {
-        let patience = watch_time(after) + SECOND_POLL_DELAY;
+        let hedge_after = watch_time(after) + HEDGE_DELAY;
         let last = self.last;
         let ended = async {
             while let Some(ended) = self.in_flight.join_next().await {
@@ -116,12 +115,12 @@
                 () = slow.notified() => Err(PollError::SlowAnswer),
             }
         };
-        let (list, reusable) = timeout(patience, ended).await.unwrap_or(Err(PollError::NoAnswer))?;
+        let (list, reusable) = timeout(hedge_after, ended).await.unwrap_or(Err(PollError::NoAnswer))?;
         self.finish(reusable);
         Ok(list)
     }
 
-    /// Waits for an answer to any of them, however long that takes.
+    /// Waits for an answer to any of the polls, without a time limit.
     pub(super) async fn late_answer(&mut self) -> ListMessage {
         loop {
             match self.in_flight.join_next().await {
@@ -141,13 +140,14 @@
     }
 }
 
-/// How long discovery may hold a poll for what follows the version `after`.
+/// How long discovery may hold a poll for the changes since the version `after`. A poll for the complete list is
+/// answered at once.
 fn watch_time(after: Option<u64>) -> Duration {
     if after.is_some() { MAX_WATCH_TIME } else { Duration::ZERO }
 }
 
-/// Polls once, over the connection of the last poll where that is usable. Bounded in time and size, as a discovery that
-/// is cut off never answers.
+/// Polls once, over the connection of the last poll if that is usable. Time and size are bounded, as a discovery that
+/// is unreachable never answers.
 pub(super) async fn poll(
     address: SocketAddr,
     mut reusable: Option<Connection>,
--- a/crates/sidecar/src/endpoint_list.rs
+++ b/crates/sidecar/src/endpoint_list.rs
@@ -1,5 +1,5 @@
-//! The endpoint list as discovery sends it and the configuration names it. This is where the protocol's field names
-//! are mapped to the program's.
+//! The endpoint list as discovery sends it and the configuration contains it. The protocol's field names are mapped to
+//! the program's here.
 
 use serde::Deserialize;
 use serde_json::value::RawValue;
@@ -11,15 +11,15 @@
 pub struct ListMessage {
     /// Its version.
     pub index: u64,
-    /// The complete list rather than changes.
+    /// Whether this is the complete list rather than changes.
     pub snapshot: bool,
     /// The readable entries.
     pub endpoints: Vec<ListedEndpoint>,
-    /// What is wrong with the first unreadable entry.
+    /// The error of the first unreadable entry, if there is one.
     pub unreadable: Option<serde_json::Error>,
 }
 
-/// The same before its entries are decoded.
+/// A list whose entries are not decoded yet.
 #[derive(Deserialize)]
 struct EncodedList {
     index: u64,
@@ -29,8 +29,8 @@
 }
 
 impl From<EncodedList> for ListMessage {
-    /// Leaves out unreadable entries. Were the list refused for one, discovery would send it again and again, and
-    /// every change to the other entries would be lost.
+    /// Skips unreadable entries. If one of them made the whole list invalid, discovery would send it again and again,
+    /// and all changes to the other entries would be lost.
     fn from(encoded: EncodedList) -> Self {
         let mut list = Self { index: encoded.index, snapshot: encoded.snapshot, ..Self::default() };
         for entry in encoded.endpoints {
@@ -48,7 +48,7 @@
 pub struct ListedEndpoint {
     /// Its name, the same at every sidecar.
     pub name: String,
-    /// Where this sidecar reaches it.
+    /// The address at which this sidecar reaches it.
     pub address: Option<SocketAddr>,
     /// Its zone.
     pub zone: Option<String>,
@@ -60,10 +60,10 @@
     pub cell: u64,
     /// Its status.
     pub status: ListedStatus,
-    /// Its size relative to others.
+    /// Its capacity relative to other endpoints.
     #[serde(default = "default_weight")]
     pub weight: f64,
-    /// Unix time in milliseconds of its last start; 0 is long ago.
+    /// Unix time in milliseconds of its last start; 0 stands for a start long ago.
     #[serde(default, rename = "since_ms")]
     pub started_ms: i64,
 }
@@ -71,13 +71,13 @@
 /// The status of an endpoint.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Deserialize)]
 pub enum ListedStatus {
-    /// Takes requests.
+    /// It accepts requests.
     #[serde(rename = "active")]
     Active,
-    /// Finishes the requests it has.
+    /// It finishes its current requests and accepts no new ones.
     #[serde(rename = "leaving")]
     Draining,
-    /// No longer there.
+    /// It no longer exists.
     #[serde(rename = "left")]
     Removed,
 }
--- a/crates/sidecar/src/endpoint_list/tests.rs
+++ b/crates/sidecar/src/endpoint_list/tests.rs
@@ -1,7 +1,7 @@
 use super::*;
 
 #[test]
-fn decodes_protocol_names() {
+fn decodes_protocol_field_names() {
     let text = r#"{"index":7,"snapshot":true,"endpoints":[
         {"name":"s-1","address":"127.0.0.1:9","zone":"a","type":"m","group":3,"status":"leaving","weight":2.5,"since_ms":11},
         {"name":"s-2","status":"active"},
--- a/crates/sidecar/src/engine.rs
+++ b/crates/sidecar/src/engine.rs
@@ -1,5 +1,5 @@
-//! The engine owns the balancer. Everything that happens on the sockets becomes an event for it, and its actions are
-//! carried out; no decision is made here.
+//! The engine owns the balancer: it turns what happens on the sockets into events for the balancer and carries out the
+//! balancer's actions. It makes no decisions of its own.
 
 mod attempts;
 mod clock;
@@ -35,12 +35,12 @@
 use tokio::task::spawn_local;
 use tokio::time::sleep_until;
 
-/// Datagrams that may wait to be handled; further ones are dropped, as the network may drop any.
+/// Maximum number of gossip datagrams that wait to be handled. Further ones are dropped, as the network may drop any.
 const MAX_QUEUED_DATAGRAMS: usize = 64;
-/// Least time between two log lines about bad input from outside.
+/// Minimum time between two log lines about invalid input from outside.
 const BAD_INPUT_LOG_SPACING: Duration = Duration::from_secs(5);
 
-/// The balancer, and all that it has in flight.
+/// The balancer, with its open requests, attempts in flight and timers.
 pub struct Engine {
     balancer: Balancer,
     clock: Clock,
@@ -52,25 +52,25 @@
     upstream: Rc<Upstream>,
     discovery: mpsc::UnboundedSender<DiscoveryCommand>,
     gossip: Option<GossipSocket>,
-    /// The balancer's timers: when they fire, and their tokens.
+    /// The balancer's timers: when each fires, and its token.
     timers: BinaryHeap<Reverse<(Micros, u64)>>,
-    /// Events that follow from actions.
+    /// Events caused by actions, not yet delivered to the balancer.
     events: VecDeque<Event>,
     bad_input_log: ThrottledLog,
 }
 
-/// An engine that is ready to run, and what others need of it.
+/// An engine that is ready to run, with the handles that other tasks use.
 pub struct NewEngine {
     /// The engine.
     pub engine: Engine,
-    /// How the others reach it.
+    /// The handle through which client and operator connections reach the engine.
     pub handle: EngineHandle,
-    /// The status of the registry's list, where a registry is configured.
+    /// The status of the registry's list, if a registry is configured.
     pub list_status: Option<ListStatus>,
 }
 
 impl Engine {
-    /// Starts the balancer with the cached list of the configuration, and the tasks that feed it.
+    /// Starts the balancer with the cached endpoint list of the configuration, and the tasks that feed it.
     pub fn start(
         config: Config,
         limits: ResourceLimits,
@@ -78,7 +78,7 @@
         cordoned: BTreeSet<String>,
     ) -> Result<NewEngine, SettingsError> {
         let decoded = config.decoded;
-        let pushed = decoded.settings.discovery == DiscoveryMode::Pushed;
+        let continuous = decoded.settings.discovery == DiscoveryMode::Pushed;
         let connect_timeout = decoded.settings.limits.connect_timeout;
         let upstream = Rc::new(Upstream::new(limits, connect_timeout, decoded.idle_timeout));
         let balancer = Balancer::new(decoded.settings, config.seed)?;
@@ -101,14 +101,14 @@
             bad_input_log: ThrottledLog::new(BAD_INPUT_LOG_SPACING),
         };
         spawn_local(upstream.retire_idle());
-        let known_index = config.known.as_ref().map(|list| list.index);
+        let known_index = config.cached_list.as_ref().map(|list| list.index);
         let list_status = match config.registry {
             None => {
-                let watch = discovery::Watch { address: config.discovery, pushed, known_index };
+                let watch = discovery::Watch { address: config.discovery, continuous, known_index };
                 spawn_local(discovery::run(watch, commands, sender.clone()));
                 None
             }
-            // A registry pushes changes, whatever the settings say of discovery.
+            // The registry is always watched for changes, whatever discovery mode the settings name.
             Some(registry) => {
                 let (watcher, status) = RegistryWatch::new(registry, config.seed, sender.clone());
                 spawn_local(watcher.run());
@@ -118,13 +118,13 @@
         if let Some(gossip) = gossip {
             spawn_local(receive_gossip(gossip, sender.clone()));
         }
-        let known = config.known.unwrap_or(ListMessage { snapshot: true, ..ListMessage::default() });
-        let entries = engine.apply_list(known, true);
+        let cached = config.cached_list.unwrap_or(ListMessage { snapshot: true, ..ListMessage::default() });
+        let entries = engine.apply_list(cached, true);
         engine.deliver(Event::EndpointList(EndpointListUpdate::Cached(entries)));
         Ok(NewEngine { engine, handle: EngineHandle::new(sender, clock, discovery), list_status })
     }
 
-    /// Handles inputs and timers. Never returns while its handles exist.
+    /// Handles inputs and timers. Does not return while any handle to the engine exists.
     pub async fn run(mut self) {
         loop {
             let next = self.timers.peek().map(|Reverse((at, _))| self.clock.instant(*at));
@@ -159,7 +159,7 @@
 
     fn handle_input(&mut self, input: Input) {
         match input {
-            Input::Request(submission) => self.open(submission),
+            Input::Request(submission) => self.open_request(submission),
             Input::Abandoned(id) => self.abandon(id),
             Input::BodyReceived { request, deadline } => self.body_received(request, deadline),
             Input::AttemptEnded(result) => self.attempt_ended(result),
@@ -174,7 +174,7 @@
             }
             Input::SetCordoned { names, done } => {
                 self.set_cordoned(names);
-                // The caller may have given up waiting.
+                // The caller may have stopped waiting.
                 let _ = done.send(());
             }
             Input::IsKnown { name, answer } => drop(answer.send(self.endpoints.is_known(&name))),
@@ -195,7 +195,7 @@
         self.release_removed();
     }
 
-    /// Applies a list to the connections, before the balancer can send anything more.
+    /// Applies a list to the endpoint table and the connections, before the balancer can send anything more.
     fn apply_list(&mut self, list: ListMessage, full: bool) -> Vec<EndpointEntry> {
         if let Some(what) = &list.unreadable {
             self.bad_input_log.line(format_args!("discovery: entry left out: {what}"));
@@ -213,7 +213,7 @@
         }
     }
 
-    /// Cordons these endpoints and no others.
+    /// Cordons exactly the endpoints of these names.
     fn set_cordoned(&mut self, names: BTreeSet<String>) {
         for change in self.endpoints.set_cordoned(names) {
             let endpoint = change.endpoint;
@@ -226,7 +226,7 @@
         }
     }
 
-    /// Delivers an event to the balancer, and those that follow from its actions.
+    /// Delivers an event to the balancer, then the events that the resulting actions cause.
     fn deliver(&mut self, event: Event) {
         self.events.push_back(event);
         let mut actions = Vec::new();
@@ -241,11 +241,11 @@
     fn perform(&mut self, action: Action) {
         match action {
             Action::Send { request, endpoint, timeout, idempotency_window } => {
-                self.send(SendDecision { request, endpoint, timeout, idempotency_window });
+                self.start_attempt(SendDecision { request, endpoint, timeout, idempotency_window });
             }
             Action::Reject { request, retry_after } => self.answer(request, Answer::Shed(retry_after)),
             Action::Fail(request) => self.answer(request, Answer::Failed),
-            Action::Cancel { request, attempt } => self.cancel((request, attempt)),
+            Action::Cancel { request, attempt } => self.cancel_attempt((request, attempt)),
             Action::HealthCheck(endpoint) => {
                 let (upstream, inputs) = (Rc::clone(&self.upstream), self.sender.clone());
                 spawn_local(upstream.health_check(endpoint, inputs));
@@ -268,12 +268,12 @@
     }
 
     fn command_discovery(&self, command: DiscoveryCommand) {
-        // With a registry in discovery's place nobody receives it.
+        // The channel has no receiver if a registry replaces discovery.
         let _ = self.discovery.send(command);
     }
 }
 
-/// Passes datagrams of peers to the engine. Never returns.
+/// Forwards datagrams from peers to the engine. Never returns.
 async fn receive_gossip(gossip: GossipSocket, inputs: Inputs) {
     let queue = Arc::new(Semaphore::new(MAX_QUEUED_DATAGRAMS));
     loop {
--- a/crates/sidecar/src/engine/attempts.rs
+++ b/crates/sidecar/src/engine/attempts.rs
@@ -1,4 +1,4 @@
-//! The engine's requests and attempts: their start, their end, and the one final answer.
+//! The engine's requests and attempts: how they start and end, and the single final answer to each request.
 
 use super::Engine;
 use super::clock::to_duration;
@@ -12,21 +12,22 @@
 use tokio::time::Instant;
 
 impl Engine {
-    /// Opens a request.
-    pub(super) fn open(&mut self, submission: Submission) {
+    /// Opens a request and notifies the balancer.
+    pub(super) fn open_request(&mut self, submission: Submission) {
         let Submission { request, outgoing, reply } = submission;
         self.requests.insert(request.id, OpenRequest { reply, outgoing, attempts: 0 });
         self.deliver(Event::RequestReceived(request));
     }
 
     /// Starts an attempt.
-    pub(super) fn send(&mut self, decision: SendDecision) {
+    pub(super) fn start_attempt(&mut self, decision: SendDecision) {
         let SendDecision { request, endpoint, timeout, idempotency_window } = decision;
-        // The balancer has no request that is not open here: both learn of every end in the same turn.
+        // Engine and balancer drop a request while handling the same input, so a request that the balancer sends is
+        // open here as well.
         let Some(open) = self.requests.get_mut(&request) else { return };
         let attempt = open.attempts;
         open.attempts += 1;
-        // The permission is taken now: what changes before the first byte is written revokes it.
+        // Records the endpoint's present state. A change before the first byte is written revokes the permission.
         let (now, to) = (Instant::now(), self.upstream.endpoint(endpoint));
         let grant = Grant {
             permission: to.permission(),
@@ -46,15 +47,15 @@
     }
 
     /// Cancels an attempt that is in flight.
-    pub(super) fn cancel(&mut self, key: AttemptKey) {
+    pub(super) fn cancel_attempt(&mut self, key: AttemptKey) {
         if let Some(attempt) = self.attempts.remove(&key) {
             attempt.task.abort();
-            let end = self.end_of(key, &attempt, Outcome::Cancelled, LoadReport::default());
+            let end = self.record_end(key, &attempt, Outcome::Cancelled, LoadReport::default());
             self.events.push_back(end);
         }
     }
 
-    /// Handles the end of an attempt. A cancelled one has ended already, whatever its task still reports.
+    /// Handles the end of an attempt. Late results of cancelled attempts are ignored.
     pub(super) fn attempt_ended(&mut self, result: AttemptResult) {
         let AttemptResult { request, attempt, outcome, answer, load } = result;
         let key = (request, attempt);
@@ -62,12 +63,12 @@
         if let Some(answer) = answer {
             self.answer(request, answer);
         }
-        let end = self.end_of(key, &in_flight, outcome, load);
+        let end = self.record_end(key, &in_flight, outcome, load);
         self.deliver(end);
     }
 
-    /// The event for the end of an attempt, which is counted here.
-    fn end_of(
+    /// Counts and traces the end of an attempt; returns the event for the balancer.
+    fn record_end(
         &self,
         (request, attempt): AttemptKey,
         in_flight: &InFlightAttempt,
@@ -95,7 +96,7 @@
 
     /// Handles a request whose client has closed its connection, or whose deadline has passed.
     pub(super) fn abandon(&mut self, id: RequestId) {
-        // The answer may have been sent at the same time.
+        // The request may have been answered in the meantime.
         if let Some(open) = self.requests.remove(&id) {
             open.outgoing.lifecycle.complete();
             self.deliver(Event::RequestAbandoned(id));
@@ -104,7 +105,7 @@
 
     /// Handles the receipt of the last byte of a request whose body was streamed.
     pub(super) fn body_received(&mut self, request: RequestId, deadline: Micros) {
-        // Until now its endpoint has waited for the client.
+        // Attempts are timed from here: before, the endpoint was waiting for the client's body.
         let now = self.clock.now();
         for (key, attempt) in &mut self.attempts {
             if key.0 == request {
@@ -114,7 +115,8 @@
         self.deliver(Event::BodyReceived { request, deadline });
     }
 
-    /// Gives a request its final answer. This is the only place that does; a second answer finds no open request.
+    /// Gives a request its final answer. This is the only place that does; a second answer finds no open request and is
+    /// ignored.
     pub(super) fn answer(&mut self, id: RequestId, answer: Answer) {
         let Some(open) = self.requests.remove(&id) else { return };
         let lifecycle = &open.outgoing.lifecycle;
@@ -127,7 +129,7 @@
         };
         outcome.count();
         lifecycle.trace(format_args!("{} after {} attempts", outcome.name(), open.attempts));
-        // The client may have closed its connection just now.
+        // The receiver is gone if the client has closed its connection in the meantime.
         let _ = open.reply.send(answer);
     }
 }
--- a/crates/sidecar/src/engine/endpoint_table.rs
+++ b/crates/sidecar/src/engine/endpoint_table.rs
@@ -1,4 +1,4 @@
-//! The endpoints by number: what lists and operators say of them, translated for the balancer and the connections.
+//! Maps endpoint names to integer ids, and translates endpoint lists and cordons for the balancer and the connections.
 
 use crate::endpoint_list::{ListMessage, ListedEndpoint, ListedStatus};
 use crate::start_times::StartTimes;
@@ -8,12 +8,12 @@
 use std::collections::{BTreeSet, HashSet};
 use std::rc::Rc;
 
-/// The endpoints, with the numbers that stand for their names.
+/// The known endpoints, with the ids that stand for their names.
 pub(super) struct EndpointTable {
     names: Interner,
     /// Names of cordoned endpoints, listed or not.
     cordoned: BTreeSet<String>,
-    /// Removed endpoints that still have their numbers.
+    /// Removed endpoints whose ids are not released yet.
     removed: HashSet<usize>,
     zones: Interner,
     machine_types: Interner,
@@ -21,24 +21,24 @@
     upstream: Rc<Upstream>,
 }
 
-/// A list as the balancer receives it.
+/// An endpoint list as the balancer receives it.
 pub(super) struct AppliedList {
     /// Its entries.
     pub(super) entries: Vec<EndpointEntry>,
-    /// What the balancer has to handle before them.
+    /// Events that the balancer has to handle before the entries.
     pub(super) events_before: Vec<Event>,
 }
 
 /// An endpoint that operators cordoned or uncordoned.
 pub(super) struct CordonChange {
-    /// Its number.
+    /// Its id.
     pub(super) endpoint: usize,
     /// Whether it is cordoned now.
     pub(super) cordoned: bool,
 }
 
 impl EndpointTable {
-    /// An empty table; `zones` have the numbers that the settings use.
+    /// An empty table. `zones` holds the zone ids that the settings use.
     pub(super) fn new(zones: Interner, cordoned: BTreeSet<String>, upstream: Rc<Upstream>) -> Self {
         Self {
             names: Interner::default(),
@@ -51,7 +51,7 @@
         }
     }
 
-    /// Whether an endpoint of that name has a number.
+    /// Whether an endpoint of that name has an id.
     pub(super) fn is_known(&self, name: &str) -> bool {
         self.names.find(name).is_some()
     }
@@ -61,7 +61,7 @@
         self.names.name(id)
     }
 
-    /// Applies a list to the connections, before the balancer can send anything more.
+    /// Applies a list to the table and the connections, before the balancer can send anything more.
     pub(super) fn apply(&mut self, now: Micros, list: ListMessage, full: bool) -> AppliedList {
         self.start_times.observe(now, list.endpoints.iter().map(|endpoint| endpoint.started_ms));
         let mut applied =
@@ -83,7 +83,7 @@
     }
 
     fn apply_endpoint(&mut self, now: Micros, listed: ListedEndpoint, applied: &mut AppliedList) {
-        // A removed endpoint that is not known needs no number.
+        // A removed endpoint that was never listed needs no id.
         if listed.status == ListedStatus::Removed && !self.is_known(&listed.name) {
             return;
         }
@@ -95,7 +95,7 @@
             (ListedStatus::Removed, _) => EndpointStatus::Removed,
         };
         let endpoint = self.upstream.endpoint(id);
-        // The number may be new to the balancer, so it has to know before the list.
+        // The id may be new to the balancer, which has to learn of the cordon before the endpoint.
         if self.cordoned.contains(&listed.name) {
             endpoint.cordon(true);
             applied.events_before.push(Event::Cordoned(id));
@@ -123,21 +123,22 @@
         self.start_times.list_applied(now);
     }
 
-    /// Removed endpoints whose numbers can be released: a fleet that replaces its machines has ever new names. Endpoints
-    /// with attempts in flight keep theirs for now, or the next endpoint of that number would be blamed for these.
+    /// Removed endpoints whose ids can be released. Ids are reused, as a fleet that keeps replacing its machines never
+    /// stops adding names. Endpoints with attempts in flight keep their ids for now; otherwise the results of those
+    /// attempts would be attributed to the next endpoint with the same id.
     pub(super) fn take_releasable(&mut self, busy: &HashSet<usize>) -> Vec<usize> {
         self.removed.extract_if(|id| !busy.contains(id)).collect()
     }
 
-    /// Releases the number of a removed endpoint.
+    /// Releases the id of a removed endpoint.
     pub(super) fn release(&mut self, id: usize) {
         self.start_times.forget(id);
         self.names.release(id);
         self.upstream.forget(id);
     }
 
-    /// Replaces the set of cordoned names; returns the known endpoints for which that is a change. An unlisted one is
-    /// cordoned once a list names it.
+    /// Replaces the set of cordoned names; returns the known endpoints whose state changes. An endpoint that is not
+    /// listed yet is cordoned as soon as a list names it.
     pub(super) fn set_cordoned(&mut self, names: BTreeSet<String>) -> Vec<CordonChange> {
         let before = std::mem::replace(&mut self.cordoned, names);
         let changed = before.symmetric_difference(&self.cordoned);
--- a/crates/sidecar/src/engine/handle.rs
+++ b/crates/sidecar/src/engine/handle.rs
@@ -1,4 +1,4 @@
-//! The engine as the connections of clients and operators see it.
+//! The handle through which client and operator connections use the engine.
 
 use super::clock::Clock;
 use crate::discovery::DiscoveryCommand;
@@ -31,37 +31,37 @@
         Self { inputs, clock, last_request: Rc::default(), discovery }
     }
 
-    /// The time of an instant on the balancer's clock.
+    /// Converts an instant to time on the balancer's clock.
     pub fn time_of(&self, instant: Instant) -> Micros {
         self.clock.time_of(instant)
     }
 
-    /// The instant of a time on the balancer's clock.
+    /// Converts a time on the balancer's clock to an instant.
     pub fn instant(&self, time: Micros) -> Instant {
         self.clock.instant(time)
     }
 
-    /// Moves discovery to another address.
+    /// Changes the address of discovery.
     pub fn move_discovery(&self, to: SocketAddr) {
         // The receiving task ends only with the process.
         let _ = self.discovery.send(DiscoveryCommand::Move(to));
     }
 
-    /// Cordons these endpoints, and no others. Returns once that is in effect.
+    /// Cordons exactly the endpoints of these names. Returns once that is in effect.
     pub async fn set_cordoned(&self, names: BTreeSet<String>) {
         let (done, in_effect) = oneshot::channel();
         self.inputs.send(Input::SetCordoned { names, done });
         let _ = in_effect.await;
     }
 
-    /// Whether an endpoint of that name is listed.
+    /// Whether an endpoint of that name is known to the engine.
     pub async fn is_known(&self, name: &str) -> bool {
         let (answer, known) = oneshot::channel();
         self.inputs.send(Input::IsKnown { name: name.to_owned(), answer });
         known.await.unwrap_or(false)
     }
 
-    /// Submits a request, which gets a new id.
+    /// Submits a request under a new id.
     pub fn submit(&self, request: NewRequest, outgoing: OutgoingRequest) -> PendingResponse {
         let id = self.last_request.get() + 1;
         self.last_request.set(id);
@@ -74,7 +74,7 @@
     }
 }
 
-/// The answer to a submitted request. Dropped before the answer is there, it abandons the request.
+/// The future answer to a submitted request. Dropping it before the answer arrives abandons the request.
 pub struct PendingResponse {
     id: RequestId,
     outgoing: Rc<OutgoingRequest>,
@@ -84,7 +84,7 @@
 }
 
 impl PendingResponse {
-    /// Reports that the last byte of the request was received, and its deadline.
+    /// Reports that the last byte of the request was received, and the deadline that follows from that.
     pub fn body_received(&self, deadline: Micros) {
         self.inputs.send(Input::BodyReceived { request: self.id, deadline });
     }
@@ -100,7 +100,8 @@
 impl Drop for PendingResponse {
     fn drop(&mut self) {
         if !self.answered {
-            // At once: before the engine handles the input, attempts could begin to be written.
+            // Set here rather than by the engine, as an attempt could begin to be written before the engine handles the
+            // input.
             self.outgoing.lifecycle.complete();
             self.inputs.send(Input::Abandoned(self.id));
         }
--- a/crates/sidecar/src/engine/in_flight.rs
+++ b/crates/sidecar/src/engine/in_flight.rs
@@ -10,25 +10,26 @@
 /// Identifies an attempt.
 pub(super) type AttemptKey = (RequestId, AttemptNumber);
 
-/// A request without its final answer.
+/// A request that has no final answer yet.
 pub(super) struct OpenRequest {
     pub(super) reply: oneshot::Sender<Answer>,
     pub(super) outgoing: Rc<OutgoingRequest>,
+    /// Number of attempts started so far.
     pub(super) attempts: AttemptNumber,
 }
 
-/// An attempt whose end the balancer has not been notified of.
+/// An attempt whose end has not been reported to the balancer yet.
 pub(super) struct InFlightAttempt {
     pub(super) endpoint: usize,
     pub(super) started: Micros,
     pub(super) task: AbortHandle,
 }
 
-/// A send as the balancer has decided it.
+/// The balancer's decision to send a request to an endpoint.
 pub(super) struct SendDecision {
     pub(super) request: RequestId,
     pub(super) endpoint: usize,
     pub(super) timeout: Micros,
-    /// The endpoint remembers the request's idempotency key for this long from now.
+    /// How long from now the endpoint remembers the request's idempotency key.
     pub(super) idempotency_window: Option<Micros>,
 }
--- a/crates/sidecar/src/engine_input.rs
+++ b/crates/sidecar/src/engine_input.rs
@@ -1,4 +1,4 @@
-//! What the sockets report to the engine, and the answers that it returns.
+//! The inputs that socket tasks send to the engine, and the answers that it returns.
 
 use crate::body::AnswerBody;
 use crate::endpoint_list::ListMessage;
@@ -13,25 +13,25 @@
 use std::rc::Rc;
 use tokio::sync::{OwnedSemaphorePermit, mpsc, oneshot};
 
-/// The one final answer to a request.
+/// The single final answer to a request.
 pub enum Answer {
-    /// An endpoint's answer.
+    /// An endpoint answered with status 200.
     Served(ServedAnswer),
-    /// The request was shed. A retry is harmless, best after that time.
+    /// The request was shed and did not run. A retry is safe, best after this delay.
     Shed(Micros),
-    /// An endpoint blames the request itself, by this status.
+    /// An endpoint answered with this client error status.
     ClientError(StatusCode),
     /// The request failed; it may have run.
     Failed,
 }
 
-/// An endpoint's answer with status 200.
+/// An endpoint's response with status 200.
 pub struct ServedAnswer {
     /// Its headers.
     pub headers: HeaderMap,
     /// Its body.
     pub body: AnswerBody,
-    /// The memory that the body takes.
+    /// The memory reserved for the body.
     pub reservation: MemoryReservation,
 }
 
@@ -39,35 +39,35 @@
 pub struct AttemptResult {
     /// The request.
     pub request: RequestId,
-    /// Its attempt.
+    /// The number of the attempt, counted per request.
     pub attempt: AttemptNumber,
     /// The outcome.
     pub outcome: Outcome,
-    /// The answer to the client, where the endpoint has given one.
+    /// The answer to the client, if the endpoint gave one.
     pub answer: Option<Answer>,
-    /// The load report that came along.
+    /// The load report in the endpoint's response.
     pub load: LoadReport,
 }
 
-/// A client's request, as it is submitted.
+/// A client's request as submitted to the engine.
 pub struct Submission {
     /// The request.
     pub request: NewRequest,
-    /// What is sent to endpoints.
+    /// The request as sent to endpoints.
     pub outgoing: Rc<OutgoingRequest>,
-    /// Where its answer goes.
+    /// Receives the answer.
     pub reply: oneshot::Sender<Answer>,
 }
 
 /// How a health check ended.
 pub struct HealthCheckResult {
-    /// The number of the endpoint.
+    /// The id of the endpoint.
     pub endpoint: usize,
     /// The outcome.
     pub outcome: Outcome,
     /// How long it took.
     pub duration: Micros,
-    /// The load report that came along.
+    /// The load report in the endpoint's response.
     pub load: LoadReport,
 }
 
@@ -75,21 +75,21 @@
 pub struct QueuedDatagram {
     /// The datagram.
     pub datagram: Datagram,
-    /// Its place in the queue.
+    /// Its slot in the bounded queue, released on drop.
     pub _permit: OwnedSemaphorePermit,
 }
 
-/// What the sockets report to the engine.
+/// An input to the engine.
 pub enum Input {
     /// A client submits a request.
     Request(Submission),
-    /// The client of a request has closed its connection, or the deadline has passed without an answer.
+    /// A request whose client has closed its connection, or whose deadline has passed without an answer.
     Abandoned(RequestId),
     /// The last byte of a request with a streamed body was received.
     BodyReceived {
         /// The request.
         request: RequestId,
-        /// Its deadline, which counts from then.
+        /// Its deadline, which is counted from the last byte.
         deadline: Micros,
     },
     /// An attempt ended.
@@ -100,31 +100,31 @@
     ListReceived(ListMessage),
     /// A poll of discovery failed.
     ListFailed(Box<dyn Error>),
-    /// Operators cordon these endpoints, and no others.
+    /// Operators cordon exactly these endpoints.
     SetCordoned {
-        /// Their names.
+        /// The names of the endpoints.
         names: BTreeSet<String>,
-        /// Notified once that is in effect.
+        /// Notified once the change is in effect.
         done: oneshot::Sender<()>,
     },
-    /// Operators ask whether an endpoint is listed.
+    /// Operators ask whether an endpoint is known.
     IsKnown {
         /// Its name.
         name: String,
-        /// Where the answer goes.
+        /// Receives the answer.
         answer: oneshot::Sender<bool>,
     },
     /// A datagram from a peer.
     Datagram(QueuedDatagram),
 }
 
-/// Sends inputs to the engine. The channel is unbounded: the connections, attempts, polls and datagrams that send are
-/// bounded themselves, and that a client has closed its connection must never be lost.
+/// Sends inputs to the engine. The channel is unbounded, as the report that a client has closed its connection must
+/// never be lost. Its length is bounded by the limits on the senders: connections, attempts, polls and datagrams.
 #[derive(Clone)]
 pub struct Inputs(mpsc::UnboundedSender<Input>);
 
 impl Inputs {
-    /// A channel for inputs.
+    /// Creates the channel for inputs.
     pub fn new() -> (Self, mpsc::UnboundedReceiver<Input>) {
         let (sender, inputs) = mpsc::unbounded_channel();
         (Self(sender), inputs)
--- a/crates/sidecar/src/file_access.rs
+++ b/crates/sidecar/src/file_access.rs
@@ -1,8 +1,8 @@
-//! Calls on files, which last for as long as their disk hangs, kept off the thread that serves.
+//! File operations, which block for as long as their disk hangs, kept off the serving thread.
 //!
-//! A regular file that the system has in memory is read at once, and a pipe as its bytes come. All else runs on a thread
-//! of its own, and its caller waits for a limited time. What bounds the rest: the open of a file for reading is a call on
-//! the serving thread, as its directory is in memory; on a network file system that hangs it may last.
+//! A regular file in the page cache is read at once, and a named pipe as its bytes arrive. Everything else runs on a
+//! separate thread, and its caller waits for a limited time. One call remains: the serving thread itself opens files
+//! for reading, as their directories are in memory. On a network file system that hangs, that call may block.
 
 mod cached;
 
@@ -21,15 +21,15 @@
 use tokio::sync::oneshot;
 use tokio::time::{sleep, timeout};
 
-/// Calls that may hang at a time; each holds a thread.
+/// Maximum number of operations that hang at a time; each holds a thread.
 const MAX_THREADS: usize = 4;
-/// Stack of such a thread.
+/// Stack size of such a thread.
 const STACK_BYTES: usize = 256 << 10;
 
-/// Threads that run.
+/// Number of running threads.
 static THREADS: AtomicUsize = AtomicUsize::new(0);
 
-/// Reads a file, for `limit` at most.
+/// Reads a file, waiting for at most `limit`.
 pub async fn read(path: &Path, limit: Duration) -> io::Result<Vec<u8>> {
     if let Some(contents) = cached::read(path)? {
         return Ok(contents);
@@ -41,7 +41,7 @@
     run(limit, move |_| fs::read(path)).await
 }
 
-/// Reads a file while nothing is served yet, for `limit` at most.
+/// Reads a file at startup, before anything is served, waiting for at most `limit`.
 pub fn read_at_startup(path: &Path, limit: Duration) -> io::Result<Vec<u8>> {
     if let Some(contents) = cached::read(path)? {
         return Ok(contents);
@@ -50,22 +50,23 @@
     run_at_startup(limit, move || read_regular(&path))?
 }
 
-/// Runs calls on files that change nothing, while nothing is served yet, for `limit` at most.
+/// Runs read-only file operations at startup, before anything is served, waiting for at most `limit`.
 pub fn run_at_startup<T: Send + 'static>(
     limit: Duration,
-    calls: impl FnOnce() -> T + Send + 'static,
+    operation: impl FnOnce() -> T + Send + 'static,
 ) -> io::Result<T> {
     let (sender, result) = mpsc::channel();
-    spawn(move || drop(sender.send(calls())))?;
+    spawn(move || drop(sender.send(operation())))?;
     result.recv_timeout(limit).map_err(|_| timed_out())
 }
 
-/// Reads a regular file, for as long as that lasts. The open of a pipe might last for good.
+/// Reads a regular file, and blocks until that is done. Other files are rejected: opening a named pipe could block
+/// forever.
 pub fn read_regular(path: &Path) -> io::Result<Vec<u8>> {
     if fs::metadata(path)?.is_file() { fs::read(path) } else { Err(io::ErrorKind::InvalidInput.into()) }
 }
 
-/// Reads a pipe until its writers have closed it.
+/// Reads a named pipe until its writers have closed it.
 async fn read_pipe(path: &Path) -> io::Result<Vec<u8>> {
     let mut pipe = pipe::OpenOptions::new().open_receiver(path)?;
     let mut contents = Vec::new();
@@ -75,56 +76,60 @@
             return Ok(contents);
         }
         if length == 0 {
-            // Nobody has opened it to write yet.
+            // No writer has opened it yet.
             sleep(RESOURCE_PAUSE).await;
         }
     }
 }
 
-/// Decides between a call that takes effect and a caller that gives it up.
+/// Resolves the race between an operation that is about to take effect and a caller that times out.
 #[derive(Clone, Default)]
 pub struct Commit(Arc<AtomicBool>);
 
 impl Commit {
-    /// Whether the call may take effect: its caller has not given it up, and will not any more.
+    /// Must be called before the operation takes effect. Fails if its caller has timed out; a caller that times out
+    /// later learns that the operation may still take effect.
     pub fn begin(&self) -> io::Result<()> {
         if self.0.swap(true, Ordering::SeqCst) { Err(timed_out()) } else { Ok(()) }
     }
 
-    /// Gives a call up. Where it has begun to take effect, it may still do so.
+    /// Abandons the operation. The error tells whether it may still take effect.
     fn abandon(&self) -> io::Error {
         if self.0.swap(true, Ordering::SeqCst) {
-            return io::Error::new(io::ErrorKind::TimedOut, "the disk hangs, and it may still take effect");
+            return io::Error::new(
+                io::ErrorKind::TimedOut,
+                "file operation timed out, but it may still take effect",
+            );
         }
         timed_out()
     }
 }
 
 fn timed_out() -> io::Error {
-    io::Error::new(io::ErrorKind::TimedOut, "the disk hangs")
+    io::Error::new(io::ErrorKind::TimedOut, "file operation timed out")
 }
 
-/// Runs calls on files, which ask `Commit::begin` before they take effect, for `limit` at most.
+/// Runs file operations, waiting for at most `limit`. They have to call [`Commit::begin`] before they take effect.
 pub async fn run<T: Send + 'static>(
     limit: Duration,
-    calls: impl FnOnce(&Commit) -> io::Result<T> + Send + 'static,
+    operation: impl FnOnce(&Commit) -> io::Result<T> + Send + 'static,
 ) -> io::Result<T> {
     let commit = Commit::default();
     let (sender, result) = oneshot::channel();
-    let given = commit.clone();
-    spawn(move || drop(sender.send(calls(&given))))?;
+    let shared = commit.clone();
+    spawn(move || drop(sender.send(operation(&shared))))?;
     match timeout(limit, result).await {
         Ok(Ok(result)) => result,
-        Ok(Err(_)) => Err(io::Error::other("the calls on a file broke off")),
+        Ok(Err(_)) => Err(io::Error::other("file operation panicked")),
         Err(_) => Err(commit.abandon()),
     }
 }
 
-/// Starts a thread, unless too many hang.
+/// Runs `work` on a new thread, unless too many threads hang.
 fn spawn(work: impl FnOnce() + Send + 'static) -> io::Result<()> {
     if THREADS.fetch_add(1, Ordering::SeqCst) >= MAX_THREADS {
         THREADS.fetch_sub(1, Ordering::SeqCst);
-        return Err(io::Error::new(io::ErrorKind::TimedOut, "earlier calls on files still hang"));
+        return Err(io::Error::new(io::ErrorKind::TimedOut, "too many earlier file operations still hang"));
     }
     let counted = move || {
         work();
--- a/crates/sidecar/src/file_access/cached.rs
+++ b/crates/sidecar/src/file_access/cached.rs
@@ -1,4 +1,4 @@
-//! Reads of files that the system has in memory.
+//! Reads of files that are in the page cache.
 
 use std::fs::{File, OpenOptions};
 use std::io;
@@ -6,12 +6,13 @@
 use std::os::unix::fs::OpenOptionsExt;
 use std::path::Path;
 
-/// Bytes that are read at once.
+/// Maximum number of bytes that one call reads.
 const READ_BYTES: usize = 16 << 10;
 
-/// Reads a regular file without waiting for its disk; `None` where that is not possible, and for other kinds of files.
+/// Reads a regular file without waiting for its disk. Returns `None` if that is not possible, and for other kinds of
+/// files.
 pub(super) fn read(path: &Path) -> io::Result<Option<Vec<u8>>> {
-    // Without the flag the open of a pipe waits for its writer.
+    // Without `O_NONBLOCK`, opening a named pipe would wait for a writer.
     let file = OpenOptions::new().read(true).custom_flags(libc::O_NONBLOCK).open(path)?;
     if !file.metadata()?.is_file() {
         return Ok(None);
@@ -32,12 +33,13 @@
     }
 }
 
-/// Adds what follows `contents` in a file, as far as it is in memory; 0 at the end.
+/// Appends the next bytes of a file to `contents`, as far as they are in the page cache. Returns their number, which is
+/// 0 at the end of the file.
 fn read_nowait(file: &File, contents: &mut Vec<u8>) -> io::Result<usize> {
     let mut buffer = [0; READ_BYTES];
     let vector = libc::iovec { iov_base: buffer.as_mut_ptr().cast(), iov_len: READ_BYTES };
     let offset = libc::off_t::try_from(contents.len()).map_err(io::Error::other)?;
-    // SAFETY: the descriptor is open for as long as `file` is, and the call fills `buffer` at the most.
+    // SAFETY: the descriptor is open for as long as `file` is, and the call writes at most the length of `buffer`.
     #[allow(unsafe_code)]
     let length = unsafe { libc::preadv2(file.as_raw_fd(), &raw const vector, 1, offset, libc::RWF_NOWAIT) };
     let length = usize::try_from(length).map_err(|_| io::Error::last_os_error())?;
--- a/crates/sidecar/src/file_access/tests.rs
+++ b/crates/sidecar/src/file_access/tests.rs
@@ -2,23 +2,23 @@
 use std::sync::{Mutex, PoisonError};
 use std::time::Instant;
 
-/// Calls that hang for longer than any of their callers waits.
+/// How long operations hang, which is longer than their callers wait.
 const HANG: Duration = Duration::from_millis(300);
 const LIMIT: Duration = Duration::from_millis(50);
 
-/// Threads are counted for the process, so one test uses them at a time.
-static ALONE: Mutex<()> = Mutex::new(());
+/// Threads are counted per process, so the tests that use them run one at a time.
+static TEST_LOCK: Mutex<()> = Mutex::new(());
 
 fn wait_for_threads() {
     let until = Instant::now() + 20 * HANG;
     while THREADS.load(Ordering::SeqCst) > 0 {
-        assert!(Instant::now() < until, "threads hang");
+        assert!(Instant::now() < until, "threads still hang");
         thread::sleep(RESOURCE_PAUSE);
     }
 }
 
 fn block_on<T>(future: impl Future<Output = T>) -> T {
-    let _alone = ALONE.lock().unwrap_or_else(PoisonError::into_inner);
+    let _guard = TEST_LOCK.lock().unwrap_or_else(PoisonError::into_inner);
     let runtime = tokio::runtime::Builder::new_current_thread().enable_all().build().expect("a runtime");
     let result = runtime.block_on(future);
     wait_for_threads();
@@ -26,7 +26,7 @@
 }
 
 #[test]
-fn gives_up_calls_that_hang_before_they_take_effect() {
+fn operation_that_hangs_before_its_effect_is_abandoned() {
     let took_effect = block_on(async {
         let (report, reported) = std::sync::mpsc::channel();
         let began = Instant::now();
@@ -36,8 +36,11 @@
             let _ = report.send(begun.is_ok());
             begun
         });
-        let error = hanging.await.expect_err("it hangs");
-        assert_eq!((error.kind(), error.to_string().as_str()), (io::ErrorKind::TimedOut, "the disk hangs"));
+        let error = hanging.await.expect_err("it times out");
+        assert_eq!(
+            (error.kind(), error.to_string().as_str()),
+            (io::ErrorKind::TimedOut, "file operation timed out")
+        );
         assert!(began.elapsed() < HANG);
         tokio::task::spawn_blocking(move || reported.recv()).await.expect("no panic")
     });
@@ -45,13 +48,13 @@
 }
 
 #[test]
-fn says_that_calls_which_hang_later_may_take_effect() {
+fn error_says_that_operation_which_hangs_later_may_take_effect() {
     let error = block_on(run(LIMIT, |commit| {
         commit.begin()?;
         thread::sleep(HANG);
         Ok(())
     }));
-    let error = error.expect_err("it hangs");
+    let error = error.expect_err("it times out");
     assert!(error.to_string().contains("may still take effect"), "{error}");
 }
 
@@ -67,20 +70,20 @@
         let (one, two, three, four) = tokio::join!(hang(), hang(), hang(), hang());
         assert!([one, two, three, four].iter().all(Result::is_err));
         let error = hang().await.expect_err("too many hang");
-        assert!(error.to_string().contains("earlier calls"), "{error}");
+        assert!(error.to_string().contains("earlier file operations"), "{error}");
     });
-    // They have ended.
+    // The threads have ended by now.
     assert!(block_on(run(HANG, |_| Ok(()))).is_ok());
 }
 
 #[test]
-fn reads_written_file_and_tells_absent_one() {
+fn reads_existing_file_and_reports_missing_one() {
     let path = std::env::temp_dir().join(format!("lotusmoor-file-access-{}", std::process::id()));
     let contents = vec![b'x'; 100_000];
     fs::write(&path, &contents).expect("a file");
     let read = block_on(read(&path, HANG));
-    assert!(read_at_startup(&path, HANG).expect("it is there") == contents);
-    fs::remove_file(&path).expect("it is there");
-    assert!(read.expect("it is there") == contents);
+    assert!(read_at_startup(&path, HANG).expect("the file exists") == contents);
+    fs::remove_file(&path).expect("the file exists");
+    assert!(read.expect("the file exists") == contents);
     assert_eq!(block_on(super::read(&path, HANG)).map_err(|e| e.kind()), Err(io::ErrorKind::NotFound));
 }
--- a/crates/sidecar/src/gossip.rs
+++ b/crates/sidecar/src/gossip.rs
@@ -1,4 +1,4 @@
-//! The datagram socket over which the sidecars of a tier gossip.
+//! The UDP socket over which the sidecars of a tier gossip.
 
 use std::io;
 use std::net::{SocketAddr, UdpSocket as StdSocket};
@@ -9,12 +9,12 @@
 
 /// Pause after a failed receive.
 const RECEIVE_RETRY_PAUSE: Duration = Duration::from_millis(10);
-/// Longest datagram, in bytes.
+/// Maximum size of a datagram.
 const MAX_DATAGRAM_BYTES: usize = 256;
 
 /// A datagram from a peer.
 pub struct Datagram {
-    /// The peer's number.
+    /// The number of the peer.
     pub from: u32,
     /// Its contents.
     pub bytes: Vec<u8>,
@@ -29,14 +29,14 @@
 }
 
 impl GossipSocket {
-    /// Binds the socket. `peers` are the peers' addresses by number, `broadcast` reaches all of them.
+    /// Binds the socket. `peers` holds the peers' addresses, indexed by number; `broadcast` reaches all of them.
     pub fn bind(listen: SocketAddr, peers: &[SocketAddr], broadcast: Option<SocketAddr>) -> io::Result<Self> {
         let socket = StdSocket::bind(listen)?;
         socket.set_nonblocking(true)?;
         Ok(Self { socket: Rc::new(UdpSocket::from_std(socket)?), peers: peers.into(), broadcast })
     }
 
-    /// Sends to one peer, or to all. Datagrams may be lost on the way, so one that can't be sent now is dropped.
+    /// Sends a datagram to one peer, or to all. It is dropped if it can't be sent now, as datagrams may be lost anyway.
     pub fn send(&self, peer: Option<u32>, bytes: &[u8]) {
         let address = match peer {
             Some(number) => self.peers.get(number as usize).copied(),
@@ -47,13 +47,13 @@
         }
     }
 
-    /// Receives the next datagram from a known peer. Others are dropped.
+    /// Receives the next datagram from a known peer. Other datagrams are dropped.
     pub async fn receive(&self) -> Datagram {
-        // One byte more shows that a datagram is too long.
+        // The extra byte shows whether a datagram is too long.
         let mut bytes = [0; MAX_DATAGRAM_BYTES + 1];
         loop {
             let Ok((length, from)) = self.socket.recv_from(&mut bytes).await else {
-                // A rejected earlier send is reported here; the socket itself is still good.
+                // The rejection of an earlier send is reported here; the socket itself is still usable.
                 sleep(RECEIVE_RETRY_PAUSE).await;
                 continue;
             };
--- a/crates/sidecar/src/http_get.rs
+++ b/crates/sidecar/src/http_get.rs
@@ -1,4 +1,4 @@
-//! One HTTP GET over a reusable connection, for endpoint lists. The caller bounds the total time.
+//! One HTTP GET over a reusable connection, for endpoint lists. The caller limits the total time.
 
 use crate::body::RequestBody;
 use crate::connection::{Connection, ConnectionLost};
@@ -15,15 +15,15 @@
 use tokio::sync::Notify;
 use tokio::time::timeout;
 
-/// How long a connection may take to come up. The system repeats a lost SYN after 1, 3 and 7 s, so a server that is back
-/// would be reached seconds late; a new connection sends its SYN at once.
-const CONNECT_TIME: Duration = Duration::from_secs(1);
-/// A body that takes longer than this after its head is reported as slow. It may be a long list over a slow link, or one
-/// that never ends, so the next poll must not wait for it.
+/// Time limit for connecting. The kernel retransmits a lost SYN after 1, 3 and 7 s, so a server that is back would be
+/// reached seconds late; a new connection sends its SYN at once.
+const CONNECT_TIMEOUT: Duration = Duration::from_secs(1);
+/// A body that is not complete this long after the response head is reported as slow. It may be a long list over a slow
+/// link, or one that never ends, so the next poll must not wait for it.
 const SLOW_BODY_TIME: Duration = Duration::from_secs(2);
-/// How long a body may take at the most.
+/// Time limit for receiving the body.
 const MAX_BODY_TIME: Duration = Duration::from_secs(6);
-/// Longest body.
+/// Maximum size of the body.
 const MAX_BODY_BYTES: usize = 4 << 20;
 
 /// Why a GET got no response.
@@ -31,11 +31,11 @@
 pub enum GetError {
     /// The request can't be expressed in HTTP.
     InvalidRequest(hyper::http::Error),
-    /// No connection in time.
+    /// There was no connection within the time limit.
     ConnectTimeout,
-    /// No connection.
+    /// The connection could not be opened.
     Connect(io::Error),
-    /// The body did not end in time.
+    /// The body was not complete within the time limit.
     BodyTimeout,
     /// The connection was lost before the end of the response.
     ConnectionLost,
@@ -47,9 +47,9 @@
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         match self {
             Self::InvalidRequest(e) => e.fmt(f),
-            Self::ConnectTimeout => f.write_str("no connection"),
+            Self::ConnectTimeout => f.write_str("connect timed out"),
             Self::Connect(e) => e.fmt(f),
-            Self::BodyTimeout => f.write_str("no end of the answer"),
+            Self::BodyTimeout => f.write_str("response body timed out"),
             Self::ConnectionLost => f.write_str("connection lost"),
             Self::Body(e) => e.fmt(f),
         }
@@ -67,9 +67,9 @@
     }
 }
 
-/// Gets `path` from `address`, over the connection of the last call where that is still usable. Returns the status,
-/// headers and body, and leaves the connection in `reusable` where the status is 200. A body that takes long is reported
-/// to `slow`, and read on.
+/// Gets `path` from `address`, over the connection of the last call if that is still usable. Returns the status,
+/// headers and body, and leaves the connection in `reusable` if the status is 200. A slow body is reported to `slow`,
+/// and still read.
 pub async fn get(
     address: SocketAddr,
     reusable: &mut Option<Connection>,
@@ -97,7 +97,7 @@
     Ok((head.status, head.headers, body))
 }
 
-/// Waits for the end of a body, and reports one that takes long.
+/// Waits for the end of a body, and reports a slow one.
 async fn read_body<T>(collected: impl Future<Output = T>, slow: &Notify) -> Result<T, GetError> {
     let mut collected = pin!(collected);
     if let Ok(body) = timeout(SLOW_BODY_TIME, &mut collected).await {
@@ -109,7 +109,7 @@
 }
 
 async fn connect(address: SocketAddr) -> Result<Connection, GetError> {
-    match timeout(CONNECT_TIME, Connection::open(address)).await {
+    match timeout(CONNECT_TIMEOUT, Connection::open(address)).await {
         Ok(connection) => connection.map_err(GetError::Connect),
         Err(_) => Err(GetError::ConnectTimeout),
     }
--- a/crates/sidecar/src/inherited_socket.rs
+++ b/crates/sidecar/src/inherited_socket.rs
@@ -1,6 +1,6 @@
-//! The clients' listening socket where the platform owns it and passes it on, so that two versions of the sidecar can
-//! serve side by side. It is shared with them: it must never be shut down, and connections that are in its queue when
-//! this process ends belong to the other one.
+//! The clients' listening socket, if the platform owns it and passes it to the sidecar's processes, so that two
+//! versions can serve side by side during an upgrade. As it is shared, it must never be shut down, and connections
+//! that are in its accept queue when this process ends are left to the other process.
 
 use socket2::{Socket, Type};
 use std::error::Error;
@@ -10,7 +10,7 @@
 use std::net::TcpListener;
 use std::os::fd::{FromRawFd, OwnedFd, RawFd};
 
-/// The environment variable that names the descriptor.
+/// The environment variable that holds the number of the file descriptor.
 const VARIABLE: &str = "LB_PASSED_SOCKET";
 /// Descriptors below this are standard input, output and error.
 const FIRST_DESCRIPTOR: RawFd = 3;
@@ -20,7 +20,7 @@
 pub enum InheritError {
     /// The variable's value is not a number.
     NotANumber(String),
-    /// The socket of that number can't be used.
+    /// The descriptor of that number can't be used.
     Unusable(RawFd, UnusableSocket),
 }
 
@@ -72,8 +72,8 @@
     }
 }
 
-/// The inherited listener, if there is one. Must be called once and before anything else is opened, so that what is
-/// open at that number can only have been passed on.
+/// The inherited listener, if there is one. Must be called once and before anything else is opened, so that the
+/// descriptor of that number can only be an inherited one.
 pub fn inherited_listener() -> Result<Option<TcpListener>, InheritError> {
     let Some(value) = std::env::var_os(VARIABLE) else { return Ok(None) };
     let value = value.to_string_lossy();
@@ -88,7 +88,7 @@
     if descriptor < FIRST_DESCRIPTOR || !is_socket {
         return Err(UnusableSocket::NotASocket);
     }
-    // SAFETY: the descriptor is open, and as nothing else was opened yet nothing else owns it.
+    // SAFETY: the descriptor is open, and nothing else owns it, as this process has not opened anything else yet.
     #[allow(unsafe_code)]
     let socket = Socket::from(unsafe { OwnedFd::from_raw_fd(descriptor) });
     let is_tcp = socket.r#type().is_ok_and(|t| t == Type::STREAM)
--- a/crates/sidecar/src/log.rs
+++ b/crates/sidecar/src/log.rs
@@ -1,16 +1,16 @@
-//! Log lines on standard error: one plain line each, at a limited rate. A line that can't be written at once, for a
-//! full disk or as its reader stands still, is lost, and nothing else is: the one thread of the sidecar never waits for
-//! it.
+//! Log lines on standard error, at a limited rate. A line that can't be written at once, because the disk is full or
+//! the reader does not keep up, is dropped: the serving thread never waits for log output.
 
 use std::cell::RefCell;
 use std::fmt;
 use std::time::{Duration, Instant};
 
-/// Lines in one [`WINDOW`]; further ones are counted, and the count is logged with the next line after it.
+/// Maximum number of lines in one [`WINDOW`]. Further ones are dropped, and their number is logged before the next
+/// line.
 const MAX_LINES: u32 = 100;
-/// The time over which lines are counted.
+/// The interval over which lines are counted.
 const WINDOW: Duration = Duration::from_secs(1);
-/// Environment variable that names what is logged in addition: `requests`.
+/// Environment variable that lists additional topics to log, separated by commas: `requests`.
 const VARIABLE: &str = "LB_LOG";
 
 /// Limits the rate of lines.
@@ -35,8 +35,9 @@
         Some(std::mem::take(&mut self.dropped))
     }
 
-    /// Records that an admitted line could not be written, nor that so many were dropped before it.
-    fn lose(&mut self, dropped_before: u64) {
+    /// Counts an admitted line as dropped, as it could not be written, and those dropped before it, as their number
+    /// could not be written either.
+    fn write_failed(&mut self, dropped_before: u64) {
         self.dropped += dropped_before + 1;
     }
 }
@@ -45,7 +46,7 @@
     static RATE_LIMIT: RefCell<RateLimit> = RefCell::default();
 }
 
-/// Whether the events of single requests are logged.
+/// Whether the events of individual requests are logged.
 pub fn traces_requests() -> bool {
     thread_local! {
         static WANTED: bool =
@@ -54,7 +55,7 @@
     WANTED.with(|wanted| *wanted)
 }
 
-/// Writes a line.
+/// Writes a line, or drops it if the rate limit is exceeded or the write would block.
 pub fn line(text: fmt::Arguments<'_>) {
     let Some(dropped) = RATE_LIMIT.with_borrow_mut(|limit| limit.admit(Instant::now())) else { return };
     let mut output = String::new();
@@ -63,7 +64,7 @@
     }
     output.push_str(&format!("lotusmoor-sidecar: {text}\n"));
     if lotusmoor_log_output::write_line(output.as_bytes()).is_err() {
-        RATE_LIMIT.with_borrow_mut(|limit| limit.lose(dropped));
+        RATE_LIMIT.with_borrow_mut(|limit| limit.write_failed(dropped));
     }
 }
 
@@ -73,7 +74,7 @@
 }
 pub(crate) use log_line;
 
-/// A source of lines that would come too often: after each line, others are dropped for a while.
+/// Throttles log lines that may occur often: after each line, others are dropped for a while.
 pub struct ThrottledLog {
     spacing: Duration,
     last: Option<Instant>,
@@ -85,7 +86,7 @@
         Self { spacing, last: None }
     }
 
-    /// Writes the line, unless the last one was too recent.
+    /// Writes the line, unless the last one is too recent.
     pub fn line(&mut self, text: fmt::Arguments<'_>) {
         if self.last.is_none_or(|last| last.elapsed() >= self.spacing) {
             self.last = Some(Instant::now());
--- a/crates/sidecar/src/log/tests.rs
+++ b/crates/sidecar/src/log/tests.rs
@@ -1,7 +1,7 @@
 use super::*;
 
 #[test]
-fn drops_lines_over_the_rate_and_counts_them_with_the_next() {
+fn drops_lines_over_the_rate_and_reports_their_number_with_the_next() {
     let (mut rate, now) = (RateLimit::default(), Instant::now());
     for _ in 0..MAX_LINES {
         assert_eq!(rate.admit(now), Some(0));
--- a/crates/sidecar/src/main.rs
+++ b/crates/sidecar/src/main.rs
@@ -1,5 +1,5 @@
 //! A sidecar load balancer: it accepts its application's requests, and sends each to an endpoint that the balancer
-//! chooses. The program has one thread, which all tasks share.
+//! chooses. All tasks share one thread.
 
 mod body;
 mod client_liveness;
@@ -58,7 +58,7 @@
 }
 
 fn run() -> Result<(), StartError> {
-    // Before anything else is opened.
+    // Has to come before anything else is opened.
     let inherited = inherited_socket::inherited_listener()?;
     let config = Config::from_env()?;
     let runtime = runtime::Builder::new_current_thread().enable_all().build();
--- a/crates/sidecar/src/management.rs
+++ b/crates/sidecar/src/management.rs
@@ -1,4 +1,4 @@
-//! The operators' interface: one line to a connection, one line back, or metrics in many lines.
+//! The operators' interface. Each connection carries one call, a single line, and its answer: one line, or the metrics.
 
 mod call;
 mod operations;
--- a/crates/sidecar/src/management/call.rs
+++ b/crates/sidecar/src/management/call.rs
@@ -1,4 +1,4 @@
-//! Operators' calls, and how a line is read as one.
+//! Operators' calls and how they are parsed.
 
 use std::error::Error;
 use std::fmt;
@@ -22,25 +22,25 @@
     Metrics,
 }
 
-/// Why a line is no call. Operators see the text behind `ERR`.
+/// Why a line can't be parsed as a call. Operators see the text after `ERR`.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) enum LineError {
     /// It is not UTF-8.
     Encoding,
     /// It is empty.
     Empty,
-    /// The call is not known.
+    /// There is no call of that name.
     UnknownCall,
     /// The name of an endpoint is missing.
     MissingId,
-    /// There is more than belongs to the call.
+    /// There are more arguments than the call takes.
     TooManyArguments,
     /// It is too long.
     TooLong,
     /// The connection ended before the line did.
-    NoEnd,
-    /// It did not end in time.
-    Late,
+    Unterminated,
+    /// It was not complete within the time limit.
+    TimedOut,
 }
 
 impl fmt::Display for LineError {
@@ -52,8 +52,8 @@
             Self::MissingId => "no id",
             Self::TooManyArguments => "too many arguments",
             Self::TooLong => "the line is too long",
-            Self::NoEnd => "the line has no end",
-            Self::Late => "no whole line in time",
+            Self::Unterminated => "the line has no end",
+            Self::TimedOut => "no whole line in time",
         })
     }
 }
@@ -61,7 +61,7 @@
 impl Error for LineError {}
 
 impl Call {
-    /// Reads a line.
+    /// Parses a line.
     pub(super) fn parse(line: &[u8]) -> Result<Self, LineError> {
         let line = std::str::from_utf8(line).map_err(|_| LineError::Encoding)?;
         let mut words = line.split_ascii_whitespace();
--- a/crates/sidecar/src/management/call/tests.rs
+++ b/crates/sidecar/src/management/call/tests.rs
@@ -1,7 +1,7 @@
 use super::*;
 
 #[test]
-fn parses_known_calls_with_their_arguments_only() {
+fn parses_only_known_calls_with_their_arguments() {
     assert_eq!(Call::parse(b"health"), Ok(Call::Health));
     assert_eq!(Call::parse(b" resume "), Ok(Call::Resume));
     assert_eq!(Call::parse(b"cordon s-1"), Ok(Call::Cordon("s-1".to_owned())));
--- a/crates/sidecar/src/management/operations.rs
+++ b/crates/sidecar/src/management/operations.rs
@@ -1,4 +1,4 @@
-//! Carries out operators' calls.
+//! Executes operators' calls.
 
 use super::call::Call;
 use crate::engine::EngineHandle;
@@ -13,15 +13,15 @@
 use tokio::sync::{Mutex, watch};
 use tokio::time::sleep;
 
-/// How often the state file is looked at for calls that another process has received.
+/// How often the state file is polled for changes by another process.
 const STATE_POLL_INTERVAL: Duration = Duration::from_millis(50);
 
-/// Why a call was refused.
+/// Why a call was rejected.
 #[derive(Debug)]
 pub(super) enum CallError {
     /// This process is shutting down.
     Stopping,
-    /// The list does not come from a registry.
+    /// The endpoint list does not come from a registry.
     NoRegistry,
     /// No endpoint has that name.
     UnknownEndpoint,
@@ -65,23 +65,24 @@
     Metrics(String),
 }
 
-/// What the calls act on.
+/// The components that calls act on.
 pub struct Management {
-    /// The operators' state. Locked while a call takes effect, so that calls do so one after the other.
+    /// The operators' state. Locked while a call takes effect, so that calls take effect one after the other.
     pub state: Mutex<StateFile>,
     /// Whether the sidecar is in service.
     pub service: Rc<watch::Sender<ServiceState>>,
     /// The engine.
     pub engine: EngineHandle,
-    /// The status of the registry's list, where a registry is configured.
+    /// The status of the registry's list, if a registry is configured.
     pub list_status: Option<ListStatus>,
 }
 
 impl Management {
-    /// Carries out a call. Its effect holds, here and in the process after this one, once this returns without error.
-    pub(super) async fn carry_out(&self, call: Call) -> Result<Reply, CallError> {
+    /// Executes a call. Once this returns without error, its effect holds, both here and in the process that replaces
+    /// this one.
+    pub(super) async fn execute(&self, call: Call) -> Result<Reply, CallError> {
         match call {
-            // A process that answers has its engine and the clients' socket.
+            // A process that answers here has a running engine and the clients' socket, so it can serve.
             Call::Health if self.is_stopping() => Err(CallError::Stopping),
             Call::Health => Ok(Reply::Done),
             Call::List => {
@@ -107,13 +108,13 @@
             return Err(CallError::Stopping);
         }
         state.change(move |state| state.drained = drained).await?;
-        self.take_effect(state).await;
+        self.apply_state(state).await;
         Ok(Reply::Done)
     }
 
     async fn set_cordoned(&self, name: String, cordoned: bool) -> Result<Reply, CallError> {
         let state = &mut *self.state.lock().await;
-        // A cordoned endpoint may be off the list for a while.
+        // A cordoned endpoint may be temporarily absent from the list.
         if !state.state().cordoned.contains(&name) && !self.engine.is_known(&name).await {
             return Err(CallError::UnknownEndpoint);
         }
@@ -125,23 +126,23 @@
             }
         });
         change.await?;
-        self.take_effect(state).await;
+        self.apply_state(state).await;
         Ok(Reply::Done)
     }
 
-    async fn take_effect(&self, state: &StateFile) {
+    async fn apply_state(&self, state: &StateFile) {
         self.engine.set_cordoned(state.state().cordoned.clone()).await;
         service_state::set_drained(&self.service, state.state().drained);
     }
 
-    /// Follows the calls that another process of this sidecar receives. Never returns.
+    /// Applies changes of the state by another process of this sidecar. Never returns.
     pub async fn follow_state_file(self: Rc<Self>) {
         loop {
             sleep(STATE_POLL_INTERVAL).await;
             let state = &mut *self.state.lock().await;
-            // A file that can't be read now may be readable the next time.
+            // A file that can't be read now is tried again after the next interval.
             if state.refresh().await.unwrap_or(false) {
-                self.take_effect(state).await;
+                self.apply_state(state).await;
             }
         }
     }
--- a/crates/sidecar/src/management/server.rs
+++ b/crates/sidecar/src/management/server.rs
@@ -1,4 +1,4 @@
-//! Serves operators' connections.
+//! Serves the connections of operators.
 
 use super::call::{Call, LineError};
 use super::operations::{Management, Reply};
@@ -16,22 +16,23 @@
 use tokio::task::spawn_local;
 use tokio::time::{sleep, timeout};
 
-/// Callers at a time; each takes one of the descriptors in reserve. For a further one, the caller that has been sending
-/// its line for the longest time is closed. A complete line is answered in the same turn.
+/// Maximum number of open connections; each takes one of the file descriptors in reserve. When another caller
+/// connects, the one that has been sending its line for the longest time is closed; if its line is complete by then,
+/// it is answered.
 const MAX_CALLERS: usize = 8;
-/// Longest line, without its end.
+/// Maximum length of a line, without its line end.
 const MAX_LINE_BYTES: usize = 512;
-/// A line has to be complete within this time.
-const LINE_TIME: Duration = Duration::from_millis(2500);
-/// Its answer has to be taken within this time.
-const ANSWER_TIME: Duration = Duration::from_millis(500);
+/// Time limit for receiving a complete line.
+const LINE_TIMEOUT: Duration = Duration::from_millis(2500);
+/// Time limit for sending the answer.
+const ANSWER_TIMEOUT: Duration = Duration::from_millis(500);
 /// How long a connection is still read after the answer: closing it with unread bytes would reset it, and the caller
 /// might lose the answer.
 const LINGER_TIME: Duration = Duration::from_millis(100);
-/// How many bytes are still read then.
+/// Maximum number of bytes that are still read then.
 const LINGER_BYTES: u64 = 16 << 10;
 
-/// Callers whose line is not complete yet, by number, which is the order in which they came.
+/// Callers whose line is not complete yet, by connection number, which is the order of arrival.
 type UnfinishedCallers = RefCell<BTreeMap<u64, Rc<Notify>>>;
 
 /// Binds the address that operators call.
@@ -41,7 +42,7 @@
     TcpListener::from_std(listener)
 }
 
-/// Answers callers. Never returns.
+/// Accepts and answers callers. Never returns.
 pub async fn serve(listener: TcpListener, management: Rc<Management>) {
     let unfinished = Rc::new(UnfinishedCallers::default());
     let (open, closed) = (Rc::new(Cell::new(0)), Rc::new(Notify::new()));
@@ -84,12 +85,12 @@
 ) {
     let line = tokio::select! {
         biased;
-        line = timeout(LINE_TIME, read_line(&mut stream)) => line.unwrap_or(Err(LineError::Late)),
+        line = timeout(LINE_TIMEOUT, read_line(&mut stream)) => line.unwrap_or(Err(LineError::TimedOut)),
         () = evict.notified() => return,
     };
     line_read();
     let answer = match line.and_then(|line| Call::parse(&line)) {
-        Ok(call) => match management.carry_out(call).await {
+        Ok(call) => match management.execute(call).await {
             Ok(Reply::Done) => "OK\n".to_owned(),
             Ok(Reply::Line(text)) => format!("OK {text}\n"),
             Ok(Reply::Metrics(text)) => text,
@@ -101,13 +102,13 @@
         write_all(&mut stream, answer.as_bytes()).await?;
         stream.shutdown().await
     };
-    if matches!(timeout(ANSWER_TIME, sent).await, Ok(Ok(()))) {
+    if matches!(timeout(ANSWER_TIMEOUT, sent).await, Ok(Ok(()))) {
         let rest = async { tokio::io::copy(&mut stream.take(LINGER_BYTES), &mut tokio::io::sink()).await };
         let _ = timeout(LINGER_TIME, rest).await;
     }
 }
 
-/// Writes all bytes, through transient failures: the call has taken effect, and its caller needs the answer.
+/// Writes all bytes, retrying after transient failures: the call has taken effect, and its caller needs the answer.
 async fn write_all(stream: &mut TcpStream, mut bytes: &[u8]) -> io::Result<()> {
     while !bytes.is_empty() {
         match stream.write(bytes).await {
@@ -120,7 +121,8 @@
     Ok(())
 }
 
-/// Reads a line up to its end. A line without an end may be cut off, and half an id is another id.
+/// Reads one line. A line without a line end is an error: it may be truncated, and a truncated id may be the id of
+/// another endpoint.
 async fn read_line(stream: &mut TcpStream) -> Result<Vec<u8>, LineError> {
     let mut line = Vec::new();
     loop {
@@ -131,7 +133,7 @@
             }
             break;
         }
-        // The end of a line is two bytes at the most.
+        // The line end takes at most two bytes.
         let wanted = (MAX_LINE_BYTES + 2).saturating_sub(line.len());
         if wanted == 0 {
             break;
@@ -139,7 +141,7 @@
         match stream.take(wanted as u64).read_buf(&mut line).await {
             Ok(length) if length > 0 => {}
             Err(e) if IoFailure::of(&e).is_transient() => sleep(RESOURCE_PAUSE).await,
-            _ => return Err(LineError::NoEnd),
+            _ => return Err(LineError::Unterminated),
         }
     }
     if line.len() > MAX_LINE_BYTES { Err(LineError::TooLong) } else { Ok(line) }
--- a/crates/sidecar/src/metrics.rs
+++ b/crates/sidecar/src/metrics.rs
@@ -1,7 +1,7 @@
 //! Counters of this process, by reason: ends of clients' connections, answers, ends of attempts, denied sends and
-//! breaches of the protocol's rules. Operators get them in Prometheus' text format.
+//! violations of the protocol's rules. Operators read them in Prometheus' text format.
 //!
-//! The sidecar has one thread, so a counter is a plain cell of that thread.
+//! Only the serving thread counts, so a counter is a plain thread-local cell.
 
 use lotusmoor_balancer::Outcome;
 use std::cell::Cell;
@@ -64,15 +64,15 @@
     /// Why a client's connection ended.
     ConnectionEnd, "lotusmoor_sidecar_connections_closed", "reason", "Ends of clients' connections.",
     {
-        /// It was idle for too long, was never used, or its place was needed for another client.
+        /// It was idle for too long, was never used, or was closed to make room for another client.
         Idle = "idle",
         /// The sidecar is out of service.
         OutOfService = "out_of_service",
-        /// Its answer announced it.
+        /// Its last answer announced the close.
         AfterAnswer = "after_answer",
         /// The client closed or reset it.
         ClientClosed = "client_closed",
-        /// The client did not read its answer, or the answer broke off.
+        /// The client did not read its answer, or the answer was truncated.
         AnswerIncomplete = "answer_incomplete",
     }
 }
@@ -81,17 +81,17 @@
     /// How a request was answered.
     RequestOutcome, "lotusmoor_sidecar_requests_answered", "outcome", "Final answers to requests.",
     {
-        /// With an endpoint's answer.
+        /// With an endpoint's response.
         Served = "served",
-        /// Shed by the balancer: surely not run.
+        /// Shed by the balancer; it is certain that the request did not run.
         Shed = "shed",
-        /// With a status by which an endpoint blames the request.
+        /// With an endpoint's client error status.
         ClientError = "client_error",
         /// Failed by the balancer.
         Failed = "failed",
-        /// Failed as its deadline passed and the balancer had not answered.
+        /// Failed because its deadline passed without an answer by the balancer.
         DeadlineExceeded = "deadline_exceeded",
-        /// Failed as the process is about to end.
+        /// Failed because the process is about to exit.
         ShutDown = "shut_down",
         /// Rejected before it reached the balancer.
         Rejected = "rejected",
@@ -99,18 +99,18 @@
 }
 
 counter_family! {
-    /// Why a send was denied at the moment of writing.
-    SendDenial, "lotusmoor_sidecar_sends_denied", "reason", "Attempts that were denied their first byte.",
+    /// Why a send was denied just before its first byte was written.
+    SendDenial, "lotusmoor_sidecar_sends_denied", "reason", "Attempts stopped before their first byte was written.",
     {
-        /// The endpoint is draining, removed, moved, cordoned or a new process.
+        /// The endpoint is draining, removed, cordoned, restarted or at another address.
         PermissionRevoked = "permission_revoked",
-        /// The request has its answer, or was abandoned.
+        /// The request has its final answer, or was abandoned.
         Completed = "request_completed",
         /// The client closed its connection, or sent bytes that do not belong to the request.
         ClientClosed = "client_closed",
         /// Unread bytes of its body hide whether the client is still connected.
         ClientUnverified = "client_unverified",
-        /// The time for an answer is over.
+        /// The deadline of the attempt or of the request has passed.
         DeadlineExceeded = "deadline_exceeded",
         /// The endpoint may have forgotten the request's idempotency key.
         IdempotencyWindowExpired = "idempotency_window_expired",
@@ -121,17 +121,17 @@
     /// How an attempt ended, as reported to the balancer.
     AttemptOutcome, "lotusmoor_sidecar_attempts_ended", "outcome", "Ends of attempts.",
     {
-        /// With an answer.
+        /// With a response, including one with a client error status.
         Ok = "ok",
-        /// With an error, or an unreadable answer.
+        /// With an error, or an unreadable response.
         Error = "error",
-        /// Rejected by the endpoint: surely not run.
+        /// Rejected by the endpoint; it is certain that the request did not run.
         Rejected = "rejected",
-        /// No connection, or it broke before the last byte was written.
+        /// There was no connection, or it was lost before the last byte was written.
         ConnectFailed = "connect_failed",
-        /// The connection broke after that.
+        /// The connection was lost after the last byte was written.
         Reset = "reset",
-        /// No answer in time.
+        /// There was no response within the time limit.
         TimedOut = "timed_out",
         /// Cancelled by the balancer.
         Cancelled = "cancelled",
@@ -156,18 +156,18 @@
 }
 
 counter_family! {
-    /// A breach of the protocol's rules, detected at run time: each one is a fault of this program.
-    RuleViolation, "lotusmoor_sidecar_rule_violations", "rule", "Breaches of the protocol's rules, which are faults of the sidecar.",
+    /// A violation of the protocol's rules, detected at run time: each one is a bug in this program.
+    RuleViolation, "lotusmoor_sidecar_rule_violations", "rule", "Violations of the protocol's rules, which are bugs in the sidecar.",
     {
-        /// A request that was read ended without an answer, though its client was still connected.
+        /// A request that was read ended without an answer, although its client was still connected.
         Unanswered = "unanswered",
         /// An attempt began while another of the same request was in flight.
         Duplicate = "duplicate",
-        /// An attempt began after its request had its answer, or its client had closed.
+        /// An attempt began after its request had its final answer, or was abandoned.
         AfterCompletion = "after_completion",
         /// An attempt began at an endpoint that did not permit it.
         NotPermitted = "not_permitted",
-        /// An attempt advertised more time than its client had left.
+        /// An attempt advertised a longer wait than its client had left.
         Deadline = "deadline",
     }
 }
@@ -175,7 +175,10 @@
 fn write_dropped_lines(text: &mut String) {
     const METRIC: &str = "lotusmoor_sidecar_log_lines_dropped";
     // Writing to a string does not fail.
-    let _ = writeln!(text, "# HELP {METRIC} Log lines that standard error did not take at once.");
+    let _ = writeln!(
+        text,
+        "# HELP {METRIC} Log lines dropped because standard error did not accept them at once."
+    );
     let _ = writeln!(text, "# TYPE {METRIC} counter");
     let _ = writeln!(text, "{METRIC}_total {}", lotusmoor_log_output::dropped_lines());
 }
--- a/crates/sidecar/src/registry_watch.rs
+++ b/crates/sidecar/src/registry_watch.rs
@@ -1,5 +1,5 @@
-//! The endpoint list from a service registry, where one is configured: carries out what the registry's client
-//! ([`RegistryWatcher`]) decides.
+//! The endpoint list from a service registry, if one is configured: carries out the decisions of the registry's
+//! client ([`RegistryWatcher`]).
 
 mod config;
 mod list_status;
@@ -27,15 +27,15 @@
 use tokio::time::sleep_until;
 use watcher::Watcher;
 
-/// How long the cache file may take to be read, and to be written.
-const FILE_TIME: Duration = Duration::from_millis(500);
+/// Time limit for reading the cache file, and for writing it.
+const FILE_TIMEOUT: Duration = Duration::from_millis(500);
 
-/// Drives a [`RegistryWatcher`] on the sidecar's sockets and clock, and passes its list on.
+/// Drives a [`RegistryWatcher`] with the sidecar's sockets and clock, and forwards its list to the engine.
 pub struct RegistryWatch {
     config: RegistryConfig,
     watcher: Watcher,
     inputs: Inputs,
-    /// By replica.
+    /// Indexed by replica.
     connections: Vec<IdleConnection>,
     polls_in_flight: HashMap<u64, AbortHandle>,
     poll_events: mpsc::UnboundedSender<Event>,
@@ -45,7 +45,7 @@
 }
 
 impl RegistryWatch {
-    /// A watch that has not started, and its status. Its lists go to `inputs`.
+    /// A watch that has not started, and its status. Its lists are sent to `inputs`.
     pub fn new(config: RegistryConfig, seed: u64, inputs: Inputs) -> (Self, ListStatus) {
         let watcher = Watcher::new(RegistryWatcher::new(config.settings(), seed));
         let (services_sender, services) = watch::channel(config.services.clone());
@@ -65,7 +65,7 @@
         (registry_watch, status)
     }
 
-    /// Runs until the process ends. The list of the cache file is in use at once.
+    /// Runs until the process ends. The list of the cache file is used at once.
     pub async fn run(mut self) {
         let cached = self.load();
         self.handle(Event::Start(cached));
@@ -138,11 +138,11 @@
 
     fn load(&self) -> Option<EndpointList> {
         let path = self.config.file.clone()?;
-        let loaded = file_access::run_at_startup(FILE_TIME, move || cache_file::load(&path));
+        let loaded = file_access::run_at_startup(FILE_TIMEOUT, move || cache_file::load(&path));
         match loaded {
             Ok(Ok(Some((list, age)))) => {
                 let (version, servers, age) = (list.version, list.entries.len(), age.as_secs());
-                log_line!("roster: list {version} of {servers} servers from the file, {age} s old");
+                log_line!("roster: list {version} of {servers} servers from the cache file, {age} s old");
                 Some(list)
             }
             Ok(Ok(None)) => None,
@@ -157,16 +157,16 @@
         }
     }
 
-    /// Writes the cache file on a thread of its own, as a disk may take its time.
+    /// Writes the cache file on a separate thread, as a write to disk may block.
     fn save(&self) {
         let list = self.watcher.state().list().cloned();
         let (Some(path), Some(list)) = (self.config.file.clone(), list) else { return };
         spawn_local(async move {
-            let saved = file_access::run(FILE_TIME, move |_| Ok(cache_file::save(&path, &list)));
+            let saved = file_access::run(FILE_TIMEOUT, move |_| Ok(cache_file::save(&path, &list)));
             match saved.await {
                 Ok(Ok(())) => {}
-                Ok(Err(error)) => log_line!("roster: the list can't be kept: {error}"),
-                Err(error) => log_line!("roster: the list can't be kept: {error}"),
+                Ok(Err(error)) => log_line!("roster: the cache file can't be written: {error}"),
+                Err(error) => log_line!("roster: the cache file can't be written: {error}"),
             }
         });
     }
--- a/crates/sidecar/src/registry_watch/config.rs
+++ b/crates/sidecar/src/registry_watch/config.rs
@@ -1,4 +1,4 @@
-//! The registry's part of the configuration.
+//! The registry section of the configuration.
 
 use lotusmoor_registry_client::{Micros, Settings};
 use serde::Deserialize;
@@ -8,16 +8,16 @@
 use std::net::SocketAddr;
 use std::path::PathBuf;
 
-/// Most services that are watched at once; their names stand in the path of each poll.
+/// Maximum number of services that are watched at once, as their names are part of each poll's path.
 const MAX_SERVICES: usize = 256;
 const MAX_SERVICE_NAME_BYTES: usize = 64;
 const MICROS_PER_MILLISECOND: Micros = 1000;
 
-/// A service registry, as the configuration names it.
+/// The registry section of the configuration.
 #[derive(Clone, Debug, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct RegistryConfig {
-    /// Its replicas.
+    /// The addresses of its replicas.
     pub addresses: Vec<SocketAddr>,
     /// The cache file for the last good list.
     pub file: Option<PathBuf>,
@@ -26,7 +26,7 @@
     pub max_removed_share: Option<f64>,
     /// Age from which a list is reported stale, in milliseconds.
     pub stale_after_ms: Option<u32>,
-    /// The services whose servers are watched; none for all servers.
+    /// The services whose servers are watched; empty for all servers.
     #[serde(default)]
     pub services: BTreeSet<String>,
 }
@@ -34,25 +34,25 @@
 /// What is wrong with a registry's configuration.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum RegistryConfigError {
-    /// There are no addresses.
+    /// No addresses are given.
     NoAddresses,
-    /// The largest share of removed servers is not above 0 and up to 1.
+    /// The maximum share of removed servers is not above 0 and up to 1.
     RemovedShareOutOfRange,
     /// The age of a stale list is 0.
     ZeroStaleAge,
     /// There are too many services.
     TooManyServices,
-    /// A service has a name that can't stand in a path.
+    /// A service name contains characters that a path can't carry unescaped, or has an invalid length.
     InvalidServiceName,
 }
 
 impl fmt::Display for RegistryConfigError {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         f.write_str(match self {
-            Self::NoAddresses => "roster: addresses: at least one is wanted",
+            Self::NoAddresses => "roster: addresses: at least one is required",
             Self::RemovedShareOutOfRange => "roster: hold_back must lie above 0 and up to 1",
             Self::ZeroStaleAge => "roster: stale_after_ms must be above 0",
-            Self::TooManyServices => "roster: services: at most 256 can be asked for",
+            Self::TooManyServices => "roster: services: at most 256 are allowed",
             Self::InvalidServiceName => "roster: services: a name has 1 to 64 letters, digits or . _ : -",
         })
     }
@@ -61,7 +61,7 @@
 impl Error for RegistryConfigError {}
 
 impl RegistryConfig {
-    /// Checks what its type doesn't.
+    /// Checks the constraints that the types don't express.
     pub fn check(&self) -> Result<(), RegistryConfigError> {
         if self.addresses.is_empty() {
             return Err(RegistryConfigError::NoAddresses);
@@ -92,7 +92,7 @@
     }
 }
 
-/// Whether a service can have this name. It stands in the path of polls, where nothing is escaped.
+/// Whether this is a valid service name. Names are part of the path of polls, where nothing is escaped.
 fn is_service_name(name: &str) -> bool {
     let is_allowed = |byte: u8| byte.is_ascii_alphanumeric() || b"._:-".contains(&byte);
     (1..=MAX_SERVICE_NAME_BYTES).contains(&name.len()) && name.bytes().all(is_allowed)
--- a/crates/sidecar/src/registry_watch/list_status.rs
+++ b/crates/sidecar/src/registry_watch/list_status.rs
@@ -1,4 +1,4 @@
-//! The status of the list for operators, and a reload of the services that are watched.
+//! The status of the registry's list for operators, and the reload of the watched services.
 
 use super::watcher::Watcher;
 use crate::log::log_line;
@@ -9,11 +9,11 @@
 
 const MICROS_PER_MILLISECOND: Micros = 1000;
 
-/// The status of the list of a [`RegistryWatch`](super::RegistryWatch).
+/// The status of the list of a [`RegistryWatch`](super::RegistryWatch), and control over the services that it watches.
 #[derive(Clone)]
 pub struct ListStatus {
     watcher: Watcher,
-    /// The services that are watched.
+    /// The watched services; empty for all.
     services: Rc<watch::Sender<BTreeSet<String>>>,
 }
 
@@ -22,19 +22,19 @@
         Self { watcher, services: Rc::new(services) }
     }
 
-    /// Watches the servers of these services from now on; none for all servers.
+    /// Watches the servers of these services from now on; all servers if `services` is empty.
     pub fn watch_services(&self, services: BTreeSet<String>) {
         if *self.services.borrow() == services {
             return;
         }
         let names: Vec<&str> = services.iter().map(String::as_str).collect();
         let names = if names.is_empty() { "all".to_owned() } else { names.join(", ") };
-        log_line!("roster: services asked for from now on: {names}");
+        log_line!("roster: watching services: {names}");
         self.services.send_replace(services);
     }
 
-    /// One line: version, age, number of servers, whether a list is withheld, and the number of watched services, where
-    /// not all servers are watched.
+    /// One line: version, age, number of servers, whether a list is withheld, and the number of watched services unless
+    /// all servers are watched.
     pub fn summary(&self) -> String {
         let watcher = self.watcher.state();
         let (version, servers) = match watcher.list() {
--- a/crates/sidecar/src/registry_watch/poll.rs
+++ b/crates/sidecar/src/registry_watch/poll.rs
@@ -1,4 +1,4 @@
-//! One poll of a replica over HTTP.
+//! A poll of a registry replica over HTTP.
 
 use crate::connection::Connection;
 use crate::http_get;
@@ -10,18 +10,18 @@
 use std::rc::Rc;
 use tokio::sync::Notify;
 
-/// Longer waits that a replica names are cut to this one.
+/// Upper bound on the wait that a replica's `Retry-After` header requests.
 const MAX_RETRY_AFTER_SECONDS: f64 = 60.0;
 const MICROS_PER_SECOND: f64 = 1e6;
 
-/// An open connection for the next poll of the same replica, if there is one.
+/// The open connection for the next poll of the same replica, if there is one.
 pub(super) type IdleConnection = Rc<RefCell<Option<Connection>>>;
 
-/// Sends a poll, and makes an event of its response. The other poll of a hedged pair may use the idle connection at the
-/// same time; then this one opens its own.
+/// Sends a poll and returns its result as an event. If the other poll of a hedged pair uses the idle connection, this
+/// one opens its own.
 pub(super) async fn send(poll: u64, address: SocketAddr, idle: IdleConnection, path: &str) -> Event {
     let mut connection = idle.borrow_mut().take();
-    // The watcher bounds the time of its polls by itself.
+    // No time limit is needed here, as the watcher times out its polls itself.
     let result = http_get::get(address, &mut connection, path, &Notify::new()).await;
     if connection.is_some() {
         *idle.borrow_mut() = connection;
--- a/crates/sidecar/src/registry_watch/report.rs
+++ b/crates/sidecar/src/registry_watch/report.rs
@@ -1,4 +1,4 @@
-//! Log lines for the reports of a watcher.
+//! The log lines for the reports of a watcher.
 
 use crate::log::log_line;
 use lotusmoor_registry_client::{Micros, Report};
@@ -6,7 +6,7 @@
 use std::time::Duration;
 use tokio::time::Instant;
 
-/// At most one failed poll is logged in this time.
+/// At most one failed poll is logged in each interval of this length.
 const POLL_FAILURE_INTERVAL: Duration = Duration::from_secs(5);
 const MICROS_PER_SECOND: Micros = 1_000_000;
 
--- a/crates/sidecar/src/registry_watch/tests.rs
+++ b/crates/sidecar/src/registry_watch/tests.rs
@@ -6,7 +6,7 @@
     serde_json::from_str(text).expect("a configuration")
 }
 
-// Operators search the log for them.
+// Operators search the log for these texts.
 #[test]
 fn keeps_texts_of_log_lines() {
     let log = ReportLog::new(vec!["127.0.0.1:7400".parse().expect("an address")]);
@@ -38,12 +38,12 @@
 }
 
 #[test]
-fn names_what_is_wrong_with_a_configuration() {
+fn reports_invalid_configuration() {
     let address = r#""addresses":["127.0.0.1:7400"]"#;
     let check = |text: String| config(&text).check().map_err(|error| error.to_string());
     assert_eq!(check(format!("{{{address},\"hold_back\":1,\"services\":[\"a.b_c:d-1\"]}}")), Ok(()));
     for (text, error) in [
-        (r#"{"addresses":[]}"#.to_owned(), "roster: addresses: at least one is wanted"),
+        (r#"{"addresses":[]}"#.to_owned(), "roster: addresses: at least one is required"),
         (format!("{{{address},\"hold_back\":0}}"), "roster: hold_back must lie above 0 and up to 1"),
         (format!("{{{address},\"stale_after_ms\":0}}"), "roster: stale_after_ms must be above 0"),
         (
@@ -56,11 +56,11 @@
     let names: Vec<String> = (0..257).map(|i| format!("s{i}")).collect();
     let services = serde_json::to_string(&names).expect("text");
     let too_many = format!("{{{address},\"services\":{services}}}");
-    assert_eq!(check(too_many), Err("roster: services: at most 256 can be asked for".to_owned()));
+    assert_eq!(check(too_many), Err("roster: services: at most 256 are allowed".to_owned()));
 }
 
 #[test]
-fn takes_settings_from_the_configuration() {
+fn derives_watcher_settings_from_configuration() {
     let text = r#"{"addresses":["127.0.0.1:1","127.0.0.1:2"],"hold_back":0.25,"stale_after_ms":700,"services":["b","a"]}"#;
     let settings = config(text).settings();
     assert_eq!((settings.replicas, settings.max_removed_share, settings.stale_after), (2, 0.25, 700_000));
--- a/crates/sidecar/src/registry_watch/watcher.rs
+++ b/crates/sidecar/src/registry_watch/watcher.rs
@@ -1,4 +1,4 @@
-//! A watcher on the clock of the process.
+//! A watcher driven by the process's monotonic clock.
 
 use lotusmoor_registry_client::{Action, Event, Micros, RegistryWatcher};
 use std::cell::{Ref, RefCell};
@@ -6,7 +6,7 @@
 use std::time::Duration;
 use tokio::time::Instant;
 
-/// A [`RegistryWatcher`] that its driver and its status share.
+/// A [`RegistryWatcher`] that is shared by its driver and its status.
 #[derive(Clone)]
 pub(super) struct Watcher {
     state: Rc<RefCell<RegistryWatcher>>,
@@ -22,7 +22,7 @@
         self.state.borrow()
     }
 
-    /// The present time on its clock.
+    /// The current time on its clock.
     pub(super) fn now(&self) -> Micros {
         Micros::try_from(self.started.elapsed().as_micros()).unwrap_or(Micros::MAX)
     }
--- a/crates/sidecar/src/reload.rs
+++ b/crates/sidecar/src/reload.rs
@@ -9,9 +9,9 @@
 use std::time::Duration;
 use tokio::time::{Instant, sleep_until};
 
-/// Pause after the first try to read a file that can't be read now.
+/// Pause after the first failed read of a file that can't be read now.
 const FIRST_RETRY_PAUSE: Duration = Duration::from_millis(50);
-/// Longest pause between two tries.
+/// Maximum pause between two reads.
 const MAX_RETRY_PAUSE: Duration = Duration::from_secs(1);
 
 /// Reloads the configuration, with retries while its file can't be read.
@@ -21,14 +21,14 @@
     requested: Option<RequestedReload>,
 }
 
-/// A reload that has not happened yet.
+/// A requested reload that has not succeeded yet.
 struct RequestedReload {
     due: Instant,
     backoff: Backoff,
 }
 
 impl Reloader {
-    /// Applies changes to the engine, and to the registry where one is configured.
+    /// Creates a reloader that applies changes to the engine and, if a registry is configured, to its watch.
     pub fn new(engine: EngineHandle, list_status: Option<ListStatus>) -> Self {
         Self { engine, list_status, requested: None }
     }
@@ -39,8 +39,8 @@
         self.requested = Some(RequestedReload { due: Instant::now(), backoff });
     }
 
-    /// Waits until a requested reload is due, and reads the configuration. Given up, as for a further request, it can be
-    /// called again.
+    /// Waits until a requested reload is due, and reads the configuration. Cancel safe: if the future is dropped, as
+    /// for another request, the call can be repeated.
     pub async fn read(&self) -> Result<ReloadedConfig, ConfigError> {
         match &self.requested {
             Some(requested) => sleep_until(requested.due).await,
@@ -49,7 +49,7 @@
         Config::reload().await
     }
 
-    /// Applies the configuration that was read, or puts the reload off if its file can't be read now.
+    /// Applies the configuration that was read, or schedules a retry if the file can't be read now.
     pub fn finish(&mut self, read: Result<ReloadedConfig, ConfigError>) {
         match read {
             Ok(config) => {
@@ -59,7 +59,7 @@
             Err(e) if e.is_transient() => {
                 if let Some(requested) = &mut self.requested {
                     let pause = requested.backoff.next_pause();
-                    log_line!("{e}: it is read again in {} ms", pause.as_millis());
+                    log_line!("{e}: retrying in {} ms", pause.as_millis());
                     requested.due = Instant::now() + pause;
                 }
             }
@@ -74,7 +74,7 @@
         let address = config.discovery;
         log_line!("configuration read again, discovery at {address}");
         self.engine.move_discovery(address);
-        // A registry that is new, or no longer named, takes effect with the next process.
+        // Adding or removing the registry takes effect with the next process.
         if let (Some(list_status), Some(services)) = (&self.list_status, config.services) {
             list_status.watch_services(services);
         }
--- a/crates/sidecar/src/request_lifecycle.rs
+++ b/crates/sidecar/src/request_lifecycle.rs
@@ -1,4 +1,4 @@
-//! The state of a request as far as sends depend on it.
+//! The state of a request that decides whether it may be sent.
 
 use crate::client_liveness::ClientLiveness;
 use crate::log::{self, log_line};
@@ -9,22 +9,22 @@
 use std::time::Duration;
 use tokio::time::Instant;
 
-/// A request's way from its client to its answer, as far as sends depend on it. Shared by the client's connection, the
-/// engine and the request's attempts.
+/// The state of a request that decides whether its attempts may be sent. Shared by the client's connection, the
+/// engine and the attempts.
 pub struct RequestLifecycle {
     /// The correlation id that the client gave it.
     id: Box<str>,
-    /// It has its final answer, or needs none any more.
+    /// The request has its final answer, or no longer needs one.
     completed: Cell<bool>,
-    /// The client; none for health checks.
+    /// The client's connection; none for health checks.
     client: Option<ClientLiveness>,
-    /// The body is streamed and not complete: what lies unread on the client's connection belongs to it.
+    /// The body is still being streamed in, so unread bytes on the client's connection belong to it.
     streams_body: Cell<bool>,
-    /// When the client may stop waiting at the earliest, by what is known of when its last byte came.
+    /// The earliest time at which the client may stop waiting, given what is known about the arrival of its last byte.
     earliest_deadline: Cell<Option<Instant>>,
-    /// Attempts that have begun to be written and are not over.
+    /// Attempts whose first byte is written and that have not ended.
     sends_in_flight: Cell<u32>,
-    /// An attempt has begun to be written, whatever became of it.
+    /// The first byte of some attempt was written, however that attempt ended.
     any_send_began: Cell<bool>,
 }
 
@@ -42,30 +42,32 @@
         })
     }
 
-    /// How long an endpoint may be told that its answer is waited for, if it is until `until`. Endpoints count that
-    /// from the last byte of a request, as its client does, so the time that a body takes is not theirs.
+    /// The wait to advertise to an endpoint for an attempt that waits until `until`. It ends no later than the
+    /// earliest deadline. Endpoints count it from the last byte of the request, as clients do, so the time that the
+    /// body takes to arrive is not part of it.
     pub fn advertised_wait(&self, until: Instant) -> Duration {
         let until = self.earliest_deadline.get().map_or(until, |deadline| deadline.min(until));
         until.saturating_duration_since(Instant::now())
     }
 
-    /// Sets when the client stops waiting. With a streamed body that may be later; but the rest of the body may lie in
-    /// the system's queue already, and the client have begun to wait.
+    /// Sets the earliest time at which the client may stop waiting. While a body is streamed in, the client's
+    /// deadline may turn out later; but the rest of the body may already be in the kernel's receive queue and the
+    /// client already waiting.
     pub fn set_earliest_deadline(&self, deadline: Instant) {
         self.earliest_deadline.set(Some(deadline));
     }
 
-    /// Records that it has its final answer, or needs none any more: no attempt may begin.
+    /// Records that the request has its final answer, or no longer needs one. No attempt may begin after that.
     pub fn complete(&self) {
         self.completed.set(true);
     }
 
-    /// Whether it has its final answer, or needs none any more.
+    /// Whether the request has its final answer, or no longer needs one.
     pub fn is_completed(&self) -> bool {
         self.completed.get()
     }
 
-    /// Whether an attempt may begin.
+    /// Whether an attempt may begin now.
     pub fn check_sendable(&self) -> Result<(), SendDenial> {
         if self.is_completed() {
             return Err(SendDenial::Completed);
@@ -77,14 +79,14 @@
     }
 
     fn check_client(&self, client: &ClientLiveness) -> Result<(), SendDenial> {
-        // Bytes behind a complete request are answered with 400, if the client is still there at all.
+        // Bytes that follow a complete request are answered with 400, if the client is still connected at all.
         if client.is_closed() || !self.streams_body.get() && !client.is_quiet() {
             return Err(SendDenial::ClientClosed);
         }
         if client.is_surely_connected() { Ok(()) } else { Err(SendDenial::ClientUnverified) }
     }
 
-    /// Waits until the connection of the client shows whether it is closed, which unread bytes of a body may hide.
+    /// Waits until it is known whether the client is still connected, which unread bytes of a streamed body may hide.
     pub async fn client_verified(&self) {
         if let Some(client) = self.client.as_ref().filter(|_| self.streams_body.get()) {
             client.verified().await;
@@ -104,35 +106,35 @@
         Some(self.earliest_deadline.get()?.saturating_duration_since(Instant::now()))
     }
 
-    /// Attempts that have begun to be written and are not over.
+    /// Number of attempts whose first byte is written and that have not ended.
     pub fn sends_in_flight(&self) -> u32 {
         self.sends_in_flight.get()
     }
 
-    /// Whether an attempt has ever begun to be written.
+    /// Whether the first byte of any attempt was written.
     pub fn any_send_began(&self) -> bool {
         self.any_send_began.get()
     }
 
-    /// Records that an attempt has begun to be written.
+    /// Records that the first byte of an attempt was written.
     pub fn send_began(&self) {
         self.any_send_began.set(true);
         self.sends_in_flight.set(self.sends_in_flight.get() + 1);
     }
 
-    /// Records that an attempt that had begun is over.
+    /// Records the end of an attempt whose first byte was written.
     pub fn send_ended(&self) {
         self.sends_in_flight.set(self.sends_in_flight.get() - 1);
     }
 
-    /// Logs an event of the request, where operators want that.
+    /// Logs an event of the request, if the tracing of requests is switched on.
     pub fn trace(&self, event: fmt::Arguments<'_>) {
         if log::traces_requests() {
             log_line!("request {}: {event}", self.id);
         }
     }
 
-    /// Counts and logs a broken rule. The process goes on.
+    /// Counts and logs a violation of the protocol's rules. The process keeps running.
     pub fn report_violation(&self, rule: RuleViolation) {
         rule.count();
         log_line!("rule broken: {}, request {}", rule.name(), self.id);
--- a/crates/sidecar/src/send_gate.rs
+++ b/crates/sidecar/src/send_gate.rs
@@ -1,6 +1,6 @@
-//! Decides at the moment of writing whether an attempt may be sent, and verifies the protocol's rules as its first byte
-//! leaves. What held when the balancer decided the send may not hold any more, some turns of the runtime or a slow
-//! connect later.
+//! The last check before an attempt is written, and the verification of the protocol's rules at its first byte.
+//! Conditions may have changed since the balancer decided to send, as other tasks have run in between or the connect
+//! was slow.
 
 use crate::metrics::{RuleViolation, SendDenial};
 use crate::request_lifecycle::RequestLifecycle;
@@ -9,18 +9,18 @@
 use std::time::Duration;
 use tokio::time::Instant;
 
-/// By how much an attempt's advertised time may exceed what is left, by the protocol.
+/// By how much the wait advertised to an endpoint may exceed the client's remaining time, by the protocol.
 const DEADLINE_SLACK: Duration = Duration::from_millis(150);
 
-/// What has to hold when the first byte of a send is written.
+/// The conditions that have to hold when the first byte of a send is written.
 pub struct SendPermit {
-    /// The request.
+    /// The state of the request.
     pub lifecycle: Rc<RequestLifecycle>,
     /// Whether the endpoint still permits the send.
     pub endpoint_permits: Box<dyn Fn() -> bool>,
-    /// No answer is waited for after this, where the attempt has a deadline of its own.
+    /// The attempt's own deadline, if it has one.
     pub attempt_deadline: Option<Instant>,
-    /// Nothing may begin to be written after this.
+    /// The first byte must be written before this.
     pub write_by: Option<Instant>,
 }
 
@@ -42,20 +42,20 @@
     }
 }
 
-/// One send, from its permit to the end of its attempt. It is in flight from its first byte on.
+/// One send, from its permit to the end of its attempt. It counts as in flight once its first byte is written.
 pub struct GatedSend {
     /// Dropped when the send begins or ends, as it keeps the request's state alive.
     permit: RefCell<Option<SendPermit>>,
-    /// Dropped when the send ends, as the connection that carries it may be kept for long.
+    /// Dropped when the send ends, as the connection that carried it may stay open for long.
     lifecycle: RefCell<Option<Rc<RequestLifecycle>>>,
     denial: Cell<Option<SendDenial>>,
     begun: Cell<bool>,
-    /// How long the endpoint is told that the answer is waited for.
+    /// How long the client waits for the answer, as advertised to the endpoint.
     advertised_wait: Cell<Option<Duration>>,
 }
 
 impl GatedSend {
-    /// A send under that permit.
+    /// A send that may begin while `permit` holds.
     pub fn new(permit: SendPermit) -> Rc<Self> {
         Rc::new(Self {
             lifecycle: RefCell::new(Some(Rc::clone(&permit.lifecycle))),
@@ -66,19 +66,19 @@
         })
     }
 
-    /// Whether the next byte may be written now. A send that has begun may go on.
+    /// Whether the next byte may be written now. A send that has begun may always continue.
     pub fn may_write(&self) -> bool {
         if self.begun.get() {
             return true;
         }
-        // Without a permit it has ended before its first byte.
+        // Without a permit, the send ended before its first byte.
         let checked = self.permit.borrow().as_ref().map_or(Err(SendDenial::Completed), SendPermit::check);
         if let Err(reason) = checked
             && self.denial.get().is_none()
         {
             reason.count();
             if let Some(lifecycle) = &*self.lifecycle.borrow() {
-                lifecycle.trace(format_args!("a send was denied: {}", reason.name()));
+                lifecycle.trace(format_args!("send denied: {}", reason.name()));
             }
         }
         self.denial.set(checked.err());
@@ -90,12 +90,12 @@
         self.denial.get()
     }
 
-    /// Records how long the endpoint is told that its answer is waited for.
+    /// Records the wait that is advertised to the endpoint.
     pub fn advertise_wait(&self, wait: Duration) {
         self.advertised_wait.set(Some(wait));
     }
 
-    /// Records that the system has taken the first byte, and verifies the protocol's rules.
+    /// Records that the kernel has accepted the first byte, and verifies the protocol's rules.
     pub fn begin(&self) {
         if self.begun.replace(true) {
             return;
@@ -120,7 +120,7 @@
         lifecycle.send_began();
     }
 
-    /// Records that the attempt is over: its connection is closed, or has brought the answer.
+    /// Records that the attempt is over: its connection is closed, or the answer has been received.
     pub fn end(&self) {
         self.permit.borrow_mut().take();
         if let Some(lifecycle) = self.lifecycle.borrow_mut().take()
@@ -131,7 +131,7 @@
     }
 }
 
-/// Ends a send when dropped: at the end of its attempt, or when that is cancelled.
+/// Ends a send when dropped, at the end of its attempt or when the attempt is cancelled.
 pub struct SendGuard(pub Rc<GatedSend>);
 
 impl Drop for SendGuard {
--- a/crates/sidecar/src/send_gate/tests.rs
+++ b/crates/sidecar/src/send_gate/tests.rs
@@ -1,6 +1,6 @@
 use super::*;
 
-/// A send of that request which the endpoint permits, with other bounds as given.
+/// A send of a request that the endpoint permits, with the given time limits.
 fn send(
     lifecycle: &Rc<RequestLifecycle>,
     attempt_deadline: Option<Instant>,
@@ -22,20 +22,20 @@
 async fn denies_send_with_reason_until_it_has_begun() {
     let (now, hour) = (Instant::now(), Duration::from_secs(3600));
     assert!(send(&lifecycle(), Some(now + hour), Some(now + hour)).may_write());
-    let over = send(&lifecycle(), Some(now), None);
-    assert!(!over.may_write());
-    assert_eq!(over.denial(), Some(SendDenial::DeadlineExceeded));
-    let window = send(&lifecycle(), Some(now + hour), Some(now));
-    assert!(!window.may_write());
-    assert_eq!(window.denial(), Some(SendDenial::IdempotencyWindowExpired));
-    let settled = lifecycle();
-    let late = send(&settled, None, None);
-    settled.complete();
+    let past_deadline = send(&lifecycle(), Some(now), None);
+    assert!(!past_deadline.may_write());
+    assert_eq!(past_deadline.denial(), Some(SendDenial::DeadlineExceeded));
+    let past_write_by = send(&lifecycle(), Some(now + hour), Some(now));
+    assert!(!past_write_by.may_write());
+    assert_eq!(past_write_by.denial(), Some(SendDenial::IdempotencyWindowExpired));
+    let completed = lifecycle();
+    let late = send(&completed, None, None);
+    completed.complete();
     assert!(!late.may_write());
     assert_eq!(late.denial(), Some(SendDenial::Completed));
     let ended = send(&lifecycle(), None, None);
     ended.end();
-    assert!(!ended.may_write(), "nothing of it is out, and it is over");
+    assert!(!ended.may_write(), "a send that ended before its first byte may not begin");
     let endpoint = Rc::new(Cell::new(false));
     let permits = Rc::clone(&endpoint);
     let permit = SendPermit {
@@ -56,7 +56,7 @@
 
 #[tokio::test]
 async fn counts_each_rule_violation_when_a_send_begins() {
-    let before = || {
+    let violation_totals = || {
         [
             RuleViolation::AfterCompletion,
             RuleViolation::NotPermitted,
@@ -65,11 +65,11 @@
         ]
         .map(RuleViolation::total)
     };
-    assert_eq!(before(), [0; 4]);
-    let settled = lifecycle();
-    settled.complete();
-    send(&settled, None, None).begin();
-    assert_eq!(before(), [1, 0, 0, 0]);
+    assert_eq!(violation_totals(), [0; 4]);
+    let completed = lifecycle();
+    completed.complete();
+    send(&completed, None, None).begin();
+    assert_eq!(violation_totals(), [1, 0, 0, 0]);
     let permit = SendPermit {
         lifecycle: lifecycle(),
         endpoint_permits: Box::new(|| false),
@@ -77,28 +77,29 @@
         write_by: None,
     };
     GatedSend::new(permit).begin();
-    assert_eq!(before(), [1, 1, 0, 0]);
+    assert_eq!(violation_totals(), [1, 1, 0, 0]);
     let twice = lifecycle();
     let (one, two) = (send(&twice, None, None), send(&twice, None, None));
     one.begin();
     two.begin();
-    assert_eq!(before(), [1, 1, 1, 0]);
+    assert_eq!(violation_totals(), [1, 1, 1, 0]);
     one.end();
     two.end();
     let third = send(&twice, None, None);
     third.begin();
-    assert_eq!(before(), [1, 1, 1, 0], "the one before is over");
-    let due = lifecycle();
-    due.set_earliest_deadline(Instant::now() + Duration::from_secs(1));
-    let timed = send(&due, None, None);
+    assert_eq!(violation_totals(), [1, 1, 1, 0], "the earlier sends have ended");
+    let with_deadline = lifecycle();
+    with_deadline.set_earliest_deadline(Instant::now() + Duration::from_secs(1));
+    let timed = send(&with_deadline, None, None);
     timed.advertise_wait(Duration::from_millis(1100));
     timed.begin();
-    assert_eq!(before(), [1, 1, 1, 0], "within the slack");
-    let timed = send(&due, None, None);
+    assert_eq!(violation_totals(), [1, 1, 1, 0], "within the slack");
+    let timed = send(&with_deadline, None, None);
     timed.advertise_wait(Duration::from_millis(1300));
     timed.begin();
-    assert_eq!(before()[3], 1);
-    // With a streamed body the attempt may last until long after its last byte; the client does not wait longer for that.
+    assert_eq!(violation_totals()[3], 1);
+    // An attempt with a streamed body may last long after its last byte, but the client does not wait longer for
+    // that: the advertised wait follows the client's earliest deadline.
     let streamed = RequestLifecycle::new(b"1", None, true);
     let (now, wait, body) = (Instant::now(), Duration::from_secs(1), Duration::from_secs(9));
     streamed.set_earliest_deadline(now + wait);
@@ -107,10 +108,10 @@
     let timed = send(&streamed, None, None);
     timed.advertise_wait(Duration::from_secs(2));
     timed.begin();
-    assert_eq!(before()[3], 2);
+    assert_eq!(violation_totals()[3], 2);
 }
 
-// The rest of the body may be in the system's queue already, so that the client may have stopped waiting.
+// The rest of the body may already be in the kernel's receive queue, so the client may have stopped waiting.
 #[tokio::test]
 async fn does_not_send_streamed_request_after_earliest_deadline() {
     let streamed = RequestLifecycle::new(b"1", None, true);
@@ -119,5 +120,5 @@
     assert!(!late.may_write());
     assert_eq!(late.denial(), Some(SendDenial::DeadlineExceeded));
     streamed.set_earliest_deadline(Instant::now() + Duration::from_secs(9));
-    assert!(late.may_write(), "its last byte has come since");
+    assert!(late.may_write(), "the last byte has arrived and moved the deadline");
 }
--- a/crates/sidecar/src/service_state.rs
+++ b/crates/sidecar/src/service_state.rs
@@ -1,9 +1,9 @@
-//! Whether the sidecar is in service, and how far a graceful shutdown has come.
+//! Whether the sidecar is in service, and how far a graceful shutdown has progressed.
 
 use tokio::sync::watch;
 
-/// The sidecar's service state, in the order in which a shutdown passes through it. Out of service, `/up` says so and
-/// connections close once the requests on them are answered.
+/// The sidecar's service state, in the order in which a shutdown passes through it. In all states but the first, `/up`
+/// reports that the sidecar is out of service, and connections close once the requests on them are answered.
 #[derive(Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
 pub enum ServiceState {
     /// In service.
@@ -14,11 +14,11 @@
     Stopping,
     /// Shutting down, and new connections are no longer accepted.
     NotAccepting,
-    /// Requests that are still open are failed at once.
+    /// Shutting down, and requests that are still open are failed at once.
     Aborting,
 }
 
-/// Drains the sidecar or ends the drain. A shutdown is final, whatever operators call.
+/// Drains the sidecar or ends the drain. Has no effect once a shutdown has begun.
 pub fn set_drained(state: &watch::Sender<ServiceState>, drained: bool) {
     let target = if drained { ServiceState::Draining } else { ServiceState::Serving };
     state.send_if_modified(|current| {
--- a/crates/sidecar/src/shutdown.rs
+++ b/crates/sidecar/src/shutdown.rs
@@ -1,4 +1,4 @@
-//! Graceful shutdown: open requests are answered, and connections close once they are.
+//! Graceful shutdown: open requests are answered, and each connection closes once its requests are.
 
 use crate::log::log_line;
 use crate::service_state::ServiceState;
@@ -6,14 +6,14 @@
 use std::time::Duration;
 use tokio::time::{Instant, sleep, sleep_until, timeout};
 
-/// How long new connections are accepted after SIGTERM, as clients open them for up to 400 ms more.
+/// How long new connections are accepted after SIGTERM, as clients may open them for up to 400 ms more.
 const ACCEPT_TIME: Duration = Duration::from_millis(500);
-/// The longest deadline that requests are given.
+/// The longest deadline that any request is given.
 const MAX_DEADLINE: Duration = Duration::from_secs(3);
-/// When the requests that are still open are failed, counted from the longest deadline. SIGKILL comes 700 ms after it at
-/// the earliest, and the answers have to be out before that.
+/// How long after the longest deadline the requests that are still open are failed. SIGKILL follows at least 700 ms
+/// after that deadline, and the answers have to be sent before.
 const ABORT_DELAY: Duration = Duration::from_millis(500);
-/// How long the last answers may take.
+/// Time limit for sending the last answers.
 const LAST_ANSWERS_TIME: Duration = Duration::from_millis(80);
 
 impl Sidecar {
--- a/crates/sidecar/src/start_times.rs
+++ b/crates/sidecar/src/start_times.rs
@@ -1,31 +1,32 @@
 //! Estimates when servers started, from the stamps of endpoint lists and from what this process has observed.
 //!
-//! A list stamps each server with the Unix time of its last start. This machine's wall clock can't be compared with
-//! that: it may be wrong when the process starts, or be stepped later, and a server that has just started would pass for
-//! warm and be overloaded, or stay in slow start for as long as the clock is behind. So stamps are compared with each
-//! other alone, and with the times on this process's monotonic clock at which they were first observed:
+//! A list stamps each server with the Unix time of its last start. Stamps can't be compared with this machine's wall
+//! clock, which may be wrong when the process starts, or be stepped later: a server that has just started would count
+//! as warmed up and be overloaded, or would stay in slow start for as long as the clock is behind. So stamps are only
+//! compared with each other, and with the times on this process's monotonic clock at which they were first observed:
 //!
-//! - The latest stamp is no later than the moment in which it was first observed. From then on the list's clock advances
-//!   with this process's: it gives the least that the time can be, and so the least age of every other start.
-//! - A start is no later than the moment in which its stamp was first observed.
-//! - A stamp that replaces another, or a server that earlier lists did not name, means a start after the last list that
-//!   said otherwise, whatever the stamp says: that server's clock may have been stepped as well.
-//! - Where this machine's clock, as of the start of the process, agrees with the first lists, it gives the ages of the
-//!   starts that they name, less ten seconds. It agrees if the latest stamp lies behind it, by five minutes at most. A
-//!   clock that was stepped by seconds can't be told from a correct one, hence the ten; one that was stepped by an hour
-//!   does not agree.
+//! - The latest stamp is no later than the moment at which it was first observed. From then on, the list's clock is
+//!   assumed to advance with this process's clock. That gives a lower bound of the list's current time, and so of the
+//!   age of every other start.
+//! - A start is no later than the moment at which its stamp was first observed.
+//! - A stamp that replaces another, or a server that earlier lists did not name, means a start after the last list
+//!   that said otherwise, whatever the stamp says: that server's clock may have been stepped as well.
+//! - If this machine's clock, as read at the start of the process, agrees with the first lists, it gives the ages of
+//!   the starts in them, minus ten seconds. It agrees if the latest stamp lies behind it, by at most five minutes. A
+//!   clock that was stepped by seconds can't be told from a correct one, hence the ten seconds; one that was stepped
+//!   by an hour does not agree.
 //!
-//! Unless the clock is ahead by more than those ten seconds and less than five minutes, each bound errs on the cold
-//! side: a server gets less load for a while, never more than it bears.
+//! Unless the clock is ahead by more than those ten seconds and less than five minutes, each estimate errs towards a
+//! later start: a server gets less load for a while, never more than it can handle.
 
 use lotusmoor_balancer::Micros;
 use std::collections::HashMap;
 
-/// How far the latest stamp of a first list may lie behind this machine's clock for that to be believed. A list in which
-/// nothing has started for longer says nothing about the clock.
+/// How far the latest stamp of a first list may lie behind this machine's clock for the clock to be trusted. A list in
+/// which no server has started for longer says nothing about the clock.
 const MAX_PLAUSIBLE_AGE_US: Micros = 300_000_000;
-/// By how much a clock that agrees may be ahead all the same; ages are reduced by it.
-const CLOCK_DOUBT_US: Micros = 10_000_000;
+/// By how much a clock that agrees may still be ahead; ages are reduced by it.
+const CLOCK_TOLERANCE_US: Micros = 10_000_000;
 /// Microseconds in a millisecond, the unit of stamps.
 const MICROS_PER_MILLI: Micros = 1000;
 
@@ -43,17 +44,17 @@
     observed: Micros,
 }
 
-/// The starts of listed servers, by number. Those of long ago are not stored.
+/// The estimated starts of listed servers, by id. Servers that started long ago are not stored.
 #[derive(Debug, Default)]
 pub struct StartTimes {
     latest: Option<LatestStamp>,
-    /// When the last list came from discovery; none before the first.
+    /// When the last list from discovery was applied; none before the first.
     last_list: Option<Micros>,
     starts: HashMap<usize, Start>,
 }
 
 impl StartTimes {
-    /// Observes the stamps of a list; 0 stands for a start of long ago.
+    /// Observes the stamps of a list; 0 stands for a start long ago.
     pub fn observe(&mut self, now: Micros, stamps_ms: impl Iterator<Item = i64>) {
         for stamp_ms in stamps_ms.filter(|stamp| *stamp > 0) {
             let stamp = stamp_ms.saturating_mul(MICROS_PER_MILLI);
@@ -61,22 +62,23 @@
                 self.latest = Some(LatestStamp { stamp, observed: now });
             }
         }
-        // `now` is Unix time, as of this machine's clock at the start of the process.
+        // `now` is Unix time according to this machine's clock at the start of the process.
         let behind = self.list_time(now).map(|time| now.saturating_sub(time));
-        let agrees = behind.is_some_and(|behind| (CLOCK_DOUBT_US..=MAX_PLAUSIBLE_AGE_US).contains(&behind));
+        let agrees =
+            behind.is_some_and(|behind| (CLOCK_TOLERANCE_US..=MAX_PLAUSIBLE_AGE_US).contains(&behind));
         if self.last_list.is_none() && agrees {
-            self.latest = Some(LatestStamp { stamp: now - CLOCK_DOUBT_US, observed: now });
+            self.latest = Some(LatestStamp { stamp: now - CLOCK_TOLERANCE_US, observed: now });
         }
     }
 
-    /// The least that the time can be on the clock that stamps are taken from.
+    /// Lower bound of the current time on the clock that stamps are taken from.
     fn list_time(&self, now: Micros) -> Option<Micros> {
         let LatestStamp { stamp, observed } = self.latest?;
         Some(stamp.saturating_add(now.saturating_sub(observed)))
     }
 
-    /// When a server started, on this process's clock; `None` is long ago. The list with this stamp must have been
-    /// observed.
+    /// When a server started, on this process's clock; `None` means long ago. The list with this stamp must have been
+    /// observed before.
     pub fn started(&mut self, now: Micros, server: usize, stamp_ms: i64) -> Option<Micros> {
         if stamp_ms <= 0 {
             self.starts.remove(&server);
@@ -88,18 +90,18 @@
         let stamp = stamp_ms.saturating_mul(MICROS_PER_MILLI);
         let age = self.list_time(now).unwrap_or(0).saturating_sub(stamp).max(0);
         let by_stamps = now.saturating_sub(age);
-        // Before the first list a start may be of any age.
+        // Without an earlier list, nothing else limits the age of a start.
         let at = self.last_list.map_or(by_stamps, |last_list| by_stamps.max(last_list));
         self.starts.insert(server, Start { stamp_ms, at });
         Some(at)
     }
 
-    /// Records that a list from discovery was applied: what it did not change held until now.
+    /// Records that a list from discovery was applied: the starts that it did not change were still current then.
     pub fn list_applied(&mut self, now: Micros) {
         self.last_list = Some(now);
     }
 
-    /// Forgets a removed server, whose number may be given to another.
+    /// Forgets a removed server, whose id may be reused.
     pub fn forget(&mut self, server: usize) {
         self.starts.remove(&server);
     }
--- a/crates/sidecar/src/startup.rs
+++ b/crates/sidecar/src/startup.rs
@@ -25,7 +25,7 @@
 use tokio::sync::{Mutex, watch};
 use tokio::task::{JoinHandle, spawn_local};
 
-/// Processes that may run side by side during an upgrade.
+/// Number of processes that may run side by side during an upgrade, and share the sidecar's resource limits.
 const PROCESSES_IN_UPGRADE: usize = 2;
 
 /// A running sidecar.
@@ -35,18 +35,18 @@
     interrupt: Signal,
     reloader: Reloader,
     engine: JoinHandle<()>,
-    /// Ends once accepting has; connections may still be open then.
+    /// Ends once no more connections are accepted; some may still be open then.
     pub(crate) accepting: JoinHandle<()>,
     pub(crate) service: Rc<watch::Sender<ServiceState>>,
-    /// Other processes may accept from the clients' socket as well.
+    /// Other processes may accept connections on the clients' socket as well.
     pub(crate) shared_socket: bool,
     pub(crate) longest_deadline: Duration,
 }
 
 impl Sidecar {
-    /// Starts a sidecar, on the inherited socket where there is one.
+    /// Starts a sidecar, on the inherited socket if there is one.
     pub fn start(config: Config, inherited: Option<StdListener>) -> Result<Self, StartError> {
-        // Before anything else, as an unhandled SIGHUP would end the process.
+        // Installed before anything else, as an unhandled SIGHUP would end the process.
         let hangup = listen_for(SignalKind::hangup(), "SIGHUP")?;
         let shared_socket = inherited.is_some();
         let listener = bind_clients(&config, inherited)?;
@@ -104,8 +104,8 @@
         })
     }
 
-    /// Serves until SIGTERM or SIGINT, and reloads the configuration on SIGHUP. Fails with the engine: without its
-    /// decisions every request fails, and the process had better end and be started again.
+    /// Serves until SIGTERM or SIGINT, and reloads the configuration on SIGHUP. Returns an error if the engine ends:
+    /// without it every request would fail, so the process should exit and be restarted.
     pub async fn serve_until_stopped(&mut self) -> Result<(), StartError> {
         loop {
             tokio::select! {
--- a/crates/sidecar/src/startup/error.rs
+++ b/crates/sidecar/src/startup/error.rs
@@ -1,4 +1,4 @@
-//! Why a sidecar could not start or go on. Each error is one plain line.
+//! Why a sidecar could not start or keep running. Each error message is a single line.
 
 use crate::config::ConfigError;
 use crate::inherited_socket::InheritError;
@@ -8,7 +8,7 @@
 use std::io;
 use std::net::SocketAddr;
 
-/// Why a sidecar could not start or go on.
+/// Why a sidecar could not start or keep running.
 #[derive(Debug)]
 pub enum StartError {
     /// The inherited socket can't be used.
@@ -31,21 +31,21 @@
         /// Why it can't be bound.
         source: io::Error,
     },
-    /// The address that operators call can't be bound.
+    /// The address that operators connect to can't be bound.
     ListenForOperators {
         /// The address.
         address: SocketAddr,
         /// Why it can't be bound.
         source: io::Error,
     },
-    /// The address for peers' datagrams can't be bound.
+    /// The address for gossip datagrams can't be bound.
     BindGossip {
         /// The address.
         address: SocketAddr,
         /// Why it can't be bound.
         source: io::Error,
     },
-    /// The balancer can't work with the settings.
+    /// The balancer rejects the settings.
     Balancer(SettingsError),
     /// The engine has ended.
     EngineFailed,
@@ -57,14 +57,14 @@
             Self::Inherit(e) => e.fmt(f),
             Self::Config(e) => e.fmt(f),
             Self::Runtime(e) => write!(f, "cannot start the runtime: {e}"),
-            Self::Signal { name, source } => write!(f, "cannot await {name}: {source}"),
+            Self::Signal { name, source } => write!(f, "cannot listen for {name}: {source}"),
             Self::Listen { address, source } => write!(f, "cannot listen on {address}: {source}"),
             Self::ListenForOperators { address, source } => {
                 write!(f, "cannot listen for operators on {address}: {source}")
             }
             Self::BindGossip { address, source } => write!(f, "cannot bind {address}: {source}"),
             Self::Balancer(e) => e.fmt(f),
-            Self::EngineFailed => f.write_str("the engine has failed"),
+            Self::EngineFailed => f.write_str("the engine ended unexpectedly"),
         }
     }
 }
--- a/crates/sidecar/src/state_file.rs
+++ b/crates/sidecar/src/state_file.rs
@@ -1,5 +1,5 @@
-//! The operators' state, shared through a file by the old and the new process of an upgrade: they are one sidecar, and
-//! each follows the calls that the other has received.
+//! The state that operators have set, shared through a file by the old and the new process of an upgrade: both are one
+//! sidecar, so each applies the calls that the other has received.
 
 use crate::file_access::{self, Commit};
 use crate::log::log_line;
@@ -18,21 +18,21 @@
 
 /// The version of the file's format.
 const FORMAT_VERSION: u32 = 1;
-/// How long the other process may hold the lock. An operator's call has to be answered in 1 s.
-const LOCK_TIME: Duration = Duration::from_millis(300);
-/// How long a read of the file may last, and how long a change. An operator's call may have to wait for both.
-const READ_TIME: Duration = Duration::from_millis(300);
-const CHANGE_TIME: Duration = Duration::from_millis(500);
-/// Pause between two tries to lock.
+/// How long to wait for a lock that the other process holds. An operator's call has to be answered within 1 s.
+const LOCK_TIMEOUT: Duration = Duration::from_millis(300);
+/// Time limits for a read of the file and for a change. An operator's call may have to wait for both.
+const READ_TIMEOUT: Duration = Duration::from_millis(300);
+const CHANGE_TIMEOUT: Duration = Duration::from_millis(500);
+/// Pause between two attempts to take the lock.
 const LOCK_RETRY_PAUSE: Duration = Duration::from_millis(5);
 
-/// What operators have set.
+/// The state that operators have set.
 #[derive(Clone, Debug, Deserialize, PartialEq, Serialize)]
 pub struct OperatorState {
     version: u32,
     /// Names of the cordoned endpoints.
     pub cordoned: BTreeSet<String>,
-    /// The sidecar is drained.
+    /// Whether the sidecar is drained.
     pub drained: bool,
 }
 
@@ -52,7 +52,7 @@
     }
 }
 
-/// Why a state file can't be decoded.
+/// Why the contents of a state file can't be decoded.
 #[derive(Debug)]
 enum DecodeError {
     Malformed(serde_json::Error),
@@ -68,7 +68,7 @@
     }
 }
 
-/// A change could not be stored, and was not made.
+/// A change could not be stored, so it was not made.
 #[derive(Debug)]
 pub struct StoreError {
     path: PathBuf,
@@ -87,32 +87,33 @@
     }
 }
 
-/// The operators' state, and the file that it is shared through.
+/// The operators' state and the file through which it is shared.
 pub struct StateFile {
     path: Option<PathBuf>,
-    /// The file as last read or written.
+    /// The file's contents as last read or written.
     contents: Vec<u8>,
     state: OperatorState,
 }
 
 impl StateFile {
-    /// A state that ends with this process.
+    /// A state that is not stored and ends with this process.
     pub fn in_memory() -> Self {
         Self { path: None, contents: Vec::new(), state: OperatorState::default() }
     }
 
-    /// A state in `$TMPDIR`, shared by the processes that listen at that address.
+    /// A state stored in `$TMPDIR`, shared by the processes that listen on that address.
     pub fn shared(listen: SocketAddr) -> Self {
         let Some(directory) = std::env::var_os("TMPDIR") else {
-            log_line!("without TMPDIR what operators say ends with this process");
+            log_line!("TMPDIR is not set: what operators set is lost when this process ends");
             return Self::in_memory();
         };
+        // The name is part of the stored format, as the other process of an upgrade may be of an earlier version.
         let path = PathBuf::from(directory).join(format!("tinflow-{listen}.json"));
         let mut file = Self { path: Some(path.clone()), ..Self::in_memory() };
-        // The state has to be in effect from the first request on.
-        let read = || file.adopt(&path, file_access::read_at_startup(&path, READ_TIME)).map(drop);
+        // The state has to be in effect before the first request.
+        let read = || file.apply_contents(&path, file_access::read_at_startup(&path, READ_TIMEOUT)).map(drop);
         if let Err(e) = retry_at_startup(read) {
-            log_line!("{e}: what operators said is followed once it can be read");
+            log_line!("{e}: the operators' state is applied once its file can be read");
         }
         file
     }
@@ -122,21 +123,21 @@
         &self.state
     }
 
-    /// Whether the state outlives this process.
+    /// Whether the state is stored, so that it outlives this process.
     pub fn is_shared(&self) -> bool {
         self.path.is_some()
     }
 
     /// Reads the file again; returns whether another process has changed the state. Contents that can't be decoded are
-    /// logged and change nothing. A file that can't be read is an error, as its contents may be new.
+    /// logged and ignored. A file that can't be read is an error, as its contents may have changed.
     pub async fn refresh(&mut self) -> io::Result<bool> {
         let Some(path) = self.path.clone() else { return Ok(false) };
-        let read = file_access::read(&path, READ_TIME).await;
-        self.adopt(&path, read)
+        let read = file_access::read(&path, READ_TIMEOUT).await;
+        self.apply_contents(&path, read)
     }
 
-    /// Takes on what was read from the file.
-    fn adopt(&mut self, path: &Path, read: io::Result<Vec<u8>>) -> io::Result<bool> {
+    /// Applies the result of reading the file; returns whether the state has changed.
+    fn apply_contents(&mut self, path: &Path, read: io::Result<Vec<u8>>) -> io::Result<bool> {
         let contents = match read {
             Ok(contents) if contents != self.contents => contents,
             Ok(_) => return Ok(false),
@@ -154,7 +155,7 @@
         }
     }
 
-    /// Changes the latest state, of whichever process, and stores it.
+    /// Changes the latest state, whichever process has stored it, and stores the result.
     pub async fn change(
         &mut self,
         change: impl FnOnce(&mut OperatorState) + Send + 'static,
@@ -174,9 +175,9 @@
     ) -> io::Result<()> {
         let mut latest = Self { path: None, contents: self.contents.clone(), state: self.state.clone() };
         let changed = move |commit: &Commit| {
-            // Released when it is dropped, or its process ends.
+            // Released when dropped, or when the process ends.
             let _lock = lock(&path.with_extension("lock"))?;
-            latest.adopt(&path, file_access::read_regular(&path))?;
+            latest.apply_contents(&path, file_access::read_regular(&path))?;
             change(&mut latest.state);
             latest.contents = serde_json::to_vec(&latest.state)?;
             let new = path.with_extension("new");
@@ -185,20 +186,20 @@
             fs::rename(&new, &path)?;
             Ok(latest)
         };
-        let Self { contents, state, .. } = file_access::run(CHANGE_TIME, changed).await?;
+        let Self { contents, state, .. } = file_access::run(CHANGE_TIMEOUT, changed).await?;
         (self.contents, self.state) = (contents, state);
         Ok(())
     }
 }
 
-/// Opens a file anew. Without the flag the open of a pipe waits for its reader.
+/// Creates or truncates a file. Without `O_NONBLOCK`, opening a named pipe would wait for a reader.
 fn open_to_write(path: &Path) -> io::Result<File> {
     OpenOptions::new().write(true).create(true).truncate(true).custom_flags(libc::O_NONBLOCK).open(path)
 }
 
 fn lock(path: &Path) -> io::Result<File> {
     let file = open_to_write(path)?;
-    let until = Instant::now() + LOCK_TIME;
+    let until = Instant::now() + LOCK_TIMEOUT;
     loop {
         match file.try_lock() {
             Ok(()) => return Ok(file),
--- a/crates/sidecar/src/state_file/tests.rs
+++ b/crates/sidecar/src/state_file/tests.rs
@@ -1,8 +1,8 @@
 use super::*;
 
-// The process before an upgrade and the one after it read each other's file.
+// The old and the new process of an upgrade read each other's file.
 #[test]
-fn stored_form_is_that_of_earlier_versions() {
+fn keeps_stored_format_of_earlier_versions() {
     let stored = br#"{"version":1,"cordoned":["s-1","s-2"],"drained":true}"#;
     let state = OperatorState::decode(stored).expect("it is readable");
     assert_eq!(state.cordoned, ["s-1", "s-2"].map(str::to_owned).into());
@@ -11,7 +11,7 @@
 }
 
 #[test]
-fn rejects_other_versions_of_the_format() {
+fn rejects_other_format_versions() {
     let newer = br#"{"version":2,"cordoned":[],"drained":false}"#;
     let error = OperatorState::decode(newer).expect_err("it is another format");
     assert_eq!(error.to_string(), "version 2");
