--- a/crates/log-output/src/lib.rs
+++ b/crates/log-output/src/lib.rs
@@ -1,14 +1,15 @@
-//! Writes log lines to standard error without waiting for whoever reads them. A line that can't be written at once is
-//! dropped and counted.
+//! Writes log lines to standard error without waiting for its reader. A line that can't be written at once is dropped
+//! and counted.
 //!
-//! Standard error is shared with other processes, so its flags stay as they are: `O_NONBLOCK` would be theirs too. What
-//! makes a single write return at once depends on the kind of file:
+//! Standard error is shared with other processes, so its flags are not changed: `O_NONBLOCK` would apply to them too.
+//! What keeps a single write from blocking depends on the kind of file:
 //!
 //! - pipe: `pwritev2` with `RWF_NOWAIT` (Linux 6.4); before that, a poll and a write of at most `PIPE_BUF` bytes, which
-//!   is taken completely where a pipe polls writable (pipe(7)). Another writer may fill the pipe between the two;
+//!   a pipe that polls writable accepts completely (pipe(7)). Another writer may fill the pipe between the two;
 //! - socket: `send` with `MSG_DONTWAIT`;
-//! - terminal: opened again without blocking, as a write to one that polls writable may still wait;
-//! - regular file, or a device like `/dev/null`: a plain write, which waits for no reader. A disk that hangs can hold it.
+//! - terminal: opened again with `O_NONBLOCK`, as a write to one that polls writable may still block;
+//! - regular file, or a device like `/dev/null`: a plain write, which waits for no reader. A disk that hangs can block
+//!   it.
 
 mod descriptor;
 mod sink;
@@ -18,12 +19,12 @@
 use std::sync::atomic::{AtomicU64, Ordering};
 use std::sync::{Mutex, PoisonError};
 
-/// Lines that this process has dropped.
+/// Number of lines that this process has dropped.
 static DROPPED_LINES: AtomicU64 = AtomicU64::new(0);
-/// Standard error, once a line was written.
+/// Standard error, set up when the first line is written.
 static STANDARD_ERROR: Mutex<Option<Sink>> = Mutex::new(None);
 
-/// A line was dropped, as it could not be written at once.
+/// A line was dropped because it could not be written at once.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct LineDropped;
 
@@ -32,8 +33,8 @@
     DROPPED_LINES.load(Ordering::Relaxed)
 }
 
-/// Writes one line, or several that belong together, with the end of the last. Of more than `PIPE_BUF` bytes the rest is
-/// cut off.
+/// Writes one line, or several that belong together, including the last line end. Text longer than `PIPE_BUF` bytes is
+/// truncated.
 pub fn write_line(line: &[u8]) -> Result<(), LineDropped> {
     let mut standard_error = STANDARD_ERROR.lock().unwrap_or_else(PoisonError::into_inner);
     let written = standard_error.get_or_insert_with(|| Sink::new(libc::STDERR_FILENO)).write_line(line);
@@ -43,23 +44,24 @@
     written
 }
 
-/// Logs panics as a line each. The standard library's own message would wait for the reader.
+/// Logs each panic as one line. The standard library's own message would wait for the reader.
 pub fn log_panics(program: &'static str) {
     std::panic::set_hook(Box::new(move |panic| {
         let _ = write_line(format!("{program}: {panic}\n").as_bytes());
     }));
 }
 
-/// A writer for log libraries that write each line as a whole. Lines that were dropped are told with the next one.
+/// A writer for log libraries that write each line with a single call. The number of dropped lines is reported before
+/// the next line.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct LineWriter;
 
-/// Dropped lines that a [`LineWriter`] has not told of yet.
-static UNTOLD_LINES: AtomicU64 = AtomicU64::new(0);
+/// Number of dropped lines that a [`LineWriter`] has not reported yet.
+static UNREPORTED_LINES: AtomicU64 = AtomicU64::new(0);
 
 impl io::Write for LineWriter {
     fn write(&mut self, line: &[u8]) -> io::Result<usize> {
-        let dropped = UNTOLD_LINES.swap(0, Ordering::Relaxed);
+        let dropped = UNREPORTED_LINES.swap(0, Ordering::Relaxed);
         let written = if dropped == 0 {
             write_line(line)
         } else {
@@ -67,9 +69,9 @@
             write_line(&[notice.as_bytes(), line].concat())
         };
         if written.is_err() {
-            UNTOLD_LINES.fetch_add(dropped + 1, Ordering::Relaxed);
+            UNREPORTED_LINES.fetch_add(dropped + 1, Ordering::Relaxed);
         }
-        // A line that is lost is no failure of whoever logs it.
+        // A dropped line is not an error for the caller.
         Ok(line.len())
     }
 
--- a/crates/log-output/src/sink.rs
+++ b/crates/log-output/src/sink.rs
@@ -1,4 +1,4 @@
-//! Where lines go, by the kind of file.
+//! The file that log lines are written to, and how each kind of file is written without blocking.
 
 use crate::LineDropped;
 use crate::descriptor::{self, FileKind, Outcome};
@@ -7,20 +7,20 @@
 use std::os::fd::{AsRawFd, RawFd};
 use std::os::unix::fs::OpenOptionsExt;
 
-/// Bytes that a pipe which polls writable takes at once.
+/// Number of bytes that a pipe accepts at once if it polls writable.
 const MAX_LINE_BYTES: usize = libc::PIPE_BUF;
 
-/// How a write returns at once.
+/// How a write is kept from blocking.
 enum Method {
-    /// By `RWF_NOWAIT`.
+    /// With `RWF_NOWAIT`.
     NoWait,
-    /// It is polled first.
+    /// By polling the file first.
     AfterPoll,
-    /// By `MSG_DONTWAIT`.
+    /// With `MSG_DONTWAIT`.
     Send,
-    /// By `O_NONBLOCK`, on a description of its own.
+    /// With `O_NONBLOCK`, on a separate open file description.
     Reopened(File),
-    /// It always does.
+    /// Not at all: a plain write to such a file waits for no reader.
     Plain,
 }
 
@@ -28,7 +28,7 @@
 pub(crate) struct Sink {
     descriptor: RawFd,
     method: Method,
-    /// The last line broke off.
+    /// The last line was written only in part.
     line_unfinished: bool,
 }
 
@@ -44,10 +44,10 @@
         Self { descriptor, method, line_unfinished: false }
     }
 
-    /// Writes a line, all of it or as good as nothing: what breaks off counts as dropped.
+    /// Writes a line. A line that is written only in part counts as dropped; the next one then begins with a line end.
     pub(crate) fn write_line(&mut self, line: &[u8]) -> Result<(), LineDropped> {
         let line = if self.line_unfinished { Cow::from([b"\n", line].concat()) } else { Cow::from(line) };
-        let line = cut(line);
+        let line = truncate_line(line);
         match self.write(&line) {
             Outcome::Written(length) if length == line.len() => {
                 self.line_unfinished = false;
@@ -81,14 +81,14 @@
     }
 }
 
-/// The same terminal, with flags of its own.
+/// The same terminal, opened again with its own flags.
 fn reopened_terminal(descriptor: RawFd) -> Option<File> {
     let flags = libc::O_NONBLOCK | libc::O_NOCTTY;
     OpenOptions::new().write(true).custom_flags(flags).open(format!("/proc/self/fd/{descriptor}")).ok()
 }
 
 /// A line of at most [`MAX_LINE_BYTES`].
-fn cut(line: Cow<'_, [u8]>) -> Cow<'_, [u8]> {
+fn truncate_line(line: Cow<'_, [u8]>) -> Cow<'_, [u8]> {
     if line.len() <= MAX_LINE_BYTES {
         return line;
     }
