--- a/crates/simulator-adapter/src/decode.rs
+++ b/crates/simulator-adapter/src/decode.rs
@@ -1,4 +1,4 @@
-//! Decoding of messages into events. Names of the wire stand here and in the encoder only.
+//! Decodes messages into events. Apart from the encoder, this is the only module that knows the names on the wire.
 
 use crate::error::{FieldError, LineError};
 use crate::line::Line;
@@ -15,7 +15,7 @@
 const FLAG_WORK_IS_KNOWN: u64 = 1;
 const FLAG_CLIENT_RETRY: u64 = 2;
 
-/// Endpoint lists by their numbers, with names still as text: each instance has numbers of its own for them.
+/// Endpoint lists by `RosterId`. Their names are still text, as each instance has its own ids for them.
 pub(crate) type EndpointLists = HashMap<u64, Vec<Entry>>;
 
 /// An entry of an endpoint list.
@@ -61,10 +61,10 @@
     }
 }
 
-/// Decodes the start of an instance.
+/// Decodes the start of an instance: creates its balancer and its names.
 pub(crate) fn start(line: &Line) -> Result<(Balancer, Names), LineError> {
     let seed: i128 = line.number("RandomSeed")?;
-    let decoded = settings::decode(line.text("Conf")?);
+    let decoded = settings::decode(line.rest_of_line("Conf")?);
     let decoded = decoded.map_err(|e| line.error("Conf", FieldError::Settings(e)))?;
     let names = Names::new(decoded.classes, decoded.tenants, decoded.zones);
     let balancer = Balancer::new(decoded.settings, seed as u64);
@@ -72,7 +72,7 @@
     Ok((balancer, names))
 }
 
-/// Whether a message is for an instance.
+/// Whether a message is an event for an instance.
 pub(crate) fn is_event(name: &str) -> bool {
     matches!(
         name,
@@ -87,7 +87,7 @@
     )
 }
 
-/// Decodes an event; none if it is about an endpoint that the instance does not know.
+/// Decodes an event; `None` if it is about an endpoint that the instance does not know.
 pub(crate) fn event(
     line: &Line,
     names: &mut Names,
--- a/crates/simulator-adapter/src/encode.rs
+++ b/crates/simulator-adapter/src/encode.rs
@@ -1,13 +1,13 @@
-//! Encoding of actions as messages. Names of the wire stand here and in the decoder only.
+//! Encodes actions as messages. Apart from the decoder, this is the only module that knows the names on the wire.
 
 use base64::{Engine, engine::general_purpose::STANDARD};
 use lotusmoor_balancer::{Action, Interner};
 use std::fmt::{self, Write as _};
 
-/// Addresses a peer message to all.
+/// The destination of a message to all peers.
 const ALL_PEERS: i64 = -1;
 
-/// Appends the message for an action of that instance.
+/// Appends the message for an action of the instance to the reply.
 pub(crate) fn action(
     instance: u64,
     action: &Action,
@@ -50,7 +50,7 @@
     }
 }
 
-/// Appends the end of a batch's reply.
+/// Appends the last line of the reply to a batch.
 pub(crate) fn batch_end(batch: u64, reply: &mut String) -> fmt::Result {
     writeln!(reply, "next batch={batch}")
 }
--- a/crates/simulator-adapter/src/error.rs
+++ b/crates/simulator-adapter/src/error.rs
@@ -9,7 +9,7 @@
 /// Why the protocol could not be served.
 #[derive(Debug)]
 pub enum WireError {
-    /// A line cannot be read.
+    /// A line is invalid.
     Line {
         /// Its number, from 1.
         number: u64,
@@ -51,23 +51,23 @@
     NotUtf8,
     /// The input ends inside a batch.
     UnfinishedBatch,
-    /// A message stands outside a batch.
+    /// A message is outside a batch.
     OutsideBatch {
         /// Its name.
         message: String,
     },
     /// A batch begins inside another.
     NestedBatch,
-    /// An entry stands outside a catalog.
+    /// An entry is outside a `catalog`, which is the protocol's name for an endpoint list.
     OutsideCatalog,
-    /// A catalog ends early.
+    /// A `catalog` has fewer entries than announced.
     ShortCatalog {
         /// Its number.
         catalog: u64,
-        /// Entries that are missing.
+        /// Number of missing entries.
         missing: usize,
     },
-    /// A field and how it is wrong.
+    /// A field is invalid.
     Field {
         /// Name of the message.
         message: String,
@@ -76,7 +76,7 @@
         /// What is wrong.
         reason: FieldError,
     },
-    /// The load report is not a list of names and values.
+    /// The load report is not a list of name and value pairs.
     MalformedLoadReport,
     /// A value of the load report is not a number.
     LoadReportValue {
@@ -94,15 +94,15 @@
     NotANumber,
     /// The number has too many bits.
     TooLarge,
-    /// It has no such value.
+    /// It is not one of the field's values.
     UnknownValue(String),
-    /// No catalog has this number.
+    /// No `catalog` has this number.
     UnknownCatalog(u64),
     /// It is not valid Base64.
     Base64(Base64Error),
     /// The settings cannot be decoded.
     Settings(DecodeError),
-    /// The settings cannot be used.
+    /// The balancer rejects the settings.
     UnusableSettings(SettingsError),
 }
 
@@ -110,24 +110,24 @@
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         match self {
             Self::NotUtf8 => f.write_str("not UTF-8"),
-            Self::UnfinishedBatch => f.write_str("batch without its go"),
+            Self::UnfinishedBatch => f.write_str("batch not ended by `go`"),
             Self::OutsideBatch { message } => write!(f, "{message} outside a batch"),
-            Self::NestedBatch => f.write_str("mark inside a batch"),
-            Self::OutsideCatalog => f.write_str("entry outside a catalog"),
+            Self::NestedBatch => f.write_str("`mark` inside a batch"),
+            Self::OutsideCatalog => f.write_str("entry `m` outside a catalog"),
             Self::ShortCatalog { catalog, missing } => {
-                write!(f, "catalog {catalog} has {missing} entries too few")
+                write!(f, "catalog {catalog} lacks {missing} entries")
             }
             Self::Field { message, field, reason } => match reason {
                 FieldError::Missing => write!(f, "{message} has no field {field}"),
-                FieldError::NotANumber => write!(f, "{message}: {field} is not a number it can hold"),
+                FieldError::NotANumber => write!(f, "{message}: {field} is not a number in its range"),
                 FieldError::TooLarge => write!(f, "{message}: {field} is too large"),
                 FieldError::UnknownValue(value) => write!(f, "{message}: unknown {field} {value}"),
-                FieldError::UnknownCatalog(id) => write!(f, "{message}: {field} {id} is no catalog"),
+                FieldError::UnknownCatalog(id) => write!(f, "{message}: {field} {id} is not a known catalog"),
                 FieldError::Base64(error) => write!(f, "{message}: {field}: {error}"),
                 FieldError::Settings(error) => write!(f, "{message}: {field}: {error}"),
                 FieldError::UnusableSettings(error) => write!(f, "{message}: {field}: {error}"),
             },
-            Self::MalformedLoadReport => f.write_str("Load is not name:value pairs"),
+            Self::MalformedLoadReport => f.write_str("Load is not a list of name:value pairs"),
             Self::LoadReportValue { name } => write!(f, "Load: {name} is not a number"),
         }
     }
--- a/crates/simulator-adapter/src/host.rs
+++ b/crates/simulator-adapter/src/host.rs
@@ -1,5 +1,5 @@
-//! Hosts any number of instances: reads batches of messages, hands each event to its instance, and writes one
-//! reply a batch.
+//! Hosts any number of balancer instances: reads batches of messages, passes each event to its instance, and writes one
+//! reply per batch.
 
 use crate::decode::{self, EndpointLists, Entry};
 use crate::encode;
@@ -32,19 +32,20 @@
     }
 }
 
+/// A running balancer, with its names.
 struct Instance {
     balancer: Balancer,
     names: Names,
 }
 
-/// A batch being read.
+/// The batch that is being read.
 #[derive(Clone, Copy)]
 struct Batch {
     now: Micros,
     number: u64,
 }
 
-/// An endpoint list being read.
+/// The endpoint list that is being read.
 #[derive(Clone, Copy)]
 struct PendingList {
     id: u64,
@@ -128,7 +129,7 @@
         Ok(())
     }
 
-    /// Hands an event to its instance; one for an instance that does not run is ignored.
+    /// Passes an event to its instance. Events for instances that are not running are ignored.
     fn handle_event(&mut self, line: &Line, now: Micros) -> Result<(), LineError> {
         let id: u64 = line.number("I")?;
         let Some(Instance { balancer, names }) = self.instances.get_mut(&id) else { return Ok(()) };
--- a/crates/simulator-adapter/src/lib.rs
+++ b/crates/simulator-adapter/src/lib.rs
@@ -1,5 +1,5 @@
-//! The adapter between the simulator's line protocol and the balancer: it decodes events, hands each to its
-//! instance of the balancer, and encodes the actions. It takes no decisions.
+//! The adapter between the simulator's line protocol and the balancer: it decodes events, passes each to its instance
+//! of the balancer, and encodes the resulting actions. It makes no decisions of its own.
 
 mod decode;
 mod encode;
--- a/crates/simulator-adapter/src/main.rs
+++ b/crates/simulator-adapter/src/main.rs
@@ -1,4 +1,5 @@
-//! Hosts any number of instances on the simulator's line protocol: standard input in, standard output out.
+//! Runs any number of balancer instances for the simulator: reads its line protocol from standard input and replies on
+//! standard output.
 
 use std::io::{BufWriter, stdin, stdout};
 use std::process::ExitCode;
--- a/crates/simulator-adapter/src/names.rs
+++ b/crates/simulator-adapter/src/names.rs
@@ -1,8 +1,8 @@
-//! The names behind an instance's numbers.
+//! The names that an instance's ids stand for.
 
 use lotusmoor_balancer::{ClassId, Interner, TenantId};
 
-/// Names of one instance, each kind numbered on its own.
+/// The names of one instance. Each kind of name has its own ids.
 pub(crate) struct Names {
     classes: Vec<String>,
     tenants: Vec<String>,
--- a/crates/simulator-adapter/src/tests.rs
+++ b/crates/simulator-adapter/src/tests.rs
@@ -1,4 +1,4 @@
-//! Every message in both directions, one by one.
+//! The encoding of every action and the decoding of every event.
 
 use crate::decode::{self, EndpointLists, Entry};
 use crate::encode;
@@ -15,10 +15,11 @@
 
 const CATALOG: u64 = 6;
 
-/// Names of an instance that knows the endpoints `10.0.0.1:80` (0) and `10.0.0.2:80` (1), and the lists behind it.
-fn instance() -> (Names, EndpointLists) {
+/// The names of an instance that knows the endpoints `10.0.0.1:80` (0) and `10.0.0.2:80` (1), and the lists that it has
+/// received.
+fn names_and_lists() -> (Names, EndpointLists) {
     let start = format!("start I=3 RandomSeed=-9 Conf={}", SETTINGS.replace('\n', " "));
-    let (_, mut names) = decode::start(&Line::new(&start)).expect("it starts");
+    let (_, mut names) = decode::start(&Line::new(&start)).expect("a valid start");
     let entries = [
         "m Endpoint=10.0.0.1:80 Campus=b Model=x Group=4 Status=1 Size=1.5 ReadyAtUs=6100000",
         "m Endpoint=10.0.0.2:80 Status=2 ReadyAtUs=0",
@@ -31,17 +32,17 @@
 }
 
 fn event(names: &mut Names, lists: &EndpointLists, line: &str) -> Event {
-    decode::event(&Line::new(line), names, lists).expect("it can be read").expect("it is of concern")
+    decode::event(&Line::new(line), names, lists).expect("a valid line").expect("an event for the instance")
 }
 
 fn read(line: &str) -> Event {
-    let (mut names, lists) = instance();
+    let (mut names, lists) = names_and_lists();
     event(&mut names, &lists, line)
 }
 
 #[test]
-fn every_action_is_written_in_its_words() {
-    let (names, _) = instance();
+fn every_action_is_encoded() {
+    let (names, _) = names_and_lists();
     let log = Action::Log("circuit of endpoint 0 open\r\nfor good".to_owned());
     for (action, line) in [
         (
@@ -83,7 +84,11 @@
         (9_900_000, Some(1_200), true, false)
     );
     let Event::RequestReceived(new) = read(&line.replace("Flags=3", "Flags=0")) else { panic!("a request") };
-    assert_eq!((new.expected_work, new.is_client_retry), (None, false), "a hint counts where a flag says so");
+    assert_eq!(
+        (new.expected_work, new.is_client_retry),
+        (None, false),
+        "the work hint counts only if its flag is set"
+    );
     let Event::RequestReceived(new) = read("demand I=3 Ticket=9 Profile=look Project=strange DueUs=1") else {
         panic!("a request")
     };
@@ -94,7 +99,7 @@
 }
 
 #[test]
-fn every_field_of_the_end_of_an_attempt_is_read() {
+fn every_field_of_an_attempt_end_is_read() {
     let load = "active:3,waiting:2,cpu:0.5,avg_ms:7.25,rps:11,err_rps:0.125,odd:1";
     let Event::AttemptEnded(end) = read(&format!(
         "returned I=3 Ticket=9 Disposition=OK Endpoint=10.0.0.2:80 TookUs=18500 Go=1 Settled=1 Load={load}"
@@ -112,7 +117,7 @@
         err_rps: Some(0.125),
     };
     assert_eq!(end.load_report, reported);
-    for (word, outcome) in [
+    for (disposition, outcome) in [
         ("OK", Outcome::Ok),
         ("INTERNAL", Outcome::Error),
         ("RESOURCE_EXHAUSTED", Outcome::Rejected),
@@ -122,9 +127,10 @@
         ("CANCELLED", Outcome::Cancelled),
         ("TOO_LATE", Outcome::NotSent),
     ] {
-        let line = format!("returned I=3 Ticket=9 Disposition={word} Endpoint=10.0.0.1:80 TookUs=1 Go=0");
+        let line =
+            format!("returned I=3 Ticket=9 Disposition={disposition} Endpoint=10.0.0.1:80 TookUs=1 Go=0");
         let Event::AttemptEnded(end) = read(&line) else { panic!("an end") };
-        assert_eq!((end.outcome, end.endpoint, end.request_completed), (outcome, 0, false), "{word}");
+        assert_eq!((end.outcome, end.endpoint, end.request_completed), (outcome, 0, false), "{disposition}");
         assert_eq!(end.load_report, LoadReport::default());
     }
 }
@@ -137,13 +143,13 @@
         panic!("a stream")
     };
     assert_eq!((request, attempt), (9, 2));
-    let Event::HealthCheckEnded { endpoint, outcome, duration: took, load_report: load } =
+    let Event::HealthCheckEnded { endpoint, outcome, duration, load_report } =
         read("health_result I=3 Endpoint=10.0.0.2:80 Disposition=ABORTED TookUs=4 Load=cpu:0.5")
     else {
-        panic!("a probe")
+        panic!("a health check")
     };
-    assert_eq!((endpoint, outcome, took), (1, Outcome::Reset, 4));
-    assert_eq!(load, LoadReport { cpu: Some(0.5), ..LoadReport::default() });
+    assert_eq!((endpoint, outcome, duration), (1, Outcome::Reset, 4));
+    assert_eq!(load_report, LoadReport { cpu: Some(0.5), ..LoadReport::default() });
     assert!(matches!(read("withdrawn I=3 Ticket=9"), Event::RequestAbandoned(9)));
     assert!(matches!(read("alarm I=3 Ctx=77"), Event::Timer(77)));
     let Event::PeerMessage { from, bytes } = read("peer_data I=3 By=1 Bytes=aGkgNw==") else {
@@ -156,7 +162,7 @@
 
 #[test]
 fn every_field_of_a_catalog_is_read() {
-    for (kind, name) in [(1, "changes"), (2, "a list from before"), (3, "the whole list")] {
+    for (kind, name) in [(1, "changes"), (2, "cached list"), (3, "complete list")] {
         let Event::EndpointList(update) = read(&format!("endpoints I=3 Epoch=1 Kind={kind} RosterId=6"))
         else {
             panic!("a list")
@@ -167,12 +173,15 @@
             | (3, EndpointListUpdate::Full(list)) => list,
             other => panic!("{name}: {other:?}"),
         };
-        let [full, least, gone] = &list[..] else { panic!("three entries") };
+        let [full, minimal, removed] = &list[..] else { panic!("three entries") };
         assert_eq!((full.endpoint, full.zone, full.cell, full.machine_type), (0, Some(1), 4, Some(0)));
         assert_eq!((full.status, full.size, full.started_at), (EndpointStatus::Ready, 1.5, Some(6_100_000)));
-        assert_eq!((least.endpoint, least.zone, least.cell, least.machine_type), (1, None, 0, None));
-        assert_eq!((least.status, least.size, least.started_at), (EndpointStatus::Draining, 1.0, None));
-        assert_eq!((gone.zone, gone.machine_type, gone.status), (Some(2), Some(1), EndpointStatus::Removed));
+        assert_eq!((minimal.endpoint, minimal.zone, minimal.cell, minimal.machine_type), (1, None, 0, None));
+        assert_eq!((minimal.status, minimal.size, minimal.started_at), (EndpointStatus::Draining, 1.0, None));
+        assert_eq!(
+            (removed.zone, removed.machine_type, removed.status),
+            (Some(2), Some(1), EndpointStatus::Removed)
+        );
     }
     let failed = read("endpoints I=3 Epoch=1 Kind=0 RosterId=0");
     assert!(matches!(failed, Event::EndpointList(EndpointListUpdate::Failed)));
--- a/crates/simulator-adapter/tests/stored_forms.rs
+++ b/crates/simulator-adapter/tests/stored_forms.rs
@@ -1,5 +1,5 @@
-//! What is sent to the balancer and back: its settings object, and a transcript of the simulator's wire that the program
-//! wrote at commit 3f326ce. Names in the code may change; what is read and written may not.
+//! Golden tests of what is exchanged with the balancer: its settings object, and a transcript of the simulator's
+//! protocol that the program wrote at commit 3f326ce. Names in the code may change; what is read and written may not.
 
 use lotusmoor_balancer::settings::{DecodedSettings, decode};
 use lotusmoor_balancer::*;
@@ -18,14 +18,14 @@
 }
 
 fn read(text: &str) -> DecodedSettings {
-    decode(text).unwrap_or_else(|what| panic!("{what}: {text}"))
+    decode(text).unwrap_or_else(|error| panic!("{error}: {text}"))
 }
 
 /// The settings object with one part replaced.
-fn with(right: &str, other: &str) -> Settings {
+fn read_with(original: &str, replacement: &str) -> Settings {
     let text = all_keys();
-    assert!(text.contains(right), "{right}");
-    read(&text.replace(right, other)).settings
+    assert!(text.contains(original), "{original}");
+    read(&text.replace(original, replacement)).settings
 }
 
 #[test]
@@ -76,7 +76,7 @@
     assert_eq!((tenants[1].quota_per_s, tenants[1].capacity_share), (0.0, 0.0));
 }
 
-// Each key has its own flag: one that is read for another would go unseen with all of them on.
+// Keys are switched off one by one: with all of them on, a key that is read for another would not be noticed.
 #[test]
 fn every_permission_is_read_from_its_own_key() {
     let flags = |limits: &Limits| {
@@ -91,42 +91,42 @@
     let all = read(&all_keys()).settings.limits;
     assert_eq!(flags(&all), [true; 5]);
     for (number, key) in ["MayCancel", "MayDuplicate", "Peers", "Probes", "RetryAfter"].iter().enumerate() {
-        let without = with(&format!(r#""{key}": true"#), &format!(r#""{key}": false"#)).limits;
-        let mut wanted = [true; 5];
-        wanted[number] = false;
-        assert_eq!(flags(&without), wanted, "{key}");
+        let without = read_with(&format!(r#""{key}": true"#), &format!(r#""{key}": false"#)).limits;
+        let mut expected = [true; 5];
+        expected[number] = false;
+        assert_eq!(flags(&without), expected, "{key}");
     }
-    assert!(!with(r#""MarksRetry": true"#, r#""MarksRetry": false"#).clients_mark_retries);
-    assert!(!with(r#""CountedBy": "work""#, r#""CountedBy": "request""#).priority_by_work);
+    assert!(!read_with(r#""MarksRetry": true"#, r#""MarksRetry": false"#).clients_mark_retries);
+    assert!(!read_with(r#""CountedBy": "work""#, r#""CountedBy": "request""#).priority_by_work);
 }
 
 #[test]
-fn every_word_of_a_choice_is_read() {
-    for (word, discovery) in [("on_request", DiscoveryMode::Polled), ("pushed", DiscoveryMode::Pushed)] {
-        let read = with(r#""on_request""#, &format!("{word:?}")).discovery;
-        assert_eq!(read, discovery, "{word}");
+fn every_enum_value_is_read() {
+    for (value, discovery) in [("on_request", DiscoveryMode::Polled), ("pushed", DiscoveryMode::Pushed)] {
+        let read = read_with(r#""on_request""#, &format!("{value:?}")).discovery;
+        assert_eq!(read, discovery, "{value}");
     }
-    for (word, weights) in [
+    for (value, weights) in [
         ("nominal", WeightSource::Nominal),
         ("rough", WeightSource::Nominal),
         ("live", WeightSource::Live),
         ("silent", WeightSource::Unweighted),
     ] {
-        assert_eq!(with(r#""nominal""#, &format!("{word:?}")).weights, weights, "{word}");
+        assert_eq!(read_with(r#""nominal""#, &format!("{value:?}")).weights, weights, "{value}");
     }
-    for (word, reports) in [
+    for (value, reports) in [
         ("piggyback", LoadReportSource::Piggybacked),
         ("pull", LoadReportSource::HealthCheck),
         ("silent", LoadReportSource::Unavailable),
     ] {
-        assert_eq!(with(r#""piggyback""#, &format!("{word:?}")).load_reports, reports, "{word}");
+        assert_eq!(read_with(r#""piggyback""#, &format!("{value:?}")).load_reports, reports, "{value}");
     }
     let unknown = decode(&all_keys().replace(r#""pure""#, r#""impure""#)).err();
     assert_eq!(unknown.map(|e| e.to_string()).as_deref(), Some("unknown Effect impure"));
 }
 
 #[test]
-fn settings_with_the_least_that_they_must_have_are_read_with_the_defaults() {
+fn minimal_settings_are_read_with_defaults() {
     let DecodedSettings { settings, tenants, zones, idle_timeout, .. } = read(
         r#"{"Lanes":[{"AimUs":1,"DeadlineUs":2,"Effect":"pure","Name":"look"}],"Limits":{"MaxAttempts":3},
         "Rules":{"ColdShare":0.3,"OverloadFactor":3.0,"TipAfterUs":4,"WarmWithinUs":5}}"#,
@@ -144,18 +144,18 @@
 }
 
 #[test]
-fn the_wire_is_answered_to_the_letter() {
-    let mut answered = Vec::new();
-    serve(WIRE_INPUT.as_bytes(), &mut answered).unwrap_or_else(|what| panic!("{what}"));
-    let answered = String::from_utf8(answered).expect("text");
-    for (number, (line, stored)) in answered.lines().zip(WIRE_OUTPUT.lines()).enumerate() {
+fn replies_match_the_stored_transcript() {
+    let mut replies = Vec::new();
+    serve(WIRE_INPUT.as_bytes(), &mut replies).unwrap_or_else(|error| panic!("{error}"));
+    let replies = String::from_utf8(replies).expect("text");
+    for (number, (line, stored)) in replies.lines().zip(WIRE_OUTPUT.lines()).enumerate() {
         assert_eq!(line, stored, "line {}", number + 1);
     }
-    assert_eq!(answered, WIRE_OUTPUT);
+    assert_eq!(replies, WIRE_OUTPUT);
 }
 
 #[test]
-fn the_stored_transcript_has_messages_of_each_kind_that_the_balancer_uses() {
+fn stored_transcript_has_every_kind_of_message_that_the_balancer_uses() {
     let names = |text: &'static str| -> BTreeSet<&'static str> {
         text.lines().filter_map(|line| line.split(' ').next()).filter(|name| !name.is_empty()).collect()
     };
--- a/crates/simulator-adapter/tests/wire.rs
+++ b/crates/simulator-adapter/tests/wire.rs
@@ -1,4 +1,4 @@
-//! The adapter: what it reads, what it writes, and how it ends on what cannot be read.
+//! The adapter's line protocol: what it reads and writes, and how it fails on invalid input.
 
 use lotusmoor_simulator_adapter::serve;
 
@@ -112,7 +112,7 @@
 }
 
 #[test]
-fn kill_and_start_in_one_batch_leave_nothing_of_the_old_instance() {
+fn kill_and_start_in_one_batch_replace_the_instance_and_its_state() {
     let first = batch(1, &(start(0) + &demand(0, 1)));
     let again = batch(2, &("kill I=0\n".to_owned() + &start(0) + &demand(0, 2)));
     let reply = run(&(first + &again)).expect("readable");
@@ -125,8 +125,8 @@
 }
 
 #[test]
-fn instance_acts_the_same_alone_and_beside_others() {
-    let play = |others: bool| {
+fn instance_acts_the_same_alone_and_next_to_others() {
+    let run_batches = |others: bool| {
         let mut input = String::new();
         for n in 1..60 {
             let mut events = String::new();
@@ -145,7 +145,7 @@
             .map(str::to_owned)
             .collect::<Vec<_>>()
     };
-    assert_eq!(play(false), play(true));
+    assert_eq!(run_batches(false), run_batches(true));
 }
 
 #[test]
@@ -297,6 +297,6 @@
     (0..12_000).for_each(|t| events += &demand(0, t));
     assert!(events.len() > 1_000_000);
     let reply = run(&batch(1, &events)).expect("readable");
-    let asked = reply.lines().filter(|l| l.starts_with("hand_off")).count();
-    assert!(asked > 0 && reply.ends_with("next batch=1\n"));
+    let sent = reply.lines().filter(|l| l.starts_with("hand_off")).count();
+    assert!(sent > 0 && reply.ends_with("next batch=1\n"));
 }
