--- a/crates/sidecar/src/inbound/read_ahead.rs
+++ b/crates/sidecar/src/inbound/read_ahead.rs
@@ -69,5 +69,5 @@
 /// The status for a request whose client could not be verified as connected. 503 promises that the request was not
 /// processed, which is certain only if no attempt has begun to be written.
 fn unverified_status(lifecycle: &RequestLifecycle) -> StatusCode {
-    if lifecycle.has_begun() { StatusCode::BAD_GATEWAY } else { StatusCode::SERVICE_UNAVAILABLE }
+    if lifecycle.any_send_began() { StatusCode::BAD_GATEWAY } else { StatusCode::SERVICE_UNAVAILABLE }
 }
--- a/crates/sidecar/src/upstream/attempt.rs
+++ b/crates/sidecar/src/upstream/attempt.rs
@@ -37,9 +37,9 @@
         let streams_body = outgoing.rest.is_some();
         let send = GatedSend::new(SendPermit {
             lifecycle: Rc::clone(&outgoing.lifecycle),
-            endpoint: endpoint.permission_check(permission),
+            endpoint_permits: endpoint.permission_check(permission),
             // The time of a streamed body depends on its client, so the send has no deadline of its own here.
-            until: (!streams_body).then_some(until),
+            attempt_deadline: (!streams_body).then_some(until),
             write_by,
         });
         // Ends the send when dropped, also when this attempt is cancelled.
@@ -96,8 +96,8 @@
         let (until, permission) = (start + HEALTH_CHECK_TIMEOUT, endpoint.permission());
         let send = GatedSend::new(SendPermit {
             lifecycle: Rc::clone(&outgoing.lifecycle),
-            endpoint: endpoint.permission_check(permission),
-            until: Some(until),
+            endpoint_permits: endpoint.permission_check(permission),
+            attempt_deadline: Some(until),
             write_by: None,
         });
         let _guard = SendGuard(Rc::clone(&send));
