--- a/crates/sidecar/src/connection/tests.rs
+++ b/crates/sidecar/src/connection/tests.rs
@@ -7,8 +7,12 @@
 /// Progress of a request without a body whose send is permitted while `permitted` returns true.
 fn gated(permitted: impl Fn() -> bool + 'static) -> WriteProgress {
     let lifecycle = RequestLifecycle::new(b"1", None, false);
-    let permit =
-        SendPermit { lifecycle, endpoint_permits: Box::new(permitted), attempt_deadline: None, write_by: None };
+    let permit = SendPermit {
+        lifecycle,
+        endpoint_permits: Box::new(permitted),
+        attempt_deadline: None,
+        write_by: None,
+    };
     WriteProgress::for_gated_send(Some(0), GatedSend::new(permit))
 }
 
