--- a/crates/sidecar/src/discovery/poll.rs
+++ b/crates/sidecar/src/discovery/poll.rs
@@ -18,11 +18,11 @@
 /// changes, and until it times out draining endpoints are still sent requests, so the time is short. It also sets the
 /// minimum load on discovery: without changes, each sidecar polls this often.
 const MAX_WATCH_TIME: Duration = Duration::from_secs(4);
-/// How much longer than that an answer may take before a hedged poll is started: the first one may never be answered.
+/// How long after the time that discovery may hold a poll a hedged poll is started: the first one may never be answered.
 const HEDGE_DELAY: Duration = Duration::from_secs(2);
-/// How much longer than [`MAX_WATCH_TIME`] an answer may take before its poll times out. A slow or overloaded discovery
-/// still answers polls that wait for it, but none if each of them times out too soon.
-const MAX_ANSWER_TIME: Duration = Duration::from_secs(6);
+/// How long after the time that discovery may hold a poll that poll times out. A slow or overloaded discovery still
+/// answers polls that wait for it, but none if each of them times out too soon.
+const ANSWER_TIMEOUT: Duration = Duration::from_secs(6);
 
 /// Why a poll returned no list.
 #[derive(Debug)]
@@ -160,7 +160,7 @@
         }
         None => "/discovery/hosts".to_owned(),
     };
-    match timeout(watch_time(after) + MAX_ANSWER_TIME, get_list(address, &mut reusable, &path, slow)).await {
+    match timeout(watch_time(after) + ANSWER_TIMEOUT, get_list(address, &mut reusable, &path, slow)).await {
         Ok(answer) => Polled { answer, reusable },
         Err(_) => Polled { answer: Err(PollError::NoAnswer), reusable: None },
     }
--- a/crates/sidecar/src/http_get.rs
+++ b/crates/sidecar/src/http_get.rs
@@ -22,7 +22,7 @@
 /// link, or one that never ends, so the next poll must not wait for it.
 const SLOW_BODY_TIME: Duration = Duration::from_secs(2);
 /// Time limit for receiving the body.
-const MAX_BODY_TIME: Duration = Duration::from_secs(6);
+const BODY_TIMEOUT: Duration = Duration::from_secs(6);
 /// Maximum size of the body.
 const MAX_BODY_BYTES: usize = 4 << 20;
 
@@ -104,7 +104,7 @@
         return Ok(body);
     }
     slow.notify_one();
-    let rest = timeout(MAX_BODY_TIME - SLOW_BODY_TIME, collected).await;
+    let rest = timeout(BODY_TIMEOUT - SLOW_BODY_TIME, collected).await;
     rest.map_err(|_| GetError::BodyTimeout)
 }
 
--- a/crates/sidecar/src/registry_watch.rs
+++ b/crates/sidecar/src/registry_watch.rs
@@ -147,11 +147,11 @@
             }
             Ok(Ok(None)) => None,
             Ok(Err(error)) => {
-                log_line!("roster: the file can't be used: {error}");
+                log_line!("roster: the cache file can't be used: {error}");
                 None
             }
             Err(error) => {
-                log_line!("roster: the file can't be read: {error}");
+                log_line!("roster: the cache file can't be read: {error}");
                 None
             }
         }
