--- a/crates/sidecar/tests/sidecar.rs
+++ b/crates/sidecar/tests/sidecar.rs
@@ -1,14 +1,14 @@
-//! The sidecar as its neighbours see it, over loopback sockets.
+//! End-to-end tests of the sidecar process over loopback sockets, with stub clients, endpoints and discovery.
 
-mod answers;
-mod crossings;
 mod faults;
 mod lifecycle;
 mod lists;
 mod operation;
+mod races;
 mod requests;
+mod responses;
 mod services;
 mod stored_state;
 mod streaming;
 mod stubs;
-mod terms;
+mod time_limits;
