--- a/crates/balancer/src/balancer/health.rs
+++ b/crates/balancer/src/balancer/health.rs
@@ -9,8 +9,8 @@
 
 impl Balancer {
     pub(super) fn record_outcome(&mut self, end: AttemptEnd, attempt: &InFlightAttempt) {
-        // A network fault that breaks all idle connections must not open circuits of healthy endpoints. So
-        // one that breaks each connection after its first answer is undetected, and costs an attempt each time.
+        // A network fault breaks all idle connections, which must not open circuits of healthy endpoints. A
+        // fault that breaks each connection after its first answer is missed, and costs an attempt each time.
         if matches!(
             end.outcome,
             Outcome::Cancelled | Outcome::BadRequest | Outcome::NotSent | Outcome::ReusedConnectionReset
