--- a/crates/sidecar/tests/terms/leaving_with_bodies.rs
+++ b/crates/sidecar/tests/time_limits/client_close_during_body.rs
@@ -2,8 +2,8 @@
 //! body and the end stay in the client's system, and this one shows a connection with unread bytes and no end.
 
 use super::*;
-use crate::crossings::served;
 use crate::operation::{folder, shared_listener};
+use crate::races::served;
 use std::net::{SocketAddr, TcpStream};
 
 /// Lengths of bodies: two that the window has room for, and some that it has not.
--- a/crates/sidecar/tests/terms/clients.rs
+++ b/crates/sidecar/tests/time_limits/clients.rs
@@ -1,7 +1,7 @@
 //! Clients of a busy sidecar get their answers in time, or are not forwarded.
 
 use super::*;
-use crate::crossings::{Next, WAYS, close_client, next, served, times};
+use crate::races::{Next, WAYS, close_client, next, served, times};
 use crate::stubs::*;
 use std::io::{ErrorKind, Read, Write};
 use std::net::TcpStream;
--- a/crates/sidecar/tests/terms/mod.rs
+++ b/crates/sidecar/tests/time_limits/mod.rs
@@ -2,8 +2,8 @@
 //! leave a busy sidecar, and idle clients that take all the room there is.
 
 mod changes;
+mod client_close_during_body;
 mod clients;
-mod leaving_with_bodies;
 
 use crate::stubs::*;
 use std::collections::BTreeMap;
