--- a/crates/sidecar/tests/services/mod.rs
+++ b/crates/sidecar/tests/services/mod.rs
@@ -1,4 +1,4 @@
-//! A sidecar that asks its roster for the servers of some services.
+//! A sidecar that polls its registry (`roster` in the configuration) for the servers of some services only.
 
 use crate::stubs::*;
 use std::net::{SocketAddr, TcpListener};
@@ -7,61 +7,65 @@
 use std::thread;
 use std::time::{Duration, Instant};
 
-/// From a reload on, servers of services that are not asked for any more may get requests for so long.
-const SETTLED: Duration = Duration::from_secs(2);
+/// How long after a reload servers of services that are no longer configured may still get requests.
+const RELOAD_GRACE: Duration = Duration::from_secs(2);
 
-/// A replica of a roster.
+/// A stub registry replica.
 struct Replica {
-    at: Endpoint,
-    state: Arc<(Mutex<Listed>, Condvar)>,
+    endpoint: Endpoint,
+    state: Arc<(Mutex<ReplicaState>, Condvar)>,
 }
 
-/// The list as a replica has it.
-struct Listed {
+/// The list of a replica, and what it has been polled for.
+struct ReplicaState {
     index: u64,
     /// Name, address and service.
     servers: Vec<(String, SocketAddr, Option<String>)>,
-    /// Whether it knows services; one that does not tells of all servers.
+    /// Whether the replica can select servers by service; older ones cannot, and return all servers.
     knows_services: bool,
-    /// The paths that were asked for.
-    calls: Vec<String>,
+    /// The paths of all polls received.
+    polls: Vec<String>,
 }
 
 impl Replica {
     /// Lists these servers, by name and service, as version 1.
     fn start(servers: &[(&str, &Endpoint, Option<&str>)], knows_services: bool) -> Self {
-        let listed = Listed { index: 1, servers: written(servers), knows_services, calls: Vec::new() };
-        let state = Arc::new((Mutex::new(listed), Condvar::new()));
-        let submitted = Arc::clone(&state);
-        let at = Endpoint::start(move |message| {
+        let state =
+            ReplicaState { index: 1, servers: owned_servers(servers), knows_services, polls: Vec::new() };
+        let state = Arc::new((Mutex::new(state), Condvar::new()));
+        let shared_state = Arc::clone(&state);
+        let endpoint = Endpoint::start(move |message| {
             let path = message.start.split(' ').nth(1).expect("a path").to_owned();
-            Reply::Answer(200, "", Self::answer(&submitted, path).into_bytes())
+            Reply::Response(200, "", Self::response(&shared_state, path).into_bytes())
         });
-        Self { at, state }
+        Self { endpoint, state }
     }
 
-    /// The answer to a call, once there is news or the wait is over.
-    fn answer((listed, news): &(Mutex<Listed>, Condvar), path: String) -> String {
-        let part = |key: &str| {
+    /// Waits until there is a newer list or the poll's wait is over; returns the body of the response.
+    fn response((state, changed): &(Mutex<ReplicaState>, Condvar), path: String) -> String {
+        let parameter = |key: &str| {
             let query = path.strip_prefix("/v1/watch?").expect("a watch");
             query.split('&').find_map(|pair| pair.strip_prefix(key)?.strip_prefix('=')).map(str::to_owned)
         };
-        let number = |key: &str| part(key).map(|n| n.parse::<u64>().expect("a number"));
-        let (wait, after, submitted) =
-            (number("wait_ms").expect("a wait"), number("after"), part("services"));
-        let mut listed = listed.lock().expect("no stub panics");
-        listed.calls.push(path.clone());
+        let number = |key: &str| parameter(key).map(|n| n.parse::<u64>().expect("a number"));
+        let (wait, after, services) =
+            (number("wait_ms").expect("a wait"), number("after"), parameter("services"));
+        let mut state = state.lock().expect("the lock is not poisoned");
+        state.polls.push(path.clone());
         let wait = Duration::from_millis(wait);
-        listed = news.wait_timeout_while(listed, wait, |l| after == Some(l.index)).expect("no stub panics").0;
-        let submitted = submitted.filter(|_| listed.knows_services);
-        let submitted: Option<Vec<&str>> = submitted.as_ref().map(|names| names.split(',').collect());
+        state = changed
+            .wait_timeout_while(state, wait, |l| after == Some(l.index))
+            .expect("the lock is not poisoned")
+            .0;
+        let services = services.filter(|_| state.knows_services);
+        let services: Option<Vec<&str>> = services.as_ref().map(|names| names.split(',').collect());
         let wanted = |service: &Option<String>| {
-            submitted
+            services
                 .as_ref()
-                .is_none_or(|submitted| service.as_deref().is_some_and(|name| submitted.contains(&name)))
+                .is_none_or(|services| service.as_deref().is_some_and(|name| services.contains(&name)))
         };
-        let full = after != Some(listed.index);
-        let entries = listed.servers.iter().filter(|(_, _, service)| full && wanted(service));
+        let full = after != Some(state.index);
+        let entries = state.servers.iter().filter(|(_, _, service)| full && wanted(service));
         let entries: Vec<_> = entries
             .map(|(name, address, service)| {
                 let service = service.as_ref().map_or(String::new(), |s| format!(r#""service":"{s}","#));
@@ -70,86 +74,89 @@
                 )
             })
             .collect();
-        let echo =
-            submitted.map_or(String::new(), |names| format!(r#""services":["{}"],"#, names.join(r#"",""#)));
-        let (index, entries) = (listed.index, entries.join(","));
+        let services_field =
+            services.map_or(String::new(), |names| format!(r#""services":["{}"],"#, names.join(r#"",""#)));
+        let (index, entries) = (state.index, entries.join(","));
         format!(
-            r#"{{"epoch":1,"index":{index},"snapshot":{full},"digest":{index},{echo}"endpoints":[{entries}]}}"#
+            r#"{{"epoch":1,"index":{index},"snapshot":{full},"digest":{index},{services_field}"endpoints":[{entries}]}}"#
         )
     }
 
-    /// Changes the list, which goes to its next version.
+    /// Replaces the list; returns its new version.
     fn publish(&self, servers: &[(&str, &Endpoint, Option<&str>)]) -> u64 {
-        let mut listed = self.state.0.lock().expect("no stub panics");
-        listed.servers = written(servers);
-        listed.index += 1;
+        let mut state = self.state.0.lock().expect("the lock is not poisoned");
+        state.servers = owned_servers(servers);
+        state.index += 1;
         self.state.1.notify_all();
-        listed.index
+        state.index
     }
 
-    fn calls(&self) -> Vec<String> {
-        self.state.0.lock().expect("no stub panics").calls.clone()
+    fn polls(&self) -> Vec<String> {
+        self.state.0.lock().expect("the lock is not poisoned").polls.clone()
     }
 
-    /// Calls for the whole list.
+    /// Number of polls for the full list.
     fn full_list_polls(&self) -> usize {
-        self.calls().iter().filter(|path| !path.contains("after=")).count()
+        self.polls().iter().filter(|path| !path.contains("after=")).count()
     }
 
-    /// Waits until a watch for what comes after that version is open, with that end of its path.
-    fn await_watch(&self, index: u64, end: &str) {
-        let wanted = format!("&after={index}{end}");
-        wait_until("the watch goes on", || self.calls().last().is_some_and(|path| path.ends_with(&wanted)));
+    /// Waits until a watch for changes after version `index` is open whose path ends with `path_suffix`.
+    fn await_watch(&self, index: u64, path_suffix: &str) {
+        let expected = format!("&after={index}{path_suffix}");
+        wait_until("the next watch is open", || {
+            self.polls().last().is_some_and(|path| path.ends_with(&expected))
+        });
     }
 }
 
-fn written(servers: &[(&str, &Endpoint, Option<&str>)]) -> Vec<(String, SocketAddr, Option<String>)> {
+/// The same servers with owned names and the addresses of their endpoints.
+fn owned_servers(servers: &[(&str, &Endpoint, Option<&str>)]) -> Vec<(String, SocketAddr, Option<String>)> {
     servers
         .iter()
-        .map(|(name, at, service)| (name.to_string(), at.address, service.map(str::to_owned)))
+        .map(|(name, endpoint, service)| (name.to_string(), endpoint.address, service.map(str::to_owned)))
         .collect()
 }
 
-/// What stands in a configuration that asks that replica for these services.
-fn roster(replica: SocketAddr, services: &[&str]) -> String {
+/// The part of a configuration that makes a sidecar poll this replica for these services.
+fn registry_config(replica: SocketAddr, services: &[&str]) -> String {
     let services =
         if services.is_empty() { String::new() } else { format!(r#""{}""#, services.join(r#"",""#)) };
     format!(r#""roster":{{"addresses":["{replica}"],"services":[{services}]}},"#)
 }
 
-fn with_roster(config: &str, roster: &str) -> String {
-    config.replacen(r#""settings":"#, &format!(r#"{roster}"settings":"#), 1)
+fn with_registry(config: &str, registry: &str) -> String {
+    config.replacen(r#""settings":"#, &format!(r#"{registry}"settings":"#), 1)
 }
 
-/// A sidecar with that part of its configuration, that knows no server of its own.
-fn sidecar(discovery: &Discovery, roster: &str) -> Sidecar {
-    Sidecar::start_as(discovery, &[], 1024, |config| with_roster(&config, roster))
+/// Starts a sidecar with this registry configuration, and without configured endpoints.
+fn sidecar(discovery: &Discovery, registry: &str) -> Sidecar {
+    Sidecar::start_with_config(discovery, &[], 1024, |config| with_registry(&config, registry))
 }
 
-/// Has it read a configuration with that part.
-fn reload(sidecar: &Sidecar, discovery: &Discovery, roster: &str) {
-    sidecar.reload(&with_roster(&config(sidecar.address, discovery.address, "null"), roster));
+/// Makes the sidecar reload a configuration with this registry configuration.
+fn reload(sidecar: &Sidecar, discovery: &Discovery, registry: &str) {
+    sidecar.reload(&with_registry(&config(sidecar.address, discovery.address, "null"), registry));
 }
 
-fn served() -> Endpoint {
-    Endpoint::start(|_| Reply::Answer(200, "", Vec::new()))
+fn ok_endpoint() -> Endpoint {
+    Endpoint::start(|_| Reply::Response(200, "", Vec::new()))
 }
 
-/// A request's status.
+/// Sends a request; returns the status of its response.
 fn exchange(sidecar: &Sidecar) -> u16 {
-    sidecar.exchange(&request("look", "", "")).expect("an answer").status()
+    sidecar.exchange(&request("look", "", "")).expect("a response").status()
 }
 
-/// Waits until so many servers are listed, with that end of the line.
-fn await_servers(sidecar: &Sidecar, number: usize, end: &str) {
-    let wanted = format!(" servers={number} held=0{end}");
-    wait_until("the servers are listed", || sidecar.call("list").ends_with(&wanted));
+/// Waits until the operators' call `list` reports this number of servers, and its line ends with `line_suffix`.
+fn await_servers(sidecar: &Sidecar, number: usize, line_suffix: &str) {
+    let expected = format!(" servers={number} held=0{line_suffix}");
+    wait_until("the servers are listed", || sidecar.call("list").ends_with(&expected));
 }
 
-/// Asks until each of these servers has got a request; every one is answered well.
-fn await_use(sidecar: &Sidecar, servers: &[&Endpoint]) {
+/// Sends requests until each of these servers has received one; all of them must succeed.
+fn await_requests_to(sidecar: &Sidecar, servers: &[&Endpoint]) {
     let before: Vec<_> = servers.iter().map(|server| server.requests()).collect();
-    wait_until("each is used", || {
+    wait_until("each server gets a request", || {
         assert_eq!(exchange(sidecar), 200);
         servers.iter().zip(&before).all(|(server, before)| server.requests() > *before)
     });
@@ -157,174 +164,189 @@
 
 #[test]
 fn polls_configured_services_and_uses_their_servers_alone() {
-    let (discovery, [ledger, pay, stock, none, late]) = (Discovery::start(), [(); 5].map(|()| served()));
+    let (discovery, [ledger, pay, stock, without_service, late]) =
+        (Discovery::start(), [(); 5].map(|()| ok_endpoint()));
     let mut servers = vec![
         ("s-1", &ledger, Some("ledger")),
         ("s-2", &pay, Some("pay")),
         ("s-3", &stock, Some("stock")),
-        ("s-4", &none, None),
+        ("s-4", &without_service, None),
     ];
     let replica = Replica::start(&servers, true);
-    let sidecar = sidecar(&discovery, &roster(replica.at.address, &["pay", "ledger", "pay"]));
+    let sidecar = sidecar(&discovery, &registry_config(replica.endpoint.address, &["pay", "ledger", "pay"]));
     await_servers(&sidecar, 2, " services=2");
-    await_use(&sidecar, &[&ledger, &pay]);
+    await_requests_to(&sidecar, &[&ledger, &pay]);
     servers.push(("s-5", &late, Some("pay")));
     let index = replica.publish(&servers);
     replica.await_watch(index, "&services=ledger,pay");
     await_servers(&sidecar, 3, " services=2");
-    await_use(&sidecar, &[&ledger, &pay, &late]);
-    assert_eq!((stock.requests(), none.requests()), (0, 0));
-    let calls = replica.calls();
-    assert_eq!(calls[0], "/v1/watch?wait_ms=0&services=ledger,pay");
-    assert!(calls.iter().all(|path| path.ends_with("&services=ledger,pay")), "{calls:?}");
+    await_requests_to(&sidecar, &[&ledger, &pay, &late]);
+    assert_eq!((stock.requests(), without_service.requests()), (0, 0));
+    let polls = replica.polls();
+    assert_eq!(polls[0], "/v1/watch?wait_ms=0&services=ledger,pay");
+    assert!(polls.iter().all(|path| path.ends_with("&services=ledger,pay")), "{polls:?}");
 }
 
 #[test]
 fn polls_all_servers_without_configured_services() {
-    let (discovery, [one, two]) = (Discovery::start(), [(); 2].map(|()| served()));
+    let (discovery, [one, two]) = (Discovery::start(), [(); 2].map(|()| ok_endpoint()));
     let replica = Replica::start(&[("s-1", &one, Some("ledger")), ("s-2", &two, None)], true);
-    let empty = roster(replica.at.address, &[]);
-    for part in [&empty, &empty.replace(r#","services":[]"#, "")] {
-        let submitted = replica.calls().len();
-        let sidecar = sidecar(&discovery, part);
+    let empty = registry_config(replica.endpoint.address, &[]);
+    for registry in [&empty, &empty.replace(r#","services":[]"#, "")] {
+        let polls_before = replica.polls().len();
+        let sidecar = sidecar(&discovery, registry);
         await_servers(&sidecar, 2, "");
-        await_use(&sidecar, &[&one, &two]);
+        await_requests_to(&sidecar, &[&one, &two]);
         replica.await_watch(1, "");
-        let calls = &replica.calls()[submitted..];
-        assert_eq!(calls[..2], ["/v1/watch?wait_ms=0", "/v1/watch?wait_ms=4000&epoch=1&after=1"]);
+        let polls = &replica.polls()[polls_before..];
+        assert_eq!(polls[..2], ["/v1/watch?wait_ms=0", "/v1/watch?wait_ms=4000&epoch=1&after=1"]);
     }
 }
 
 #[test]
 fn reload_changes_polled_services() {
-    let (discovery, [ledger, pay, stock]) = (Discovery::start(), [(); 3].map(|()| served()));
+    let (discovery, [ledger, pay, stock]) = (Discovery::start(), [(); 3].map(|()| ok_endpoint()));
     let servers =
         [("s-1", &ledger, Some("ledger")), ("s-2", &pay, Some("pay")), ("s-3", &stock, Some("stock"))];
     let replica = Replica::start(&servers, true);
-    let at = replica.at.address;
-    let sidecar = sidecar(&discovery, &roster(at, &["ledger", "pay"]));
-    await_use_of_list(&sidecar, &replica, 1, "&services=ledger,pay", &[&ledger, &pay]);
-    reload(&sidecar, &discovery, &roster(at, &["stock", "pay"]));
-    let reloaded = Instant::now();
-    // What stays is in use throughout.
-    while reloaded.elapsed() < SETTLED {
+    let address = replica.endpoint.address;
+    let sidecar = sidecar(&discovery, &registry_config(address, &["ledger", "pay"]));
+    await_list_and_requests_to(&sidecar, &replica, 1, "&services=ledger,pay", &[&ledger, &pay]);
+    reload(&sidecar, &discovery, &registry_config(address, &["stock", "pay"]));
+    let reloaded_at = Instant::now();
+    // The servers of the service that stays configured are used throughout.
+    while reloaded_at.elapsed() < RELOAD_GRACE {
         assert_eq!(exchange(&sidecar), 200);
         thread::sleep(Duration::from_millis(5));
     }
-    let before = ledger.requests();
-    await_use_of_list(&sidecar, &replica, 1, "&services=pay,stock", &[&pay, &stock]);
+    let ledger_requests = ledger.requests();
+    await_list_and_requests_to(&sidecar, &replica, 1, "&services=pay,stock", &[&pay, &stock]);
     let index = replica.publish(&servers);
-    await_use_of_list(&sidecar, &replica, index, "&services=pay,stock", &[&pay, &stock]);
+    await_list_and_requests_to(&sidecar, &replica, index, "&services=pay,stock", &[&pay, &stock]);
     assert!((0..50).all(|_| exchange(&sidecar) == 200));
-    assert_eq!(ledger.requests(), before);
-    assert_eq!(replica.full_list_polls(), 2, "{:?}", replica.calls());
-    reload(&sidecar, &discovery, &roster(at, &[]));
-    await_use_of_list(&sidecar, &replica, index, "", &[&ledger, &pay, &stock]);
+    assert_eq!(ledger.requests(), ledger_requests);
+    assert_eq!(replica.full_list_polls(), 2, "{:?}", replica.polls());
+    reload(&sidecar, &discovery, &registry_config(address, &[]));
+    await_list_and_requests_to(&sidecar, &replica, index, "", &[&ledger, &pay, &stock]);
 }
 
-/// Waits for the watch after that version with that end of its path, and asks until each of these servers, which are all
-/// that are listed, has got a request.
-fn await_use_of_list(sidecar: &Sidecar, replica: &Replica, index: u64, end: &str, servers: &[&Endpoint]) {
-    replica.await_watch(index, end);
-    let number = end.split_once('=').map_or(0, |(_, names)| names.split(',').count());
-    let reported = if number == 0 { String::new() } else { format!(" services={number}") };
-    await_servers(sidecar, servers.len(), &reported);
-    await_use(sidecar, servers);
+/// Waits until a watch for changes after version `index` is open whose path ends with `path_suffix`. Then checks that
+/// these servers are all that are listed, and sends requests until each of them has received one.
+fn await_list_and_requests_to(
+    sidecar: &Sidecar,
+    replica: &Replica,
+    index: u64,
+    path_suffix: &str,
+    servers: &[&Endpoint],
+) {
+    replica.await_watch(index, path_suffix);
+    let number = path_suffix.split_once('=').map_or(0, |(_, names)| names.split(',').count());
+    let line_suffix = if number == 0 { String::new() } else { format!(" services={number}") };
+    await_servers(sidecar, servers.len(), &line_suffix);
+    await_requests_to(sidecar, servers);
 }
 
 #[test]
 fn reload_with_same_services_changes_nothing() {
-    let (discovery, [ledger, pay]) = (Discovery::start(), [(); 2].map(|()| served()));
+    let (discovery, [ledger, pay]) = (Discovery::start(), [(); 2].map(|()| ok_endpoint()));
     let servers = [("s-1", &ledger, Some("ledger")), ("s-2", &pay, Some("pay"))];
     let replica = Replica::start(&servers, true);
-    let at = replica.at.address;
-    let sidecar = sidecar(&discovery, &roster(at, &["ledger", "pay"]));
+    let address = replica.endpoint.address;
+    let sidecar = sidecar(&discovery, &registry_config(address, &["ledger", "pay"]));
     replica.await_watch(1, "&services=ledger,pay");
-    let bad = roster(at, &["pay", "a b"]);
-    for part in [&roster(at, &["pay", "ledger", "ledger"]), "", &bad] {
-        reload(&sidecar, &discovery, part);
-        // Three rounds later it has been read.
+    let invalid = registry_config(address, &["pay", "a b"]);
+    for registry in [&registry_config(address, &["pay", "ledger", "ledger"]), "", &invalid] {
+        reload(&sidecar, &discovery, registry);
+        // By the third new version the configuration has been read.
         for _ in 0..3 {
             let index = replica.publish(&servers);
             replica.await_watch(index, "&services=ledger,pay");
         }
-        assert_eq!(replica.full_list_polls(), 1, "{part}: {:?}", replica.calls());
+        assert_eq!(replica.full_list_polls(), 1, "{registry}: {:?}", replica.polls());
         await_servers(&sidecar, 2, " services=2");
     }
-    await_use(&sidecar, &[&ledger, &pay]);
-    // Such a file is read all the same.
-    reload(&sidecar, &discovery, &roster(at, &["pay"]));
+    await_requests_to(&sidecar, &[&ledger, &pay]);
+    // After such files, another configuration still takes effect.
+    reload(&sidecar, &discovery, &registry_config(address, &["pay"]));
     await_servers(&sidecar, 1, " services=1");
 }
 
 #[test]
 fn ignores_replica_that_does_not_know_services() {
-    let (discovery, [ledger, pay]) = (Discovery::start(), [(); 2].map(|()| served()));
+    let (discovery, [ledger, pay]) = (Discovery::start(), [(); 2].map(|()| ok_endpoint()));
     let servers = [("s-1", &ledger, Some("ledger")), ("s-2", &pay, Some("pay"))];
     let replica = Replica::start(&servers, false);
-    let sidecar = sidecar(&discovery, &roster(replica.at.address, &["ledger"]));
-    wait_until("it asks again and again", || replica.calls().len() > 3);
+    let sidecar = sidecar(&discovery, &registry_config(replica.endpoint.address, &["ledger"]));
+    wait_until("the sidecar polls repeatedly", || replica.polls().len() > 3);
     let line = sidecar.call("list");
     assert!(line.starts_with("OK version=none ") && line.ends_with(" servers=0 held=0 services=1"), "{line}");
     assert_eq!(exchange(&sidecar), 503);
     assert_eq!((ledger.requests(), pay.requests()), (0, 0));
-    replica.state.0.lock().expect("no stub panics").knows_services = true;
+    replica.state.0.lock().expect("the lock is not poisoned").knows_services = true;
     await_servers(&sidecar, 1, " services=1");
-    await_use(&sidecar, &[&ledger]);
+    await_requests_to(&sidecar, &[&ledger]);
     assert_eq!(pay.requests(), 0);
 }
 
 #[test]
 fn rejects_invalid_service_names_and_accepts_longest() {
-    // One that refused no name would end at this address, which is taken, rather than run for good.
+    // The listening address is taken: a sidecar that accepts the names by mistake exits, instead of running forever.
     let listener = TcpListener::bind("127.0.0.1:0").expect("a free port");
-    let taken = listener.local_addr().expect("an address");
+    let taken_address = listener.local_addr().expect("an address");
     let names = |number: usize| -> Vec<String> { (0..number).map(|n| format!("a.b_C:-{n:057}")).collect() };
-    let most = names(256);
-    let (long, many) = ("x".repeat(65), names(257));
-    let many: Vec<&str> = many.iter().map(String::as_str).collect();
-    for bad in [&[""][..], &["a b"], &["a,b"], &["pay", "a/b"], &["a&b"], &["caf\u{e9}"], &[&long], &many] {
-        let text = with_roster(&config(taken, taken, "null"), &roster(taken, bad));
+    let longest_list = names(256);
+    let (too_long, too_many) = ("x".repeat(65), names(257));
+    let too_many: Vec<&str> = too_many.iter().map(String::as_str).collect();
+    for invalid in
+        [&[""][..], &["a b"], &["a,b"], &["pay", "a/b"], &["a&b"], &["caf\u{e9}"], &[&too_long], &too_many]
+    {
+        let text = with_registry(
+            &config(taken_address, taken_address, "null"),
+            &registry_config(taken_address, invalid),
+        );
         let path = config_file(&text);
         let mut command = Command::new(env!("CARGO_BIN_EXE_lotusmoor-sidecar"));
-        let output = command.env("LB_CONFIG", &path).stdin(Stdio::null()).output().expect("it starts");
-        let stderr = String::from_utf8(output.stderr).expect("text");
+        let output =
+            command.env("LB_CONFIG", &path).stdin(Stdio::null()).output().expect("the process starts");
+        let stderr = String::from_utf8(output.stderr).expect("UTF-8");
         assert_eq!(output.status.code(), Some(1), "{stderr}");
         let key = format!("lotusmoor-sidecar: LB_CONFIG {}: roster: services", path.display());
         assert!(stderr.starts_with(&key) && stderr.lines().count() == 1, "{stderr}");
         let _ = std::fs::remove_file(path);
     }
-    let (discovery, server) = (Discovery::start(), served());
-    let most: Vec<&str> = most.iter().map(String::as_str).collect();
-    let servers: Vec<_> = most.iter().map(|name| (*name, &server, Some(*name))).collect();
+    let (discovery, server) = (Discovery::start(), ok_endpoint());
+    let longest_list: Vec<&str> = longest_list.iter().map(String::as_str).collect();
+    let servers: Vec<_> = longest_list.iter().map(|name| (*name, &server, Some(*name))).collect();
     let replica = Replica::start(&servers, true);
-    let sidecar = sidecar(&discovery, &roster(replica.at.address, &most));
+    let sidecar = sidecar(&discovery, &registry_config(replica.endpoint.address, &longest_list));
     await_servers(&sidecar, 256, " services=256");
-    assert_eq!(replica.calls()[0], format!("/v1/watch?wait_ms=0&services={}", most.join(",")));
+    assert_eq!(replica.polls()[0], format!("/v1/watch?wait_ms=0&services={}", longest_list.join(",")));
     assert_eq!(exchange(&sidecar), 200);
 }
 
-// The open of a pipe lasts until somebody reads from it or writes to it, as on a disk that hangs.
+// Opening a named pipe blocks until its other end is opened, like opening a file on a disk that hangs.
 #[test]
-fn hanging_cache_file_delays_neither_start_nor_stop() {
-    let (discovery, ledger) = (Discovery::start(), served());
+fn hanging_cache_file_delays_neither_start_nor_shutdown() {
+    let (discovery, ledger) = (Discovery::start(), ok_endpoint());
     let replica = Replica::start(&[("s-1", &ledger, Some("ledger"))], true);
     let path = config_file("").with_extension("list");
     make_named_pipe(&path);
-    let file = format!(r#""roster":{{"addresses":["{}"],"file":"{}"}},"#, replica.at.address, path.display());
-    // No list comes, so none is written, until the process is known.
-    let listed = replica.state.0.lock().expect("no stub panics");
-    let mut sidecar = sidecar(&discovery, &file);
+    let registry =
+        format!(r#""roster":{{"addresses":["{}"],"file":"{}"}},"#, replica.endpoint.address, path.display());
+    // While the state is locked, the replica sends no list, and the sidecar writes none. The pipe at its temporary file can
+    // be made only then, as its name has the ID of the process.
+    let state_guard = replica.state.0.lock().expect("the lock is not poisoned");
+    let mut sidecar = sidecar(&discovery, &registry);
     make_named_pipe(&path.with_extension(format!("new-{}", sidecar.process.id())));
-    drop(listed);
+    drop(state_guard);
     await_servers(&sidecar, 1, "");
-    await_use(&sidecar, &[&ledger]);
+    await_requests_to(&sidecar, &[&ledger]);
     // By then the list is being written.
     thread::sleep(Duration::from_secs(2));
     sidecar.signal("-TERM");
-    let stopped = Instant::now();
-    while sidecar.process.try_wait().expect("it is a child").is_none() {
-        assert!(stopped.elapsed() < LONG, "it waits for its disk");
+    let signalled_at = Instant::now();
+    while sidecar.process.try_wait().expect("a child process").is_none() {
+        assert!(signalled_at.elapsed() < TEST_TIMEOUT, "the shutdown waits for the disk");
         thread::sleep(Duration::from_millis(5));
     }
 }
--- a/crates/sidecar/tests/sidecar.rs
+++ b/crates/sidecar/tests/sidecar.rs
@@ -1,4 +1,4 @@
-//! The sidecar as its neighbours see it, over loopback sockets.
+//! End-to-end tests of the sidecar process over loopback sockets, with stub clients, endpoints and discovery.
 
 mod faults;
 mod lifecycle;
--- a/crates/sidecar/tests/stored_state/mod.rs
+++ b/crates/sidecar/tests/stored_state/mod.rs
@@ -1,7 +1,8 @@
-//! What a sidecar keeps for the process after it, against fixtures that the program wrote at commit 3f326ce. Two versions
-//! of the sidecar read these files side by side during a hand-over, so neither their names nor their text may change.
+//! The files that a sidecar process stores for the next one, compared with fixtures that the program wrote at commit
+//! 3f326ce. During a hand-over two versions of the sidecar use these files at the same time, so neither their names nor
+//! their text may change.
 
-use crate::operation::{folder, shared_listener};
+use crate::operation::{shared_listener, state_folder};
 use crate::stubs::*;
 use std::fs::File;
 use std::net::{SocketAddr, TcpListener};
@@ -12,24 +13,24 @@
 const STATE_DRAINED: &str = "operators-state-drained.json";
 const STATE_CORDONED_AND_DRAINED: &str = "operators-state-cordoned-and-drained.json";
 
-/// A stored state, the calls after which the program had written it, and what it means.
-struct Stored {
+/// A stored state, the operators' calls after which the program wrote it, and its meaning.
+struct StoredState {
     fixture: &'static str,
     calls: &'static [&'static str],
     cordoned: &'static [&'static str],
     drained: bool,
 }
 
-const ALL_STORED: [Stored; 4] = [
-    Stored {
+const STORED_STATES: [StoredState; 4] = [
+    StoredState {
         fixture: STATE_EMPTY,
         calls: &["cordon s-1", "quiesce", "resume", "uncordon s-1"],
         cordoned: &[],
         drained: false,
     },
-    Stored { fixture: STATE_CORDONED, calls: &["cordon s-1"], cordoned: &["s-1"], drained: false },
-    Stored { fixture: STATE_DRAINED, calls: &["quiesce"], cordoned: &[], drained: true },
-    Stored {
+    StoredState { fixture: STATE_CORDONED, calls: &["cordon s-1"], cordoned: &["s-1"], drained: false },
+    StoredState { fixture: STATE_DRAINED, calls: &["quiesce"], cordoned: &[], drained: true },
+    StoredState {
         fixture: STATE_CORDONED_AND_DRAINED,
         calls: &["quiesce", "cordon s-2", "cordon s-1"],
         cordoned: &["s-1", "s-2"],
@@ -42,16 +43,16 @@
     std::fs::read(path).expect("a fixture")
 }
 
-fn address(of: &TcpListener) -> SocketAddr {
-    of.local_addr().expect("an address")
+fn address(listener: &TcpListener) -> SocketAddr {
+    listener.local_addr().expect("an address")
 }
 
-/// Where the state of the sidecar that listens there is kept.
+/// The file with the state of the sidecar that listens at this address.
 fn state_file(folder: &Path, listen: SocketAddr) -> PathBuf {
     folder.join(format!("tinflow-{listen}.json"))
 }
 
-/// The lock that each process takes for a change of that file.
+/// The file that each process locks to change the state file.
 fn lock_file(folder: &Path, listen: SocketAddr) -> PathBuf {
     folder.join(format!("tinflow-{listen}.lock"))
 }
@@ -64,28 +65,28 @@
     names
 }
 
-fn served() -> Endpoint {
-    Endpoint::start(|_| Reply::Answer(200, "", Vec::new()))
+fn ok_endpoint() -> Endpoint {
+    Endpoint::start(|_| Reply::Response(200, "", Vec::new()))
 }
 
 fn status_of_look(sidecar: &Sidecar) -> u16 {
-    sidecar.exchange(&request("look", "", "")).expect("an answer").status()
+    sidecar.exchange(&request("look", "", "")).expect("a response").status()
 }
 
 fn status_of_up(sidecar: &Sidecar) -> u16 {
-    sidecar.exchange("GET /up HTTP/1.1\r\nHost: x\r\n\r\n").expect("an answer").status()
+    sidecar.exchange("GET /up HTTP/1.1\r\nHost: x\r\n\r\n").expect("a response").status()
 }
 
 #[test]
-fn operators_calls_write_the_stored_state_under_its_stored_name() {
-    for stored in ALL_STORED {
+fn operators_calls_write_state_file_with_stored_name_and_text() {
+    for stored in STORED_STATES {
         let discovery = Discovery::start();
-        let [one, two] = [(); 2].map(|()| served());
+        let [one, two] = [(); 2].map(|()| ok_endpoint());
         let listener = shared_listener();
-        let folder = folder(&listener);
+        let folder = state_folder(&listener);
         let endpoints = [("s-1", &one), ("s-2", &two)];
-        let sidecar = Sidecar::start_passed(&discovery, &endpoints, &listener, &folder);
-        assert_eq!(names_in(&folder), [""; 0], "nothing is kept before the first call");
+        let sidecar = Sidecar::start_on_inherited_socket(&discovery, &endpoints, &listener, &folder);
+        assert_eq!(names_in(&folder), [""; 0], "nothing is stored before the first call");
         for call in stored.calls {
             assert_eq!(sidecar.call(call), "OK", "{}: {call}", stored.fixture);
         }
@@ -98,21 +99,21 @@
             stored.fixture
         );
         assert_eq!(names_in(&folder), [format!("tinflow-{listen}.json"), format!("tinflow-{listen}.lock")]);
-        assert_eq!(std::fs::read(lock_file(&folder, listen)).expect("a lock"), b"", "the lock holds no text");
+        assert_eq!(std::fs::read(lock_file(&folder, listen)).expect("a lock"), b"", "the lock file is empty");
     }
 }
 
 #[test]
-fn a_sidecar_that_starts_over_a_stored_state_follows_it() {
-    for stored in ALL_STORED {
+fn sidecar_applies_stored_state_at_start() {
+    for stored in STORED_STATES {
         let discovery = Discovery::start();
-        let [one, two, three] = [(); 3].map(|()| served());
+        let [one, two, three] = [(); 3].map(|()| ok_endpoint());
         let listener = shared_listener();
-        let folder = folder(&listener);
+        let folder = state_folder(&listener);
         let file = state_file(&folder, address(&listener));
-        std::fs::write(&file, fixture(stored.fixture)).expect("it can be written");
+        std::fs::write(&file, fixture(stored.fixture)).expect("the file can be written");
         let endpoints = [("s-1", &one), ("s-2", &two), ("s-3", &three)];
-        let sidecar = Sidecar::start_passed(&discovery, &endpoints, &listener, &folder);
+        let sidecar = Sidecar::start_on_inherited_socket(&discovery, &endpoints, &listener, &folder);
         assert_eq!(status_of_up(&sidecar), if stored.drained { 503 } else { 200 }, "{}", stored.fixture);
         for _ in 0..60 {
             assert_eq!(status_of_look(&sidecar), 200, "{}", stored.fixture);
@@ -121,13 +122,13 @@
             let gets_requests = endpoint.requests() > 0;
             assert_eq!(gets_requests, !stored.cordoned.contains(&name), "{}: {name}", stored.fixture);
         }
-        // Names that are out are known to the calls; the same call again leaves the text as it was.
+        // Cordoned names are known to operators' calls. Repeating a call leaves the text of the file as it was.
         for name in stored.cordoned {
             assert_eq!(sidecar.call(&format!("cordon {name}")), "OK", "{}", stored.fixture);
         }
         assert_eq!(sidecar.call(if stored.drained { "quiesce" } else { "resume" }), "OK");
         assert_eq!(std::fs::read(&file).expect("a state"), fixture(stored.fixture), "{}", stored.fixture);
-        // Its opposite ends what the state said.
+        // The opposite calls undo the stored state.
         for name in stored.cordoned {
             assert_eq!(sidecar.call(&format!("uncordon {name}")), "OK", "{}", stored.fixture);
         }
@@ -138,69 +139,71 @@
 }
 
 #[test]
-fn a_stored_state_that_another_version_writes_is_followed_while_the_sidecar_runs() {
+fn running_sidecar_applies_state_that_another_version_writes() {
     let discovery = Discovery::start();
-    let [one, two] = [(); 2].map(|()| served());
+    let [one, two] = [(); 2].map(|()| ok_endpoint());
     let listener = shared_listener();
-    let folder = folder(&listener);
+    let folder = state_folder(&listener);
     let file = state_file(&folder, address(&listener));
     let endpoints = [("s-1", &one), ("s-2", &two)];
-    let sidecar = Sidecar::start_passed(&discovery, &endpoints, &listener, &folder);
-    let puts = |name: &str| {
-        let beside = folder.join("other-version");
-        std::fs::write(&beside, fixture(name)).expect("it can be written");
-        std::fs::rename(&beside, &file).expect("it can be put in place");
+    let sidecar = Sidecar::start_on_inherited_socket(&discovery, &endpoints, &listener, &folder);
+    let replace_state = |name: &str| {
+        let temporary_path = folder.join("other-version");
+        std::fs::write(&temporary_path, fixture(name)).expect("the file can be written");
+        std::fs::rename(&temporary_path, &file).expect("the file can be renamed");
     };
-    puts(STATE_CORDONED_AND_DRAINED);
-    wait_until("it is drained", || status_of_up(&sidecar) == 503);
-    assert_eq!(status_of_look(&sidecar), 503, "both endpoints are out");
-    puts(STATE_DRAINED);
-    wait_until("endpoints are given back", || status_of_look(&sidecar) == 200);
-    puts(STATE_EMPTY);
-    wait_until("it is in service", || status_of_up(&sidecar) == 200);
+    replace_state(STATE_CORDONED_AND_DRAINED);
+    wait_until("the sidecar is drained", || status_of_up(&sidecar) == 503);
+    assert_eq!(status_of_look(&sidecar), 503, "both endpoints are cordoned");
+    replace_state(STATE_DRAINED);
+    wait_until("the endpoints are uncordoned", || status_of_look(&sidecar) == 200);
+    replace_state(STATE_EMPTY);
+    wait_until("the sidecar is in service", || status_of_up(&sidecar) == 200);
 }
 
 #[test]
-fn the_lock_of_another_version_is_respected_under_its_stored_name() {
+fn state_is_not_changed_while_another_version_holds_the_lock_file() {
     let discovery = Discovery::start();
-    let endpoint = served();
+    let endpoint = ok_endpoint();
     let listener = shared_listener();
-    let folder = folder(&listener);
+    let folder = state_folder(&listener);
     let listen = address(&listener);
-    let sidecar = Sidecar::start_passed(&discovery, &[("s-1", &endpoint)], &listener, &folder);
+    let sidecar = Sidecar::start_on_inherited_socket(&discovery, &[("s-1", &endpoint)], &listener, &folder);
     let lock = File::create(lock_file(&folder, listen)).expect("a lock");
-    lock.lock().expect("nobody holds it");
+    lock.lock().expect("the lock is free");
     let answer = sidecar.call("cordon s-1");
     assert!(answer.starts_with("ERR "), "{answer}");
     assert!(!state_file(&folder, listen).exists(), "nothing is written without the lock");
-    lock.unlock().expect("it is held");
+    lock.unlock().expect("the lock is held");
     assert_eq!(sidecar.call("cordon s-1"), "OK");
     assert_eq!(std::fs::read(state_file(&folder, listen)).expect("a state"), fixture(STATE_CORDONED));
 }
 
-/// A configuration with a registry that nobody can reach, whose list is kept in that file.
+/// A configuration with an unreachable registry whose list is cached in this file.
 fn with_registry(config: &str, list: &Path, services: &str) -> String {
-    let (nobody, list) = (unused_address(), list.display());
-    let registry =
-        format!(r#""roster":{{"addresses":["{nobody}"],"file":"{list}","services":[{services}]}},"#);
+    let (unreachable_address, list) = (unused_address(), list.display());
+    let registry = format!(
+        r#""roster":{{"addresses":["{unreachable_address}"],"file":"{list}","services":[{services}]}},"#
+    );
     config.replacen(r#""settings":"#, &format!(r#"{registry}"settings":"#), 1)
 }
 
 #[test]
-fn a_sidecar_whose_registry_is_away_starts_with_the_stored_list() {
-    for (name, services, wanted) in [
+fn sidecar_with_unreachable_registry_starts_with_the_stored_list() {
+    for (name, services, expected) in [
         ("list-whole.json", "", ["OK version=3/70 ", " servers=2 held=0"]),
         ("list-of-services.json", r#""ledger","mail""#, ["OK version=4/71 ", " servers=2 held=0 services=2"]),
     ] {
         let listener = shared_listener();
-        let list = folder(&listener).join(name);
+        let list = state_folder(&listener).join(name);
         let stored =
             Path::new(env!("CARGO_MANIFEST_DIR")).join("../registry-client/tests/fixtures").join(name);
-        std::fs::copy(stored, &list).expect("it can be copied");
+        std::fs::copy(stored, &list).expect("the file can be copied");
         let discovery = Discovery::start();
-        let sidecar =
-            Sidecar::start_as(&discovery, &[], 1024, |config| with_registry(&config, &list, services));
-        let [start, end] = wanted;
+        let sidecar = Sidecar::start_with_config(&discovery, &[], 1024, |config| {
+            with_registry(&config, &list, services)
+        });
+        let [start, end] = expected;
         wait_until("the stored list is in use", || {
             let line = sidecar.call("list");
             line.starts_with(start) && line.ends_with(end)
--- a/crates/sidecar/tests/stubs/discovery.rs
+++ b/crates/sidecar/tests/stubs/discovery.rs
@@ -1,4 +1,4 @@
-//! A stub of discovery.
+//! A stub of the discovery service.
 
 use super::*;
 use std::io::Write;
@@ -8,55 +8,55 @@
 use std::thread;
 use std::time::{Duration, Instant};
 
-/// Discovery: answers watches when something newer is published.
+/// A stub discovery service. It answers a watch as soon as a newer version is published.
 pub struct Discovery {
     pub address: SocketAddr,
-    state: Arc<(Mutex<Listed>, Condvar)>,
-    /// Every call is answered with 503 while set.
+    state: Arc<(Mutex<DiscoveryState>, Condvar)>,
+    /// While set, every poll is answered with 503.
     pub failing: Arc<AtomicBool>,
-    /// Calls that come while this is set are never answered.
-    pub mute: Arc<AtomicBool>,
-    /// What is done with every call that comes while there is one.
+    /// Polls received while this is set are never answered.
+    pub unresponsive: Arc<AtomicBool>,
+    /// If set, the fault applied to each poll received.
     pub fault: Arc<Mutex<Option<Fault>>>,
-    /// How long every call waits before it is looked at.
-    pub slow: Arc<Mutex<Duration>>,
-    /// How often all connections were reset.
+    /// How long each poll waits before it is processed.
+    pub delay: Arc<Mutex<Duration>>,
+    /// How many times all connections were reset.
     resets: Arc<AtomicUsize>,
 }
 
-/// What a discovery that is not well does with a call: it writes these bytes and goes on as it says.
+/// A faulty response to a poll: the bytes to write, and how to deliver them.
 #[derive(Clone)]
-pub struct Fault(pub Vec<u8>, pub Then);
+pub struct Fault(pub Vec<u8>, pub Delivery);
 
-/// How an answer of such a discovery goes on.
+/// How the bytes of a [`Fault`] are delivered, and what happens to the connection after them.
 #[derive(Clone, Copy)]
-pub enum Then {
-    /// It was whole: the next call may come.
-    NextCall,
-    /// The connection is closed.
-    Close,
-    /// The bytes come in pieces, over that time.
+pub enum Delivery {
+    /// The bytes are written at once, and the connection stays open for the next poll.
+    KeepOpen,
+    /// The bytes are written at once, and the connection is closed.
+    ThenClose,
+    /// The bytes are written in pieces over this time, and the connection stays open for the next poll.
     Slowly(Duration),
-    /// A blank comes every 20 ms, for as long as anybody takes it.
-    Drip,
+    /// The bytes are followed by a space every 20 ms until the peer closes the connection.
+    TrickleSpaces,
 }
 
 impl Fault {
-    /// Whether the connection goes on.
-    fn play(&self, stream: &mut TcpStream) -> bool {
-        if let Then::Slowly(time) = self.1 {
+    /// Writes the faulty response; returns whether the connection stays open for the next poll.
+    fn apply(&self, stream: &mut TcpStream) -> bool {
+        if let Delivery::Slowly(time) = self.1 {
             return self.write_slowly(stream, time);
         }
-        // The sidecar may have given up on it.
-        let mut taken = stream.write_all(&self.0).is_ok();
-        while taken && matches!(self.1, Then::Drip) {
+        // The sidecar may have closed the connection by now.
+        let mut written = stream.write_all(&self.0).is_ok();
+        while written && matches!(self.1, Delivery::TrickleSpaces) {
             thread::sleep(Duration::from_millis(20));
-            taken = stream.write_all(b" ").is_ok();
+            written = stream.write_all(b" ").is_ok();
         }
-        taken && matches!(self.1, Then::NextCall)
+        written && matches!(self.1, Delivery::KeepOpen)
     }
 
-    /// Whether all was taken.
+    /// Writes the bytes in pieces over the given time; returns whether all were written.
     fn write_slowly(&self, stream: &mut TcpStream, time: Duration) -> bool {
         const PIECES: usize = 50;
         self.0.chunks(self.0.len().div_ceil(PIECES)).all(|piece| {
@@ -67,10 +67,10 @@
 }
 
 #[derive(Default)]
-struct Listed {
+struct DiscoveryState {
     version: u64,
     body: String,
-    calls: Vec<String>,
+    polls: Vec<String>,
 }
 
 impl Discovery {
@@ -81,104 +81,108 @@
         discovery
     }
 
-    /// One that is to be at that address, and serves nobody yet.
+    /// A stub for this address that does not listen yet; [`Discovery::serve`] starts it.
     pub fn not_serving(address: SocketAddr) -> Self {
-        let (state, failing, mute, fault, slow, resets) = Default::default();
-        Self { address, state, failing, mute, fault, slow, resets }
+        let (state, failing, unresponsive, fault, delay, resets) = Default::default();
+        Self { address, state, failing, unresponsive, fault, delay, resets }
     }
 
-    /// Serves those that connect there.
+    /// Serves connections to this listener, on threads of its own.
     pub fn serve(&self, listener: TcpListener) {
         let (state, failing) = (self.state.clone(), self.failing.clone());
-        let (mute, fault, resets) = (self.mute.clone(), self.fault.clone(), self.resets.clone());
-        let slow = self.slow.clone();
+        let (unresponsive, fault, resets) =
+            (self.unresponsive.clone(), self.fault.clone(), self.resets.clone());
+        let delay = self.delay.clone();
         thread::spawn(move || {
             for mut stream in listener.incoming().map_while(Result::ok) {
-                let (state, failing, mute) = (state.clone(), failing.clone(), mute.clone());
-                let (fault, slow) = (fault.clone(), slow.clone());
-                let (resets, before) = (resets.clone(), resets.load(Ordering::SeqCst));
+                let (state, failing, unresponsive) = (state.clone(), failing.clone(), unresponsive.clone());
+                let (fault, delay) = (fault.clone(), delay.clone());
+                let (resets, resets_before) = (resets.clone(), resets.load(Ordering::SeqCst));
                 thread::spawn(move || {
-                    while let Some(call) = read_message(&mut stream) {
-                        let delay = *slow.lock().expect("no stub panics");
+                    while let Some(poll) = read_message(&mut stream) {
+                        let delay = *delay.lock().expect("the lock is not poisoned");
                         thread::sleep(delay);
-                        let faulty = fault.lock().expect("no stub panics").clone();
-                        if mute.load(Ordering::SeqCst) || faulty.is_some() {
-                            state.0.lock().expect("no stub panics").calls.push(call.start.clone());
+                        let active_fault = fault.lock().expect("the lock is not poisoned").clone();
+                        if unresponsive.load(Ordering::SeqCst) || active_fault.is_some() {
+                            state.0.lock().expect("the lock is not poisoned").polls.push(poll.start.clone());
                         }
-                        if mute.load(Ordering::SeqCst) {
+                        if unresponsive.load(Ordering::SeqCst) {
                             continue;
                         }
-                        if let Some(fault) = faulty {
-                            match fault.play(&mut stream) {
+                        if let Some(fault) = active_fault {
+                            match fault.apply(&mut stream) {
                                 true => continue,
                                 false => return,
                             }
                         }
-                        let reset = || resets.load(Ordering::SeqCst) != before;
-                        let Some((status, body)) = Self::wait(&state, &failing, reset, &call) else {
+                        let is_reset = || resets.load(Ordering::SeqCst) != resets_before;
+                        let Some((status, body)) = Self::await_response(&state, &failing, is_reset, &poll)
+                        else {
                             let _ = socket2::SockRef::from(&stream).set_linger(Some(Duration::ZERO));
                             return;
                         };
-                        answer(&mut stream, status, "", body.as_bytes());
+                        write_response(&mut stream, status, "", body.as_bytes());
                     }
                 });
             }
         });
     }
 
-    /// The answer to a call, once there is one; none to one whose connection is to be reset.
-    fn wait(
-        state: &(Mutex<Listed>, Condvar),
+    /// Waits for the response to a poll; `None` if its connection is to be reset.
+    fn await_response(
+        state: &(Mutex<DiscoveryState>, Condvar),
         failing: &AtomicBool,
-        reset: impl Fn() -> bool,
-        call: &Message,
+        is_reset: impl Fn() -> bool,
+        poll: &Message,
     ) -> Option<(u16, String)> {
-        let mut listed = state.0.lock().expect("no stub panics");
-        listed.calls.push(call.start.clone());
-        let after = call.start.split(['=', '&']).nth(1).and_then(|n| n.parse().ok()).unwrap_or(0);
-        let until = Instant::now() + LONG;
+        let mut guard = state.0.lock().expect("the lock is not poisoned");
+        guard.polls.push(poll.start.clone());
+        let after = poll.start.split(['=', '&']).nth(1).and_then(|n| n.parse().ok()).unwrap_or(0);
+        let until = Instant::now() + TEST_TIMEOUT;
         loop {
-            if reset() {
+            if is_reset() {
                 return None;
             }
             if failing.load(Ordering::SeqCst) {
                 return Some((503, String::new()));
             }
-            if listed.version > after {
-                return Some((200, listed.body.clone()));
+            if guard.version > after {
+                return Some((200, guard.body.clone()));
             }
             if Instant::now() >= until {
                 return Some((200, format!(r#"{{"index":{after},"snapshot":false,"endpoints":[]}}"#)));
             }
-            listed = state.1.wait_timeout(listed, Duration::from_millis(20)).expect("no stub panics").0;
+            guard =
+                state.1.wait_timeout(guard, Duration::from_millis(20)).expect("the lock is not poisoned").0;
         }
     }
 
-    /// Resets all connections that are open.
+    /// Resets all open connections.
     pub fn reset(&self) {
         self.resets.fetch_add(1, Ordering::SeqCst);
         self.state.1.notify_all();
     }
 
-    /// Publishes an answer, from which on `version` is the newest.
+    /// Makes `version` the newest version, and answers watches for older ones with `body`.
     pub fn publish(&self, version: u64, body: String) {
-        let mut listed = self.state.0.lock().expect("no stub panics");
-        (listed.version, listed.body) = (version, body);
+        let mut state = self.state.0.lock().expect("the lock is not poisoned");
+        (state.version, state.body) = (version, body);
         self.state.1.notify_all();
     }
 
-    pub fn calls(&self) -> Vec<String> {
-        self.state.0.lock().expect("no stub panics").calls.clone()
+    /// The request lines of all polls received.
+    pub fn polls(&self) -> Vec<String> {
+        self.state.0.lock().expect("the lock is not poisoned").polls.clone()
     }
 
-    /// Waits until a watch for news after `version` is open: what came before has then been taken in.
+    /// Waits until a watch for changes after `version` is open, which shows that the sidecar has applied `version`.
     pub fn await_watch(&self, version: u64) {
-        let call = format!("after={version}&");
-        wait_until("the watch goes on", || self.calls().iter().any(|c| c.contains(&call)));
+        let poll = format!("after={version}&");
+        wait_until("the next watch is open", || self.polls().iter().any(|c| c.contains(&poll)));
     }
 }
 
-/// A list, or changes to one, as discovery writes it: name, address and status of each entry.
+/// The JSON body of an endpoint list (`snapshot`) or of changes to it, from the name, address and status of each entry.
 pub fn list(index: u64, snapshot: bool, entries: &[(&str, SocketAddr, &str)]) -> String {
     let entry = |(name, address, status): &(&str, SocketAddr, &str)| {
         format!(
--- a/crates/sidecar/tests/stubs/endpoint.rs
+++ b/crates/sidecar/tests/stubs/endpoint.rs
@@ -8,31 +8,34 @@
 use std::thread;
 use std::time::{Duration, Instant};
 
-/// What an endpoint does with a request.
+/// How an endpoint replies to a request.
 pub enum Reply {
-    /// Status, further header lines, body.
-    Answer(u16, &'static str, Vec<u8>),
-    /// The same, and then it closes the connection without having said so.
-    AnswerAndClose(u16, &'static str, Vec<u8>),
-    /// The same after a while.
-    Later(Duration, Vec<u8>),
-    /// These bytes and, where there are any, those after a while.
+    /// Sends a response with this status, additional header lines and body.
+    Response(u16, &'static str, Vec<u8>),
+    /// Sends the same, and closes the connection without having announced it.
+    ResponseThenClose(u16, &'static str, Vec<u8>),
+    /// Sends a 200 response with this body after a delay.
+    DelayedResponse(Duration, Vec<u8>),
+    /// Sends these bytes and, optionally, more bytes after a delay.
     Raw(Vec<u8>, Option<(Duration, Vec<u8>)>),
-    /// It keeps the connection and says nothing.
-    Silence,
-    /// It closes the connection.
+    /// Sends nothing, and keeps the connection open.
+    NoResponse,
+    /// Closes the connection.
     Close,
 }
 
-/// An endpoint that notes what reaches it.
+/// A stub endpoint that records the requests it receives.
 pub struct Endpoint {
     pub address: SocketAddr,
-    pub seen: Arc<Mutex<Vec<Message>>>,
-    /// Requests of which the head has come, and those that have come whole, answered yet or not.
+    /// The requests for which the reply has been determined.
+    pub received: Arc<Mutex<Vec<Message>>>,
+    /// Number of requests whose head has been received.
     heads: Arc<AtomicUsize>,
-    begun: Arc<AtomicUsize>,
-    /// Connections that were made, and those that the sidecar has closed.
-    pub made: Arc<AtomicUsize>,
+    /// Number of requests that have been received completely, including those without a reply yet.
+    complete: Arc<AtomicUsize>,
+    /// Number of connections accepted.
+    pub accepted: Arc<AtomicUsize>,
+    /// Number of connections that the sidecar has closed.
     pub closed: Arc<AtomicUsize>,
 }
 
@@ -41,42 +44,48 @@
         Self::on(TcpListener::bind("127.0.0.1:0").expect("a free port"), reply)
     }
 
+    /// Starts an endpoint on this listener.
     pub fn on(listener: TcpListener, reply: impl Fn(&Message) -> Reply + Send + Sync + 'static) -> Self {
         let address = listener.local_addr().expect("an address");
-        let (seen, heads, begun, made, closed) = Default::default();
-        let endpoint = Self { address, seen, heads, begun, made, closed };
-        let (seen, heads, begun) = (endpoint.seen.clone(), endpoint.heads.clone(), endpoint.begun.clone());
-        let (made, closed) = (endpoint.made.clone(), endpoint.closed.clone());
+        let (received, heads, complete, accepted, closed) = Default::default();
+        let endpoint = Self { address, received, heads, complete, accepted, closed };
+        let (received, heads, complete) =
+            (endpoint.received.clone(), endpoint.heads.clone(), endpoint.complete.clone());
+        let (accepted, closed) = (endpoint.accepted.clone(), endpoint.closed.clone());
         let reply = Arc::new(reply);
         thread::spawn(move || {
             for stream in listener.incoming().map_while(Result::ok) {
-                made.fetch_add(1, Ordering::SeqCst);
-                let (seen, closed, reply) = (seen.clone(), closed.clone(), reply.clone());
-                let (heads, begun) = (heads.clone(), begun.clone());
+                accepted.fetch_add(1, Ordering::SeqCst);
+                let (received, closed, reply) = (received.clone(), closed.clone(), reply.clone());
+                let (heads, complete) = (heads.clone(), complete.clone());
                 thread::spawn(move || {
                     let reply = |message: &Message| {
-                        begun.fetch_add(1, Ordering::SeqCst);
+                        complete.fetch_add(1, Ordering::SeqCst);
                         reply(message)
                     };
-                    serve(stream, &heads, &seen, &closed, &reply);
+                    serve(stream, &heads, &received, &closed, &reply);
                 });
             }
         });
         endpoint
     }
 
+    /// Number of requests for which the reply has been determined.
     pub fn requests(&self) -> usize {
-        self.seen.lock().expect("no stub panics").len()
+        self.received.lock().expect("the lock is not poisoned").len()
     }
 
-    pub fn heads(&self) -> usize {
+    /// Number of requests whose head has been received.
+    pub fn request_heads(&self) -> usize {
         self.heads.load(Ordering::SeqCst)
     }
 
-    pub fn requests_begun(&self) -> usize {
-        self.begun.load(Ordering::SeqCst)
+    /// Number of requests that have been received completely, including those without a reply yet.
+    pub fn requests_received(&self) -> usize {
+        self.complete.load(Ordering::SeqCst)
     }
 
+    /// Number of connections that the sidecar has closed.
     pub fn closed(&self) -> usize {
         self.closed.load(Ordering::SeqCst)
     }
@@ -85,28 +94,28 @@
 fn serve(
     mut stream: TcpStream,
     heads: &AtomicUsize,
-    seen: &Mutex<Vec<Message>>,
+    received: &Mutex<Vec<Message>>,
     closed: &AtomicUsize,
     reply: &dyn Fn(&Message) -> Reply,
 ) {
-    // A second write would else wait for the sidecar's acknowledgement of the first, for up to 40 ms.
-    stream.set_nodelay(true).expect("an option can be set");
-    let mut answered: Option<Instant> = None;
+    // Otherwise a second write waits up to 40 ms for the sidecar's acknowledgement of the first.
+    stream.set_nodelay(true).expect("the option can be set");
+    let mut last_reply: Option<Instant> = None;
     while let Some(head) = read_head(&mut stream) {
         heads.fetch_add(1, Ordering::SeqCst);
         let Some(mut message) = read_body(head, &mut stream) else { break };
-        message.idle = answered.map(|at| at.elapsed());
+        message.idle = last_reply.map(|at| at.elapsed());
         let reply = reply(&message);
-        seen.lock().expect("no stub panics").push(message);
+        received.lock().expect("the lock is not poisoned").push(message);
         match reply {
-            Reply::Answer(status, headers, body) => answer(&mut stream, status, headers, &body),
-            Reply::AnswerAndClose(status, headers, body) => {
-                answer(&mut stream, status, headers, &body);
+            Reply::Response(status, headers, body) => write_response(&mut stream, status, headers, &body),
+            Reply::ResponseThenClose(status, headers, body) => {
+                write_response(&mut stream, status, headers, &body);
                 return;
             }
-            Reply::Later(time, body) => {
+            Reply::DelayedResponse(time, body) => {
                 thread::sleep(time);
-                answer(&mut stream, 200, "", &body);
+                write_response(&mut stream, 200, "", &body);
             }
             Reply::Raw(bytes, later) => {
                 let _ = stream.write_all(&bytes);
@@ -115,23 +124,23 @@
                     let _ = stream.write_all(&bytes);
                 }
             }
-            Reply::Silence => {}
+            Reply::NoResponse => {}
             Reply::Close => return,
         }
-        answered = Some(Instant::now());
+        last_reply = Some(Instant::now());
     }
     closed.fetch_add(1, Ordering::SeqCst);
 }
 
-/// Writes an answer with a body of known length.
-pub fn answer(stream: &mut TcpStream, status: u16, headers: &str, body: &[u8]) {
+/// Writes a response whose body length is given by `Content-Length`.
+pub fn write_response(stream: &mut TcpStream, status: u16, headers: &str, body: &[u8]) {
     let head = format!("HTTP/1.1 {status} stub\r\n{headers}Content-Length: {}\r\n\r\n", body.len());
     let bytes: Vec<u8> = head.bytes().chain(body.iter().copied()).collect();
-    // The sidecar may have given up on it.
+    // The sidecar may have closed the connection by now.
     let _ = stream.write_all(&bytes);
 }
 
-/// A 200 answer with that body.
+/// A 200 response with this body.
 pub fn ok(body: &str) -> Reply {
-    Reply::Answer(200, "", body.as_bytes().to_vec())
+    Reply::Response(200, "", body.as_bytes().to_vec())
 }
--- a/crates/sidecar/tests/stubs/http.rs
+++ b/crates/sidecar/tests/stubs/http.rs
@@ -1,17 +1,18 @@
-//! HTTP messages as they are received.
+//! Reading of HTTP messages and of responses to operators' calls.
 
 use super::*;
 use std::io::{ErrorKind, Read};
 use std::net::TcpStream;
 use std::time::Duration;
 
-/// An HTTP message as it came in.
+/// An HTTP message, as received.
 #[derive(Clone, Debug)]
 pub struct Message {
+    /// The request line or status line.
     pub start: String,
     pub headers: Vec<(String, String)>,
     pub body: Vec<u8>,
-    /// How long its connection had been idle, where it was not the first one there.
+    /// How long the connection had been idle before this request; `None` for the first one on a connection.
     pub idle: Option<Duration>,
 }
 
@@ -25,7 +26,7 @@
     }
 }
 
-/// Reads one message; `None` once the other side has closed or reset the connection, or said nothing for long.
+/// Reads one message; `None` if the peer has closed or reset the connection, or sent nothing for [`TEST_TIMEOUT`].
 pub fn read_message(stream: &mut TcpStream) -> Option<Message> {
     let head = read_head(stream)?;
     read_body(head, stream)
@@ -33,11 +34,11 @@
 
 /// Reads the head of a message.
 pub fn read_head(stream: &mut TcpStream) -> Option<Message> {
-    stream.set_read_timeout(Some(LONG)).expect("a time-out can be set");
+    stream.set_read_timeout(Some(TEST_TIMEOUT)).expect("a timeout can be set");
     let mut head = Vec::new();
     let mut byte = [0];
     while !head.ends_with(b"\r\n\r\n") {
-        // Goes on where a signal interrupts it.
+        // `read_exact` retries when a signal interrupts it.
         stream.read_exact(&mut byte).ok()?;
         head.push(byte[0]);
     }
@@ -49,7 +50,7 @@
     Some(Message { start, headers, body: Vec::new(), idle: None })
 }
 
-/// Reads the body behind a head.
+/// Reads the body that follows a head.
 pub fn read_body(mut message: Message, stream: &mut TcpStream) -> Option<Message> {
     let mut byte = [0];
     if message.header("transfer-encoding") == Some("chunked") {
@@ -62,7 +63,7 @@
             let size = std::str::from_utf8(&line).expect("a size is text").trim_end();
             let size = usize::from_str_radix(size, 16).expect("a size");
             let start = message.body.len();
-            // With the end of its line.
+            // Including the CRLF after the chunk.
             message.body.resize(start + size + 2, 0);
             stream.read_exact(&mut message.body[start..]).ok()?;
             message.body.truncate(start + size);
@@ -77,18 +78,18 @@
     Some(message)
 }
 
-/// Reads the line that answers a call, without its end; nothing where there is none.
+/// Reads the answer to an operator's call, without its line end; empty if there is none.
 pub fn read_line(stream: &mut TcpStream) -> String {
-    stream.set_read_timeout(Some(LONG)).expect("a time-out can be set");
+    stream.set_read_timeout(Some(TEST_TIMEOUT)).expect("a timeout can be set");
     let mut line = String::new();
-    // An answer that breaks off is none.
+    // A truncated answer, without its line end, counts as none.
     let _ = stream.read_to_string(&mut line);
     line.strip_suffix('\n').unwrap_or_default().to_owned()
 }
 
-/// Waits until the other side has closed the connection.
+/// Waits until the peer has closed or reset the connection; `false` if it has not within [`TEST_TIMEOUT`].
 pub fn await_close(stream: &mut TcpStream) -> bool {
-    stream.set_read_timeout(Some(LONG)).expect("a time-out can be set");
+    stream.set_read_timeout(Some(TEST_TIMEOUT)).expect("a timeout can be set");
     let mut rest = [0; 1024];
     loop {
         match stream.read(&mut rest) {
--- a/crates/sidecar/tests/stubs/mod.rs
+++ b/crates/sidecar/tests/stubs/mod.rs
@@ -1,4 +1,5 @@
-//! Small stub peers for a sidecar on loopback sockets: endpoints, discovery, and the application.
+//! Test support: stub endpoints and a stub discovery service on loopback sockets, HTTP helpers for the client side, and
+//! the sidecar process under test.
 
 mod discovery;
 mod endpoint;
@@ -15,17 +16,17 @@
 use std::thread;
 use std::time::{Duration, Instant};
 
-/// Generous: nothing here asserts speed.
-pub const LONG: Duration = Duration::from_secs(30);
+/// How long the tests wait for anything. It is generous, as it does not assert speed.
+pub const TEST_TIMEOUT: Duration = Duration::from_secs(30);
 
-/// Waits until something holds.
+/// Waits until the condition holds, and panics after [`TEST_TIMEOUT`]. `what` describes the condition.
 pub fn wait_until(what: &str, holds: impl Fn() -> bool) {
-    assert!(becomes_true(holds), "it never came that {what}");
+    assert!(holds_within_timeout(holds), "timed out waiting until {what}");
 }
 
-/// The same, for a long time at most; whether it came.
-pub fn becomes_true(holds: impl Fn() -> bool) -> bool {
-    let until = Instant::now() + LONG;
+/// Waits until the condition holds, up to [`TEST_TIMEOUT`]; returns whether it did.
+pub fn holds_within_timeout(holds: impl Fn() -> bool) -> bool {
+    let until = Instant::now() + TEST_TIMEOUT;
     while !holds() {
         if Instant::now() >= until {
             return false;
--- a/crates/sidecar/tests/stubs/sidecar.rs
+++ b/crates/sidecar/tests/stubs/sidecar.rs
@@ -1,4 +1,4 @@
-//! The sidecar's process and its configuration.
+//! The sidecar process under test and its configuration.
 
 use super::*;
 use lotusmoor_faults::{FaultTable, TABLE_VARIABLE};
@@ -9,7 +9,7 @@
 use std::process::{Child, Command, Stdio};
 use std::sync::atomic::{AtomicU64, Ordering};
 
-/// The settings of these tests. Classes: `look` (safe), `book` (unsafe), `pay` (keyed).
+/// The settings of these tests. Classes: `look` (safe), `book` (not idempotent), `pay` (idempotent by key).
 pub const SETTINGS: &str = r#"{"Balancers":1,"Discovery":"on_request","Index":0,
 "Lanes":[{"AimUs":8000000,"DeadlineUs":20000000,"Effect":"pure","Name":"look"},
 {"AimUs":8000000,"DeadlineUs":20000000,"Effect":"side_effect","Name":"book"},
@@ -18,43 +18,45 @@
 "Rules":{"AskWithinUs":2000000,"ColdShare":0.3,"OverloadFactor":3.0,"TipAfterUs":1500000,"WarmWithinUs":8900000},
 "Tenants":[{"Name":"acme","QuotaPerS":98.0,"Share":1.0}],"TickUs":5000,"WeightSource":"nominal","Zone":"a","Zones":["a"]}"#;
 
-/// The library that makes system calls fail, as the build left it beside this test.
+/// The preloaded library that makes system calls fail, which the build puts beside this test binary.
 fn fault_library() -> PathBuf {
-    let own = std::env::current_exe().expect("this test has a path");
-    let mut folders = own.ancestors().skip(1).take(2);
-    folders.find_map(|f| Some(f.join("libfaultshim.so")).filter(|p| p.is_file())).expect("it is built")
+    let test_binary = std::env::current_exe().expect("this test has a path");
+    let mut folders = test_binary.ancestors().skip(1).take(2);
+    folders
+        .find_map(|f| Some(f.join("libfaultshim.so")).filter(|p| p.is_file()))
+        .expect("libfaultshim.so is built")
 }
 
-/// An empty fault table of its own.
+/// A new, empty fault table.
 pub fn fault_table() -> FaultTable {
-    let number = STARTED.fetch_add(1, Ordering::SeqCst);
+    let number = NEXT_ID.fetch_add(1, Ordering::SeqCst);
     let path =
         PathBuf::from(env!("CARGO_TARGET_TMPDIR")).join(format!("{}-{number}.faults", std::process::id()));
     FaultTable::create(&path).expect("a fault table")
 }
 
-/// A sidecar's process.
+/// A running sidecar process, killed on drop.
 pub struct Sidecar {
     pub address: SocketAddr,
-    /// Where operators call.
+    /// The address for operators' calls.
     pub management: SocketAddr,
     pub process: Child,
     config: PathBuf,
 }
 
-/// Numbers processes, files and requests.
-pub static STARTED: AtomicU64 = AtomicU64::new(0);
+/// The next number for addresses, files and request IDs, so that they are unique among the tests of this process.
+pub static NEXT_ID: AtomicU64 = AtomicU64::new(0);
 
-/// Writes a configuration file of its own.
+/// Writes this text to a new configuration file.
 pub fn config_file(text: &str) -> PathBuf {
-    let number = STARTED.fetch_add(1, Ordering::SeqCst);
+    let number = NEXT_ID.fetch_add(1, Ordering::SeqCst);
     let path =
         PathBuf::from(env!("CARGO_TARGET_TMPDIR")).join(format!("{}-{number}.json", std::process::id()));
     std::fs::write(&path, text).expect("the file can be written");
     path
 }
 
-/// A sidecar's configuration.
+/// A sidecar configuration; `known` is the JSON of its initial endpoint list.
 pub fn config(listen: SocketAddr, discovery: SocketAddr, known: &str) -> String {
     format!(
         r#"{{"name":"n0","listen":"{listen}","discovery":"{discovery}","seed":"8c1f30d27a5be964",
@@ -63,47 +65,53 @@
 }
 
 impl Sidecar {
-    /// Starts one that knows these endpoints, as version 1 of the list.
+    /// Starts a sidecar whose configuration lists these endpoints as version 1.
     pub fn start(discovery: &Discovery, endpoints: &[(&str, &Endpoint)]) -> Self {
-        Self::start_with(discovery, endpoints, 1024, 1024)
+        Self::start_with_descriptors(discovery, endpoints, 1024, 1024)
     }
 
-    /// The same with so many file descriptors that the system grants it, and that it is told of.
-    pub fn start_with(
+    /// The same with at most `descriptor_limit` file descriptors for the process, and `configured_limit` as the limit in
+    /// its configuration.
+    pub fn start_with_descriptors(
         discovery: &Discovery,
         endpoints: &[(&str, &Endpoint)],
-        granted: u32,
-        reported: u32,
+        descriptor_limit: u32,
+        configured_limit: u32,
     ) -> Self {
-        let sockets = format!("\"sockets\":{reported}");
-        Self::start_as(discovery, endpoints, granted, |config| config.replace("\"sockets\":1024", &sockets))
+        let sockets = format!("\"sockets\":{configured_limit}");
+        Self::start_with_config(discovery, endpoints, descriptor_limit, |config| {
+            config.replace("\"sockets\":1024", &sockets)
+        })
     }
 
-    /// The same with a configuration that is changed like this.
-    pub fn start_as(
+    /// The same with at most `descriptor_limit` file descriptors for the process, and its configuration text changed by
+    /// `change`.
+    pub fn start_with_config(
         discovery: &Discovery,
         endpoints: &[(&str, &Endpoint)],
-        granted: u32,
+        descriptor_limit: u32,
         change: impl Fn(String) -> String,
     ) -> Self {
         let address = unused_address();
-        let sidecar = Self::spawn(discovery, endpoints, address, change, |config| {
+        let sidecar = Self::spawn(discovery, endpoints, address, change, |program| {
             let mut command = Command::new("/bin/sh");
-            command.args(["-c", &format!("ulimit -n {granted}; exec \"$0\""), config]).stdin(Stdio::null());
+            command
+                .args(["-c", &format!("ulimit -n {descriptor_limit}; exec \"$0\""), program])
+                .stdin(Stdio::null());
             command
         });
-        sidecar.await_up();
+        sidecar.wait_until_serving();
         sidecar
     }
 
-    /// Starts one whose system calls fail, and whose wall clock steps, as the table says.
+    /// Starts a sidecar whose system calls fail and whose wall clock is stepped according to the fault table.
     pub fn start_with_faults(
         discovery: &Discovery,
         endpoints: &[(&str, &Endpoint)],
         faults: &FaultTable,
         change: impl Fn(String) -> String,
     ) -> Self {
-        Self::start_by_with(discovery, endpoints, change, |program| {
+        Self::start_with_config_and_command(discovery, endpoints, change, |program| {
             let mut command = Command::new(program);
             command.env("LD_PRELOAD", fault_library()).env(TABLE_VARIABLE, faults.path());
             command.stdin(Stdio::null());
@@ -111,63 +119,63 @@
         })
     }
 
-    /// Starts one by a command of the caller's.
-    pub fn start_by(
+    /// Starts a sidecar by a command of the caller's, which gets the path of the program.
+    pub fn start_with_command(
         discovery: &Discovery,
         endpoints: &[(&str, &Endpoint)],
         command: impl FnOnce(&str) -> Command,
     ) -> Self {
-        Self::start_by_with(discovery, endpoints, |config| config, command)
+        Self::start_with_config_and_command(discovery, endpoints, |config| config, command)
     }
 
-    fn start_by_with(
+    fn start_with_config_and_command(
         discovery: &Discovery,
         endpoints: &[(&str, &Endpoint)],
         change: impl Fn(String) -> String,
         command: impl FnOnce(&str) -> Command,
     ) -> Self {
         let sidecar = Self::spawn(discovery, endpoints, unused_address(), change, command);
-        sidecar.await_up();
+        sidecar.wait_until_serving();
         sidecar
     }
 
-    fn await_up(&self) {
-        let up = || {
+    fn wait_until_serving(&self) {
+        let response = || {
             let mut stream = TcpStream::connect(self.address).ok()?;
             stream.write_all(b"GET /up HTTP/1.1\r\nHost: x\r\n\r\n").ok()?;
             read_message(&mut stream)
         };
-        wait_until("the sidecar is up", || up().is_some_and(|m| m.status() == 200));
+        wait_until("the sidecar serves requests", || response().is_some_and(|m| m.status() == 200));
     }
 
-    /// Starts one on a listening socket that is passed on to it, with that folder for what outlives it.
-    pub fn start_passed(
+    /// Starts a sidecar that inherits this listening socket, with this folder for its stored state.
+    pub fn start_on_inherited_socket(
         discovery: &Discovery,
         endpoints: &[(&str, &Endpoint)],
         listener: &TcpListener,
         folder: &Path,
     ) -> Self {
-        Self::start_passed_with(discovery, endpoints, listener, folder, None)
+        Self::start_on_inherited_socket_with_faults(discovery, endpoints, listener, folder, None)
     }
 
-    /// The same, with system calls that fail as the table says.
-    pub fn start_passed_with(
+    /// The same, with system calls that fail according to the fault table.
+    pub fn start_on_inherited_socket_with_faults(
         discovery: &Discovery,
         endpoints: &[(&str, &Endpoint)],
         listener: &TcpListener,
         folder: &Path,
         faults: Option<&FaultTable>,
     ) -> Self {
-        let passed = OwnedFd::from(listener.try_clone().expect("a descriptor"));
+        let inherited = OwnedFd::from(listener.try_clone().expect("a descriptor"));
         let address = listener.local_addr().expect("an address");
         let sidecar = Self::spawn(
             discovery,
             endpoints,
             address,
             |config| config,
-            |config| {
+            |program| {
                 let mut command = Command::new("/bin/sh");
-                command.args(["-c", "exec 5<&0 </dev/null; exec \"$0\"", config]).stdin(passed);
+                command.args(["-c", "exec 5<&0 </dev/null; exec \"$0\"", program]).stdin(inherited);
                 command.env("LB_PASSED_SOCKET", "5").env("TMPDIR", folder);
                 if let Some(faults) = faults {
                     command.env("LD_PRELOAD", fault_library()).env(TABLE_VARIABLE, faults.path());
@@ -175,7 +183,7 @@
                 command
             },
         );
-        wait_until("the sidecar can serve", || sidecar.call("health") == "OK");
+        wait_until("the sidecar is ready", || sidecar.call("health") == "OK");
         sidecar
     }
 
@@ -199,17 +207,17 @@
         Self { address, management, process, config }
     }
 
-    /// What an operator's call is answered.
+    /// Makes an operator's call; returns its answer.
     pub fn call(&self, line: &str) -> String {
-        let Ok(mut stream) = TcpStream::connect(self.management) else { return "nobody listens".to_owned() };
-        stream.write_all(format!("{line}\n").as_bytes()).expect("the sidecar takes it");
+        let Ok(mut stream) = TcpStream::connect(self.management) else { return "cannot connect".to_owned() };
+        stream.write_all(format!("{line}\n").as_bytes()).expect("the write succeeds");
         read_line(&mut stream)
     }
 
-    /// One request on a connection of its own.
+    /// Sends a request on a new connection; returns the response, or `None` if there is none.
     pub fn exchange(&self, request: &str) -> Option<Message> {
         let mut stream = self.connect();
-        stream.write_all(request.as_bytes()).expect("the sidecar takes it");
+        stream.write_all(request.as_bytes()).expect("the write succeeds");
         read_message(&mut stream)
     }
 
@@ -217,32 +225,33 @@
         TcpStream::connect(self.address).expect("the sidecar accepts")
     }
 
+    /// Sends a signal, named as in `kill -TERM`.
     pub fn signal(&self, name: &str) {
         let id = self.process.id().to_string();
         assert!(Command::new("kill").args([name, &id]).status().expect("kill runs").success());
     }
 
-    /// Puts a pipe in the place of the configuration file, and tells the sidecar.
+    /// Replaces the configuration file by a named pipe, and sends SIGHUP.
     pub fn reload_from_pipe(&self) {
-        std::fs::remove_file(&self.config).expect("it is there");
+        std::fs::remove_file(&self.config).expect("the file exists");
         make_named_pipe(&self.config);
         self.signal("-HUP");
     }
 
-    /// Replaces the configuration file by a new one, and tells the sidecar.
+    /// Removes the configuration file, writes a new one, and sends SIGHUP.
     pub fn reload_from_new_file(&self, text: &str) {
-        std::fs::remove_file(&self.config).expect("it is there");
+        std::fs::remove_file(&self.config).expect("the file exists");
         self.reload(text);
     }
 
-    /// Replaces the configuration file and tells the sidecar.
+    /// Overwrites the configuration file, and sends SIGHUP.
     pub fn reload(&self, text: &str) {
         std::fs::write(&self.config, text).expect("the file can be written");
         self.signal("-HUP");
     }
 }
 
-/// Makes a pipe with a name. Whoever opens it to read waits for a writer, as with a file on a disk that hangs.
+/// Creates a named pipe. Opening it to read blocks until there is a writer, like a file on a disk that hangs.
 pub fn make_named_pipe(path: &Path) {
     let mode = rustix::fs::Mode::RUSR | rustix::fs::Mode::WUSR;
     rustix::fs::mknodat(rustix::fs::CWD, path, rustix::fs::FileType::Fifo, mode, 0).expect("a pipe");
@@ -256,9 +265,9 @@
     }
 }
 
-/// A request of a class, with further header lines and a body, under an id of its own.
+/// A request of a class with a unique ID, additional header lines and a body.
 pub fn request(class: &str, headers: &str, body: &str) -> String {
-    let id = STARTED.fetch_add(1, Ordering::SeqCst);
+    let id = NEXT_ID.fetch_add(1, Ordering::SeqCst);
     let (method, key) = match class {
         "look" => ("GET", ""),
         "pay" => ("POST", "Idempotency-Key: 5c0f6e1a\r\n"),
--- a/crates/sidecar/tests/time_limits/mod.rs
+++ b/crates/sidecar/tests/time_limits/mod.rs
@@ -1,5 +1,5 @@
-//! Terms of the operators' standing test, each forced on sockets: news from a discovery that was not well, clients that
-//! leave a busy sidecar, and idle clients that take all the room there is.
+//! Time limits of the operators' continuous test, each case reproduced on sockets: changes of the list after faults of
+//! discovery, clients that close their connections to a busy sidecar, and idle clients that take all descriptors.
 
 mod changes;
 mod client_close_during_body;
@@ -13,102 +13,104 @@
 use std::thread::{self};
 use std::time::{Duration, Instant};
 
-/// A change counts as told so long after discovery had it and could be reached.
+/// A sidecar has to know a change this long after discovery had it and was reachable.
 const NOTIFICATION_TIME: Duration = Duration::from_secs(6);
-/// For so long a sidecar may still send to an endpoint that it was told leaves.
+/// How long a sidecar may still send requests to an endpoint after it knows that the endpoint is leaving.
 const GRACE: Duration = Duration::from_secs(2);
-/// No attempt may begin so long after its client closed.
+/// An attempt may begin at most this long after its client has closed the connection.
 const CLOSE_REACTION_TIME: Duration = Duration::from_millis(100);
-/// What each bound on sockets is longer.
-const SLACK: Duration = Duration::from_millis(50);
-/// How changes come, and how long the settings let a sidecar go without asking, in microseconds.
+/// Tolerance for bounds measured on sockets.
+const SOCKET_TOLERANCE: Duration = Duration::from_millis(50);
+/// How a sidecar learns of changes, and the longest time that its settings allow between two polls, in microseconds.
 const POLL_MODES: [(&str, u32); 3] =
     [("pushed", 2_000_000), ("on_request", 2_000_000), ("on_request", 60_000_000)];
 
-/// Tells those that go on until they are told to stop, also when what they go on for fails: a scope waits for them.
-struct Stop<'a>(&'a AtomicBool);
+/// Sets a stop flag when dropped, also if the test panics: the scope waits for the threads that run until then.
+struct StopOnDrop<'a>(&'a AtomicBool);
 
-impl Drop for Stop<'_> {
+impl Drop for StopOnDrop<'_> {
     fn drop(&mut self) {
         self.0.store(true, Ordering::SeqCst);
     }
 }
 
-/// An endpoint that notes when each request came.
-fn noting() -> (Endpoint, Arc<Mutex<Vec<Instant>>>) {
+/// An endpoint that records when it received each request.
+fn timestamping_endpoint() -> (Endpoint, Arc<Mutex<Vec<Instant>>>) {
     let times = Arc::new(Mutex::new(Vec::new()));
-    let noted = Arc::clone(&times);
+    let recorded_times = Arc::clone(&times);
     let endpoint = Endpoint::start(move |_| {
-        noted.lock().expect("no stub panics").push(Instant::now());
-        Reply::Answer(200, "", b"served".to_vec())
+        recorded_times.lock().expect("the lock is not poisoned").push(Instant::now());
+        Reply::Response(200, "", b"served".to_vec())
     });
     (endpoint, times)
 }
 
-/// Asks all the time, until told to stop; how often it got each status, or none, and the longest that it waited for it.
+/// Sends one request after another until stopped. Returns the number of responses of each status (`None` without a
+/// response), and the longest wait for one.
 fn send_continuously(sidecar: &Sidecar, stop: &AtomicBool) -> (BTreeMap<Option<u16>, usize>, Duration) {
-    let (mut result, mut longest, mut client) = (BTreeMap::new(), Duration::ZERO, sidecar.connect());
+    let (mut counts, mut longest, mut client) = (BTreeMap::new(), Duration::ZERO, sidecar.connect());
     while !stop.load(Ordering::SeqCst) {
         let began = Instant::now();
         let sent = client.write_all(request("look", "", "").as_bytes());
-        let answer = sent.ok().and_then(|()| read_message(&mut client));
+        let response = sent.ok().and_then(|()| read_message(&mut client));
         longest = longest.max(began.elapsed());
-        // Closed to make way for others.
-        if answer.is_none() {
+        // The connection was evicted in favour of others.
+        if response.is_none() {
             client = sidecar.connect();
         }
-        *result.entry(answer.map(|answer| answer.status())).or_default() += 1;
+        *counts.entry(response.map(|response| response.status())).or_default() += 1;
         thread::sleep(Duration::from_millis(5));
     }
-    (result, longest)
+    (counts, longest)
 }
 
-/// An endpoint leaves and another joins at the moment in which `heal` lets a discovery that was not well tell so. From
-/// `told` after that on nothing may go to the one that left.
-fn follows_after(
+/// One endpoint leaves and another joins; `recover` lets a faulty discovery service report it. More than
+/// `notification_time` after that, no request may go to the endpoint that left. Returns when the last one did, counted
+/// from the recovery.
+fn follow_change(
     sidecar: &Sidecar,
     (old, old_times): &(Endpoint, Arc<Mutex<Vec<Instant>>>),
     discovery: &Discovery,
-    reported: Duration,
-    heal: impl FnOnce(),
+    notification_time: Duration,
+    recover: impl FnOnce(),
 ) -> Result<Duration, String> {
-    let (new, new_times) = noting();
+    let (new, new_times) = timestamping_endpoint();
     let stop = AtomicBool::new(false);
     thread::scope(|scope| {
-        let stops = Stop(&stop);
+        let stop_on_drop = StopOnDrop(&stop);
         let client_thread = scope.spawn(|| send_continuously(sidecar, &stop));
-        if !becomes_true(|| !old_times.lock().expect("no stub panics").is_empty()) {
-            drop(stops);
-            let result = client_thread.join().expect("no panic");
+        if !holds_within_timeout(|| !old_times.lock().expect("the lock is not poisoned").is_empty()) {
+            drop(stop_on_drop);
+            let responses = client_thread.join().expect("the thread does not panic");
             return Err(format!(
-                "the old one was not asked in {LONG:?}: {result:?} came of asking; discovery was called {} times",
-                discovery.calls().len(),
+                "the old endpoint got no request in {TEST_TIMEOUT:?}; responses: {responses:?}; discovery was polled {} times",
+                discovery.polls().len(),
             ));
         }
         let changes = [("s-old", old.address, "leaving"), ("s-new", new.address, "active")];
         discovery.publish(2, list(2, false, &changes));
-        let calls = discovery.calls().len();
-        heal();
-        let healed = Instant::now();
-        thread::sleep(reported + SLACK + Duration::from_secs(1));
-        drop(stops);
-        let result = client_thread.join().expect("no panic");
+        let polls_before = discovery.polls().len();
+        recover();
+        let recovered_at = Instant::now();
+        thread::sleep(notification_time + SOCKET_TOLERANCE + Duration::from_secs(1));
+        drop(stop_on_drop);
+        let responses = client_thread.join().expect("the thread does not panic");
         let after = |times: &Mutex<Vec<Instant>>| {
-            let times = times.lock().expect("no stub panics");
-            times.iter().filter(|at| **at > healed + reported + SLACK).count()
+            let times = times.lock().expect("the lock is not poisoned");
+            times.iter().filter(|at| **at > recovered_at + notification_time + SOCKET_TOLERANCE).count()
         };
-        let last = *old_times.lock().expect("no stub panics").last().expect("it was asked");
-        let last = last.saturating_duration_since(healed);
+        let last_request = *old_times.lock().expect("the lock is not poisoned").last().expect("a request");
+        let last_request = last_request.saturating_duration_since(recovered_at);
         match (after(old_times), after(&new_times)) {
-            (0, 1..) => Ok(last),
-            (late, of) => Err(format!(
-                "{late} went to the old one, {of} to the new one; discovery was called {} times, {result:?} came of asking",
-                discovery.calls().len() - calls,
+            (0, 1..) => Ok(last_request),
+            (late, to_new) => Err(format!(
+                "{late} late requests went to the old endpoint, {to_new} to the new one; discovery was polled {} times; responses: {responses:?}",
+                discovery.polls().len() - polls_before,
             )),
         }
     })
 }
 
-fn raw_fault(text: &str, then: Then) -> Fault {
-    Fault(text.as_bytes().to_vec(), then)
+fn raw_fault(text: &str, delivery: Delivery) -> Fault {
+    Fault(text.as_bytes().to_vec(), delivery)
 }
