--- a/crates/registry/src/core/admission.rs
+++ b/crates/registry/src/core/admission.rs
@@ -11,7 +11,7 @@
 /// Whether a call is admitted.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum AdmissionDecision {
-    /// The call is answered now.
+    /// The call may proceed.
     Admit,
     /// The caller has to retry after this time.
     RetryAfter(Micros),
@@ -29,13 +29,14 @@
 }
 
 impl Admission {
-    /// Admits so many calls a second and `burst` calls at once. No retry time exceeds `max_retry_after`.
+    /// Admits `calls_per_second` calls a second, and up to `burst` calls at once. No retry time exceeds
+    /// `max_retry_after`.
     pub fn new(calls_per_second: f64, burst: f64, max_retry_after: Micros) -> Self {
         let tokens = burst;
         Self { calls_per_second, burst, tokens, scheduled_retries: 0.0, max_retry_after, updated_at: None }
     }
 
-    /// Decides about a call.
+    /// Decides whether a call that arrives at `now` is admitted.
     pub fn admit(&mut self, now: Micros) -> AdmissionDecision {
         let elapsed = now - self.updated_at.replace(now).unwrap_or(now);
         let gained = elapsed.max(0) as f64 / SECOND as f64 * self.calls_per_second;
--- a/crates/registry/src/core/apply.rs
+++ b/crates/registry/src/core/apply.rs
@@ -19,7 +19,8 @@
         }
     }
 
-    /// Executes a command. Without the wrapper for services it does exactly what versions before services did.
+    /// Executes a command. One that is not wrapped in [`Command::WithServices`] has exactly the effect that it has in
+    /// versions without services.
     fn execute(&mut self, command: &Command) -> Result<(), Refusal> {
         let (command, max_entries) = match command {
             Command::WithServices(inner) => (inner.as_ref(), MAX_ENTRIES),
@@ -49,7 +50,7 @@
         }
     }
 
-    /// Starts an epoch, from a backup if there is one.
+    /// Starts an epoch, with the list of a backup if there is one.
     fn bootstrap(&mut self, epoch: u64, backup: Option<&List>) -> Result<(), Refusal> {
         let backup_version = backup.map_or(Version::default(), List::version);
         let last_epoch = self.version().epoch.max(backup_version.epoch);
@@ -98,7 +99,7 @@
         Ok(record)
     }
 
-    /// The record after its lease expired; `None` if it was registered again or does not change.
+    /// The record after its lease expired; `None` if the endpoint was registered again since, or if nothing changes.
     fn expired_record(&self, lease: &ExpiredLease) -> Option<EndpointRecord> {
         let record = self.entries().get(&lease.name)?;
         if record.registered_index != lease.registered_index {
--- a/crates/registry/src/core/apply/register.rs
+++ b/crates/registry/src/core/apply/register.rs
@@ -53,7 +53,7 @@
         Ok(())
     }
 
-    /// The record of a registration; `None` if it is listed like that already.
+    /// The record of a registration; `None` if the endpoint is already listed with the same data.
     fn registered_record(&self, registration: &Registration) -> Option<EndpointRecord> {
         let mut entry = Entry {
             status: Status::Active,
--- a/crates/registry/src/core/command.rs
+++ b/crates/registry/src/core/command.rs
@@ -1,4 +1,4 @@
-//! Commands of the replicated log: what can be asked of the endpoint list.
+//! Commands of the replicated log: the changes that can be made to the endpoint list.
 //!
 //! Commands are stored in the log and sent between replicas, so their serialized names are fixed.
 
@@ -9,10 +9,11 @@
 /// A change to the endpoint list.
 ///
 /// `expect` makes a command conditional: it is the index at which the endpoint must last have changed, or 0 if it must
-/// not be listed. `at_ms` is the caller's Unix time and only goes into the history.
+/// not be listed. `at_ms` is the caller's Unix time, which is only recorded in the history.
 #[derive(Clone, Debug, PartialEq, Deserialize, Serialize)]
 pub enum Command {
-    /// Starts a new epoch, which must be higher than the previous one.
+    /// Starts a new epoch of the list, which must be higher than the previous one. An epoch lasts from one bootstrap of
+    /// the list to the next; unlike a Raft term, it does not change with the leader.
     #[serde(rename = "Found")]
     Bootstrap {
         /// The epoch, as Unix time in seconds.
@@ -66,8 +67,8 @@
         /// Unix time in milliseconds.
         at_ms: u64,
     },
-    /// Wraps a command whose endpoints name services. Replicas from before services would silently ignore the names;
-    /// they reject this unknown variant instead.
+    /// Wraps a command whose endpoints name services. Replicas of versions without services would silently ignore
+    /// the names; they reject this unknown variant instead.
     #[serde(rename = "Services")]
     WithServices(Box<Command>),
 }
@@ -111,7 +112,7 @@
 pub struct ExpiredLease {
     /// The endpoint's name.
     pub name: String,
-    /// Index of the registration that the lease belongs to. A later registration is left alone.
+    /// Index of the registration that the lease belongs to. A later registration is not affected.
     #[serde(rename = "registered")]
     pub registered_index: u64,
     /// Whether the endpoint is removed; otherwise it starts draining.
--- a/crates/registry/src/core/digest.rs
+++ b/crates/registry/src/core/digest.rs
@@ -3,10 +3,10 @@
 const FNV_OFFSET_BASIS: u64 = 0xcbf2_9ce4_8422_2325;
 const FNV_PRIME: u64 = 0x100_0000_01b3;
 
-/// The text that extends the digests when an epoch begins.
+/// The text that extends the digests when an epoch starts. It is fixed: all replicas must compute the same digests.
 pub(super) const BOOTSTRAP_TEXT: &str = "founded";
 
-/// Extends a digest by a number and a text, with FNV-1a. Equal histories have equal digests.
+/// Extends a digest by a number and a text, with FNV-1a, so that equal histories have equal digests.
 pub(super) fn extend(digest: u64, number: u64, text: &str) -> u64 {
     let number_bytes = number.to_le_bytes();
     let bytes = number_bytes.iter().copied().chain(text.bytes());
--- a/crates/registry/src/core/flap.rs
+++ b/crates/registry/src/core/flap.rs
@@ -9,7 +9,7 @@
 const CHANGES_PER_SECOND: f64 = 0.5;
 /// Tokens that a change costs.
 const CHANGE_COST: f64 = 1.0;
-/// Endpoints that are tracked.
+/// Maximum number of endpoints that are tracked at once.
 const MAX_TRACKED: usize = 8192;
 
 /// A token bucket per endpoint.
@@ -40,7 +40,7 @@
         Err((missing / CHANGES_PER_SECOND * SECOND as f64).ceil() as Micros + 1)
     }
 
-    /// Drops buckets that are full again, which are as good as new; and all if none is.
+    /// Drops buckets that have refilled, which are equivalent to new ones. If the map is still at its limit, clears it.
     fn drop_full_buckets(&mut self, now: Micros) {
         self.buckets.retain(|_, bucket| bucket.tokens_at(now) < BURST);
         if self.buckets.len() >= MAX_TRACKED {
@@ -50,7 +50,7 @@
 }
 
 impl Bucket {
-    /// The tokens at a time, not limited to the burst.
+    /// The tokens at `now`, not capped at the burst.
     fn tokens_at(&self, now: Micros) -> f64 {
         let elapsed = (now - self.updated_at).max(0);
         self.tokens + elapsed as f64 / SECOND as f64 * CHANGES_PER_SECOND
--- a/crates/registry/src/core/freshness.rs
+++ b/crates/registry/src/core/freshness.rs
@@ -1,5 +1,5 @@
-//! The age of a replica's list. A replica asks the leader for the committed index. Once it has applied the log up to
-//! there, its list includes everything that was acknowledged before the request was sent. All times are of the
+//! The age of a replica's list. A replica requests the committed index from the leader. Once it has applied the log up
+//! to that index, its list includes everything that was acknowledged before the request was sent. All times are of the
 //! replica's own monotonic clock.
 
 use super::{Micros, SECOND};
@@ -9,7 +9,7 @@
 /// The default age from which a list is not served.
 const DEFAULT_REFUSE_AFTER: Micros = 30 * SECOND;
 
-/// How consistent a read is at this replica.
+/// Whether this replica can serve reads, and how old its list may be.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum ReadConsistency {
     /// The list is at most this old.
@@ -30,7 +30,7 @@
     applied_index: u64,
 }
 
-/// The leader's answer that this replica has not caught up with.
+/// A response of the leader with an index that this replica has not applied yet.
 struct Confirmation {
     requested_at: Micros,
     committed_index: u64,
@@ -43,12 +43,12 @@
 }
 
 impl Freshness {
-    /// Lists older than the first bound are marked as stale, older than the second are not served.
+    /// Lists older than `stale_after` are marked as stale, those older than `refuse_after` are not served.
     pub fn new(stale_after: Micros, refuse_after: Micros) -> Self {
         Self { stale_after, refuse_after, complete_as_of: None, pending_confirmation: None, applied_index: 0 }
     }
 
-    /// Notes that this replica has applied the log up to an index.
+    /// Records that this replica has applied the log up to an index.
     pub fn record_applied(&mut self, index: u64) {
         self.applied_index = self.applied_index.max(index);
         let reached = self.pending_confirmation.take_if(|c| c.committed_index <= self.applied_index);
@@ -57,13 +57,14 @@
         }
     }
 
-    /// Notes the leader's answer to a request that was sent at that time: it still leads, and this is the committed
-    /// index.
+    /// Records the leader's response to a request that was sent at `requested_at`: it still leads, and this is the
+    /// committed index.
     pub fn record_committed(&mut self, requested_at: Micros, committed_index: u64) {
         if committed_index <= self.applied_index {
             self.confirm(requested_at);
         } else if self.pending_confirmation.is_none() {
-            // A later confirmation must not replace an earlier one, or a replica that always lags never gets one.
+            // A later response must not replace a pending one, or a replica that always lags would not reach the index
+            // of any.
             self.pending_confirmation = Some(Confirmation { requested_at, committed_index });
         }
     }
@@ -72,7 +73,7 @@
         self.complete_as_of = Some(self.complete_as_of.map_or(requested_at, |at| at.max(requested_at)));
     }
 
-    /// The list's maximum age; `None` if nothing is known.
+    /// Upper bound of the list's age; `None` before the first confirmation.
     pub fn age(&self, now: Micros) -> Option<Micros> {
         self.complete_as_of.map(|at| now - at)
     }
--- a/crates/registry/src/core/lease.rs
+++ b/crates/registry/src/core/lease.rs
@@ -2,7 +2,7 @@
 //!
 //! Renewals are not replicated. A new leader grants every endpoint its full lease, and assumes that the expiry limit of
 //! the current window is used up. Time is monotonic; a step of the clock far longer than a tick means that this
-//! process was suspended rather than that the endpoints were silent, so it counts only up to a maximum.
+//! process was suspended rather than that the endpoints did not renew, so it counts only up to a maximum.
 
 use super::command::ExpiredLease;
 use super::record::EndpointRecord;
@@ -12,15 +12,15 @@
 
 /// Microseconds in a millisecond.
 const MICROS_PER_MS: Micros = 1000;
-/// The lease of a record whose duration does not fit, in milliseconds.
+/// Lease duration in milliseconds for a record whose own does not fit in [`Micros`].
 const FALLBACK_LEASE_MS: Micros = 3_600_000;
 
 /// How leases expire.
 #[derive(Clone, Debug)]
 pub struct Settings {
-    /// The longest step of the clock that counts.
+    /// The longest step of the clock that counts as elapsed time.
     pub max_clock_step: Micros,
-    /// The window for `max_expiring_share`.
+    /// The window in which expiries count towards `max_expiring_share`.
     pub window: Micros,
     /// The share of the list that may expire in a window; one endpoint always may.
     pub max_expiring_share: f64,
@@ -47,7 +47,7 @@
     duration: Micros,
     /// When it expires, on the tracker's own clock.
     expires_at: Micros,
-    /// Whether it expired before and the endpoint is draining since.
+    /// Whether it has expired already, and the endpoint has been draining since.
     expired: bool,
     /// Whether the endpoint accepts requests. One that does not is removed when its lease expires.
     active: bool,
@@ -72,7 +72,7 @@
     clock: Micros,
     /// The last reading of the process's clock; `None` unless this replica leads.
     last_reading: Option<Micros>,
-    /// Recent expiries: when and how many.
+    /// Expiries in the current window: the time and the number of leases.
     recent_expiries: VecDeque<(Micros, usize)>,
     deferred: usize,
 }
@@ -90,7 +90,7 @@
         }
     }
 
-    /// The number of endpoints that stay listed only because too many others expire.
+    /// The number of endpoints with an expired lease that stay active because the expiry limit is reached.
     pub fn deferred(&self) -> usize {
         self.deferred
     }
@@ -139,7 +139,7 @@
         }
     }
 
-    /// The leases whose expiry is to be proposed now, for a list with this many active endpoints.
+    /// The leases whose expiry is to be proposed now, for a list with `active` active endpoints.
     pub fn take_expired(&mut self, now: Micros, active: usize) -> Vec<ExpiredLease> {
         self.advance_clock(now);
         if self.last_reading.is_none() {
--- a/crates/registry/src/core/lease/tests.rs
+++ b/crates/registry/src/core/lease/tests.rs
@@ -11,12 +11,12 @@
 }
 
 impl SimulatedLeader {
-    fn new(servers: usize) -> Self {
+    fn new(endpoint_count: usize) -> Self {
         let mut list = List::default();
         list.apply(&Command::Bootstrap { epoch: 1, backup: None });
-        let servers = (0..servers).map(|i| {
+        let servers = (0..endpoint_count).map(|i| {
             let text = format!(r#"{{"name":"s{i:03}","address":"127.0.0.1:80"}}"#);
-            Registration { entry: serde_json::from_str(&text).expect("it is read"), lease_ms: 3000 }
+            Registration { entry: serde_json::from_str(&text).expect("valid entry JSON"), lease_ms: 3000 }
         });
         list.apply(&Command::Register { servers: servers.collect(), expect: None, at_ms: 0 });
         let mut leader = Self { list, leases: LeaseTracker::new(Settings::default()), now: 7 };
@@ -25,22 +25,22 @@
     }
 
     fn active(&self) -> usize {
-        self.list.entries().values().filter(|k| k.entry.status == Status::Active).count()
+        self.list.entries().values().filter(|record| record.entry.status == Status::Active).count()
     }
 
-    /// Renews the endpoints that are heard of, advances time and applies expiries.
-    fn tick(&mut self, step: Micros, heard: impl Fn(&str) -> bool) {
+    /// Advances time, renews the endpoints that `renews` selects, and applies expiries.
+    fn tick(&mut self, step: Micros, renews: impl Fn(&str) -> bool) {
         self.now += step;
         let names: Vec<String> = self.list.entries().keys().cloned().collect();
-        for name in names.iter().filter(|n| heard(n)) {
+        for name in names.iter().filter(|name| renews(name)) {
             self.leases.renew(self.now, name);
         }
-        let due = self.leases.take_expired(self.now, self.active());
-        if due.is_empty() {
+        let expired = self.leases.take_expired(self.now, self.active());
+        if expired.is_empty() {
             return;
         }
-        let names: Vec<String> = due.iter().map(|d| d.name.clone()).collect();
-        let outcome = self.list.apply(&Command::Expire { leases: due, at_ms: 0 });
+        let names: Vec<String> = expired.iter().map(|lease| lease.name.clone()).collect();
+        let outcome = self.list.apply(&Command::Expire { leases: expired, at_ms: 0 });
         assert!(matches!(outcome, Outcome::Applied { .. }));
         for name in names {
             match self.list.entries().get(&name) {
@@ -52,15 +52,15 @@
 }
 
 #[test]
-fn silent_endpoint_drains_after_its_lease_and_is_removed_later() {
+fn endpoint_that_stops_renewing_drains_after_its_lease_and_is_removed_later() {
     let mut leader = SimulatedLeader::new(20);
-    let heard = |name: &str| name != "s004";
+    let renews = |name: &str| name != "s004";
     for _ in 0..30 {
-        leader.tick(SECOND / 2, heard);
+        leader.tick(SECOND / 2, renews);
     }
     assert_eq!((leader.active(), leader.list.entries().len()), (19, 20));
     for _ in 0..20 {
-        leader.tick(SECOND / 2, heard);
+        leader.tick(SECOND / 2, renews);
     }
     assert_eq!((leader.active(), leader.list.entries().len()), (19, 19));
 }
@@ -76,7 +76,7 @@
     // A window has 20 ticks.
     for (i, before) in active.iter().enumerate() {
         let after = active[(i + 19).min(active.len() - 1)];
-        assert!(before - after <= before / 10 + 1, "{before} to {after} in a window");
+        assert!(before - after <= before / 10 + 1, "from {before} to {after} active endpoints in a window");
     }
     assert!(leader.active() > 30 && leader.leases.deferred() > 0, "{}", leader.active());
 }
--- a/crates/registry/src/core/list.rs
+++ b/crates/registry/src/core/list.rs
@@ -14,12 +14,12 @@
 use snapshot::Snapshot;
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
 
-/// An epoch's first index is the epoch shifted left by this many bits. Indexes therefore keep growing across epochs as
-/// long as a list changes less than a million times a second between two bootstraps.
+/// An epoch's first index is the epoch, a Unix time in seconds, shifted left by this many bits. Indexes therefore keep
+/// growing across epochs as long as a list changes less than a million times a second between two bootstraps.
 pub const EPOCH_SHIFT: u32 = 20;
-/// Tombstones of removed endpoints that are kept for incremental updates.
+/// Maximum number of tombstones of removed endpoints that are retained for incremental updates.
 const MAX_TOMBSTONES: usize = 4096;
-/// Changes that are kept for operators.
+/// Maximum number of changes that are retained for operators.
 const MAX_HISTORY: usize = 1000;
 
 /// The list of all endpoints.
@@ -66,7 +66,7 @@
         self.entries.values().filter(|record| record.entry.status == Status::Active).count()
     }
 
-    /// Whether the list has endpoints with services, or state of former ones.
+    /// Whether the list has endpoints with services, or state of services that no endpoint has any more.
     pub fn has_services(&self) -> bool {
         !self.services.is_empty()
     }
--- a/crates/registry/src/core/list/snapshot.rs
+++ b/crates/registry/src/core/list/snapshot.rs
@@ -7,7 +7,7 @@
 use serde::{Deserialize, Serialize};
 use std::collections::VecDeque;
 
-/// The list without what can be derived.
+/// The list without the fields that can be derived from others.
 #[derive(Clone, Deserialize, Serialize)]
 pub(super) struct Snapshot {
     version: Version,
--- a/crates/registry/src/core/list/tests.rs
+++ b/crates/registry/src/core/list/tests.rs
@@ -7,7 +7,7 @@
 
 fn entry(name: &str, since_ms: i64) -> Entry {
     let text = format!(r#"{{"name":"{name}","address":"127.0.0.1:80","since_ms":{since_ms}}}"#);
-    serde_json::from_str(&text).expect("it is read")
+    serde_json::from_str(&text).expect("valid entry JSON")
 }
 
 fn register(name: &str, since_ms: i64) -> Command {
@@ -73,8 +73,8 @@
     let mut list = bootstrapped();
     list.apply(&register("a", 5));
     let registered = list.entries()["a"].registered_index;
-    let expire = |registered, left| Command::Expire {
-        leases: vec![ExpiredLease { name: "a".into(), registered_index: registered, remove: left }],
+    let expire = |registered, removes| Command::Expire {
+        leases: vec![ExpiredLease { name: "a".into(), registered_index: registered, remove: removes }],
         at_ms: 0,
     };
     list.apply(&register("a", 6));
@@ -95,36 +95,36 @@
 #[test]
 fn batch_with_an_invalid_endpoint_changes_nothing() {
     let mut list = bootstrapped();
-    let good = Registration { entry: entry("a", 0), lease_ms: 5000 };
-    let bad = |change: fn(&mut Registration)| {
-        let mut server = Registration { entry: entry("b", 0), lease_ms: 5000 };
-        change(&mut server);
-        server
+    let valid = Registration { entry: entry("a", 0), lease_ms: 5000 };
+    let invalid = |change: fn(&mut Registration)| {
+        let mut registration = Registration { entry: entry("b", 0), lease_ms: 5000 };
+        change(&mut registration);
+        registration
     };
-    let wrong: [fn(&mut Registration); 7] = [
-        |s| s.entry.name = "x".repeat(129),
-        |s| s.entry.name = "a b".into(),
-        |s| s.entry.name = String::new(),
-        |s| s.entry.weight = f64::NAN,
-        |s| s.entry.zone = Some("z".repeat(65)),
-        |s| s.lease_ms = 10,
-        |s| s.entry.name = "a".into(),
+    let invalid_changes: [fn(&mut Registration); 7] = [
+        |r| r.entry.name = "x".repeat(129),
+        |r| r.entry.name = "a b".into(),
+        |r| r.entry.name = String::new(),
+        |r| r.entry.weight = f64::NAN,
+        |r| r.entry.zone = Some("z".repeat(65)),
+        |r| r.lease_ms = 10,
+        |r| r.entry.name = "a".into(),
     ];
-    for change in wrong {
-        let servers = vec![good.clone(), bad(change)];
+    for change in invalid_changes {
+        let servers = vec![valid.clone(), invalid(change)];
         let before = list.clone();
         let outcome = list.apply(&Command::Register { servers, expect: None, at_ms: 0 });
         assert!(matches!(outcome, Outcome::Refused(Refusal::Invalid(_))), "{outcome:?}");
         assert_eq!(list, before);
     }
-    let many = (0..=MAX_ENTRIES).map(|i| Registration { entry: entry(&format!("s{i}"), 0), lease_ms: 0 });
-    let all = Command::Register { servers: many.collect(), expect: None, at_ms: 0 };
-    assert_eq!(list.apply(&all), Outcome::Refused(Refusal::ListFull));
-    // Neither wrapped nor unwrapped.
-    let Command::Register { mut servers, .. } = all else { unreachable!() };
+    let too_many = (0..=MAX_ENTRIES).map(|i| Registration { entry: entry(&format!("s{i}"), 0), lease_ms: 0 });
+    let command = Command::Register { servers: too_many.collect(), expect: None, at_ms: 0 };
+    assert_eq!(list.apply(&command), Outcome::Refused(Refusal::ListFull));
+    // The limit holds for a wrapped command, too: this one names a service.
+    let Command::Register { mut servers, .. } = command else { unreachable!() };
     servers[0].entry.service = Some("a".into());
-    let all = Command::Register { servers, expect: None, at_ms: 0 }.into_log_form();
-    assert_eq!(list.apply(&all), Outcome::Refused(Refusal::ListFull));
+    let command = Command::Register { servers, expect: None, at_ms: 0 }.into_log_form();
+    assert_eq!(list.apply(&command), Outcome::Refused(Refusal::ListFull));
     assert!(list.entries().is_empty());
 }
 
@@ -139,18 +139,18 @@
     );
     list.apply(&Command::Bootstrap { epoch: 101, backup: None });
     assert!(list.version() > before && list.version().index > before.index);
-    // A reader of the previous epoch gets a snapshot.
+    // A reader with a version of the previous epoch gets a snapshot.
     assert!(list.update(Some(before.index)).snapshot);
 }
 
 #[test]
-fn restored_backup_starts_an_epoch_that_all_readers_follow() {
+fn restored_backup_starts_an_epoch_newer_than_any_reader_has() {
     let mut list = bootstrapped();
     list.apply(&register("a", 0));
     let backup = list.clone();
     list.apply(&register("b", 0));
     list.apply(&remove("a"));
-    let reader = EndpointList::default().updated(&list.update(None), None).expect("the whole");
+    let reader = EndpointList::default().updated(&list.update(None), None).expect("a full snapshot applies");
     let mut restored = List::default();
     let from = Some(Box::new(backup.clone()));
     assert_eq!(
@@ -183,13 +183,13 @@
 
 fn commands() -> impl Strategy<Value = Vec<Command>> {
     let name = (0..6u8).prop_map(|i| format!("s{i}"));
-    let one = (name, 0..6u8, 0..3i64, any::<bool>()).prop_map(|(name, what, since, left)| match what {
+    let one = (name, 0..6u8, 0..3i64, any::<bool>()).prop_map(|(name, kind, since, removes)| match kind {
         0 | 1 => register(&name, since),
         2 => drain(&name, None),
         3 => remove(&name),
         4 => Command::Resume { name, expect: None, at_ms: 0 },
         _ => Command::Expire {
-            leases: vec![ExpiredLease { name, registered_index: (100 << EPOCH_SHIFT) + 1, remove: left }],
+            leases: vec![ExpiredLease { name, registered_index: (100 << EPOCH_SHIFT) + 1, remove: removes }],
             at_ms: 0,
         },
     });
@@ -204,24 +204,24 @@
         let mut reader = EndpointList::default();
         for (i, command) in commands.iter().enumerate() {
             if i == at {
-                reader = reader.updated(&list.update(None), None).expect("the whole");
+                reader = reader.updated(&list.update(None), None).expect("a full snapshot applies");
             }
             list.apply(command);
         }
         let after = (reader.version.epoch > 0).then_some(reader.version.index);
         let changes = list.update(after);
-        let known = reader.updated(&changes, Some(reader.version)).expect("they fit");
-        let whole = EndpointList::default().updated(&list.update(None), None).expect("the whole");
-        prop_assert_eq!(known, whole);
+        let known = reader.updated(&changes, Some(reader.version)).expect("the incremental update applies");
+        let full = EndpointList::default().updated(&list.update(None), None).expect("a full snapshot applies");
+        prop_assert_eq!(known, full);
     }
 
     // A snapshot holds the complete state.
     #[test]
     fn snapshot_survives_serialization(commands in commands()) {
         let mut list = bootstrapped();
-        commands.iter().for_each(|c| drop(list.apply(c)));
-        let text = serde_json::to_string(&list).expect("it is written");
-        let read: List = serde_json::from_str(&text).expect("it is read");
+        commands.iter().for_each(|command| drop(list.apply(command)));
+        let text = serde_json::to_string(&list).expect("the list serializes");
+        let read: List = serde_json::from_str(&text).expect("the list deserializes");
         prop_assert_eq!(read, list);
     }
 }
--- a/crates/registry/src/core/list/updates.rs
+++ b/crates/registry/src/core/list/updates.rs
@@ -66,7 +66,7 @@
         self.services.changed_index(services).max(self.epoch_start())
     }
 
-    /// A digest of the history of these services.
+    /// A digest of the history of these services: equal histories have equal digests.
     pub fn services_digest(&self, services: &[String]) -> u64 {
         self.services.digest(services)
     }
--- a/crates/registry/src/core/outcome.rs
+++ b/crates/registry/src/core/outcome.rs
@@ -40,15 +40,16 @@
     UnknownEndpoint(String),
     /// The list has no capacity left.
     #[error(
-        "the list is full: {MAX_ENTRIES} servers, {MAX_ENTRIES_WITHOUT_SERVICES} for one without a service"
+        "the list is full: {MAX_ENTRIES} endpoints, or {MAX_ENTRIES_WITHOUT_SERVICES} for a command without services"
     )]
     #[serde(rename = "Full")]
     ListFull,
-    /// The command is malformed. A text, since a replica of another version may have found the fault.
+    /// The command is malformed. The error is kept as text, as it may come from a replica of another version, which may
+    /// have other errors.
     #[error("{0}")]
     Invalid(String),
-    /// The list is not bootstrapped, or its epoch is not older than this one.
-    #[error("epoch {0} does not follow")]
+    /// The epoch to start is out of range or not newer than the list's; or, with epoch 0, the list is not bootstrapped.
+    #[error("epoch {0} is out of range or not newer than the list's, or the list is not bootstrapped")]
     #[serde(rename = "Epoch")]
     StaleEpoch(u64),
 }
--- a/crates/registry/src/core/record.rs
+++ b/crates/registry/src/core/record.rs
@@ -1,5 +1,5 @@
-//! What the list stores for each endpoint and each change. Both are part of snapshots, backups and operators' answers,
-//! so their serialized names are fixed.
+//! What the list stores for each endpoint and each change. Both are part of snapshots, backups and responses to
+//! operators, so their serialized names are fixed.
 
 use lotusmoor_registry_client::{Entry, Status, StatusReason};
 use serde::{Deserialize, Serialize};
--- a/crates/registry/src/core/service_index.rs
+++ b/crates/registry/src/core/service_index.rs
@@ -10,9 +10,9 @@
 pub(super) use snapshot::ServiceSnapshot;
 use std::collections::{BTreeMap, BTreeSet};
 
-/// Tombstones of all services together.
+/// Maximum number of tombstones that are retained, of all services together.
 const MAX_TOMBSTONES: usize = 4096;
-/// Services without endpoints whose state is kept.
+/// Maximum number of services without endpoints whose state is retained.
 const MAX_EMPTY_SERVICES: usize = 4096;
 
 /// The state of one service.
@@ -34,7 +34,7 @@
     services: BTreeMap<String, ServiceState>,
     /// Services by the index of their last change.
     changes: BTreeSet<(u64, String)>,
-    /// Those of `changes` without endpoints.
+    /// The entries of `changes` whose service has no endpoints.
     empty: BTreeSet<(u64, String)>,
     /// Services with tombstones, by the tombstones' indexes.
     tombstones: BTreeSet<(u64, String)>,
@@ -44,7 +44,7 @@
 }
 
 impl ServiceIndex {
-    /// Whether there is neither a service nor state of a former one.
+    /// Whether there is no state of any service, not even of one without endpoints.
     pub(super) fn is_empty(&self) -> bool {
         self.services.is_empty()
     }
@@ -92,7 +92,7 @@
             }
         }
         for service in [old_service, new_service].into_iter().flatten() {
-            self.note_emptiness(service, index);
+            self.update_empty(service, index);
         }
     }
 
@@ -105,7 +105,8 @@
     ) {
         let tombstone = match current.entry.status {
             Status::Removed => current.entry.clone(),
-            // It moved to another service by a registration, so there is no doubt that it left.
+            // A registration moved it to another service. Unlike the expiry of a lease, this leaves no doubt that it
+            // left this one, so the reason is `Removed`.
             _ => previous.with_status(Status::Removed, StatusReason::Removed).entry,
         };
         if let Some(state) = self.services.get_mut(service) {
@@ -131,7 +132,7 @@
         state
     }
 
-    fn note_emptiness(&mut self, service: &str, index: u64) {
+    fn update_empty(&mut self, service: &str, index: u64) {
         let key = (index, service.to_owned());
         if self.services.get(service).is_some_and(|state| state.endpoints.is_empty()) {
             self.empty.insert(key);
--- a/crates/registry/src/core/service_index/queries.rs
+++ b/crates/registry/src/core/service_index/queries.rs
@@ -26,7 +26,7 @@
         self.max_of(services, |state| state.update_floor)
     }
 
-    /// The largest value among these services; a service without state counts with the index of dropped ones.
+    /// The largest value among these services, with `dropped_index` as the value of a service without state.
     fn max_of(&self, services: &[String], value: impl Fn(&ServiceState) -> u64) -> u64 {
         let values = services.iter().map(|s| self.services.get(s).map_or(self.dropped_index, &value));
         values.max().unwrap_or(0)
@@ -40,7 +40,7 @@
         })
     }
 
-    /// The lowest index whose readers lack the same changes of these services as those of `after`.
+    /// The lowest index from which the update for these services is the same as from `after`.
     pub(in crate::core) fn equivalent_index(&self, after: u64, services: &[String]) -> u64 {
         let states = services.iter().filter_map(|service| self.services.get(service));
         let last_changes = states.filter_map(|state| state.last_change_up_to(after));
@@ -74,7 +74,7 @@
 }
 
 impl ServiceState {
-    /// The index of the last change of the service's endpoints up to an index, as far as it is known.
+    /// The index of the last change of the service's endpoints up to an index; `None` if no such change is retained.
     fn last_change_up_to(&self, index: u64) -> Option<u64> {
         let endpoint = self.endpoints.range(..(index + 1, String::new())).next_back();
         let tombstone = self.tombstones.range(..=index).next_back();
--- a/crates/registry/src/core/service_index/snapshot.rs
+++ b/crates/registry/src/core/service_index/snapshot.rs
@@ -5,7 +5,7 @@
 use lotusmoor_registry_client::Entry;
 use serde::{Deserialize, Serialize};
 
-/// A service in a snapshot. Its endpoints follow from the list.
+/// A service in a snapshot. Its endpoints are derived from the list's records.
 #[derive(Clone, Deserialize, Serialize)]
 pub(in crate::core) struct ServiceSnapshot {
     name: String,
@@ -51,7 +51,7 @@
         self.services.insert(name, state);
     }
 
-    /// The services for a snapshot, and the latest index of a dropped one.
+    /// The services for a snapshot, and `dropped_index`.
     pub(in crate::core) fn into_snapshot(self) -> (Vec<ServiceSnapshot>, u64) {
         let services = self.services.into_iter().map(|(name, state)| ServiceSnapshot {
             name,
--- a/crates/registry/src/core/validation.rs
+++ b/crates/registry/src/core/validation.rs
@@ -4,40 +4,40 @@
 use std::collections::BTreeSet;
 use std::ops::RangeInclusive;
 
-/// Endpoints in a list. The largest planned fleet has 21,000, and during replacements both old and new ones are
-/// listed. A full list of usual names fits the 4 MiB that sidecars accept: 19,900 endpoints took 3.03 MB.
+/// Maximum number of endpoints in a list. The largest planned fleet has 21,000, and during replacements both old and
+/// new ones are listed. A full list of usual names fits the 4 MiB that sidecars accept: 19,900 endpoints took 3.03 MB.
 pub const MAX_ENTRIES: usize = 25_000;
-/// Endpoints that commands without services may fill the list to, as in versions before services.
+/// Maximum number of endpoints in a list when a command without services adds some, as in versions without services.
 pub(super) const MAX_ENTRIES_WITHOUT_SERVICES: usize = 20_000;
 /// Longest endpoint name in bytes.
 pub const MAX_NAME_BYTES: usize = 128;
 /// Longest zone, region, machine type or service name in bytes.
 pub const MAX_LABEL_BYTES: usize = 64;
-/// Services that one query may name.
+/// Maximum number of services that one query may name.
 pub const MAX_SERVICES_PER_QUERY: usize = 256;
 /// Valid lease durations in milliseconds, besides 0 for none.
 const LEASE_RANGE_MS: RangeInclusive<u64> = 500..=3_600_000;
 /// Largest valid weight.
 const MAX_WEIGHT: f64 = 1e6;
-/// Integers have to be exact in JSON readers that use doubles.
+/// Bits of the largest valid integers, which must be exact in JSON readers that use doubles.
 pub(super) const INTEGER_BITS: u32 = 53;
-/// Characters of an invalid name that an error shows.
+/// Maximum number of characters of an invalid name that an error shows.
 const SHOWN_NAME_CHARS: usize = 40;
 
 /// What is wrong with a command.
 #[derive(Clone, Debug, PartialEq, thiserror::Error)]
 pub enum InvalidCommand {
     /// It names services without the wrapper that they need in the log.
-    #[error("services need a form of their own")]
+    #[error("a command with services must be wrapped in WithServices")]
     ServicesNotWrapped,
     /// It is wrapped twice.
-    #[error("a form within a form")]
+    #[error("WithServices must not be nested")]
     WrappedTwice,
     /// It registers nothing.
     #[error("no server is named")]
     NoEndpoints,
     /// It registers an endpoint twice.
-    #[error("{0}: named twice")]
+    #[error("{0}: listed twice in the command")]
     DuplicateEndpoint(String),
     /// An endpoint's name is malformed; this is its beginning.
     #[error("name {0:?}: must be 1 to {MAX_NAME_BYTES} letters, digits or one of . _ : -")]
@@ -68,7 +68,7 @@
     #[error("services: {0:?} must be 1 to {MAX_LABEL_BYTES} letters, digits or one of . _ : -")]
     Name(String),
     /// There are too many.
-    #[error("services: {MAX_SERVICES_PER_QUERY} at most in a call")]
+    #[error("services: at most {MAX_SERVICES_PER_QUERY} are allowed")]
     TooMany,
 }
 
--- a/crates/registry/src/node.rs
+++ b/crates/registry/src/node.rs
@@ -1,7 +1,7 @@
 //! A replica: composes the log, the list, the leader's leases and the list's age, and runs their periodic tasks.
 //!
-//! It runs on tokio's clock, so that the explorer can run it on a paused one, and calls others through a
-//! [`Transport`].
+//! It runs on tokio's clock, which the fault exploration ([`crate::explore`]) pauses, and calls other replicas through
+//! a [`Transport`].
 
 mod error;
 mod leases;
@@ -29,13 +29,13 @@
 use tokio::task::JoinSet;
 use tokio::time::{Instant, Interval, MissedTickBehavior, interval};
 
-/// openraft's name of the cluster, for its log lines.
+/// The cluster's name in openraft's log lines: the registry's name in commands, metrics and file names.
 const CLUSTER_NAME: &str = "roster";
-/// Most log entries in one call.
+/// Maximum number of log entries in one append call.
 const MAX_ENTRIES_PER_APPEND: u64 = 64;
-/// Most bytes of a snapshot in one call.
+/// Maximum size in bytes of the part of a snapshot in one call.
 const SNAPSHOT_CHUNK_BYTES: u64 = 1 << 20;
-/// How many times as often the read index is requested until the list's age is known: until then, nothing is served.
+/// How many times as often the read index is requested until the list's age is known: until then, no list is served.
 const STARTUP_READ_INDEX_RATE: u32 = 10;
 
 struct Inner<T> {
@@ -46,7 +46,7 @@
     applied_state: Arc<AppliedState>,
     peers: Peers<T>,
     leader_state: Mutex<LeaderState>,
-    flaps: Mutex<FlapDamping>,
+    flap_damping: Mutex<FlapDamping>,
     freshness: Mutex<Freshness>,
     started_at: Instant,
     /// Serializes membership changes that this replica makes.
@@ -65,7 +65,7 @@
     }
 }
 
-/// Locks a mutex, also after a holder panicked: every critical section leaves its state consistent.
+/// Locks a mutex, also after a panic of a holder: every critical section leaves its state consistent.
 fn lock<V>(mutex: &Mutex<V>) -> MutexGuard<'_, V> {
     mutex.lock().unwrap_or_else(PoisonError::into_inner)
 }
@@ -87,7 +87,7 @@
 }
 
 impl<T: Transport> Node<T> {
-    /// Starts a replica over its store. `new_identity` becomes its identity where the store has none yet.
+    /// Starts a replica over its store. `new_identity` becomes its identity if the store has none yet.
     pub async fn start(
         settings: Settings,
         store: Store,
@@ -111,7 +111,7 @@
             store,
             applied_state,
             peers,
-            flaps: Mutex::default(),
+            flap_damping: Mutex::default(),
             started_at: Instant::now(),
             membership_change: tokio::sync::Mutex::default(),
             tasks: Mutex::default(),
@@ -157,24 +157,24 @@
         }
     }
 
-    /// Whether it has stopped because its store failed.
+    /// Whether the replica has stopped because its store failed.
     pub fn store_failed(&self) -> bool {
         let running = self.inner.raft.metrics().borrow().running_state.clone();
         matches!(running, Err(Fatal::StorageError(_)))
     }
 
-    /// Stops it like the end of its process would; its store stays as it is.
+    /// Stops the replica abruptly, as the end of its process would. Its store stays as it is.
     pub async fn stop(&self) {
         lock(&self.inner.tasks).abort_all();
         let _ = self.inner.raft.shutdown().await;
     }
 
-    /// Microseconds since it started.
+    /// Microseconds since the replica started.
     pub fn now(&self) -> Micros {
         Micros::try_from(self.inner.started_at.elapsed().as_micros()).unwrap_or(Micros::MAX)
     }
 
-    /// Its settings.
+    /// The replica's settings.
     pub fn settings(&self) -> &Settings {
         &self.inner.settings
     }
@@ -189,12 +189,12 @@
         &self.inner.applied_state
     }
 
-    /// Its store.
+    /// The replica's store.
     pub fn store(&self) -> &Store {
         &self.inner.store
     }
 
-    /// Its log.
+    /// The replica's Raft instance.
     pub fn raft(&self) -> &Raft {
         &self.inner.raft
     }
--- a/crates/registry/src/node/error.rs
+++ b/crates/registry/src/node/error.rs
@@ -15,14 +15,14 @@
     /// The store can't be used.
     #[error("{0}")]
     Store(#[from] StoreError),
-    /// openraft refuses its settings.
+    /// openraft rejects the settings.
     #[error("{0}")]
     Settings(#[source] Box<ConfigError>),
-    /// openraft has stopped, or an operation of it failed.
+    /// openraft has stopped, or one of its operations failed.
     #[error("{0}")]
     Raft(#[source] Box<dyn Error + Send + Sync>),
-    /// The command that starts the first epoch was not carried out.
-    #[error("the list could not be founded: {0:?}")]
+    /// The command that starts the first epoch failed.
+    #[error("the list could not be bootstrapped: {0:?}")]
     Bootstrap(Result<Outcome, WriteError>),
 }
 
@@ -32,18 +32,18 @@
     }
 }
 
-/// Why a write is not known to be committed. Replicas send it to each other as JSON: variants that were renamed keep
-/// their earlier names there, and causes travel as text.
+/// Why a write is not known to be committed. Replicas send it to each other as JSON, so the serialized names are fixed,
+/// and causes are sent as text.
 #[derive(Clone, Debug, PartialEq, Eq, thiserror::Error, Deserialize, Serialize)]
 pub enum WriteError {
     /// No leader is known here: nothing was written.
     #[error("no leader")]
     NoLeader,
-    /// It may have been written.
+    /// The outcome of the write is unknown: it may have been committed.
     #[error("it may have been written: {0}")]
     #[serde(rename = "Unknown")]
     OutcomeUnknown(String),
-    /// This server changes the list too often: nothing was written; it may retry after so many microseconds.
+    /// The endpoint's changes exceed its rate limit: nothing was written. It may retry after this many microseconds.
     #[error("this server changes the list too often")]
     #[serde(rename = "TooOften")]
     RateLimited(Micros),
@@ -52,14 +52,14 @@
     Stopped(String),
 }
 
-/// Why a call of another replica is rejected. The caller is sent the text.
+/// Why a call of another replica is rejected. The text is sent to the caller.
 #[derive(Debug, thiserror::Error)]
 pub enum PeerCallError {
-    /// The call can't be decoded, or the answer not be encoded.
+    /// The call can't be decoded, or the response can't be encoded.
     #[error("{0}")]
     Json(#[from] serde_json::Error),
-    /// An entry has services, and this replica's store format has none.
-    #[error("an entry has services, which this replica's format can't hold")]
+    /// A log entry has services, which this replica's store format does not support.
+    #[error("a log entry has services, which this replica's store format does not support")]
     ServicesUnsupported,
     /// The call is addressed to another replica.
     #[error("this is replica {own}, not {addressed}")]
@@ -69,17 +69,17 @@
         /// The replica that is addressed.
         addressed: u64,
     },
-    /// A member with the caller's number has another identity or address.
+    /// A member with the caller's id has another identity or address.
     #[error(
         "two replicas have the number {id}: the one at {} is not the one that belongs here, at {}",
         caller.address, member.address
     )]
     DuplicateId {
-        /// The number.
+        /// The id.
         id: u64,
-        /// Who calls.
+        /// The caller.
         caller: Replica,
-        /// The member of that number.
+        /// The member with that id.
         member: Replica,
     },
     /// The caller is not a member.
@@ -90,12 +90,12 @@
 /// Why the membership of a cluster was not changed.
 #[derive(Debug, thiserror::Error)]
 pub enum MembershipError {
-    /// Another replica has that number.
+    /// Another replica has that id. A joining replica recognizes this error by the end of its text.
     #[error("replica {id} is the one at {address}: a new one needs a number of its own")]
     IdTaken {
-        /// The number.
+        /// The id.
         id: u64,
-        /// Address of the member of that number.
+        /// Address of the member with that id.
         address: String,
     },
     /// A cluster needs a voter.
--- a/crates/registry/src/node/leases.rs
+++ b/crates/registry/src/node/leases.rs
@@ -1,4 +1,4 @@
-//! Leases: the leader renews them in memory and proposes the expiry of those that ran out.
+//! Leases: the leader renews them in memory and proposes the expiry of those that were not renewed in time.
 
 use super::{Node, WriteError, lock, unix_ms};
 use crate::core::lease::{LeaseTracker, Renewal};
@@ -9,9 +9,9 @@
 /// What a replica tracks while it leads.
 pub(super) struct LeaderState {
     pub(super) leases: LeaseTracker,
-    /// The term in which this replica leads; `None` while it follows.
+    /// The term in which this replica leads; `None` while it does not lead.
     term: Option<u64>,
-    /// Index of the list up to which changes were passed to the leases.
+    /// Index of the list up to which changes were passed to the lease tracker.
     observed_index: u64,
 }
 
@@ -22,23 +22,23 @@
 }
 
 impl<T: Transport> Node<T> {
-    /// Servers whose lease ran out and that stay listed, as too many others expire at once.
+    /// The number of endpoints with an expired lease that stay active because the expiry limit is reached.
     pub fn pending_expirations(&self) -> usize {
         lock(&self.inner.leader_state).leases.deferred()
     }
 
-    /// Brings the leases up to date with the list and proposes to expire those that ran out.
+    /// Brings the leases up to date with the list and proposes the expiry of those that are due.
     pub(super) async fn check_leases(&self) {
-        let Some(due) = self.expired_leases() else { return };
+        let Some(expired) = self.expired_leases() else { return };
         self.finish_membership_change().await;
-        if !due.is_empty() {
-            tracing::info!("{} leases have run out", due.len());
+        if !expired.is_empty() {
+            tracing::info!("proposing the expiry of {} leases", expired.len());
             // An expiry that is not committed is proposed again at a later check.
-            let _ = self.write_as_leader(Command::Expire { leases: due, at_ms: unix_ms() }).await;
+            let _ = self.write_as_leader(Command::Expire { leases: expired, at_ms: unix_ms() }).await;
         }
     }
 
-    /// The leases that ran out; `None` while this replica follows.
+    /// The leases whose expiry is to be proposed; `None` while this replica does not lead.
     fn expired_leases(&self) -> Option<Vec<ExpiredLease>> {
         let (server_state, term, leader) = {
             let metrics = self.inner.raft.metrics();
@@ -61,22 +61,22 @@
         } else {
             let (changed, removed) = state.list.changed_after(leader_state.observed_index);
             let removed: Vec<String> = removed.map(str::to_owned).collect();
-            changed.for_each(|entry| leader_state.leases.update(now, entry));
+            changed.for_each(|record| leader_state.leases.update(now, record));
             removed.iter().for_each(|name| leader_state.leases.remove(name));
         }
         leader_state.observed_index = state.list.version().index;
         Some(leader_state.leases.take_expired(now, state.list.active()))
     }
 
-    /// Renews the lease of a server, at the leader.
+    /// Renews the lease of an endpoint, at the leader.
     pub async fn renew(&self, name: &str) -> Result<Renewal, WriteError> {
         let leader = self.leader_target().ok_or(WriteError::NoLeader)?;
         if leader.id == self.inner.settings.id {
             return self.renew_as_leader(name);
         }
-        let answer: Result<Result<bool, WriteError>, CallError> =
+        let response: Result<Result<bool, WriteError>, CallError> =
             self.inner.peers.call(&leader, Rpc::Renew, name, self.inner.settings.request_timeout).await;
-        let renewed = answer.map_err(|e| WriteError::OutcomeUnknown(e.to_string()))??;
+        let renewed = response.map_err(|e| WriteError::OutcomeUnknown(e.to_string()))??;
         Ok(if renewed { Renewal::Renewed } else { Renewal::Unknown })
     }
 
@@ -89,7 +89,7 @@
             .list
             .entries()
             .get(name)
-            .is_some_and(|entry| entry.lease_ms == 0);
+            .is_some_and(|record| record.lease_ms == 0);
         let mut leader_state = lock(&self.inner.leader_state);
         if leader_state.term.is_none() {
             return Err(WriteError::NoLeader);
--- a/crates/registry/src/node/membership.rs
+++ b/crates/registry/src/node/membership.rs
@@ -10,13 +10,13 @@
 use std::time::Duration;
 use tokio::time::timeout;
 
-/// How long a replica that bootstraps a cluster waits until it leads.
+/// How long a replica that bootstraps a cluster waits to become its leader.
 const BOOTSTRAP_ELECTION_TIMEOUT: Duration = Duration::from_secs(30);
 
 impl<T: Transport> Node<T> {
-    /// Bootstraps a cluster of this replica alone and starts an epoch of the list, unless an epoch has started
-    /// already; with the list of a backup where one is given. Returns whether an epoch was started.
-    pub async fn bootstrap_cluster(&self, epoch: u64, from: Option<Box<List>>) -> Result<bool, NodeError> {
+    /// Bootstraps a cluster of this replica alone and starts an epoch of the list, from a backup if one is given,
+    /// unless an epoch has started already. Returns whether an epoch was started.
+    pub async fn bootstrap_cluster(&self, epoch: u64, backup: Option<Box<List>>) -> Result<bool, NodeError> {
         let raft = &self.inner.raft;
         let members = BTreeMap::from([(self.inner.settings.id, self.inner.own.clone())]);
         match raft.initialize(members).await {
@@ -24,13 +24,13 @@
             Err(error) => return Err(NodeError::raft(error)),
         }
         let wait = raft.wait(Some(BOOTSTRAP_ELECTION_TIMEOUT));
-        wait.state(ServerState::Leader, "founding").await.map_err(NodeError::raft)?;
-        // An earlier attempt may have been committed and not applied: apply the whole log before looking.
+        wait.state(ServerState::Leader, "bootstrap").await.map_err(NodeError::raft)?;
+        // An earlier attempt may have been committed and not applied: apply the complete log before checking the epoch.
         raft.ensure_linearizable().await.map_err(NodeError::raft)?;
         if self.inner.applied_state.state().list.version().epoch > 0 {
             return Ok(false);
         }
-        match self.write_as_leader(Command::Bootstrap { epoch, backup: from }).await {
+        match self.write_as_leader(Command::Bootstrap { epoch, backup }).await {
             Ok(Outcome::Applied { .. }) => Ok(true),
             other => Err(NodeError::Bootstrap(other)),
         }
@@ -41,7 +41,7 @@
         self.inner.raft.is_initialized().await.unwrap_or(false)
     }
 
-    /// Whether this replica is the only voter: it bootstraps a cluster, or no other was added yet.
+    /// Whether this replica is the only voter: it is bootstrapping a cluster, or no other replica has been added yet.
     pub fn is_sole_voter(&self) -> bool {
         let metrics = self.inner.raft.metrics();
         let membership = Arc::clone(&metrics.borrow().membership_config);
@@ -49,7 +49,7 @@
         voters.next() == Some(self.inner.settings.id) && voters.next().is_none()
     }
 
-    /// Adds a replica, at the leader: first as a learner, and as a voter once it has the log.
+    /// Adds a replica, at the leader: first as a learner, and as a voter once it has caught up with the log.
     pub async fn add_member(&self, id: u64, replica: Replica) -> Result<(), MembershipError> {
         let member = self.inner.applied_state.state().membership.membership().get_node(&id).cloned();
         if let Some(member) = member
@@ -64,7 +64,7 @@
         Ok(())
     }
 
-    /// Removes a replica for good, at the leader.
+    /// Removes a replica permanently, at the leader.
     pub async fn remove_member(&self, id: u64) -> Result<(), MembershipError> {
         let metrics = self.inner.raft.metrics();
         let voters = metrics.borrow().membership_config.voter_ids().collect::<BTreeSet<_>>();
@@ -89,7 +89,7 @@
         let (Some(voters), Ok(_guard)) = (new_voters, self.inner.membership_change.try_lock()) else {
             return;
         };
-        tracing::warn!("a change of who belongs was left half done: replicas {voters:?} vote from now on");
+        tracing::warn!("completing an interrupted membership change; new voters: {voters:?}");
         let change = ChangeMembers::ReplaceAllVoters(voters);
         let change = self.inner.raft.change_membership(change, true);
         let _ = timeout(self.inner.settings.request_timeout, change).await;
--- a/crates/registry/src/node/peer_calls.rs
+++ b/crates/registry/src/node/peer_calls.rs
@@ -12,16 +12,16 @@
 /// Who may make a call.
 #[derive(Clone, Copy, PartialEq, Eq)]
 enum Callers {
-    /// Any replica. One that is being added is no member yet when it receives its leader's first calls.
+    /// Any replica. One that is being added is not a member yet when it receives its leader's first calls.
     Any,
-    /// Members, wherever members are known.
+    /// Members only, unless this replica knows no members.
     Members,
 }
 
 impl<T: Transport> Node<T> {
-    /// Answers a call of another replica.
+    /// Handles a call of another replica and returns the encoded response.
     pub async fn handle_peer_call(&self, rpc: Rpc, bytes: &[u8]) -> Result<Vec<u8>, PeerCallError> {
-        let answer = match rpc {
+        let response = match rpc {
             Rpc::Append => {
                 let request: AppendEntriesRequest<TypeConfig> = self.open_envelope(bytes, Callers::Any)?;
                 self.check_services(&request.entries)?;
@@ -48,10 +48,10 @@
                 serde_json::to_vec(&self.renew_as_leader(&name).map(|renewal| renewal == Renewal::Renewed))
             }
         };
-        Ok(answer?)
+        Ok(response?)
     }
 
-    /// Rejects entries that this replica's store format can't represent.
+    /// Rejects entries with services if this replica's store format does not support them.
     fn check_services(&self, entries: &[LogEntry]) -> Result<(), PeerCallError> {
         let has_services =
             |e: &LogEntry| matches!(&e.payload, EntryPayload::Normal(command) if command.has_services());
--- a/crates/registry/src/node/reads.rs
+++ b/crates/registry/src/node/reads.rs
@@ -1,4 +1,4 @@
-//! Reads: from the local list with a bound on its age, or linearizable by way of the leader's read index.
+//! Reads: from the local list with a bound on its age, or linearizable with the leader's read index.
 
 use super::{Node, WriteError, lock};
 use crate::core::Micros;
@@ -11,11 +11,11 @@
 /// Microseconds in a millisecond.
 const MICROS_PER_MILLI: Micros = 1000;
 
-/// What a replica gives to a reader.
+/// The result of a read from the local list.
 pub struct Read {
-    /// Whether and how it may be used.
+    /// Whether the list may be served, and its age.
     pub consistency: ReadConsistency,
-    /// The list, or changes.
+    /// The list, or its changes.
     pub update: ListUpdate,
 }
 
@@ -28,7 +28,7 @@
         self.with_age(consistency, update)
     }
 
-    /// Like [`Self::read`], of some services alone, which must be sorted by name.
+    /// Like [`Self::read`] for some services only, which must be sorted by name.
     pub fn read_services(&self, after: Option<u64>, services: &[String]) -> Read {
         let consistency = self.read_consistency();
         let update = self.inner.applied_state.state().list.update_for_services(after, services);
@@ -43,22 +43,22 @@
         Read { consistency, update }
     }
 
-    /// Whether and how the list may be used now.
+    /// Whether the list may be served now, and its age.
     pub fn read_consistency(&self) -> ReadConsistency {
         lock(&self.inner.freshness).consistency(self.now())
     }
 
-    /// Upper bound of the list's age; `None` before the first answer of a leader was applied.
+    /// Upper bound of the list's age; `None` until the log is applied up to the first read index.
     pub fn age(&self) -> Option<Micros> {
         lock(&self.inner.freshness).age(self.now())
     }
 
-    /// The list with everything that was acknowledged before this call.
+    /// A linearizable read: the list with everything that was acknowledged before this call.
     pub async fn read_latest(&self) -> Result<ListUpdate, WriteError> {
         self.read_latest_services(None).await
     }
 
-    /// Like [`Self::read_latest`], of some services alone, which must be sorted by name.
+    /// Like [`Self::read_latest`] for some services only, which must be sorted by name.
     pub async fn read_latest_services(&self, services: Option<&[String]>) -> Result<ListUpdate, WriteError> {
         let requested_at = self.now();
         let index = self.read_index().await?;
@@ -77,15 +77,15 @@
         Ok(update)
     }
 
-    /// The committed index of a leader that has confirmed its lead with a quorum.
+    /// The committed index of a leader that has confirmed its leadership with a quorum.
     async fn read_index(&self) -> Result<u64, WriteError> {
         let leader = self.leader_target().ok_or(WriteError::NoLeader)?;
         if leader.id == self.inner.settings.id {
             return self.read_index_as_leader().await;
         }
-        let answer: Result<Result<u64, WriteError>, CallError> =
+        let response: Result<Result<u64, WriteError>, CallError> =
             self.inner.peers.call(&leader, Rpc::ReadIndex, (), self.inner.settings.request_timeout).await;
-        answer.map_err(|_| WriteError::NoLeader)?
+        response.map_err(|_| WriteError::NoLeader)?
     }
 
     pub(super) async fn read_index_as_leader(&self) -> Result<u64, WriteError> {
@@ -98,7 +98,7 @@
         }
     }
 
-    /// Asks for the read index, which bounds the age of the list once it is applied.
+    /// Requests the read index, which bounds the age of the list once it is applied.
     pub(super) async fn refresh_freshness(&self) {
         let requested_at = self.now();
         if let Ok(index) = self.read_index().await {
--- a/crates/registry/src/node/settings.rs
+++ b/crates/registry/src/node/settings.rs
@@ -3,10 +3,10 @@
 use crate::core::{Micros, SECOND, lease};
 use std::time::Duration;
 
-/// How a replica behaves.
+/// The id, address, timing and limits of a replica.
 #[derive(Clone, Debug)]
 pub struct Settings {
-    /// The replica's number, which no other member has or had.
+    /// The replica's id, which no other member has or has had.
     pub id: u64,
     /// The address at which other replicas reach it.
     pub address: String,
@@ -16,28 +16,28 @@
     pub election_timeout_min: Duration,
     /// Upper bound of the randomized election timeout.
     pub election_timeout_max: Duration,
-    /// Time between two searches of the leader for expired leases.
+    /// Time between two checks for expired leases by the leader.
     pub lease_check_interval: Duration,
-    /// Time between two requests for the leader's read index, which bound the age of this replica's list.
+    /// Time between two requests for the leader's read index, which bounds the age of this replica's list.
     pub read_index_interval: Duration,
     /// Timeout of a write or of a call to the leader.
     pub request_timeout: Duration,
-    /// Leases.
+    /// Settings of leases.
     pub leases: lease::Settings,
     /// Age above which a list is served as stale.
     pub stale_after: Micros,
     /// Age above which a list is not served.
     pub refuse_after: Micros,
-    /// Log entries between two snapshots.
+    /// Number of log entries between two snapshots.
     pub snapshot_every: u64,
-    /// Log entries retained before a snapshot, for replicas that lag slightly.
+    /// Number of log entries before a snapshot that are retained, for replicas that lag slightly.
     pub retained_log_entries: u64,
     /// How often this process has reopened its store after a disk failure.
     pub store_reopen_count: u64,
 }
 
 impl Settings {
-    /// The default settings of the replica of that number at that address.
+    /// The default settings of the replica `id` at `address`.
     pub fn new(id: u64, address: String) -> Self {
         Self {
             id,
--- a/crates/registry/src/node/writes.rs
+++ b/crates/registry/src/node/writes.rs
@@ -9,18 +9,18 @@
 type ClientWriteFailure = RaftError<u64, ClientWriteError<u64, Replica>>;
 
 impl<T: Transport> Node<T> {
-    /// Carries a command out at the leader.
+    /// Executes a command at the leader, which may be this replica.
     pub async fn write(&self, command: Command) -> Result<Outcome, WriteError> {
         let command = command.into_log_form();
         let leader = self.leader_target().ok_or(WriteError::NoLeader)?;
         if leader.id == self.inner.settings.id {
             return self.write_as_leader(command).await;
         }
-        // Twice the leader's own timeout, so that its answer arrives even when the write takes the whole of it.
+        // Twice the leader's own timeout, so that its response arrives even if the write takes all of that.
         let call_timeout = 2 * self.inner.settings.request_timeout;
-        let answer: Result<Result<Outcome, WriteError>, CallError> =
+        let response: Result<Result<Outcome, WriteError>, CallError> =
             self.inner.peers.call(&leader, Rpc::Write, command, call_timeout).await;
-        match answer {
+        match response {
             Ok(outcome) => outcome,
             Err(CallError::NotSent(_) | CallError::Rejected(_)) => Err(WriteError::NoLeader),
             Err(error) => Err(WriteError::OutcomeUnknown(error.to_string())),
@@ -30,13 +30,14 @@
     pub(super) async fn write_as_leader(&self, command: Command) -> Result<Outcome, WriteError> {
         let command = command.into_log_form();
         if command.has_services() && !self.inner.store.format().has_services() {
-            let reason = "services can't be written with this format: start all replicas without it first";
+            let reason =
+                "services require store format 3: first restart all replicas without an older format setting";
             return Ok(Outcome::Refused(Refusal::Invalid(reason.into())));
         }
-        if let Some(name) = single_server(&command) {
-            lock(&self.inner.flaps).try_change(self.now(), name).map_err(WriteError::RateLimited)?;
+        if let Some(name) = single_endpoint(&command) {
+            lock(&self.inner.flap_damping).try_change(self.now(), name).map_err(WriteError::RateLimited)?;
         }
-        let registered = registered_servers(&command);
+        let registered = registered_endpoints(&command);
         let write = self.inner.raft.client_write(command);
         match timeout(self.inner.settings.request_timeout, write).await {
             Ok(Ok(response)) => {
@@ -46,11 +47,11 @@
                 Ok(response.data)
             }
             Ok(Err(error)) => Err(write_error(error)),
-            Err(_) => Err(WriteError::OutcomeUnknown("not at a majority in time".into())),
+            Err(_) => Err(WriteError::OutcomeUnknown("not acknowledged by a quorum in time".into())),
         }
     }
 
-    /// A registration renews the leases of its servers, also of those that it leaves as they are.
+    /// Renews the leases of the endpoints of a registration, including those that it did not change.
     fn renew_registered(&self, names: &[String]) {
         let mut leader_state = lock(&self.inner.leader_state);
         let now = self.now();
@@ -60,8 +61,8 @@
     }
 }
 
-/// The server that a command changes, where it changes a single one: such changes are rate-limited.
-fn single_server(command: &Command) -> Option<&str> {
+/// The endpoint that a command changes, if it changes only one: such changes are rate-limited.
+fn single_endpoint(command: &Command) -> Option<&str> {
     match command.unwrapped() {
         Command::Drain { name, .. } | Command::Resume { name, .. } | Command::Remove { name, .. } => {
             Some(name)
@@ -73,7 +74,7 @@
     }
 }
 
-fn registered_servers(command: &Command) -> Vec<String> {
+fn registered_endpoints(command: &Command) -> Vec<String> {
     match command.unwrapped() {
         Command::Register { servers, .. } => servers.iter().map(|s| s.entry.name.clone()).collect(),
         _ => Vec::new(),
@@ -82,7 +83,7 @@
 
 fn write_error(error: ClientWriteFailure) -> WriteError {
     match error {
-        // openraft also says so of a command that was proposed before this replica lost the lead.
+        // openraft also returns this for a command that was proposed before this replica lost leadership.
         RaftError::APIError(ClientWriteError::ForwardToLeader(_)) => {
             WriteError::OutcomeUnknown("the lead was lost".into())
         }
--- a/crates/registry/src/raft/mod.rs
+++ b/crates/registry/src/raft/mod.rs
@@ -1,5 +1,5 @@
-//! Replication of the list's log: openraft's types, and its calls between replicas over a [`Transport`], which is HTTP in
-//! a process and a simulated network in the explorer.
+//! Replication of the list's log: openraft's types, and its calls between replicas over a [`Transport`], which is HTTP
+//! in the registry process and a simulated network in the fault exploration ([`crate::explore`]).
 
 mod network;
 pub mod runtime;
@@ -12,11 +12,11 @@
 use serde::{Deserialize, Serialize};
 use std::io::Cursor;
 
-/// A member of the cluster. A replica with the same number and another identity or address is a different one: a copy,
-/// or a mistake in a configuration.
+/// A member of the cluster. A replica with the same id and another identity or address is a different one: a copy, or a
+/// mistake in a configuration.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Deserialize, Serialize)]
 pub struct Replica {
-    /// Address at which the others reach it.
+    /// Address at which other replicas reach it.
     pub address: String,
     /// Random number, drawn when its store was created.
     pub identity: u64,
@@ -39,9 +39,9 @@
 pub type LogId = openraft::LogId<u64>;
 /// A log entry.
 pub type LogEntry = openraft::Entry<TypeConfig>;
-/// The members, with the position of the log entry that made them so.
+/// The members, with the position of the log entry that set them.
 pub type Membership = openraft::StoredMembership<u64, Replica>;
-/// A vote.
+/// A vote in an election.
 pub type Vote = openraft::Vote<u64>;
 /// The error with which a store stops openraft.
 pub type StorageError = openraft::StorageError<u64>;
--- a/crates/registry/src/raft/network.rs
+++ b/crates/registry/src/raft/network.rs
@@ -13,19 +13,19 @@
 use std::error::Error;
 use std::time::Duration;
 
-/// Makes the calls of one replica to the others.
+/// Makes calls from this replica to the others.
 #[derive(Clone)]
 pub struct Peers<T> {
-    /// Carries the calls.
+    /// The transport of the calls.
     pub transport: T,
-    /// Number of this replica.
+    /// Id of this replica.
     pub id: u64,
     /// This replica as a member.
     pub own: Replica,
 }
 
 impl<T: Transport> Peers<T> {
-    /// Makes a call and decodes its answer.
+    /// Makes a call and decodes its response.
     pub async fn call<B: Serialize, A: DeserializeOwned>(
         &self,
         to: &Target,
@@ -41,12 +41,12 @@
             body,
         };
         let bytes = serde_json::to_vec(&envelope).map_err(|e| CallError::NotSent(e.into()))?;
-        let answer = self.transport.call(to, rpc, bytes, timeout).await?;
-        serde_json::from_slice(&answer).map_err(|e| CallError::NoAnswer(format!("unreadable: {e}").into()))
+        let response = self.transport.call(to, rpc, bytes, timeout).await?;
+        serde_json::from_slice(&response).map_err(|e| CallError::NoAnswer(format!("malformed: {e}").into()))
     }
 }
 
-/// Makes openraft's calls to one other replica.
+/// Makes openraft's calls to another replica.
 pub struct Peer<T> {
     peers: Peers<T>,
     to: Target,
@@ -72,10 +72,10 @@
         A: DeserializeOwned,
         E: Error + DeserializeOwned,
     {
-        let answer: Result<Result<A, RaftError<u64, E>>, CallError> =
+        let response: Result<Result<A, RaftError<u64, E>>, CallError> =
             self.peers.call(&self.to, rpc, body, option.hard_ttl()).await;
-        match answer {
-            Ok(Ok(answer)) => Ok(answer),
+        match response {
+            Ok(Ok(response)) => Ok(response),
             Ok(Err(error)) => Err(RPCError::RemoteError(RemoteError::new(self.to.id, error))),
             // openraft backs off from an unreachable replica.
             Err(error @ CallError::NotSent(_)) => Err(RPCError::Unreachable(Unreachable::new(&error))),
--- a/crates/registry/src/raft/runtime.rs
+++ b/crates/registry/src/raft/runtime.rs
@@ -1,4 +1,5 @@
-//! Tokio as openraft's runtime, with a random generator that can be seeded: openraft draws its election timeouts from it.
+//! Tokio as openraft's runtime, with a random generator that can be seeded: openraft draws its election timeouts from
+//! it.
 
 use openraft::{AsyncRuntime, TokioRuntime};
 use rand_08::rngs::StdRng;
@@ -16,7 +17,7 @@
     RNG.with_borrow_mut(|rng| *rng = Some(StdRng::seed_from_u64(seed)));
 }
 
-/// The generator of the current thread: the seeded one where [`seed`] was called, else that of the system.
+/// The generator of the current thread: the seeded one after a call of [`seed`], otherwise rand's own.
 pub struct ThreadRng;
 
 impl RngCore for ThreadRng {
--- a/crates/registry/src/raft/transport.rs
+++ b/crates/registry/src/raft/transport.rs
@@ -1,4 +1,4 @@
-//! Calls between replicas, and the interface of what carries them.
+//! Calls between replicas, and the interface of the transport that carries them.
 
 use serde::{Deserialize, Serialize};
 use std::error::Error;
@@ -29,7 +29,7 @@
     pub const ALL: [Self; 6] =
         [Self::Append, Self::Vote, Self::Snapshot, Self::ReadIndex, Self::Write, Self::Renew];
 
-    /// Its name in the path of a request.
+    /// The name of the call in the path of a request.
     pub fn name(self) -> &'static str {
         match self {
             Self::Append => "append",
@@ -45,31 +45,31 @@
 /// A replica to call.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Target {
-    /// Its number.
+    /// Its id.
     pub id: u64,
     /// Its address.
     pub address: String,
 }
 
-/// What made a call fail.
+/// The cause of a failed call.
 type Cause = Box<dyn Error + Send + Sync>;
 
-/// Why a call failed, by whether it may have taken effect. The texts contain their cause, so that it is no `source`:
-/// openraft would append it a second time.
+/// Why a call failed, by whether it may have taken effect. The texts contain their cause, which is therefore not a
+/// `source`: openraft would append it a second time.
 #[derive(Debug, thiserror::Error)]
 pub enum CallError {
     /// The call was not sent.
     #[error("not reached: {0}")]
     NotSent(Cause),
-    /// The call may have been received.
-    #[error("no answer: {0}")]
+    /// The call may have been received, but there was no valid response.
+    #[error("no valid response: {0}")]
     NoAnswer(Cause),
     /// The other replica rejected the call; it had no effect.
-    #[error("turned down: {0}")]
+    #[error("rejected: {0}")]
     Rejected(Cause),
 }
 
-/// Carries the bytes of calls and answers.
+/// Carries the bytes of calls and responses.
 pub trait Transport: Clone + Send + Sync + 'static {
     /// Makes a call, which fails after `timeout`.
     fn call(
@@ -81,16 +81,16 @@
     ) -> impl Future<Output = Result<Vec<u8>, CallError>> + Send;
 }
 
-/// A call with its sender and its receiver, as it is sent.
+/// A call with its caller and its receiver, as it is sent.
 #[derive(Debug, Deserialize, Serialize)]
 pub struct Envelope<B> {
-    /// The caller's number.
+    /// The caller's id.
     pub from: u64,
     /// The caller's identity.
     pub identity: u64,
     /// The caller's address.
     pub address: String,
-    /// The receiver's number.
+    /// The receiver's id.
     pub to: u64,
     /// The parameters of the call.
     pub body: B,
--- a/crates/registry/src/store/applied_state.rs
+++ b/crates/registry/src/store/applied_state.rs
@@ -1,4 +1,4 @@
-//! The list as of the last applied log entry, as the rest of a replica reads it and waits for its changes.
+//! The list as of the last applied log entry, for the rest of the replica to read and to wait for its changes.
 
 use super::service_waiters::ServiceWaiters;
 use super::{FormatError, format};
@@ -27,7 +27,7 @@
         SnapshotMeta { last_log_id: self.applied, last_membership: self.membership.clone(), snapshot_id }
     }
 
-    /// Decodes a snapshot of any known form.
+    /// Decodes a snapshot in any known format.
     pub fn decode(bytes: &[u8]) -> Result<Self, FormatError> {
         Ok(serde_json::from_slice(&format::decode(bytes)?)?)
     }
@@ -43,22 +43,22 @@
 }
 
 impl AppliedState {
-    /// Locks the state. The log is not applied meanwhile: release it soon.
+    /// Locks the state. No log entry is applied meanwhile, so the lock must be released soon.
     pub fn state(&self) -> MutexGuard<'_, Snapshot> {
         self.state.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
-    /// Follows the index of the last applied log entry.
+    /// Subscribes to the index of the last applied log entry.
     pub fn applied_index(&self) -> watch::Receiver<u64> {
         self.applied_index.subscribe()
     }
 
-    /// Follows the list's index.
+    /// Subscribes to the list's index.
     pub fn list_index(&self) -> watch::Receiver<u64> {
         self.list_index.subscribe()
     }
 
-    /// Waits until one of these services has changed after that index.
+    /// Waits until one of these services has changed after the index `after`.
     pub async fn services_changed(&self, after: u64, services: &Arc<[String]>) {
         // Registered before the list is read, so that no change in between is missed.
         let waiter = self.service_waiters.register(after, services);
@@ -67,7 +67,7 @@
         }
     }
 
-    /// Notifies watchers of a new state, which the caller has locked.
+    /// Notifies waiters and subscribers of a new state, which the caller has locked.
     pub(super) fn notify(&self, state: &Snapshot) {
         self.service_waiters.notify(&state.list);
         let list_index = state.list.version().index;
--- a/crates/registry/src/store/commit_counter.rs
+++ b/crates/registry/src/store/commit_counter.rs
@@ -1,17 +1,17 @@
-//! A counter of commits beside the database: sixteen bytes, written after each commit and not synced. A database that
-//! was rolled back to an earlier commit is recognized by it. A power failure may lose its last writes; then it is too
-//! low, which does no harm.
+//! A counter of commits in a file beside the database: sixteen bytes, written after each commit and not synced. A
+//! database with fewer commits than counted was rolled back to an earlier one. A power failure may lose the counter's
+//! last writes; it is then too low, which does no harm.
 
 use super::StoreError;
 use std::fs::File;
 use std::os::unix::fs::FileExt;
 use std::path::Path;
 
-/// Eight bytes of count, four of its checksum, four unused.
+/// Length of the file in bytes: eight of the count, four of its checksum, four unused.
 const LENGTH: usize = 16;
-/// Bytes of the count.
+/// Length of the count in bytes.
 const COUNT_LENGTH: usize = 8;
-/// End of the checksum.
+/// Offset of the end of the checksum.
 const CHECKSUM_END: usize = 12;
 
 pub struct CommitCounter {
@@ -20,7 +20,7 @@
 }
 
 impl CommitCounter {
-    /// Opens or creates it.
+    /// Opens the counter at `path`, or creates it.
     pub fn open(path: &Path) -> Result<Self, StoreError> {
         let io = |e: std::io::Error| StoreError::Database(redb::Error::Io(e));
         let file =
@@ -28,14 +28,14 @@
         let mut bytes = [0; LENGTH];
         let count_when_opened = match file.read_exact_at(&mut bytes, 0) {
             Ok(()) => decode(&bytes),
-            // It was just created, or its first write was cut short.
+            // The file was just created, or its first write was incomplete.
             Err(e) if e.kind() == std::io::ErrorKind::UnexpectedEof => 0,
             Err(e) => return Err(io(e)),
         };
         Ok(Self { file, count_when_opened })
     }
 
-    /// The count that was stored when it was opened.
+    /// The count that was stored when the counter was opened.
     pub fn count_when_opened(&self) -> u64 {
         self.count_when_opened
     }
@@ -50,7 +50,7 @@
     }
 }
 
-/// The stored count; 0, which rules nothing out, where the checksum does not match.
+/// The stored count, or 0 if the checksum does not match, which disables the check for a rollback.
 fn decode(bytes: &[u8; LENGTH]) -> u64 {
     let (count, rest) = bytes.split_at(COUNT_LENGTH);
     let checksum = &rest[..CHECKSUM_END - COUNT_LENGTH];
--- a/crates/registry/src/store/error.rs
+++ b/crates/registry/src/store/error.rs
@@ -5,7 +5,7 @@
 /// Why a replica's store can't be used.
 #[derive(Debug, thiserror::Error)]
 pub enum StoreError {
-    /// The database can't be read or written, or is damaged.
+    /// The database can't be read or written, or is corrupt.
     #[error("{0}")]
     Database(#[from] redb::Error),
     /// A value is not what was written.
@@ -17,39 +17,41 @@
         error: FormatError,
     },
     /// The checksums of the database's pages do not match.
-    #[error("the file is not whole: its checksums do not match")]
+    #[error("the database is corrupt: the checksums of its pages do not match")]
     IntegrityCheck,
-    /// The database is damaged so badly that opening it panics.
-    #[error("the file is not whole: {panic}")]
+    /// The database is so corrupt that opening it panics.
+    #[error("the database is corrupt, opening it panicked: {panic}")]
     OpenPanicked {
         /// The message of the panic.
         panic: String,
     },
     /// Commits are missing that were on disk before: acknowledged writes may be lost.
-    #[error("the file has seen {found} commits, and had seen {counted} before: its last ones are lost")]
+    #[error(
+        "the database was rolled back: {found} commits found, {counted} expected; the last ones are lost"
+    )]
     RolledBack {
         /// Commits in the database.
         found: u64,
         /// Commits that were counted beside it.
         counted: u64,
     },
-    /// It was written by a newer program.
-    #[error("the file has form {found}, and this program knows up to {known}")]
-    NewerForm {
-        /// Its form.
+    /// The database was written by a newer version of this program.
+    #[error("the database has format {found}, but this program supports formats up to {known}")]
+    NewerFormat {
+        /// The database's format.
         found: u32,
-        /// The newest form that is known.
+        /// The newest format that is known.
         known: u32,
     },
-    /// A list has services, which the configured format can't represent.
-    #[error("{what} has services, which form {format} can't hold: it needs form 3")]
+    /// A value has services, which the configured format does not support.
+    #[error("{what} has services, which format {format} does not support: format 3 is required")]
     ServicesUnsupported {
         /// Which value.
         what: String,
         /// The format's number.
         format: u32,
     },
-    /// It belongs to another replica.
+    /// The store belongs to another replica.
     #[error("the folder belongs to replica {found}, not {wanted}")]
     OtherReplica {
         /// The replica that it belongs to.
@@ -60,11 +62,11 @@
 }
 
 impl StoreError {
-    /// Whether reopening the store may help, because its disk failed. Damage stays.
+    /// Whether reopening the store may help, because its disk failed. A corrupt database stays corrupt.
     pub fn is_transient(&self) -> bool {
         match self {
             Self::Database(redb::Error::PreviousIo) => true,
-            // redb reports a truncated file as an I/O error without a number of the system's.
+            // redb reports a truncated file as an I/O error without an OS error code.
             Self::Database(redb::Error::Io(e)) => e.raw_os_error().is_some() && !is_permanent(e),
             _ => false,
         }
@@ -76,7 +78,7 @@
     }
 }
 
-/// Whether the error persists until somebody changes the file's permissions or place.
+/// Whether the error persists until an operator changes the file's permissions or location.
 fn is_permanent(error: &std::io::Error) -> bool {
     use std::io::ErrorKind::{IsADirectory, NotADirectory, NotFound, PermissionDenied, ReadOnlyFilesystem};
     matches!(error.kind(), NotFound | PermissionDenied | ReadOnlyFilesystem | IsADirectory | NotADirectory)
--- a/crates/registry/src/store/log.rs
+++ b/crates/registry/src/store/log.rs
@@ -1,4 +1,4 @@
-//! The replicated log and the votes in the database.
+//! The replicated log and the replica's vote in the database.
 
 use super::{COMMITTED, LOG, PURGED, SINGLETONS, Store, StoreError, VOTE};
 use crate::raft::{LogEntry, LogId, StorageError, TypeConfig, Vote};
@@ -10,7 +10,7 @@
 use std::fmt::Debug;
 use std::ops::RangeBounds;
 
-/// openraft stops at an error of its store, so that nothing is acknowledged from then on.
+/// openraft stops after an error of its store, so that nothing is acknowledged from then on.
 fn storage_error(verb: ErrorVerb, error: StoreError) -> StorageError {
     tracing::error!("the store failed: {error}");
     StorageError::IO { source: StorageIOError::new(ErrorSubject::Store, verb, AnyError::new(&error)) }
@@ -24,12 +24,12 @@
     storage_error(ErrorVerb::Write, error)
 }
 
-/// Name of a log entry in errors.
+/// Name of a log entry in error messages.
 pub(super) fn entry_name(index: u64) -> String {
     format!("log entry {index}")
 }
 
-/// Whether an entry carries services.
+/// Whether the command of an entry names services.
 pub(super) fn has_services(entry: &LogEntry) -> bool {
     matches!(&entry.payload, EntryPayload::Normal(command) if command.has_services())
 }
@@ -85,7 +85,7 @@
         })
     }
 
-    /// Decodes every stored value, so that a replica with a corrupt one does not start.
+    /// Decodes every stored value, so that a replica with a corrupt value does not start.
     pub fn verify(&self) -> Result<(), StoreError> {
         self.read_entries(..)?;
         let _: Option<Vote> = self.get(VOTE)?;
--- a/crates/registry/src/store/mod.rs
+++ b/crates/registry/src/store/mod.rs
@@ -30,7 +30,7 @@
 
 /// Log entries by index.
 const LOG: TableDefinition<u64, &[u8]> = TableDefinition::new("log");
-/// Values of which there is one each, by the names below.
+/// Single values, by the keys below.
 const SINGLETONS: TableDefinition<&str, &[u8]> = TableDefinition::new("one");
 
 const VOTE: &str = "vote";
@@ -38,9 +38,9 @@
 const PURGED: &str = "purged";
 const SNAPSHOT: &str = "snapshot";
 const IDENTITY: &str = "identity";
-/// Number of the database's format in decimal digits, which is read before any other value.
-const FORM: &str = "form";
-/// Number of commits to the database, as eight bytes in little-endian order.
+/// Key of the number of the database's format, in decimal digits, which is read before any other value.
+const FORMAT_NUMBER: &str = "form";
+/// Key of the number of commits to the database, as eight bytes in little-endian order.
 const COMMITS: &str = "commits";
 
 fn corrupt(what: &str, error: FormatError) -> StoreError {
@@ -59,12 +59,12 @@
     decode_json(what, &decode_to_json(what, value)?)
 }
 
-/// Decodes the number of commits, which is 0 in a database that has none yet.
+/// Decodes the number of commits, which is 0 in a database that does not store one yet.
 fn decode_count(value: Option<&[u8]>) -> u64 {
     value.and_then(|bytes| bytes.try_into().ok()).map_or(0, u64::from_le_bytes)
 }
 
-/// How many commits a database has seen.
+/// The number of commits to a database.
 fn commit_count(database: &Database) -> Result<u64, StoreError> {
     let transaction = database.begin_read()?;
     let table = match transaction.open_table(SINGLETONS) {
@@ -76,8 +76,9 @@
     Ok(decode_count(value.as_ref().map(|value| value.value())))
 }
 
-/// Opens a database, and checks all of it. redb trusts the length that a file's header states, and panics where the
-/// file is shorter: that is an error here. The hook is replaced meanwhile, so that the panic is not printed.
+/// Opens a database and checks the integrity of all of it. redb trusts the length in the file's header and panics if
+/// the file is shorter: the panic is returned as an error. The hook is replaced meanwhile, so that the panic is not
+/// printed.
 fn open_database(path: &Path) -> Result<Database, StoreError> {
     let hook = std::panic::take_hook();
     std::panic::set_hook(Box::new(|_| {}));
@@ -102,18 +103,18 @@
 pub struct Store {
     database: Arc<Database>,
     format: Format,
-    /// Absent for a database without a folder.
+    /// `None` for a store over a database that the caller opened, which need not be a file.
     commit_counter: Option<Arc<CommitCounter>>,
 }
 
 impl Store {
-    /// Opens the store of that folder, or creates it; values are written in that format.
+    /// Opens the store in `folder`, or creates it. Values are written in `format`.
     pub fn open(folder: &Path, format: Format) -> Result<Self, StoreError> {
         let path = folder.join(DATABASE_FILE);
         if path.try_exists().map_err(redb::Error::Io)? {
             return Self::open_file(folder, &path, format)?.with_current_counter();
         }
-        // A database whose creation was interrupted holds nothing that was acknowledged.
+        // A database whose creation was interrupted contains nothing that was acknowledged.
         let new = folder.join(NEW_DATABASE_FILE);
         match std::fs::remove_file(&new) {
             Err(error) if error.kind() != std::io::ErrorKind::NotFound => {
@@ -138,11 +139,11 @@
         Ok(self)
     }
 
-    /// Opens the database at that path in that folder.
+    /// Opens the database at `path`, with the commit counter in `folder`.
     fn open_file(folder: &Path, path: &Path, format: Format) -> Result<Self, StoreError> {
         let database = open_database(path)?;
         let commit_counter = CommitCounter::open(&folder.join(COMMIT_COUNTER_FILE))?;
-        // Checked before the first write, which would raise the database's count.
+        // This is checked before the first write, which would raise the database's count.
         let found = commit_count(&database)?;
         let counted = commit_counter.count_when_opened();
         if found < counted {
@@ -153,7 +154,7 @@
         Ok(store)
     }
 
-    /// Commits a change and counts it. redb may roll a damaged database back to an earlier commit; the count shows it.
+    /// Commits a change and counts it. redb may roll a corrupt database back to an earlier commit: the count shows it.
     fn commit<V>(
         &self,
         change: impl FnOnce(&WriteTransaction) -> Result<V, StoreError>,
@@ -173,30 +174,30 @@
         Ok(value)
     }
 
-    /// Commits and syncs an empty change, to find out whether the disk accepts writes.
+    /// Commits and syncs an empty change, to check whether the disk accepts writes.
     pub fn probe(&self) -> Result<(), StoreError> {
         self.commit(|_| Ok(()))
     }
 
-    /// A store over an open database, whose values are converted to that format.
+    /// A store over an open database, whose values are converted to `format`.
     pub fn from_database(database: Database, format: Format) -> Result<Self, StoreError> {
         let transaction = database.begin_write()?;
-        let stored_form = {
+        let stored_format = {
             transaction.open_table(LOG)?;
             let singletons = transaction.open_table(SINGLETONS)?;
-            singletons.get(FORM)?.and_then(|v| std::str::from_utf8(v.value()).ok()?.parse().ok())
+            singletons.get(FORMAT_NUMBER)?.and_then(|v| std::str::from_utf8(v.value()).ok()?.parse().ok())
         };
-        let found = stored_form.unwrap_or(format.number());
+        let found = stored_format.unwrap_or(format.number());
         if found > Format::NEWEST.number() {
-            return Err(StoreError::NewerForm { found, known: Format::NEWEST.number() });
+            return Err(StoreError::NewerFormat { found, known: Format::NEWEST.number() });
         }
         transaction.commit()?;
         let store = Self { database: Arc::new(database), format, commit_counter: None };
         if found != format.number() {
             store.convert_all()?;
         }
-        if stored_form != Some(format.number()) {
-            store.put_bytes(FORM, format.number().to_string().as_bytes())?;
+        if stored_format != Some(format.number()) {
+            store.put_bytes(FORMAT_NUMBER, format.number().to_string().as_bytes())?;
         }
         Ok(store)
     }
--- a/crates/registry/src/store/state_machine.rs
+++ b/crates/registry/src/store/state_machine.rs
@@ -1,4 +1,4 @@
-//! The state machine of openraft: applies the log to the list, and makes and installs snapshots.
+//! openraft's state machine: applies the log to the list, and builds and installs snapshots.
 
 use super::log::{read_failed, write_failed};
 use super::{AppliedState, SNAPSHOT, Snapshot, Store, StoreError};
@@ -15,7 +15,7 @@
         self.get(SNAPSHOT)
     }
 
-    /// Stores a snapshot in place of the one before.
+    /// Stores a snapshot, replacing the previous one.
     pub fn save_snapshot(&self, snapshot: &Snapshot) -> Result<(), StoreError> {
         self.check_services(SNAPSHOT, snapshot.list.has_services())?;
         self.put(SNAPSHOT, snapshot)
@@ -32,7 +32,7 @@
     }
 }
 
-/// The list as openraft sees it.
+/// openraft's handle to the list and to its stored snapshot.
 #[derive(Clone)]
 pub struct StateMachine {
     store: Store,
@@ -103,7 +103,7 @@
         _meta: &SnapshotMeta<u64, Replica>,
         snapshot: Box<Cursor<Vec<u8>>>,
     ) -> Result<(), StorageError> {
-        let corrupt = |error| StoreError::Corrupt { what: "a snapshot that was sent here".into(), error };
+        let corrupt = |error| StoreError::Corrupt { what: "received snapshot".into(), error };
         let new = Snapshot::decode(snapshot.get_ref()).map_err(|e| read_failed(corrupt(e)))?;
         self.store.save_snapshot(&new).map_err(write_failed)?;
         let mut state = self.applied_state.state();
