--- a/crates/registry/src/node/error.rs
+++ b/crates/registry/src/node/error.rs
@@ -90,7 +90,7 @@
 /// Why the membership of a cluster was not changed.
 #[derive(Debug, thiserror::Error)]
 pub enum MembershipError {
-    /// Another replica has that id.
+    /// Another replica has that id. A joining replica recognizes this error by the end of its text.
     #[error("replica {id} is the one at {address}: a new one needs a number of its own")]
     IdTaken {
         /// The id.
--- a/crates/registry/src/store/error.rs
+++ b/crates/registry/src/store/error.rs
@@ -5,7 +5,7 @@
 /// Why a replica's store can't be used.
 #[derive(Debug, thiserror::Error)]
 pub enum StoreError {
-    /// The database can't be read or written, or is damaged.
+    /// The database can't be read or written, or is corrupt.
     #[error("{0}")]
     Database(#[from] redb::Error),
     /// A value is not what was written.
@@ -19,7 +19,7 @@
     /// The checksums of the database's pages do not match.
     #[error("the database is corrupt: the checksums of its pages do not match")]
     IntegrityCheck,
-    /// The database is damaged so badly that opening it panics.
+    /// The database is so corrupt that opening it panics.
     #[error("the database is corrupt, opening it panicked: {panic}")]
     OpenPanicked {
         /// The message of the panic.
