--- a/crates/registry-client/src/cache_file.rs
+++ b/crates/registry-client/src/cache_file.rs
@@ -1,4 +1,4 @@
-//! Stores the last list in a file, for a client that starts while no replica can be reached.
+//! Stores the last usable list in a file, for a client that starts while no replica can be reached.
 //!
 //! The file is replaced by a rename, so that a reader finds either the old list or the new one. A checksum detects
 //! corruption on disk.
--- a/crates/registry-client/src/list.rs
+++ b/crates/registry-client/src/list.rs
@@ -9,7 +9,7 @@
 /// a higher epoch than all lists before it. Within an epoch each change raises the index by one.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash, Deserialize, Serialize)]
 pub struct Version {
-    /// The epoch, within which indexes are comparable.
+    /// The history of the list that the index belongs to.
     pub epoch: u64,
     /// Number of the last change. It never decreases, not even from one epoch to the next.
     pub index: u64,
@@ -195,7 +195,7 @@
 impl EndpointList {
     /// Returns this list with an update applied; `None` if the update consists of changes to a different list.
     ///
-    /// `polled_after` is the version that the poll requested the changes after.
+    /// `polled_after` is the version after which the poll requested changes.
     pub fn updated(&self, update: &ListUpdate, polled_after: Option<Version>) -> Option<Self> {
         let services = update.services.as_deref().unwrap_or_default();
         let mut entries = if update.snapshot {
--- a/crates/registry-client/src/watcher.rs
+++ b/crates/registry-client/src/watcher.rs
@@ -256,7 +256,7 @@
         self.report_empty_services(actions);
     }
 
-    /// Returns whether a list that removes too many servers confirms the withheld one, which then is withheld no more.
+    /// Returns whether a list that removes too many servers confirms the withheld one, and if so stops withholding it.
     fn confirm(&mut self, now: Micros, replica: usize, version: Version, actions: &mut Vec<Action>) -> bool {
         let settings = &self.settings;
         let confirms = |list: &mut WithheldList| list.is_confirmed_by(replica, version, now, settings);
--- a/crates/registry/src/config.rs
+++ b/crates/registry/src/config.rs
@@ -44,7 +44,7 @@
     },
 }
 
-/// A replica's configuration. Serde has the names of keys and tables as in the file, as its errors quote them.
+/// A replica's configuration. Keys and tables have their names in the file for serde too, as its errors quote them.
 #[derive(Clone, Debug, Deserialize)]
 #[serde(deny_unknown_fields, default)]
 pub struct Config {
--- a/crates/registry/src/http/discovery.rs
+++ b/crates/registry/src/http/discovery.rs
@@ -58,8 +58,8 @@
         let body = body.map_err(|e| ErrorResponse::new(StatusCode::INTERNAL_SERVER_ERROR, e.to_string()))?;
         return Ok(json_response(body));
     }
-    // Indexes go on from one epoch to the next, so an index of another epoch may look valid. Its reader needs the full
-    // list.
+    // Indexes continue from one epoch to the next, so an index does not show of which epoch it is. A reader with an
+    // index of another epoch needs the full list.
     let epoch = state.node.applied_state().state().list.version().epoch;
     let is_same_epoch = query.epoch.is_none_or(|known| known == epoch);
     let after = query.after.filter(|_| is_same_epoch);
--- a/crates/registry/src/process/backoff.rs
+++ b/crates/registry/src/process/backoff.rs
@@ -20,8 +20,8 @@
 }
 
 impl Backoff {
-    /// Returns the next pause, drawn from the upper half of its range, so that replicas that share a disk do not retry at
-    /// the same instant.
+    /// Returns the next pause, drawn from the upper half of its range, so that replicas that share a disk do not retry
+    /// at the same instant.
     pub(super) fn next(&mut self) -> Duration {
         let upper_bound = self.upper_bound;
         self.upper_bound = (2 * upper_bound).min(MAX_PAUSE);
