--- a/crates/fleet/src/capacity/plan.rs
+++ b/crates/fleet/src/capacity/plan.rs
@@ -1,7 +1,7 @@
 //! A capacity plan: sizes, budgets and assumptions, each with where it comes from, and the slopes to work with.
 
 use super::target;
-use crate::site::{FileError, text_of};
+use crate::site::{FileError, read_text};
 use serde::Deserialize;
 use std::path::{Path, PathBuf};
 
@@ -285,20 +285,21 @@
 impl Plan {
     /// Reads a plan; the folder of results is then where it lies.
     pub fn read(path: &Path) -> Result<Self, FileError> {
-        Self::parse(path, &text_of(path)?)
+        Self::parse(path, &read_text(path)?)
     }
 
     /// Reads the text of one; `path` is for messages and for the folder of results.
     pub fn parse(path: &Path, text: &str) -> Result<Self, FileError> {
         let mut plan: Self = toml::from_str(text)
-            .map_err(|source| FileError::Form { path: path.to_owned(), source: Box::new(source) })?;
+            .map_err(|source| FileError::Parse { path: path.to_owned(), source: Box::new(source) })?;
         plan.check(path)?;
         plan.results = path.parent().unwrap_or(Path::new(".")).join(&plan.results);
         Ok(plan)
     }
 
     fn check(&self, path: &Path) -> Result<(), FileError> {
-        let wrong = |key: String, what: String| Err(FileError::Value { path: path.to_owned(), key, what });
+        let wrong =
+            |key: String, what: String| Err(FileError::InvalidValue { path: path.to_owned(), key, what });
         let (s, a) = (&self.sizes, &self.assumptions);
         let whole = |f: &Figure, most: f64| f.value.fract() == 0.0 && f.value <= most;
         for (key, fine) in [
--- a/crates/fleet/src/experiment/compare.rs
+++ b/crates/fleet/src/experiment/compare.rs
@@ -80,7 +80,7 @@
     use crate::experiment::Point;
     use crate::model::Figures;
 
-    fn line(variant: &str, seed: u64, g: f64) -> Line {
+    fn line(variant: &str, seed: u64, score: f64) -> Line {
         Line {
             experiment: "e".into(),
             commit: "c".into(),
@@ -88,7 +88,7 @@
             variant: variant.into(),
             point: Point::default(),
             seed,
-            figures: Figures { g, ..Figures::default() },
+            figures: Figures { score, ..Figures::default() },
         }
     }
 
--- a/crates/fleet/src/experiment/mod.rs
+++ b/crates/fleet/src/experiment/mod.rs
@@ -10,13 +10,13 @@
 pub use compare::{Comparison, compare};
 pub use measure::{measure, measures};
 pub(crate) use play::commit;
-pub use play::{PlayError, play};
+pub use play::{ExperimentError, run_experiment};
 pub use report::{ReportError, report};
 pub use results::{Line, Results, ResultsError};
 
 use crate::model::Policy;
 use crate::scenario::{RosterRoom, Scenario};
-use crate::site::{FileError, Range, Site, text_of};
+use crate::site::{FileError, Range, Site, read_text};
 use serde::{Deserialize, Serialize};
 use std::path::Path;
 
@@ -160,11 +160,11 @@
 impl Experiment {
     /// Reads an experiment and what it names.
     pub fn load(path: &Path) -> Result<Loaded, FileError> {
-        let text = text_of(path)?;
+        let text = read_text(path)?;
         let experiment: Self = toml::from_str(&text)
-            .map_err(|source| FileError::Form { path: path.to_owned(), source: Box::new(source) })?;
+            .map_err(|source| FileError::Parse { path: path.to_owned(), source: Box::new(source) })?;
         let folder = path.parent().unwrap_or(Path::new("."));
-        let wrong = |key: String, what: String| FileError::Value { path: path.to_owned(), key, what };
+        let wrong = |key: String, what: String| FileError::InvalidValue { path: path.to_owned(), key, what };
         let mut scenarios = Vec::new();
         for name in &experiment.scenarios {
             let known = Scenario::names().any(|n| n == name);
@@ -175,7 +175,7 @@
         for variant in &experiment.variant {
             let policy = match variant.policy.strip_prefix("adapter:") {
                 Some(program) => Some(Policy::Adapter(folder.join(program))),
-                None => Policy::of(&variant.policy),
+                None => Policy::from_name(&variant.policy),
             };
             let key = format!("variant {}: policy", variant.name);
             let policy =
--- a/crates/fleet/src/experiment/play.rs
+++ b/crates/fleet/src/experiment/play.rs
@@ -13,7 +13,7 @@
 
 /// Why an experiment ended early.
 #[derive(Debug, thiserror::Error)]
-pub enum PlayError {
+pub enum ExperimentError {
     /// Its results can't be kept.
     #[error("{0}")]
     Results(#[from] ResultsError),
@@ -34,7 +34,7 @@
 
 /// Plays all of it, on so many cores (0: all there are); gives how many runs were played now, and how many had
 /// results.
-pub fn play(loaded: &Loaded, file: &Path, cores: usize) -> Result<(usize, usize), PlayError> {
+pub fn run_experiment(loaded: &Loaded, file: &Path, cores: usize) -> Result<(usize, usize), ExperimentError> {
     let commit = commit();
     let results = Results::open(file, &commit)?;
     if results.torn {
@@ -70,11 +70,11 @@
     bar.set_style(style.unwrap_or_else(|_| ProgressStyle::default_bar()));
     let results = Mutex::new(results);
     let played = || {
-        tasks.par_iter().try_for_each(|task| -> Result<(), PlayError> {
+        tasks.par_iter().try_for_each(|task| -> Result<(), ExperimentError> {
             let mut scenario = task.point.of(task.scenario);
             scenario.roster = task.roster.clone().or(scenario.roster);
             let world = World::draw(&scenario, task.site, task.seed);
-            let figures = Run::new(world, task.policy.clone())?.play()?;
+            let figures = Run::new(world, task.policy.clone())?.execute()?;
             results.lock().unwrap_or_else(PoisonError::into_inner).add(&line(task, figures))?;
             bar.inc(1);
             Ok(())
--- a/crates/fleet/src/experiment/report.rs
+++ b/crates/fleet/src/experiment/report.rs
@@ -38,7 +38,7 @@
 /// What is shown second by second.
 const OVER_TIME: [(&str, OfWindow); 9] = [
     ("Goodput: requests served in time, by the second of their first try", |w| w.in_time as f64),
-    ("Share of requests refused to the last", |w| share(w.refused, w.asked)),
+    ("Share of requests refused to the last", |w| share(w.refused, w.requests)),
     ("Attempts for each try", |w| share(w.attempts, w.tries)),
     ("Median latency, ms", |w| w.p50_ms),
     ("99th percentile of latency, ms", |w| w.p99_ms),
@@ -130,7 +130,7 @@
 fn over_time(runs: &[&Line], value: OfWindow) -> Curve {
     let seconds = runs.iter().map(|l| l.figures.windows.len()).max().unwrap_or(0);
     let at = |s: usize| {
-        let here = runs.iter().filter_map(|l| l.figures.windows.get(s)).filter(|w| w.asked > 0).map(value);
+        let here = runs.iter().filter_map(|l| l.figures.windows.get(s)).filter(|w| w.requests > 0).map(value);
         let here: Vec<f64> = here.collect();
         (!here.is_empty()).then(|| (s as f64, median(here)))
     };
@@ -219,8 +219,8 @@
             point: Point { load: Some(load), ..Point::default() },
             seed,
             figures: Figures {
-                g: 0.5,
-                windows: vec![Window { asked: 10, in_time: 9, ..Window::default() }; 3],
+                score: 0.5,
+                windows: vec![Window { requests: 10, in_time: 9, ..Window::default() }; 3],
                 ..Figures::default()
             },
         };
--- a/crates/fleet/src/experiment/results.rs
+++ b/crates/fleet/src/experiment/results.rs
@@ -144,7 +144,7 @@
             variant: "v".into(),
             point: Point { load: Some(0.7), ..Point::default() },
             seed,
-            figures: Figures { g: 0.123_456_789, ..Figures::default() },
+            figures: Figures { score: 0.123_456_789, ..Figures::default() },
         }
     }
 
--- a/crates/fleet/src/model/decider.rs
+++ b/crates/fleet/src/model/decider.rs
@@ -51,7 +51,7 @@
     }
 
     /// The policy of that name; `adapter:PROGRAM` is one that speaks the simulator's wire.
-    pub fn of(name: &str) -> Option<Self> {
+    pub fn from_name(name: &str) -> Option<Self> {
         match name.strip_prefix("adapter:") {
             Some(program) => Some(Self::Adapter(program.into())),
             None => Self::ALL.into_iter().find(|p| p.name() == name),
--- a/crates/fleet/src/model/measure.rs
+++ b/crates/fleet/src/model/measure.rs
@@ -23,7 +23,8 @@
 #[derive(Clone, Debug, Default, Deserialize, Serialize, PartialEq)]
 pub struct Window {
     /// First tries.
-    pub asked: u64,
+    #[serde(rename = "asked")]
+    pub requests: u64,
     /// Answered within their aim.
     pub in_time: u64,
     /// Answered later.
@@ -43,7 +44,8 @@
     /// Attempts sent in this second.
     pub attempts: u64,
     /// Of them, ones that crossed zones.
-    pub crossed: u64,
+    #[serde(rename = "crossed")]
+    pub cross_zone: u64,
     /// New connections.
     pub handshakes: u64,
     /// Connections held at its end.
@@ -64,7 +66,8 @@
     /// Its name.
     pub name: String,
     /// First tries.
-    pub asked: u64,
+    #[serde(rename = "asked")]
+    pub requests: u64,
     /// Share answered in time.
     pub in_time: f64,
     /// Latency from the first try, in milliseconds: median, 99th percentile, 99.9th.
@@ -75,9 +78,11 @@
 #[derive(Clone, Debug, Default, Deserialize, Serialize, PartialEq)]
 pub struct Figures {
     /// Worth served in time over worth asked for, mixed and with prices off, as the site's goal has it.
-    pub g: f64,
+    #[serde(rename = "g")]
+    pub score: f64,
     /// Over the whole day.
-    pub whole: f64,
+    #[serde(rename = "whole")]
+    pub whole_run: f64,
     /// Over the worst 10 s.
     pub worst_window: f64,
     /// Of the worst class.
@@ -85,7 +90,8 @@
     /// Of the worst tenant, within its share; 1 without tenants.
     pub worst_tenant: f64,
     /// First tries.
-    pub asked: u64,
+    #[serde(rename = "asked")]
+    pub requests: u64,
     /// Share of them answered late, refused, failed.
     pub late: f64,
     /// Share refused to the last.
@@ -97,13 +103,15 @@
     /// Attempts for each try.
     pub attempts: f64,
     /// Attempts across zones, as a share of all.
-    pub crossed: f64,
+    #[serde(rename = "crossed")]
+    pub cross_zone: f64,
     /// New connections for each first try.
     pub handshakes: f64,
     /// Work done that served nobody, as a share of the work asked for.
     pub wasted: f64,
     /// Servers that fell over.
-    pub tipped: u64,
+    #[serde(rename = "tipped")]
+    pub overload_crashes: u64,
     /// Latency from the first try, in milliseconds: median, 99th percentile, 99.9th.
     pub latency_ms: [f64; 3],
     /// Time from a change to its being told a sidecar, in milliseconds: median, 99th percentile, most.
@@ -111,21 +119,27 @@
     /// Time from a change's acknowledgement by a roster to a sidecar's being told, in milliseconds: median, 99th
     /// percentile, most.
     #[serde(default)]
-    pub told_after_ms: [f64; 3],
+    #[serde(rename = "told_after_ms")]
+    pub notified_after_ms: [f64; 3],
     /// The same to the last sidecar's being told, over changes.
     #[serde(default)]
-    pub told_last_ms: [f64; 3],
+    #[serde(rename = "told_last_ms")]
+    pub last_notified_ms: [f64; 3],
     /// Calls for lists at a roster.
     #[serde(default)]
-    pub list_calls: u64,
+    #[serde(rename = "list_calls")]
+    pub list_polls: u64,
     /// Of them, those that were told to come again.
     #[serde(default)]
-    pub turned_away: u64,
+    #[serde(rename = "turned_away")]
+    pub throttled_polls: u64,
     /// Lists that sidecars held back.
     #[serde(default)]
-    pub held_back: u64,
+    #[serde(rename = "held_back")]
+    pub withheld_lists: u64,
     /// Broken rules by name.
-    pub broken: BTreeMap<String, u64>,
+    #[serde(rename = "broken")]
+    pub violations: BTreeMap<String, u64>,
     /// By class.
     pub classes: Vec<ClassFigures>,
     /// By second.
@@ -162,7 +176,7 @@
     latencies: Vec<Histogram<u64>>,
     seconds: Vec<Histogram<u32>>,
     staleness: Histogram<u64>,
-    asked: Vec<u64>,
+    requests: Vec<u64>,
     in_time: Vec<u64>,
     /// Worth asked for and served, by class and by tenant.
     worths: [Vec<(f64, f64)>; 2],
@@ -171,17 +185,17 @@
     /// Work asked for, and work that served somebody.
     pub work: (f64, f64),
     /// Servers that fell over.
-    pub tipped: u64,
+    pub overload_crashes: u64,
     /// Probes sent.
     pub probes: u64,
     /// Lines of lists told.
     pub lines: u64,
     /// Calls for lists, those that were told to come again, and lists that were held back.
-    pub list_calls: u64,
+    pub list_polls: u64,
     /// See there.
-    pub turned_away: u64,
+    pub throttled_polls: u64,
     /// See there.
-    pub held_back: u64,
+    pub withheld_lists: u64,
     /// From each change's acknowledgement to the last sidecar that was told of it.
     pub told_last: Vec<Micros>,
     told_after: Histogram<u64>,
@@ -205,18 +219,18 @@
             latencies: (0..n).map(|_| histogram()).collect(),
             seconds: Vec::new(),
             staleness: histogram(),
-            asked: vec![0; n],
+            requests: vec![0; n],
             in_time: vec![0; n],
             worths: [vec![(0.0, 0.0); n], vec![(0.0, 0.0); tenants]],
             names,
             late_worth_lost: 0.0,
             work: (0.0, 0.0),
-            tipped: 0,
+            overload_crashes: 0,
             probes: 0,
             lines: 0,
-            list_calls: 0,
-            turned_away: 0,
-            held_back: 0,
+            list_polls: 0,
+            throttled_polls: 0,
+            withheld_lists: 0,
             told_last: Vec::new(),
             told_after: histogram(),
         }
@@ -235,9 +249,9 @@
     /// A client's first try.
     pub fn ask(&mut self, now: Micros, worth: Worth, work: f64) {
         let window = self.at(now);
-        window.asked += 1;
+        window.requests += 1;
         window.worth += worth.full;
-        self.asked[usize::from(worth.class)] += 1;
+        self.requests[usize::from(worth.class)] += 1;
         self.book(worth, |booked| booked.0 += worth.full);
         self.work.0 += work;
     }
@@ -312,13 +326,13 @@
             let worth: f64 = of.iter().map(|w| w.worth).sum();
             if worth > 0.0 { of.iter().map(|w| w.served).sum::<f64>() / worth } else { 1.0 }
         };
-        let whole = share(day);
+        let whole_run = share(day);
         let worst_window = day.windows(10.min(day.len().max(1))).map(share).fold(1.0, f64::min);
         let classes: Vec<_> = (0..self.names.len())
             .map(|c| ClassFigures {
                 name: self.names[c].clone(),
-                asked: self.asked[c],
-                in_time: self.in_time[c] as f64 / self.asked[c].max(1) as f64,
+                requests: self.requests[c],
+                in_time: self.in_time[c] as f64 / self.requests[c].max(1) as f64,
                 latency_ms: quantiles(&self.latencies[c], 0.999),
             })
             .collect();
@@ -326,10 +340,10 @@
             |of: &[(f64, f64)]| of.iter().filter(|w| w.0 > 0.0).map(|w| w.1 / w.0).fold(1.0, f64::min);
         let (worst_class, worst_tenant) = (worst(&self.worths[0]), worst(&self.worths[1]));
         let sum = |f: &dyn Fn(&Window) -> u64| self.windows.iter().map(f).sum::<u64>() as f64;
-        let asked = sum(&|w| w.asked).max(1.0);
+        let requests = sum(&|w| w.requests).max(1.0);
         let tries = sum(&|w| w.tries);
         let attempts = sum(&|w| w.attempts);
-        let crossed = sum(&|w| w.crossed);
+        let cross_zone = sum(&|w| w.cross_zone);
         let wasted = (done - self.work.1).max(0.0) / self.work.0.max(1.0);
         let worth: f64 = self.windows.iter().map(|w| w.worth).sum();
         let mut last = histogram::<u64>();
@@ -341,43 +355,43 @@
         let late_lost = self.late_worth_lost / worth.max(1.0);
         let held = sum(&|w| w.connections) / self.windows.len().max(1) as f64;
         let charged = [
-            crossed / asked,
+            cross_zone / requests,
             wasted,
             late_lost,
-            self.probes as f64 / asked,
-            sum(&|w| w.handshakes) / asked,
+            self.probes as f64 / requests,
+            sum(&|w| w.handshakes) / requests,
             held / (100.0 * servers as f64),
-            self.lines as f64 / (100.0 * asked),
+            self.lines as f64 / (100.0 * requests),
         ];
         let prices: f64 = prices.each.iter().zip(charged).map(|(price, share)| price * share).sum();
         Figures {
-            g: goal.whole * whole
+            score: goal.whole_run * whole_run
                 + goal.worst_window * worst_window
                 + goal.worst_class * worst_class
                 + goal.worst_tenant * worst_tenant
                 - prices,
-            whole,
+            whole_run,
             worst_window,
             worst_class,
             worst_tenant,
-            asked: asked as u64,
-            late: sum(&|w| w.late) / asked,
-            refused: sum(&|w| w.refused) / asked,
-            failed: sum(&|w| w.failed) / asked,
-            tries: tries / asked,
+            requests: requests as u64,
+            late: sum(&|w| w.late) / requests,
+            refused: sum(&|w| w.refused) / requests,
+            failed: sum(&|w| w.failed) / requests,
+            tries: tries / requests,
             attempts: attempts / tries.max(1.0),
-            crossed: crossed / attempts.max(1.0),
-            handshakes: sum(&|w| w.handshakes) / asked,
+            cross_zone: cross_zone / attempts.max(1.0),
+            handshakes: sum(&|w| w.handshakes) / requests,
             wasted,
-            tipped: self.tipped,
+            overload_crashes: self.overload_crashes,
             latency_ms: quantiles(&all, 0.999),
             staleness_ms: quantiles(&self.staleness, 1.0),
-            told_after_ms: quantiles(&self.told_after, 1.0),
-            told_last_ms: quantiles(&last, 1.0),
-            list_calls: self.list_calls,
-            turned_away: self.turned_away,
-            held_back: self.held_back,
-            broken: BTreeMap::new(),
+            notified_after_ms: quantiles(&self.told_after, 1.0),
+            last_notified_ms: quantiles(&last, 1.0),
+            list_polls: self.list_polls,
+            throttled_polls: self.throttled_polls,
+            withheld_lists: self.withheld_lists,
+            violations: BTreeMap::new(),
             classes,
             windows: self.windows,
             events: 0,
--- a/crates/fleet/src/model/run/attempts.rs
+++ b/crates/fleet/src/model/run/attempts.rs
@@ -58,7 +58,7 @@
         });
         let window = self.gauge.at(now);
         window.attempts += 1;
-        window.crossed += u64::from(zone != to);
+        window.cross_zone += u64::from(zone != to);
         self.calendar.at(self.round_up(due), Happens::TimeOut(number));
         let stretch = self.servers[server].spec.stretch;
         let sidecar = self.processes[process as usize].sidecar;
@@ -208,7 +208,7 @@
             Arrival::Taken => self.look_again(now, server),
             Arrival::TurnedAway => self.reply(now, id, Outcome::Rejected),
             Arrival::Tipped(informed) => {
-                self.gauge.tipped += 1;
+                self.gauge.overload_crashes += 1;
                 let s = &self.servers[server as usize];
                 tracing::debug!(
                     "{:.3} s: server {server} (kind {}, speed {:.2}) falls over, {:.2} warm, {:.0}% by those who knew",
--- a/crates/fleet/src/model/run/mod.rs
+++ b/crates/fleet/src/model/run/mod.rs
@@ -306,7 +306,7 @@
     }
 
     /// Plays it to the end: until nobody asks any more and all is answered.
-    pub fn play(mut self) -> Result<Figures, RunError> {
+    pub fn execute(mut self) -> Result<Figures, RunError> {
         self.start_roster();
         for i in 0..self.sidecars.len() as u32 {
             self.start_process(0, i, true)?;
@@ -338,7 +338,7 @@
         let world = &self.world;
         let mut figures =
             self.gauge.figures(world.length, world.goal, world.prices, self.servers.len(), done);
-        figures.broken = self.broken.0.into_iter().map(|(rule, n)| (rule.to_owned(), n)).collect();
+        figures.violations = self.broken.0.into_iter().map(|(rule, n)| (rule.to_owned(), n)).collect();
         (figures.events, figures.digest) = (self.calendar.taken(), self.calendar.digest());
         Ok(figures)
     }
--- a/crates/fleet/src/model/run/roster.rs
+++ b/crates/fleet/src/model/run/roster.rs
@@ -352,7 +352,7 @@
         let whole = roster.list.update(after.map(|a| a.index)).snapshot;
         if whole {
             if let AdmissionDecision::RetryAfter(wait) = roster.replicas[replica].admission.admit(now) {
-                self.gauge.turned_away += 1;
+                self.gauge.throttled_polls += 1;
                 return self.send_reply(now, ask, Err(Some(wait)));
             }
         } else if after == Some(version) && roster.asks[ask as usize].wait > 0 {
@@ -489,7 +489,7 @@
                     self.sidecars[p.sidecar as usize].file = known;
                 }
                 client::Action::Report(report) => {
-                    self.gauge.held_back += u64::from(matches!(report, client::Report::Withheld { .. }));
+                    self.gauge.withheld_lists += u64::from(matches!(report, client::Report::Withheld { .. }));
                 }
             }
         }
@@ -505,7 +505,7 @@
         wait: Micros,
     ) {
         let Some(roster) = &mut self.roster else { return };
-        self.gauge.list_calls += 1;
+        self.gauge.list_polls += 1;
         let reply = Err(None);
         roster.asks.push(Ask { process, number, replica, after, wait, arrived: now, waits: false, reply });
         let ask = roster.asks.len() as u32 - 1;
--- a/crates/fleet/src/model/world.rs
+++ b/crates/fleet/src/model/world.rs
@@ -186,7 +186,7 @@
 #[derive(Clone, Copy, Debug)]
 pub struct GoalSpec {
     /// The whole day.
-    pub whole: f64,
+    pub whole_run: f64,
     /// The worst 10 s.
     pub worst_window: f64,
     /// The worst class.
@@ -552,7 +552,7 @@
                 mean: mean_work,
             },
             goal: GoalSpec {
-                whole: site.goal.whole,
+                whole_run: site.goal.whole,
                 worst_window: site.goal.worst_window,
                 worst_class: site.goal.worst_class,
                 worst_tenant: site.goal.worst_tenant,
--- a/crates/fleet/src/scale/plan.rs
+++ b/crates/fleet/src/scale/plan.rs
@@ -1,7 +1,7 @@
 //! What a run at scale is to be, as its file has it.
 
 use super::lines::{self, Mode};
-use crate::site::{FileError, text_of};
+use crate::site::{FileError, read_text};
 use serde::Deserialize;
 use std::path::Path;
 
@@ -196,13 +196,13 @@
 impl Plan {
     /// Reads a file.
     pub fn load(path: &Path) -> Result<Self, FileError> {
-        Self::parse(path, &text_of(path)?)
+        Self::parse(path, &read_text(path)?)
     }
 
     /// Reads the text of one; `path` is for messages.
     pub fn parse(path: &Path, text: &str) -> Result<Self, FileError> {
         let plan: Self = toml::from_str(text)
-            .map_err(|source| FileError::Form { path: path.to_owned(), source: Box::new(source) })?;
+            .map_err(|source| FileError::Parse { path: path.to_owned(), source: Box::new(source) })?;
         plan.check(path)?;
         Ok(plan)
     }
@@ -272,7 +272,7 @@
         ] {
             if !fine {
                 let (path, key, what) = (path.to_owned(), key.to_owned(), what.to_owned());
-                return Err(FileError::Value { path, key, what });
+                return Err(FileError::InvalidValue { path, key, what });
             }
         }
         for (i, event) in self.event.iter().enumerate() {
@@ -293,7 +293,7 @@
             };
             if !fine {
                 let key = format!("event {i} ({}): {key}", event.name());
-                return Err(FileError::Value { path: path.to_owned(), key, what: what.to_owned() });
+                return Err(FileError::InvalidValue { path: path.to_owned(), key, what: what.to_owned() });
             }
         }
         Ok(())
--- a/crates/fleet/src/scenario/mod.rs
+++ b/crates/fleet/src/scenario/mod.rs
@@ -5,7 +5,7 @@
 
 pub use fault::{Fault, FaultKind};
 
-use crate::site::{FileError, Range, Site, text_of};
+use crate::site::{FileError, Range, Site, read_text};
 use serde::Deserialize;
 use std::path::Path;
 
@@ -141,14 +141,14 @@
     pub fn load(name: &str) -> Result<(Self, Site), FileError> {
         match BUILTIN.iter().find(|(n, _)| *n == name) {
             Some((_, text)) => Self::parse(Path::new(name), text),
-            None => Self::parse(Path::new(name), &text_of(Path::new(name))?),
+            None => Self::parse(Path::new(name), &read_text(Path::new(name))?),
         }
     }
 
     /// Reads the text of one; the site is looked for beside `path`.
     pub fn parse(path: &Path, text: &str) -> Result<(Self, Site), FileError> {
         let scenario: Self = toml::from_str(text)
-            .map_err(|source| FileError::Form { path: path.to_owned(), source: Box::new(source) })?;
+            .map_err(|source| FileError::Parse { path: path.to_owned(), source: Box::new(source) })?;
         scenario.check(path)?;
         let site = match &scenario.site {
             None => Site::builtin(),
@@ -159,7 +159,7 @@
 
     fn check(&self, path: &Path) -> Result<(), FileError> {
         let wrong = |key: String, what: &str| {
-            Err(FileError::Value { path: path.to_owned(), key, what: what.to_owned() })
+            Err(FileError::InvalidValue { path: path.to_owned(), key, what: what.to_owned() })
         };
         for (key, fine) in [
             ("length_s", self.length_s > 0.0 && self.length_s <= 86_400.0),
--- a/crates/fleet/src/site/mod.rs
+++ b/crates/fleet/src/site/mod.rs
@@ -23,7 +23,7 @@
     },
     /// It is not of the form; the text has line and key.
     #[error("{path}: {source}")]
-    Form {
+    Parse {
         /// The file.
         path: PathBuf,
         /// Where and what.
@@ -31,7 +31,7 @@
     },
     /// A value can't be meant.
     #[error("{path}: {key}: {what}")]
-    Value {
+    InvalidValue {
         /// The file.
         path: PathBuf,
         /// The key, with the tables that it stands in.
@@ -42,7 +42,7 @@
 }
 
 /// Reads a file whole.
-pub(crate) fn text_of(path: &Path) -> Result<String, FileError> {
+pub(crate) fn read_text(path: &Path) -> Result<String, FileError> {
     std::fs::read_to_string(path).map_err(|source| FileError::Read { path: path.to_owned(), source })
 }
 
@@ -565,12 +565,12 @@
 
     /// Reads a site file.
     pub fn read(path: &Path) -> Result<Self, FileError> {
-        Self::parse(path, &text_of(path)?)
+        Self::parse(path, &read_text(path)?)
     }
 
     /// Reads the text of one; `path` is for messages.
     pub fn parse(path: &Path, text: &str) -> Result<Self, FileError> {
-        let form = |source| FileError::Form { path: path.to_owned(), source: Box::new(source) };
+        let form = |source| FileError::Parse { path: path.to_owned(), source: Box::new(source) };
         let mut unused = Vec::new();
         let de = toml::Deserializer::parse(text).map_err(form)?;
         let mut site: Site = serde_ignored::deserialize(de, |key| unused.push(key.to_string()))
@@ -582,7 +582,7 @@
 
     fn check(&self, path: &Path) -> Result<(), FileError> {
         let wrong = |key: &str, what: &str| {
-            Err(FileError::Value { path: path.to_owned(), key: key.to_owned(), what: what.to_owned() })
+            Err(FileError::InvalidValue { path: path.to_owned(), key: key.to_owned(), what: what.to_owned() })
         };
         if self.net.zones.is_empty() {
             return wrong("net.zones", "at least one zone is wanted");
--- a/crates/fleet/tests/model.rs
+++ b/crates/fleet/tests/model.rs
@@ -10,7 +10,7 @@
 
 fn play(text: &str, seed: u64, policy: Policy) -> Figures {
     let (scenario, site) = scenario(text);
-    Run::new(World::draw(&scenario, &site, seed), policy).and_then(Run::play).expect("it is played")
+    Run::new(World::draw(&scenario, &site, seed), policy).and_then(Run::execute).expect("it is played")
 }
 
 const FAULTS: &str = "
@@ -77,7 +77,7 @@
     assert_ne!(play(FAULTS, 8, Policy::Module).digest, alone.digest);
     // Policies meet the same day: what clients first ask does not depend on what becomes of it.
     let other = play(FAULTS, 7, Policy::RoundRobin);
-    assert_eq!(other.asked, alone.asked);
+    assert_eq!(other.requests, alone.requests);
     assert_ne!(other.digest, alone.digest);
 }
 
@@ -90,10 +90,10 @@
             let name = policy.name();
             let mut figures = play(FAULTS, seed, policy);
             if cold {
-                figures.broken.remove("a cold server pushed over");
+                figures.violations.remove("a cold server pushed over");
             }
-            assert!(figures.broken.is_empty(), "{name}, seed {seed}: {:?}", figures.broken);
-            assert!(figures.asked > 500, "{name}, seed {seed}: {}", figures.asked);
+            assert!(figures.violations.is_empty(), "{name}, seed {seed}: {:?}", figures.violations);
+            assert!(figures.requests > 500, "{name}, seed {seed}: {}", figures.requests);
         }
     }
 }
@@ -105,7 +105,7 @@
         let sum =
             |of: fn(&lotusmoor_fleet::model::Window) -> u64| figures.windows.iter().map(of).sum::<u64>();
         let ends = sum(|w| w.in_time) + sum(|w| w.late) + sum(|w| w.refused) + sum(|w| w.failed);
-        assert_eq!(ends, sum(|w| w.asked));
+        assert_eq!(ends, sum(|w| w.requests));
     }
 }
 
@@ -115,7 +115,7 @@
     for policy in [Policy::Module, Policy::RoundRobin, Policy::TrueState] {
         let name = policy.name();
         let figures = play(text, 1, policy);
-        assert!(figures.whole < 0.2 && figures.refused + figures.failed + figures.late > 0.8, "{name}");
+        assert!(figures.whole_run < 0.2 && figures.refused + figures.failed + figures.late > 0.8, "{name}");
         let last = figures.windows.iter().rposition(|w| w.attempts > 0).expect("something was sent");
         assert!(last < 10 + 4, "{name}: still sends at {last} s");
     }
@@ -127,7 +127,7 @@
     let lost = format!("{calm}[[fault]]\nkind = \"zone_lost\"\nat_s = 6\nfor_s = 6\n");
     let (mut better, mut worse) = (0, 0);
     for seed in 1..=5 {
-        let whole = |text: &str, policy| play(text, seed, policy).whole;
+        let whole = |text: &str, policy| play(text, seed, policy).whole_run;
         better += u32::from(whole(calm, Policy::TrueState) >= whole(calm, Policy::Module) - 0.01);
         worse += u32::from(whole(&lost, Policy::Module) < whole(calm, Policy::Module));
     }
@@ -138,9 +138,9 @@
 fn rounds_of_sidecars_delay_and_break_nothing() {
     let text = FAULTS.replace("load =", "ticked = true\nload =");
     let figures = play(&text, 2, Policy::Module);
-    assert!(figures.broken.is_empty(), "{:?}", figures.broken);
+    assert!(figures.violations.is_empty(), "{:?}", figures.violations);
     let fast = play(FAULTS, 2, Policy::Module);
-    assert!((figures.whole - fast.whole).abs() < 0.1, "{} and {}", figures.whole, fast.whole);
+    assert!((figures.whole_run - fast.whole_run).abs() < 0.1, "{} and {}", figures.whole_run, fast.whole_run);
 }
 
 // Of what was on its way to a process that was killed meanwhile, nobody is left to answer: it was never taken.
@@ -151,7 +151,7 @@
 [[fault]]\nkind = \"sidecars_upgraded\"\nat_s = 8\nfor_s = 1\n";
     for seed in 1..=4 {
         let figures = play(text, seed, Policy::Module);
-        assert!(figures.broken.is_empty(), "seed {seed}: {:?}", figures.broken);
+        assert!(figures.violations.is_empty(), "seed {seed}: {:?}", figures.violations);
     }
 }
 
@@ -168,7 +168,7 @@
 fn play_at(site: &lotusmoor_fleet::site::Site, text: &str, seed: u64, policy: Policy) -> Figures {
     let (scenario, _) = scenario(text);
     let world = World::draw(&scenario, site, seed);
-    Run::new(world, policy).and_then(Run::play).expect("it is played")
+    Run::new(world, policy).and_then(Run::execute).expect("it is played")
 }
 
 const PLAIN: &str = "name = \"plain\"\nlength_s = 12\nsidecars = 8\nservers = 12\nload = 0.6\n";
@@ -188,10 +188,10 @@
     ]);
     let worth = |f: &Figures| f.windows.iter().map(|w| w.worth).sum::<f64>();
     let (shared, plain) = (play_at(&site, PLAIN, 1, Policy::Module), play(PLAIN, 1, Policy::Module));
-    assert_eq!(shared.asked, plain.asked);
+    assert_eq!(shared.requests, plain.requests);
     assert!(worth(&shared) < 0.8 * worth(&plain), "{} of {}", worth(&shared), worth(&plain));
     assert!(shared.worst_tenant > 0.0 && shared.worst_tenant < 1.0 && plain.worst_tenant == 1.0);
-    assert!(shared.broken.is_empty(), "{:?}", shared.broken);
+    assert!(shared.violations.is_empty(), "{:?}", shared.violations);
 }
 
 #[test]
@@ -201,7 +201,7 @@
         (play_at(&site, PLAIN, 1, Policy::RoundRobin), play(PLAIN, 1, Policy::RoundRobin));
     assert_eq!((by_work.digest, by_work.in_time()), (by_request.digest, by_request.in_time()));
     // Those that take long are the ones that are late.
-    assert!(by_work.whole < by_request.whole, "{} and {}", by_work.whole, by_request.whole);
+    assert!(by_work.whole_run < by_request.whole_run, "{} and {}", by_work.whole_run, by_request.whole_run);
 }
 
 #[test]
@@ -210,7 +210,7 @@
     for policy in Policy::ALL {
         let name = policy.name();
         let figures = play_at(&site, PLAIN, 1, policy);
-        assert!(figures.broken.is_empty(), "{name}: {:?}", figures.broken);
+        assert!(figures.violations.is_empty(), "{name}: {:?}", figures.violations);
         // The stream takes far longer than its class's deadline of 2 s.
         if name == "true_state" {
             assert!(figures.classes[0].in_time > 0.9, "{}", figures.classes[0].in_time);
@@ -219,14 +219,14 @@
     // A server that ends breaks the streams that it has, which are the client's.
     let broken = with_fault("kind = \"crash\"\npart = 0.5\n");
     let figures = play_at(&site, &broken, 1, Policy::Module);
-    assert!(figures.broken.is_empty(), "{:?}", figures.broken);
+    assert!(figures.violations.is_empty(), "{:?}", figures.violations);
     assert!(figures.failed > play_at(&site, PLAIN, 1, Policy::Module).failed);
 }
 
 #[test]
 fn a_processor_that_is_short_makes_requests_late_and_bad_clients_use_it_up() {
     let slow = |message: u32| format!("message_us = {message}\nsidecar_cores = 0.1\n{PLAIN}");
-    let whole = |text: &str| play(text, 1, Policy::Module).whole;
+    let whole = |text: &str| play(text, 1, Policy::Module).whole_run;
     let (free, tight, short) = (whole(PLAIN), whole(&slow(20)), whole(&slow(4000)));
     assert!((free - tight).abs() < 0.1 && short < 0.5 * free, "{free} {tight} {short}");
     let bad = format!("{}[[fault]]\nkind = \"bad_clients\"\nat_s = 2\nfor_s = 8\nsize = 2000\n", slow(60));
@@ -247,7 +247,7 @@
     let site = site_with(&[("max_attempts = 5", "max_attempts = 5\nmost_held = 1")]);
     let (few, many) = (play_at(&site, PLAIN, 1, Policy::Module), play(PLAIN, 1, Policy::Module));
     assert!(few.failed > many.failed + 0.1, "{} and {}", few.failed, many.failed);
-    assert!(few.broken.is_empty(), "{:?}", few.broken);
+    assert!(few.violations.is_empty(), "{:?}", few.violations);
 }
 
 #[test]
@@ -266,9 +266,9 @@
         let priced = play_at(&site, &replaced, 1, Policy::RoundRobin);
         let free = play(&replaced, 1, Policy::RoundRobin);
         assert_eq!(priced.digest, free.digest, "{price}");
-        assert!(priced.g < free.g, "{price}: {} and {}", priced.g, free.g);
+        assert!(priced.score < free.score, "{price}: {} and {}", priced.score, free.score);
     }
-    assert!(plain.g > 0.0);
+    assert!(plain.score > 0.0);
 }
 
 #[test]
@@ -281,8 +281,8 @@
     let usual = play(&replaced, 1, Policy::Module);
     for site in [&live, &reports] {
         let figures = play_at(site, &replaced, 1, Policy::Module);
-        assert_eq!(figures.asked, usual.asked);
-        assert!(figures.broken.is_empty(), "{:?}", figures.broken);
+        assert_eq!(figures.requests, usual.requests);
+        assert!(figures.violations.is_empty(), "{:?}", figures.violations);
     }
     // Shares of what a sidecar may have in flight go by weight where there is too much for all.
     let crowded = replaced.replace("load = 0.6", "load = 1.3");
@@ -294,12 +294,12 @@
     let calm = play(PLAIN, 1, Policy::Module);
     let faulty = |fault: &str| {
         let figures = play(&with_fault(fault), 1, Policy::Module);
-        assert!(figures.broken.is_empty(), "{fault}: {:?}", figures.broken);
+        assert!(figures.violations.is_empty(), "{fault}: {:?}", figures.violations);
         figures
     };
     assert!(faulty("kind = \"spoilt\"\nsize = 0.3\n").tries > 1.1 * calm.tries);
     let late = "kind = \"late_connects\"\nsize = 0.9\nextra = 1\n[[fault]]\nkind = \"sidecars_killed\"\nat_s = 3\nfor_s = 0.2\n";
-    assert!(faulty(late).g < calm.g - 0.1);
+    assert!(faulty(late).score < calm.score - 0.1);
     assert!(faulty("kind = \"eager\"\nsize = 3\nextra = 0.9\n").failed > calm.failed + 0.05);
 }
 
@@ -315,7 +315,7 @@
         )
     };
     let rule = "a send to a server that drains or is gone";
-    let broken = |calls: f64, length: u32| play(&text(calls, length), 1, Policy::RoundRobin).broken;
+    let broken = |calls: f64, length: u32| play(&text(calls, length), 1, Policy::RoundRobin).violations;
     // A call takes 1,000 s there: none of the new processes ever has a list but that of its start.
     assert!(broken(0.001, 30).contains_key(rule), "{:?}", broken(0.001, 30));
     assert!(!broken(0.001, 9).contains_key(rule), "{:?}", broken(0.001, 9));
@@ -334,7 +334,7 @@
     for policy in [Policy::Module, Policy::RoundRobin, Policy::TrueState] {
         let name = policy.name();
         let figures = play_at(&site, &text, 1, policy);
-        assert!(figures.broken.is_empty(), "{name}: {:?}", figures.broken);
+        assert!(figures.violations.is_empty(), "{name}: {:?}", figures.violations);
         assert!(figures.attempts > 0.0, "{name}: {}", figures.attempts);
         assert_eq!((figures.in_time(), figures.wasted), (0, 0.0), "{name}");
     }
@@ -350,10 +350,10 @@
         for policy in [Policy::Module, Policy::TrueState] {
             let name = policy.name();
             let figures = play(&ridden, seed, policy);
-            assert!(figures.broken.is_empty(), "{name}, seed {seed}: {:?}", figures.broken);
+            assert!(figures.violations.is_empty(), "{name}, seed {seed}: {:?}", figures.violations);
         }
         let (with, without) = (play(&ridden, seed, Policy::Module), play(FAULTS, seed, Policy::Module));
-        assert_eq!(with.asked, without.asked);
+        assert_eq!(with.requests, without.requests);
         assert!(
             with.staleness_ms[0] < without.staleness_ms[0],
             "{:?} {:?}",
@@ -368,16 +368,20 @@
 fn a_roster_whose_leader_is_killed_or_whose_replica_is_held_delays_news_within_its_bound() {
     let replaced = with_fault("kind = \"replace\"\npart = 0.5\n");
     let calm = play(&format!("{replaced}{ROSTER}"), 1, Policy::Module);
-    assert!(calm.told_last_ms[2] > 0.0 && calm.told_last_ms[2] < 200.0, "{:?}", calm.told_last_ms);
+    assert!(
+        calm.last_notified_ms[2] > 0.0 && calm.last_notified_ms[2] < 200.0,
+        "{:?}",
+        calm.last_notified_ms
+    );
     for (kind, extra, bound) in [("roster_killed", 0, 1000.0), ("roster_held", 1, 7000.0)] {
         let fault = format!("[[fault]]\nkind = \"{kind}\"\nat_s = 4\nfor_s = 5\nextra = {extra}\n");
         let figures = play(&format!("{replaced}{fault}{ROSTER}"), 1, Policy::Module);
-        assert!(figures.broken.is_empty(), "{kind}: {:?}", figures.broken);
-        assert!(figures.told_last_ms[2] < bound, "{kind}: {:?}", figures.told_last_ms);
+        assert!(figures.violations.is_empty(), "{kind}: {:?}", figures.violations);
+        assert!(figures.last_notified_ms[2] < bound, "{kind}: {:?}", figures.last_notified_ms);
         // A killed leader delays the acknowledgement, a held replica the news of it.
         let (delayed, usual) = match kind {
             "roster_killed" => (figures.staleness_ms[2], calm.staleness_ms[2]),
-            _ => (figures.told_last_ms[2], calm.told_last_ms[2]),
+            _ => (figures.last_notified_ms[2], calm.last_notified_ms[2]),
         };
         assert!(delayed > usual + 300.0, "{kind}: {delayed} after {usual}");
     }
@@ -393,6 +397,6 @@
     let figures = play(&text, 1, Policy::Module);
     let away = &figures.windows[5..9];
     let share = |of: fn(&lotusmoor_fleet::model::Window) -> u64| away.iter().map(of).sum::<u64>() as f64;
-    let served = share(|w| w.in_time + w.late) / share(|w| w.asked);
+    let served = share(|w| w.in_time + w.late) / share(|w| w.requests);
     assert!(served > 0.9, "{served}");
 }
--- a/crates/fleet/tests/stored_forms.rs
+++ b/crates/fleet/tests/stored_forms.rs
@@ -226,8 +226,8 @@
     let stored: Value = read(text(EXPERIMENT_LINES).lines().next().expect("a line"));
     let value = |path: &str| stored.pointer(path).unwrap_or_else(|| panic!("{path} is not there")).clone();
     for (path, measured) in [
-        ("/figures/g", figures.g),
-        ("/figures/whole", figures.whole),
+        ("/figures/g", figures.score),
+        ("/figures/whole", figures.whole_run),
         ("/figures/worst_window", figures.worst_window),
         ("/figures/worst_class", figures.worst_class),
         ("/figures/worst_tenant", figures.worst_tenant),
@@ -236,13 +236,13 @@
         ("/figures/failed", figures.failed),
         ("/figures/tries", figures.tries),
         ("/figures/attempts", figures.attempts),
-        ("/figures/crossed", figures.crossed),
+        ("/figures/crossed", figures.cross_zone),
         ("/figures/handshakes", figures.handshakes),
         ("/figures/wasted", figures.wasted),
         ("/figures/latency_ms/1", figures.latency_ms[1]),
         ("/figures/staleness_ms/2", figures.staleness_ms[2]),
-        ("/figures/told_after_ms/0", figures.told_after_ms[0]),
-        ("/figures/told_last_ms/2", figures.told_last_ms[2]),
+        ("/figures/told_after_ms/0", figures.notified_after_ms[0]),
+        ("/figures/told_last_ms/2", figures.last_notified_ms[2]),
         ("/figures/classes/0/in_time", figures.classes[0].in_time),
         ("/figures/classes/0/latency_ms/0", figures.classes[0].latency_ms[0]),
         ("/figures/windows/0/worth", figures.windows[0].worth),
@@ -255,15 +255,15 @@
         assert_eq!(value(path).as_f64(), Some(measured), "{path}");
     }
     for (path, counted) in [
-        ("/figures/asked", figures.asked),
-        ("/figures/tipped", figures.tipped),
-        ("/figures/list_calls", figures.list_calls),
-        ("/figures/turned_away", figures.turned_away),
-        ("/figures/held_back", figures.held_back),
+        ("/figures/asked", figures.requests),
+        ("/figures/tipped", figures.overload_crashes),
+        ("/figures/list_calls", figures.list_polls),
+        ("/figures/turned_away", figures.throttled_polls),
+        ("/figures/held_back", figures.withheld_lists),
         ("/figures/events", figures.events),
         ("/figures/digest", figures.digest),
-        ("/figures/classes/0/asked", figures.classes[0].asked),
-        ("/figures/windows/0/asked", figures.windows[0].asked),
+        ("/figures/classes/0/asked", figures.classes[0].requests),
+        ("/figures/windows/0/asked", figures.windows[0].requests),
         ("/figures/windows/0/in_time", figures.windows[0].in_time),
         ("/figures/windows/0/late", figures.windows[0].late),
         ("/figures/windows/0/refused", figures.windows[0].refused),
@@ -271,14 +271,14 @@
         ("/figures/windows/0/tries", figures.windows[0].tries),
         ("/figures/windows/0/refusals", figures.windows[0].refusals),
         ("/figures/windows/0/attempts", figures.windows[0].attempts),
-        ("/figures/windows/0/crossed", figures.windows[0].crossed),
+        ("/figures/windows/0/crossed", figures.windows[0].cross_zone),
         ("/figures/windows/0/handshakes", figures.windows[0].handshakes),
         ("/figures/windows/0/connections", figures.windows[0].connections),
     ] {
         assert_eq!(value(path).as_u64(), Some(counted), "{path}");
     }
     assert_eq!(value("/figures/classes/0/name").as_str(), Some(figures.classes[0].name.as_str()));
-    assert_eq!(value("/figures/broken"), serde_json::to_value(&figures.broken).expect("counts"));
+    assert_eq!(value("/figures/broken"), serde_json::to_value(&figures.violations).expect("counts"));
 }
 
 #[test]
@@ -293,11 +293,11 @@
     let line: RunLine = serde_json::from_value(older).expect("it can be read");
     let newer: RunLine = read(stored.lines().next().expect("a line"));
     let wanted = Figures {
-        told_after_ms: [0.0; 3],
-        told_last_ms: [0.0; 3],
-        list_calls: 0,
-        turned_away: 0,
-        held_back: 0,
+        notified_after_ms: [0.0; 3],
+        last_notified_ms: [0.0; 3],
+        list_polls: 0,
+        throttled_polls: 0,
+        withheld_lists: 0,
         ..newer.figures
     };
     assert_eq!((line.point, line.figures), (Point::default(), wanted));
@@ -309,8 +309,8 @@
     let (lines, _) = Results::read(&fixture(EXPERIMENT_LINES)).expect("they can be read");
     let figures = &lines[0].figures;
     let named = [
-        ("g", figures.g),
-        ("whole", figures.whole),
+        ("g", figures.score),
+        ("whole", figures.whole_run),
         ("worst_window", figures.worst_window),
         ("worst_class", figures.worst_class),
         ("worst_tenant", figures.worst_tenant),
@@ -319,19 +319,19 @@
         ("failed", figures.failed),
         ("tries", figures.tries),
         ("attempts", figures.attempts),
-        ("crossed", figures.crossed),
+        ("crossed", figures.cross_zone),
         ("handshakes", figures.handshakes),
         ("wasted", figures.wasted),
-        ("tipped", figures.tipped as f64),
+        ("tipped", figures.overload_crashes as f64),
         ("p50_ms", figures.latency_ms[0]),
         ("p99_ms", figures.latency_ms[1]),
         ("p999_ms", figures.latency_ms[2]),
         ("staleness_p99_ms", figures.staleness_ms[1]),
-        ("told_after_p99_ms", figures.told_after_ms[1]),
-        ("told_last_p50_ms", figures.told_last_ms[0]),
-        ("told_last_p99_ms", figures.told_last_ms[1]),
-        ("told_last_most_ms", figures.told_last_ms[2]),
-        ("broken", figures.broken.values().sum::<u64>() as f64),
+        ("told_after_p99_ms", figures.notified_after_ms[1]),
+        ("told_last_p50_ms", figures.last_notified_ms[0]),
+        ("told_last_p99_ms", figures.last_notified_ms[1]),
+        ("told_last_most_ms", figures.last_notified_ms[2]),
+        ("broken", figures.violations.values().sum::<u64>() as f64),
     ];
     for (name, value) in named {
         assert_eq!(measure(name, figures), Some(value), "{name}");
--- a/crates/lotusmoor/src/fleet.rs
+++ b/crates/lotusmoor/src/fleet.rs
@@ -222,7 +222,7 @@
 }
 
 fn policy(name: &str) -> Result<Policy, String> {
-    Policy::of(name).ok_or_else(|| {
+    Policy::from_name(name).ok_or_else(|| {
         let names: Vec<_> = Policy::ALL.iter().map(|p| p.name()).collect();
         format!("one of {}", names.join(", "))
     })
@@ -241,7 +241,7 @@
             let begun = Instant::now();
             let mut run = Run::new(world, policy).map_err(said)?;
             let spent = timed.then(|| run.time_decisions());
-            let figures = run.play().map_err(said)?;
+            let figures = run.execute().map_err(said)?;
             let took = begun.elapsed().as_secs_f64();
             if json {
                 println!("{}", serde_json::to_string(&figures).map_err(said)?);
@@ -264,7 +264,7 @@
         Command::Experiment { file, results, cores } => {
             let loaded = Experiment::load(&file)?;
             loaded.scenarios.iter().for_each(|(_, site)| note_unused(site));
-            let (played, had) = experiment::play(&loaded, &results, cores).map_err(said)?;
+            let (played, had) = experiment::run_experiment(&loaded, &results, cores).map_err(said)?;
             println!("{played} runs played, {had} had results: {}", results.display());
             Ok(())
         }
@@ -410,29 +410,37 @@
 fn print(f: &Figures, windows: bool) {
     println!(
         "G {:.4}  whole {:.4}  worst 10 s {:.4}  worst class {:.4}",
-        f.g, f.whole, f.worst_window, f.worst_class
+        f.score, f.whole_run, f.worst_window, f.worst_class
     );
     println!(
         "late {:.4}  refused {:.4}  failed {:.4}  tries {:.3}  attempts {:.3}  across zones {:.3}  handshakes {:.3}  wasted {:.3}  tipped {}",
-        f.late, f.refused, f.failed, f.tries, f.attempts, f.crossed, f.handshakes, f.wasted, f.tipped
+        f.late,
+        f.refused,
+        f.failed,
+        f.tries,
+        f.attempts,
+        f.cross_zone,
+        f.handshakes,
+        f.wasted,
+        f.overload_crashes
     );
     let [p50, p99, p999] = f.latency_ms;
     println!("latency ms p50 {p50:.1}  p99 {p99:.1}  p99.9 {p999:.1}");
     let [p50, p99, most] = f.staleness_ms;
     println!("list staleness ms p50 {p50:.0}  p99 {p99:.0}  most {most:.0}");
     for class in &f.classes {
-        println!("  {:<16} asked {:>8}  in time {:.4}", class.name, class.asked, class.in_time);
+        println!("  {:<16} asked {:>8}  in time {:.4}", class.name, class.requests, class.in_time);
     }
-    for (rule, times) in &f.broken {
+    for (rule, times) in &f.violations {
         println!("RULE BROKEN {times} times: {rule}");
     }
     if windows {
         println!("  s   asked in-time%   late% refused%  fail%  tries attempts   conns   p50ms   p99ms");
-        for (s, w) in f.windows.iter().enumerate().filter(|(_, w)| w.asked > 0) {
-            let share = |n: u64| 100.0 * n as f64 / w.asked as f64;
+        for (s, w) in f.windows.iter().enumerate().filter(|(_, w)| w.requests > 0) {
+            let share = |n: u64| 100.0 * n as f64 / w.requests as f64;
             println!(
                 "{s:>3} {:>7} {:>8.1} {:>7.1} {:>8.1} {:>6.1} {:>6} {:>8} {:>7} {:>7.1} {:>7.1}",
-                w.asked,
+                w.requests,
                 share(w.in_time),
                 share(w.late),
                 share(w.refused),
