--- a/crates/fleet/src/chance.rs
+++ b/crates/fleet/src/chance.rs
@@ -23,20 +23,20 @@
 }
 
 /// Evenly in 0 to 1 (1 left out) by name alone.
-pub fn unit(name: u64) -> f64 {
-    (mix(name) >> 11) as f64 / (1u64 << 53) as f64
+pub fn unit(key: u64) -> f64 {
+    (mix(key) >> 11) as f64 / (1u64 << 53) as f64
 }
 
 /// A standard normal figure by name alone (Box and Muller).
-pub fn normal(name: u64) -> f64 {
-    let (a, b) = (1.0 - unit(name), unit(!name));
+pub fn normal(key: u64) -> f64 {
+    let (a, b) = (1.0 - unit(key), unit(!key));
     (-2.0 * a.ln()).sqrt() * (std::f64::consts::TAU * b).cos()
 }
 
 /// A log-normal factor of mean 1 with that coefficient of variation, by name alone.
-pub fn factor(name: u64, cv: f64) -> f64 {
+pub fn log_normal_factor(key: u64, cv: f64) -> f64 {
     let spread = (1.0 + cv * cv).ln();
-    (normal(name) * spread.sqrt() - spread / 2.0).exp()
+    (normal(key) * spread.sqrt() - spread / 2.0).exp()
 }
 
 #[cfg(test)]
@@ -55,7 +55,7 @@
     #[test]
     fn factors_have_mean_one_and_the_spread_asked_for() {
         let n = 200_000;
-        let all: Vec<f64> = (0..n).map(|i| factor(mix(i), 0.5)).collect();
+        let all: Vec<f64> = (0..n).map(|i| log_normal_factor(mix(i), 0.5)).collect();
         let mean = all.iter().sum::<f64>() / n as f64;
         let var = all.iter().map(|x| (x - mean).powi(2)).sum::<f64>() / n as f64;
         assert!((mean - 1.0).abs() < 0.01, "{mean}");
--- a/crates/fleet/src/experiment/compare.rs
+++ b/crates/fleet/src/experiment/compare.rs
@@ -21,7 +21,7 @@
 }
 
 /// Draws of the bootstrap.
-const DRAWS: usize = 4000;
+const RESAMPLES: usize = 4000;
 
 /// The median, which of an even number is the mean of the middle two; 0 of none.
 pub(super) fn median(mut all: Vec<f64>) -> f64 {
@@ -34,18 +34,18 @@
 }
 
 /// Compares `other` to `base` by a measure, for each scenario and point; `None` for a measure that is not known.
-pub fn compare(lines: &[Line], by: &str, base: &str, other: &str) -> Option<Vec<Comparison>> {
-    let mut days: BTreeMap<String, BTreeMap<u64, [Option<f64>; 2]>> = BTreeMap::new();
+pub fn compare(lines: &[Line], measure_name: &str, base: &str, other: &str) -> Option<Vec<Comparison>> {
+    let mut values_by_seed: BTreeMap<String, BTreeMap<u64, [Option<f64>; 2]>> = BTreeMap::new();
     for line in lines {
         let at = format!("{} {}", line.scenario, line.point);
-        let value = measure(by, &line.figures)?;
+        let value = measure(measure_name, &line.figures)?;
         for (i, name) in [base, other].into_iter().enumerate() {
             if line.variant == name {
-                days.entry(at.clone()).or_default().entry(line.seed).or_default()[i] = Some(value);
+                values_by_seed.entry(at.clone()).or_default().entry(line.seed).or_default()[i] = Some(value);
             }
         }
     }
-    let compared = days.into_iter().filter_map(|(at, seeds)| {
+    let compared = values_by_seed.into_iter().filter_map(|(at, seeds)| {
         let pairs: Vec<(f64, f64)> = seeds.into_values().filter_map(|[a, b]| a.zip(b)).collect();
         if pairs.is_empty() {
             return None;
@@ -66,12 +66,14 @@
 }
 
 /// Where 95% of medians lie of as many draws with replacement; the draws are the same each time.
-fn bootstrap(of: &[f64]) -> (f64, f64) {
-    let mut rng = stream(0, "bootstrap", of.len() as u64);
-    let draw = |_| median((0..of.len()).map(|_| of[rng.random_range(0..of.len())]).collect());
-    let mut medians: Vec<f64> = (0..DRAWS).map(draw).collect();
+fn bootstrap(differences: &[f64]) -> (f64, f64) {
+    let mut rng = stream(0, "bootstrap", differences.len() as u64);
+    let draw = |_| {
+        median((0..differences.len()).map(|_| differences[rng.random_range(0..differences.len())]).collect())
+    };
+    let mut medians: Vec<f64> = (0..RESAMPLES).map(draw).collect();
     medians.sort_by(f64::total_cmp);
-    (medians[DRAWS * 25 / 1000], medians[DRAWS * 975 / 1000])
+    (medians[RESAMPLES * 25 / 1000], medians[RESAMPLES * 975 / 1000])
 }
 
 #[cfg(test)]
--- a/crates/fleet/src/experiment/measure.rs
+++ b/crates/fleet/src/experiment/measure.rs
@@ -2,9 +2,9 @@
 
 use crate::model::Figures;
 
-type Of = fn(&Figures) -> f64;
+type Extract = fn(&Figures) -> f64;
 
-const ALL: [(&str, Of); 23] = [
+const ALL: [(&str, Extract); 23] = [
     ("g", |f| f.score),
     ("whole", |f| f.whole_run),
     ("worst_window", |f| f.worst_window),
@@ -37,5 +37,5 @@
 
 /// The measure of that name.
 pub fn measure(name: &str, figures: &Figures) -> Option<f64> {
-    ALL.iter().find(|(n, _)| *n == name).map(|(_, of)| of(figures))
+    ALL.iter().find(|(n, _)| *n == name).map(|(_, extract)| extract(figures))
 }
--- a/crates/fleet/src/experiment/mod.rs
+++ b/crates/fleet/src/experiment/mod.rs
@@ -15,7 +15,7 @@
 pub use results::{Line, Results, ResultsError};
 
 use crate::model::Policy;
-use crate::scenario::{RosterRoom, Scenario};
+use crate::scenario::{RegistryOptions, Scenario};
 use crate::site::{FileError, Range, Site, read_text};
 use serde::{Deserialize, Serialize};
 use std::path::Path;
@@ -31,7 +31,7 @@
     /// How many seeds, from 1; or the seeds themselves.
     pub seeds: Seeds,
     /// What the report shows of each run.
-    #[serde(default = "usual")]
+    #[serde(default = "default_measures")]
     pub measures: Vec<String>,
     /// What is compared.
     pub variant: Vec<Variant>,
@@ -47,7 +47,7 @@
     /// So many, from 1.
     Count(u64),
     /// These.
-    These(Vec<u64>),
+    List(Vec<u64>),
 }
 
 impl Seeds {
@@ -55,7 +55,7 @@
     pub fn list(&self) -> Vec<u64> {
         match self {
             Self::Count(n) => (1..=*n).collect(),
-            Self::These(seeds) => seeds.clone(),
+            Self::List(seeds) => seeds.clone(),
         }
     }
 }
@@ -70,7 +70,8 @@
     pub policy: String,
     /// A roster in discovery's place; absent: the scenario's.
     #[serde(default)]
-    pub roster: Option<RosterRoom>,
+    #[serde(rename = "roster")]
+    pub registry: Option<RegistryOptions>,
 }
 
 /// Figures that are varied; an empty list leaves the scenario's.
@@ -101,9 +102,9 @@
 
 impl Point {
     /// The scenario at this point.
-    pub fn of(&self, scenario: &Scenario) -> Scenario {
+    pub fn apply_to(&self, scenario: &Scenario) -> Scenario {
         let mut scenario = scenario.clone();
-        scenario.load = self.load.map_or(scenario.load, |l| Range::of(l, l));
+        scenario.load = self.load.map_or(scenario.load, |l| Range::new(l, l));
         scenario.sidecars = self.sidecars.unwrap_or(scenario.sidecars);
         scenario.servers = self.servers.unwrap_or(scenario.servers);
         scenario
@@ -117,21 +118,21 @@
             self.sidecars.map(|x| format!("{x} sidecars")),
             self.servers.map(|x| format!("{x} servers")),
         ];
-        let said: Vec<_> = figures.into_iter().flatten().collect();
-        f.write_str(&said.join(", "))
+        let parts: Vec<_> = figures.into_iter().flatten().collect();
+        f.write_str(&parts.join(", "))
     }
 }
 
 impl Sweep {
     /// Every value with each of the others.
     pub fn points(&self) -> Vec<Point> {
-        fn each<T: Copy>(all: &[T]) -> Vec<Option<T>> {
+        fn values<T: Copy>(all: &[T]) -> Vec<Option<T>> {
             if all.is_empty() { vec![None] } else { all.iter().copied().map(Some).collect() }
         }
         let mut points = Vec::new();
-        for load in each(&self.load) {
-            for sidecars in each(&self.sidecars) {
-                points.extend(each(&self.servers).into_iter().map(|servers| Point {
+        for load in values(&self.load) {
+            for sidecars in values(&self.sidecars) {
+                points.extend(values(&self.servers).into_iter().map(|servers| Point {
                     load,
                     sidecars,
                     servers,
@@ -142,7 +143,7 @@
     }
 }
 
-fn usual() -> Vec<String> {
+fn default_measures() -> Vec<String> {
     ["g", "refused", "attempts", "p99_ms"].map(str::to_owned).to_vec()
 }
 
@@ -154,7 +155,7 @@
     /// Its scenarios and their sites.
     pub scenarios: Vec<(Scenario, Site)>,
     /// Its variants by name: who decides, and the roster where it is the variant's own.
-    pub variants: Vec<(String, (Policy, Option<RosterRoom>))>,
+    pub variants: Vec<(String, (Policy, Option<RegistryOptions>))>,
 }
 
 impl Experiment {
@@ -164,7 +165,8 @@
         let experiment: Self = toml::from_str(&text)
             .map_err(|source| FileError::Parse { path: path.to_owned(), source: Box::new(source) })?;
         let folder = path.parent().unwrap_or(Path::new("."));
-        let wrong = |key: String, what: String| FileError::InvalidValue { path: path.to_owned(), key, what };
+        let invalid =
+            |key: String, what: String| FileError::InvalidValue { path: path.to_owned(), key, what };
         let mut scenarios = Vec::new();
         for name in &experiment.scenarios {
             let known = Scenario::names().any(|n| n == name);
@@ -179,32 +181,32 @@
             };
             let key = format!("variant {}: policy", variant.name);
             let policy =
-                policy.ok_or_else(|| wrong(key, format!("there is no policy {}", variant.policy)))?;
-            variants.push((variant.name.clone(), (policy, variant.roster.clone())));
+                policy.ok_or_else(|| invalid(key, format!("there is no policy {}", variant.policy)))?;
+            variants.push((variant.name.clone(), (policy, variant.registry.clone())));
         }
         if scenarios.is_empty() || variants.is_empty() || experiment.seeds.list().is_empty() {
             let what = "at least one of each is wanted".into();
-            return Err(wrong("scenarios, variant, seeds".into(), what));
+            return Err(invalid("scenarios, variant, seeds".into(), what));
         }
-        for (key, fine) in [
+        for (key, valid) in [
             ("sweep.load", experiment.sweep.load.iter().all(|l| *l > 0.0 && *l < 100.0)),
             ("sweep.sidecars", experiment.sweep.sidecars.iter().all(|n| *n > 0)),
             ("sweep.servers", experiment.sweep.servers.iter().all(|n| *n > 0)),
         ] {
-            if !fine {
-                return Err(wrong(key.into(), "is out of range".into()));
+            if !valid {
+                return Err(invalid(key.into(), "is out of range".into()));
             }
         }
         for name in &experiment.measures {
             if !measures().any(|m| m == name) {
                 let all: Vec<_> = measures().collect();
-                return Err(wrong("measures".into(), format!("{name} is none of {}", all.join(", "))));
+                return Err(invalid("measures".into(), format!("{name} is none of {}", all.join(", "))));
             }
         }
         let mut names: Vec<_> = variants.iter().map(|v| &v.0).collect();
         names.sort();
         if names.windows(2).any(|w| w[0] == w[1]) {
-            return Err(wrong("variant".into(), "two have one name".into()));
+            return Err(invalid("variant".into(), "two have one name".into()));
         }
         Ok(Loaded { experiment, scenarios, variants })
     }
@@ -217,9 +219,9 @@
     #[test]
     fn a_sweep_goes_through_each_value_with_each_of_the_others() {
         let sweep = Sweep { load: vec![0.5, 0.9], sidecars: vec![3, 30], servers: vec![] };
-        let said: Vec<_> = sweep.points().iter().map(Point::to_string).collect();
+        let parts: Vec<_> = sweep.points().iter().map(Point::to_string).collect();
         assert_eq!(
-            said,
+            parts,
             [
                 "load 0.5, 3 sidecars",
                 "load 0.5, 30 sidecars",
--- a/crates/fleet/src/experiment/play.rs
+++ b/crates/fleet/src/experiment/play.rs
@@ -3,7 +3,7 @@
 use super::results::{Line, Results, ResultsError};
 use super::{Loaded, Point};
 use crate::model::{Policy, Run, RunError, World};
-use crate::scenario::{RosterRoom, Scenario};
+use crate::scenario::{RegistryOptions, Scenario};
 use crate::site::Site;
 use indicatif::{ProgressBar, ProgressStyle};
 use rayon::prelude::*;
@@ -27,7 +27,7 @@
     site: &'a Site,
     variant: &'a str,
     policy: &'a Policy,
-    roster: &'a Option<RosterRoom>,
+    registry: &'a Option<RegistryOptions>,
     point: Point,
     seed: u64,
 }
@@ -45,8 +45,8 @@
     for (scenario, site) in &loaded.scenarios {
         for point in experiment.sweep.points() {
             for seed in experiment.seeds.list() {
-                for (variant, (policy, roster)) in &loaded.variants {
-                    tasks.push(Task { scenario, site, variant, policy, roster, point, seed });
+                for (variant, (policy, registry)) in &loaded.variants {
+                    tasks.push(Task { scenario, site, variant, policy, registry, point, seed });
                 }
             }
         }
@@ -62,17 +62,17 @@
     };
     let all = tasks.len();
     tasks.retain(|task| {
-        let wanted = line(task, Default::default());
-        !results.lines.iter().any(|had| had.is(&wanted))
+        let expected = line(task, Default::default());
+        !results.lines.iter().any(|stored| stored.is_same_run(&expected))
     });
     let bar = ProgressBar::new(tasks.len() as u64);
     let style = ProgressStyle::with_template("{bar:40} {pos}/{len} runs, {elapsed} gone, {eta} to go");
     bar.set_style(style.unwrap_or_else(|_| ProgressStyle::default_bar()));
     let results = Mutex::new(results);
-    let played = || {
+    let run_all = || {
         tasks.par_iter().try_for_each(|task| -> Result<(), ExperimentError> {
-            let mut scenario = task.point.of(task.scenario);
-            scenario.roster = task.roster.clone().or(scenario.roster);
+            let mut scenario = task.point.apply_to(task.scenario);
+            scenario.registry = task.registry.clone().or(scenario.registry);
             let world = World::draw(&scenario, task.site, task.seed);
             let figures = Run::new(world, task.policy.clone())?.execute()?;
             results.lock().unwrap_or_else(PoisonError::into_inner).add(&line(task, figures))?;
@@ -81,8 +81,8 @@
         })
     };
     match rayon::ThreadPoolBuilder::new().num_threads(cores).build() {
-        Ok(pool) => pool.install(played)?,
-        Err(_) => played()?,
+        Ok(pool) => pool.install(run_all)?,
+        Err(_) => run_all()?,
     }
     bar.finish();
     Ok((tasks.len(), all - tasks.len()))
--- a/crates/fleet/src/experiment/results.rs
+++ b/crates/fleet/src/experiment/results.rs
@@ -28,7 +28,7 @@
 
 impl Line {
     /// Whether both are the same run.
-    pub fn is(&self, other: &Self) -> bool {
+    pub fn is_same_run(&self, other: &Self) -> bool {
         let key = |l: &Self| (l.experiment.clone(), l.scenario.clone(), l.variant.clone(), l.seed);
         key(self) == key(other) && self.point == other.point
     }
@@ -82,14 +82,14 @@
     pub fn read(path: &Path) -> Result<(Vec<Line>, bool), ResultsError> {
         let text =
             std::fs::read(path).map_err(|source| ResultsError::Io { path: path.to_owned(), source })?;
-        let (whole, rest) = match text.iter().rposition(|b| *b == b'\n') {
+        let (complete, partial) = match text.iter().rposition(|b| *b == b'\n') {
             Some(end) => text.split_at(end + 1),
             None => (&[][..], &text[..]),
         };
         let mut lines = Vec::new();
-        let count = whole.split(|b| *b == b'\n').count().saturating_sub(1);
-        let mut torn = !rest.is_empty();
-        for (i, line) in whole.split(|b| *b == b'\n').enumerate().filter(|(_, l)| !l.is_empty()) {
+        let count = complete.split(|b| *b == b'\n').count().saturating_sub(1);
+        let mut torn = !partial.is_empty();
+        for (i, line) in complete.split(|b| *b == b'\n').enumerate().filter(|(_, l)| !l.is_empty()) {
             match serde_json::from_slice(line) {
                 Ok(line) => lines.push(line),
                 // Blocks of a file may reach the disk out of order: the last line can end and still be torn.
@@ -111,13 +111,13 @@
         }
         if torn {
             let folder = path.parent().filter(|p| !p.as_os_str().is_empty()).unwrap_or(Path::new("."));
-            let mut whole = tempfile::NamedTempFile::new_in(folder).map_err(io)?;
+            let mut complete = tempfile::NamedTempFile::new_in(folder).map_err(io)?;
             for line in &lines {
-                serde_json::to_writer(&mut whole, line).map_err(|e| io(e.into()))?;
-                whole.write_all(b"\n").map_err(io)?;
+                serde_json::to_writer(&mut complete, line).map_err(|e| io(e.into()))?;
+                complete.write_all(b"\n").map_err(io)?;
             }
-            whole.as_file().sync_all().map_err(io)?;
-            whole.persist(path).map_err(|e| io(e.error))?;
+            complete.as_file().sync_all().map_err(io)?;
+            complete.persist(path).map_err(|e| io(e.error))?;
         }
         let file = OpenOptions::new().create(true).append(true).open(path).map_err(io)?;
         Ok(Self { path: path.to_owned(), file, lines, torn })
@@ -157,11 +157,11 @@
             (1..=n).for_each(|seed| results.add(&line(seed)).expect("it is written"));
         };
         write(3);
-        let whole = std::fs::read(&path).expect("it is there");
+        let complete = std::fs::read(&path).expect("it is there");
         let second_ends =
-            whole.iter().enumerate().filter(|(_, b)| **b == b'\n').nth(1).expect("three lines").0 + 1;
-        for cut in [second_ends, second_ends + 1, whole.len() - 20, whole.len() - 1] {
-            std::fs::write(&path, &whole[..cut]).expect("it is cut");
+            complete.iter().enumerate().filter(|(_, b)| **b == b'\n').nth(1).expect("three lines").0 + 1;
+        for cut in [second_ends, second_ends + 1, complete.len() - 20, complete.len() - 1] {
+            std::fs::write(&path, &complete[..cut]).expect("it is cut");
             let mut results = Results::open(&path, "abc").expect("it opens");
             assert_eq!((results.lines.len(), results.torn), (2, cut != second_ends), "cut at {cut}");
             results.add(&line(9)).expect("it is written");
@@ -177,8 +177,8 @@
         Results::open(&path, "abc").and_then(|mut r| r.add(&line(1))).expect("it is written");
         let other = Results::open(&path, "def").err().map(|e| e.to_string());
         assert!(other.is_some_and(|e| e.contains("holds results of abc")));
-        let whole = std::fs::read_to_string(&path).expect("it is there");
-        std::fs::write(&path, format!("{{\"broken\n{whole}")).expect("it is written");
+        let complete = std::fs::read_to_string(&path).expect("it is there");
+        std::fs::write(&path, format!("{{\"broken\n{complete}")).expect("it is written");
         let broken = Results::open(&path, "abc").err().map(|e| e.to_string());
         assert!(broken.is_some_and(|e| e.contains("line 1")));
     }
--- a/crates/fleet/src/model/decider.rs
+++ b/crates/fleet/src/model/decider.rs
@@ -7,7 +7,7 @@
 use adapter::{Adapter, Instance};
 
 use super::link::Links;
-use super::server::{Fall, Machine, Server};
+use super::server::{Machine, OverloadLimit, Server};
 use crate::Micros;
 use lotusmoor_balancer::{Action, Balancer, EndpointId, Event, Outcome, Settings, SettingsError};
 use std::path::PathBuf;
@@ -59,43 +59,43 @@
     }
 
     /// What starts the sidecars of one run.
-    pub(super) fn open(self) -> Result<Source, AdapterError> {
+    pub(super) fn factory(self) -> Result<DeciderFactory, AdapterError> {
         Ok(match self {
-            Self::Adapter(program) => Source::Adapter(Adapter::start(&program)?),
-            own => Source::Own(own),
+            Self::Adapter(program) => DeciderFactory::Adapter(Adapter::start(&program)?),
+            builtin => DeciderFactory::Builtin(builtin),
         })
     }
 }
 
 /// Starts the decisions of one run's sidecars.
-pub(super) enum Source {
-    Own(Policy),
+pub(super) enum DeciderFactory {
+    Builtin(Policy),
     Adapter(Arc<Mutex<Adapter>>),
-    Timed(Box<Source>, Spent),
+    Timed(Box<DeciderFactory>, DecisionTime),
 }
 
 /// Real time that decisions have taken.
 #[derive(Clone, Default)]
-pub struct Spent(Arc<AtomicU64>);
+pub struct DecisionTime(Arc<AtomicU64>);
 
-impl Spent {
+impl DecisionTime {
     /// All of it so far.
     pub fn get(&self) -> Duration {
         Duration::from_nanos(self.0.load(Ordering::Relaxed))
     }
 }
 
-struct Timed(Box<dyn Decider>, Spent);
+struct TimedDecider(Box<dyn Decider>, DecisionTime);
 
-impl Decider for Timed {
-    fn handle(&mut self, now: Micros, event: Event, sight: &Sight, out: &mut Vec<Action>) {
-        let begun = Instant::now();
-        self.0.handle(now, event, sight, out);
-        self.1.0.fetch_add(begun.elapsed().as_nanos() as u64, Ordering::Relaxed);
+impl Decider for TimedDecider {
+    fn handle(&mut self, now: Micros, event: Event, view: &TrueView, out: &mut Vec<Action>) {
+        let started = Instant::now();
+        self.0.handle(now, event, view, out);
+        self.1.0.fetch_add(started.elapsed().as_nanos() as u64, Ordering::Relaxed);
     }
 }
 
-impl Source {
+impl DeciderFactory {
     /// A sidecar's decisions, from the start. `number` is new with each; `object` is what the settings were read from.
     pub fn start(
         &self,
@@ -106,24 +106,26 @@
     ) -> Result<Box<dyn Decider>, SettingsError> {
         Ok(match self {
             Self::Adapter(adapter) => Box::new(Instance::start(adapter.clone(), number, &object(), seed)),
-            Self::Timed(source, spent) => {
-                Box::new(Timed(source.start(number, settings, object, seed)?, spent.clone()))
+            Self::Timed(factory, decision_time) => {
+                Box::new(TimedDecider(factory.start(number, settings, object, seed)?, decision_time.clone()))
             }
-            Self::Own(Policy::NoBreakers) => Box::new(NoBreakers(Balancer::new(settings, seed)?)),
-            Self::Own(Policy::RoundRobin) => Box::new(plain::Plain::new(settings, plain::Pick::Turn, seed)),
-            Self::Own(Policy::LeastInFlight) => {
-                Box::new(plain::Plain::new(settings, plain::Pick::LeastInFlight, seed))
+            Self::Builtin(Policy::NoBreakers) => Box::new(NoBreakers(Balancer::new(settings, seed)?)),
+            Self::Builtin(Policy::RoundRobin) => {
+                Box::new(plain::Baseline::new(settings, plain::Selection::RoundRobin, seed))
             }
-            Self::Own(Policy::TrueState) => {
-                Box::new(plain::Plain::new(settings, plain::Pick::TrueState, seed))
+            Self::Builtin(Policy::LeastInFlight) => {
+                Box::new(plain::Baseline::new(settings, plain::Selection::LeastInFlight, seed))
             }
-            Self::Own(_) => Box::new(Module(Balancer::new(settings, seed)?)),
+            Self::Builtin(Policy::TrueState) => {
+                Box::new(plain::Baseline::new(settings, plain::Selection::TrueState, seed))
+            }
+            Self::Builtin(_) => Box::new(Module(Balancer::new(settings, seed)?)),
         })
     }
 }
 
 /// The true state of things, seen from a sidecar. Only the baseline that is meant to see it looks.
-pub struct Sight<'a> {
+pub struct TrueView<'a> {
     /// All servers.
     pub servers: &'a [Server],
     /// All links.
@@ -131,18 +133,21 @@
     /// The sidecar's zone.
     pub zone: usize,
     /// What cold servers bear.
-    pub fall: Fall,
+    pub overload_limit: OverloadLimit,
 }
 
-impl Sight<'_> {
+impl TrueView<'_> {
     /// When a request with that much work would be done there; `None` where it would not, or must not be sent.
-    pub fn wait(&self, now: Micros, server: EndpointId, work: f64) -> Option<f64> {
+    pub fn expected_completion(&self, now: Micros, server: EndpointId, work: f64) -> Option<f64> {
         let s = &self.servers[server];
-        let fine = s.machine == Machine::Up && s.draining.is_none() && s.errors < 0.2;
-        if !fine || !self.links.both(self.zone, s.spec.zone) || s.room(now, self.fall) < work {
+        let usable = s.machine == Machine::Up && s.draining.is_none() && s.errors < 0.2;
+        if !usable
+            || !self.links.bidirectional(self.zone, s.spec.zone)
+            || s.overload_headroom(now, self.overload_limit) < work
+        {
             return None;
         }
-        let path = 2.0 * self.links.mean(self.zone, s.spec.zone) * s.spec.stretch;
+        let path = 2.0 * self.links.mean_delay(self.zone, s.spec.zone) * s.spec.latency_factor;
         let core = s.capacity(now) / s.spec.cores;
         Some(path + (s.backlog() / s.spec.cores + work) / core)
     }
@@ -151,13 +156,13 @@
 /// The decisions of one sidecar.
 pub trait Decider: Send {
     /// Takes one event that happens at `now` and appends what is to be done.
-    fn handle(&mut self, now: Micros, event: Event, sight: &Sight, out: &mut Vec<Action>);
+    fn handle(&mut self, now: Micros, event: Event, view: &TrueView, out: &mut Vec<Action>);
 }
 
 struct Module(Balancer);
 
 impl Decider for Module {
-    fn handle(&mut self, now: Micros, event: Event, _: &Sight, out: &mut Vec<Action>) {
+    fn handle(&mut self, now: Micros, event: Event, _: &TrueView, out: &mut Vec<Action>) {
         self.0.handle(now, event, out);
     }
 }
@@ -167,7 +172,7 @@
 struct NoBreakers(Balancer);
 
 impl Decider for NoBreakers {
-    fn handle(&mut self, now: Micros, mut event: Event, _: &Sight, out: &mut Vec<Action>) {
+    fn handle(&mut self, now: Micros, mut event: Event, _: &TrueView, out: &mut Vec<Action>) {
         if let Event::AttemptEnded(end) = &mut event {
             end.outcome = match end.outcome {
                 Outcome::Error | Outcome::TimedOut | Outcome::Reset => Outcome::ReusedConnectionReset,
--- a/crates/fleet/src/model/decider/adapter.rs
+++ b/crates/fleet/src/model/decider/adapter.rs
@@ -1,7 +1,7 @@
 //! An earlier version of the project, or any program that speaks the simulator's wire: one process hosts the
 //! decisions of all sidecars of a run. Each event is a batch of its own, so that the order is the model's.
 
-use super::{Decider, Sight};
+use super::{Decider, TrueView};
 use crate::Micros;
 use lotusmoor_balancer::{
     Action, EndpointEntry, EndpointListUpdate, EndpointStatus, Event, LoadReport, Outcome,
@@ -27,13 +27,13 @@
 /// A running program that speaks the wire.
 pub struct Adapter {
     child: Child,
-    to: ChildStdin,
-    from: BufReader<ChildStdout>,
+    input: ChildStdin,
+    output: BufReader<ChildStdout>,
     batch: u64,
     now: Micros,
     line: String,
     /// It has ended or spoken out of turn: nothing more is asked of it.
-    lost: bool,
+    failed: bool,
 }
 
 impl Adapter {
@@ -43,35 +43,35 @@
         let mut child =
             Command::new(program).stdin(Stdio::piped()).stdout(Stdio::piped()).spawn().map_err(failed)?;
         let pipes = child.stdin.take().zip(child.stdout.take());
-        let (to, from) = pipes.ok_or_else(|| failed(std::io::ErrorKind::BrokenPipe.into()))?;
-        let (from, line) = (BufReader::new(from), String::new());
-        Ok(Arc::new(Mutex::new(Self { child, to, from, batch: 0, now: 0, line, lost: false })))
+        let (input, output) = pipes.ok_or_else(|| failed(std::io::ErrorKind::BrokenPipe.into()))?;
+        let (output, line) = (BufReader::new(output), String::new());
+        Ok(Arc::new(Mutex::new(Self { child, input, output, batch: 0, now: 0, line, failed: false })))
     }
 
     /// Sends a batch of lines, and reads the actions that answer it.
-    fn ask(&mut self, now: Micros, lines: &str, out: &mut Vec<Action>) {
+    fn exchange(&mut self, now: Micros, lines: &str, out: &mut Vec<Action>) {
         self.batch += 1;
         self.now = now;
-        let sent = write!(self.to, "mark WallUs={now} batch={}\n{lines}go\n", self.batch);
-        if self.lost || sent.and_then(|()| self.to.flush()).is_err() {
-            return self.lose();
+        let sent = write!(self.input, "mark WallUs={now} batch={}\n{lines}go\n", self.batch);
+        if self.failed || sent.and_then(|()| self.input.flush()).is_err() {
+            return self.mark_failed();
         }
         loop {
             self.line.clear();
-            match self.from.read_line(&mut self.line) {
+            match self.output.read_line(&mut self.line) {
                 Ok(n) if n > 0 => {}
-                _ => return self.lose(),
+                _ => return self.mark_failed(),
             }
             let line = self.line.trim_end();
             if line.starts_with("next") {
                 return;
             }
-            out.extend(action(line));
+            out.extend(parse_action(line));
         }
     }
 
-    fn lose(&mut self) {
-        if !std::mem::replace(&mut self.lost, true) {
+    fn mark_failed(&mut self) {
+        if !std::mem::replace(&mut self.failed, true) {
             tracing::error!("the program on the wire has ended; requests that it had get no answer");
         }
     }
@@ -93,7 +93,7 @@
     zones: Vec<String>,
     kinds: Vec<String>,
     tenants: Vec<String>,
-    text: String,
+    pending: String,
 }
 
 impl Instance {
@@ -102,17 +102,17 @@
         let names = |key: &str, of: &dyn Fn(&serde_json::Value) -> Option<String>| {
             settings[key].as_array().map(|all| all.iter().filter_map(of).collect()).unwrap_or_default()
         };
-        let plain = |v: &serde_json::Value| v.as_str().map(str::to_owned);
-        let (zones, kinds) = (names("Zones", &plain), names("Kinds", &plain));
-        let [classes, tenants] = ["Lanes", "Tenants"].map(|key| names(key, &|v| plain(&v["Name"])));
-        let text = format!("start I={number} RandomSeed={seed} Conf={settings}\n");
-        Self { adapter, number, classes, zones, kinds, tenants, text }
+        let text_value = |v: &serde_json::Value| v.as_str().map(str::to_owned);
+        let (zones, kinds) = (names("Zones", &text_value), names("Kinds", &text_value));
+        let [classes, tenants] = ["Lanes", "Tenants"].map(|key| names(key, &|v| text_value(&v["Name"])));
+        let pending = format!("start I={number} RandomSeed={seed} Conf={settings}\n");
+        Self { adapter, number, classes, zones, kinds, tenants, pending }
     }
 
     fn entries(&mut self, kind: u8, list: &[EndpointEntry]) {
         use std::fmt::Write;
         // Lists are numbered from 0 and may be used again at once.
-        let _ = writeln!(self.text, "catalog RosterId=0 Hosts={}", list.len());
+        let _ = writeln!(self.pending, "catalog RosterId=0 Hosts={}", list.len());
         for l in list {
             let status = match l.status {
                 EndpointStatus::Ready => 1,
@@ -122,16 +122,16 @@
             let zone = l.zone.and_then(|z| self.zones.get(z)).map_or("-", String::as_str);
             let kind = l.machine_type.and_then(|k| self.kinds.get(k)).map_or("-", String::as_str);
             let _ = write!(
-                self.text,
+                self.pending,
                 "m Endpoint=10.0.0.1:{} Campus={zone} Model={kind} Group={} Status={status} Size={}",
                 l.endpoint, l.cell, l.size
             );
             let _ = match l.started_at {
-                Some(at) => writeln!(self.text, " ReadyAtUs={}", at.max(1)),
-                None => writeln!(self.text),
+                Some(at) => writeln!(self.pending, " ReadyAtUs={}", at.max(1)),
+                None => writeln!(self.pending),
             };
         }
-        let _ = writeln!(self.text, "endpoints I={} Epoch=1 Kind={kind} RosterId=0", self.number);
+        let _ = writeln!(self.pending, "endpoints I={} Epoch=1 Kind={kind} RosterId=0", self.number);
     }
 
     fn write(&mut self, event: &Event) {
@@ -139,7 +139,7 @@
         let i = self.number;
         let _ = match event {
             Event::EndpointList(EndpointListUpdate::Failed) => {
-                writeln!(self.text, "endpoints I={i} Epoch=1 Kind=0")
+                writeln!(self.pending, "endpoints I={i} Epoch=1 Kind=0")
             }
             Event::EndpointList(EndpointListUpdate::Delta(list)) => return self.entries(1, list),
             Event::EndpointList(EndpointListUpdate::Cached(list)) => return self.entries(2, list),
@@ -153,34 +153,37 @@
                 let tenant = tenant.map(|t| format!(" Project={t}")).unwrap_or_default();
                 let (id, due) = (new.id, new.deadline);
                 writeln!(
-                    self.text,
+                    self.pending,
                     "demand I={i} Ticket={id} Profile={class}{tenant} PartitionKey={key} DueUs={due}{hint} Flags={flags}"
                 )
             }
             Event::StreamStarted { request, attempt } => {
-                writeln!(self.text, "under_way I={i} Ticket={request} Go={attempt}")
+                writeln!(self.pending, "under_way I={i} Ticket={request} Go={attempt}")
             }
             Event::AttemptEnded(end) => {
-                let (how, load, settled) =
-                    (word(end.outcome), pairs(&end.load_report), u8::from(end.request_completed));
+                let (how, load, settled) = (
+                    outcome_name(end.outcome),
+                    load_field(&end.load_report),
+                    u8::from(end.request_completed),
+                );
                 writeln!(
-                    self.text,
+                    self.pending,
                     "returned I={i} Ticket={} Disposition={how} Endpoint=10.0.0.1:{} TookUs={} Go={} Settled={settled}{load}",
                     end.request, end.endpoint, end.duration, end.attempt
                 )
             }
             Event::HealthCheckEnded { endpoint, outcome, duration: took, load_report: load } => {
-                let (how, load) = (word(*outcome), pairs(load));
+                let (how, load) = (outcome_name(*outcome), load_field(load));
                 writeln!(
-                    self.text,
+                    self.pending,
                     "health_result I={i} Endpoint=10.0.0.1:{endpoint} Disposition={how} TookUs={took}{load}"
                 )
             }
-            Event::RequestAbandoned(id) => writeln!(self.text, "withdrawn I={i} Ticket={id}"),
-            Event::Timer(token) => writeln!(self.text, "alarm I={i} Ctx={token}"),
+            Event::RequestAbandoned(id) => writeln!(self.pending, "withdrawn I={i} Ticket={id}"),
+            Event::Timer(token) => writeln!(self.pending, "alarm I={i} Ctx={token}"),
             // No words of the simulator's: programs built by `experiments/versions` know them, others pass over them.
-            Event::Cordoned(server) => writeln!(self.text, "cordon I={i} Endpoint=10.0.0.1:{server}"),
-            Event::Uncordoned(server) => writeln!(self.text, "uncordon I={i} Endpoint=10.0.0.1:{server}"),
+            Event::Cordoned(server) => writeln!(self.pending, "cordon I={i} Endpoint=10.0.0.1:{server}"),
+            Event::Uncordoned(server) => writeln!(self.pending, "uncordon I={i} Endpoint=10.0.0.1:{server}"),
             // The model has no more of these for a policy.
             _ => Ok(()),
         };
@@ -188,27 +191,27 @@
 }
 
 impl Decider for Instance {
-    fn handle(&mut self, now: Micros, event: Event, _: &Sight, out: &mut Vec<Action>) {
+    fn handle(&mut self, now: Micros, event: Event, _: &TrueView, out: &mut Vec<Action>) {
         self.write(&event);
         let mut adapter = self.adapter.lock().unwrap_or_else(PoisonError::into_inner);
-        adapter.ask(now, &self.text, out);
-        self.text.clear();
+        adapter.exchange(now, &self.pending, out);
+        self.pending.clear();
     }
 }
 
 impl Drop for Instance {
     fn drop(&mut self) {
         let mut adapter = self.adapter.lock().unwrap_or_else(PoisonError::into_inner);
-        if !adapter.lost {
+        if !adapter.failed {
             let text = format!("kill I={}\n", self.number);
             let now = adapter.now;
-            adapter.ask(now, &text, &mut Vec::new());
+            adapter.exchange(now, &text, &mut Vec::new());
         }
     }
 }
 
 /// An outcome in the wire's words, which has one for both kinds of reset.
-fn word(outcome: Outcome) -> &'static str {
+fn outcome_name(outcome: Outcome) -> &'static str {
     match outcome {
         Outcome::Ok => "OK",
         Outcome::Error | Outcome::BadRequest => "INTERNAL",
@@ -222,14 +225,14 @@
 }
 
 /// A load report as a field of a line.
-fn pairs(load: &LoadReport) -> String {
+fn load_field(load: &LoadReport) -> String {
     let all = [("waiting", load.waiting), ("active", load.active), ("cpu", load.cpu)];
     let told: Vec<_> = all.iter().filter_map(|(name, v)| Some(format!("{name}:{}", (*v)?))).collect();
     if told.is_empty() { String::new() } else { format!(" Load={}", told.join(",")) }
 }
 
 /// The action that a line asks for; none for what the model has no use for.
-fn action(line: &str) -> Option<Action> {
+fn parse_action(line: &str) -> Option<Action> {
     let (name, rest) = line.split_once(' ')?;
     let field = |key: &str| rest.split(' ').find_map(|part| part.strip_prefix(key)?.strip_prefix('='));
     let number = |key: &str| field(key).and_then(|v| v.parse::<i64>().ok());
@@ -260,14 +263,17 @@
 
     #[test]
     fn actions_are_read_as_the_wire_has_them() {
-        let send = action("hand_off I=3 Ticket=7 Endpoint=10.0.0.1:12 TimeoutUs=80000");
+        let send = parse_action("hand_off I=3 Ticket=7 Endpoint=10.0.0.1:12 TimeoutUs=80000");
         assert_eq!(
             send,
             Some(Action::Send { request: 7, endpoint: 12, timeout: 80_000, idempotency_window: None })
         );
-        assert_eq!(action("not_now I=3 Ticket=7"), Some(Action::Reject { request: 7, retry_after: 0 }));
-        assert_eq!(action("defer I=3 FromNowUs=5 Ctx=9"), Some(Action::SetTimer { after: 5, token: 9 }));
-        assert_eq!(action("say_log I=5 Text=two servers known"), None);
-        assert_eq!(action("hand_off I=3 Ticket=x"), None);
+        assert_eq!(parse_action("not_now I=3 Ticket=7"), Some(Action::Reject { request: 7, retry_after: 0 }));
+        assert_eq!(
+            parse_action("defer I=3 FromNowUs=5 Ctx=9"),
+            Some(Action::SetTimer { after: 5, token: 9 })
+        );
+        assert_eq!(parse_action("say_log I=5 Text=two servers known"), None);
+        assert_eq!(parse_action("hand_off I=3 Ticket=x"), None);
     }
 }
--- a/crates/fleet/src/model/decider/plain.rs
+++ b/crates/fleet/src/model/decider/plain.rs
@@ -1,7 +1,7 @@
 //! The baselines: a plain loop of picks and retries, with one of several ways to pick. They keep the rules, as the
 //! module does, and have neither breakers nor bulkheads.
 
-use super::{Decider, Sight};
+use super::{Decider, TrueView};
 use crate::Micros;
 use lotusmoor_balancer::{
     Action, AttemptEnd, DedupScope, EndpointEntry, EndpointId, EndpointListUpdate, EndpointStatus, Event,
@@ -12,24 +12,24 @@
 
 /// How a server is picked.
 #[derive(Clone, Copy, PartialEq, Eq)]
-pub enum Pick {
+pub enum Selection {
     /// The next one in turn.
-    Turn,
+    RoundRobin,
     /// The one with the least in flight from here.
     LeastInFlight,
     /// The one that will be done first, as things truly stand.
     TrueState,
 }
 
-pub struct Plain {
-    set: Settings,
-    pick: Pick,
+pub struct Baseline {
+    settings: Settings,
+    selection: Selection,
     /// Servers by number, as listed; absent ones are of no concern.
-    listed: Vec<Option<EndpointEntry>>,
+    endpoints: Vec<Option<EndpointEntry>>,
     in_flight: Vec<u32>,
     /// Taken out by operators.
     cordoned: BTreeSet<EndpointId>,
-    turn: usize,
+    next_index: usize,
     open: FxHashMap<RequestId, Open>,
 }
 
@@ -46,106 +46,109 @@
     may_have_run: bool,
 }
 
-impl Plain {
-    pub fn new(set: Settings, pick: Pick, seed: u64) -> Self {
+impl Baseline {
+    pub fn new(settings: Settings, selection: Selection, seed: u64) -> Self {
         // Sidecars that begin at one place in the list would go round in step.
-        let turn = (seed >> 16) as usize;
-        let (listed, in_flight, cordoned, open) = Default::default();
-        Self { set, pick, listed, in_flight, cordoned, turn, open }
+        let next_index = (seed >> 16) as usize;
+        let (endpoints, in_flight, cordoned, open) = Default::default();
+        Self { settings, selection, endpoints, in_flight, cordoned, next_index, open }
     }
 
-    fn list(&mut self, update: EndpointListUpdate) {
+    fn apply_list(&mut self, update: EndpointListUpdate) {
         let entries = match update {
             EndpointListUpdate::Failed => return,
             EndpointListUpdate::Delta(entries) => entries,
             EndpointListUpdate::Full(entries) | EndpointListUpdate::Cached(entries) => {
-                self.listed.iter_mut().for_each(|l| *l = None);
+                self.endpoints.iter_mut().for_each(|l| *l = None);
                 entries
             }
         };
         for entry in entries {
             let i = entry.endpoint;
-            if i >= self.listed.len() {
-                self.listed.resize_with(i + 1, || None);
+            if i >= self.endpoints.len() {
+                self.endpoints.resize_with(i + 1, || None);
                 self.in_flight.resize(i + 1, 0);
             }
-            self.listed[i] = Some(entry);
+            self.endpoints[i] = Some(entry);
         }
     }
 
-    fn may_go(&self, now: Micros, open: &Open, to: &EndpointEntry) -> bool {
-        let mut ran = open.attempts.iter().filter(|a| a.may_have_run);
-        match self.set.classes[open.new.class].idempotency {
+    fn may_send(&self, now: Micros, open: &Open, to: &EndpointEntry) -> bool {
+        let mut executed = open.attempts.iter().filter(|a| a.may_have_run);
+        match self.settings.classes[open.new.class].idempotency {
             Idempotency::Idempotent => true,
-            Idempotency::NonIdempotent => ran.next().is_none(),
-            Idempotency::WithKey { scope, ttl } => ran.all(|a| {
-                let from = self.listed.get(a.to).and_then(Option::as_ref);
-                let alike = match scope {
+            Idempotency::NonIdempotent => executed.next().is_none(),
+            Idempotency::WithKey { scope, ttl } => executed.all(|a| {
+                let from = self.endpoints.get(a.to).and_then(Option::as_ref);
+                let same_scope = match scope {
                     DedupScope::All => true,
                     DedupScope::Zone => from.is_some_and(|f| f.zone == to.zone),
                     DedupScope::Cell => from.is_some_and(|f| f.cell == to.cell),
                 };
-                alike && now - a.at < ttl - self.set.tick
+                same_scope && now - a.at < ttl - self.settings.tick
             }),
         }
     }
 
-    fn choose(&mut self, now: Micros, id: RequestId, sight: &Sight) -> Option<EndpointId> {
+    fn select(&mut self, now: Micros, id: RequestId, view: &TrueView) -> Option<EndpointId> {
         let open = &self.open[&id];
-        let n = self.listed.len();
+        let n = self.endpoints.len();
         let untried = |i: EndpointId| !open.attempts.iter().any(|a| a.to == i);
         let ready = |i: &EndpointId| {
-            let entry = self.listed[*i].as_ref().filter(|l| l.status == EndpointStatus::Ready);
-            let there = entry.is_some_and(|l| self.may_go(now, open, l)) && !self.cordoned.contains(i);
-            there && untried(*i)
+            let entry = self.endpoints[*i].as_ref().filter(|l| l.status == EndpointStatus::Ready);
+            let usable = entry.is_some_and(|l| self.may_send(now, open, l)) && !self.cordoned.contains(i);
+            usable && untried(*i)
         };
-        let class = &self.set.classes[open.new.class];
-        match self.pick {
-            Pick::Turn => {
-                let found = (0..n).map(|k| (self.turn + k) % n).find(ready)?;
-                self.turn = found + 1;
+        let class = &self.settings.classes[open.new.class];
+        match self.selection {
+            Selection::RoundRobin => {
+                let found = (0..n).map(|k| (self.next_index + k) % n).find(ready)?;
+                self.next_index = found + 1;
                 Some(found)
             }
-            Pick::LeastInFlight => {
-                let found =
-                    (0..n).map(|k| (self.turn + k) % n).filter(ready).min_by_key(|i| self.in_flight[*i])?;
-                self.turn = found + 1;
+            Selection::LeastInFlight => {
+                let found = (0..n)
+                    .map(|k| (self.next_index + k) % n)
+                    .filter(ready)
+                    .min_by_key(|i| self.in_flight[*i])?;
+                self.next_index = found + 1;
                 Some(found)
             }
-            Pick::TrueState => {
+            Selection::TrueState => {
                 // Work of a request is not told; a quarter of the least aim is near what sites ask for on the mean.
                 // Queues are held to half of that aim: what waits longer is late more often than not.
                 let least = self
-                    .set
+                    .settings
                     .classes
                     .iter()
                     .map(|c| c.latency_objective)
                     .min()
                     .unwrap_or(class.latency_objective) as f64;
                 let work = least / 4.0;
-                let best = (0..n).filter(ready).filter_map(|i| Some((sight.wait(now, i, work)?, i)));
-                let (wait, i) = best.min_by(|a, b| a.0.total_cmp(&b.0))?;
-                let late = (now - open.arrived) as f64 + wait > class.latency_objective as f64;
-                (wait < least / 2.0 + work && !late).then_some(i)
+                let best =
+                    (0..n).filter(ready).filter_map(|i| Some((view.expected_completion(now, i, work)?, i)));
+                let (completion, i) = best.min_by(|a, b| a.0.total_cmp(&b.0))?;
+                let late = (now - open.arrived) as f64 + completion > class.latency_objective as f64;
+                (completion < least / 2.0 + work && !late).then_some(i)
             }
         }
     }
 
-    fn go(&mut self, now: Micros, id: RequestId, sight: &Sight, out: &mut Vec<Action>) {
+    fn send_or_finish(&mut self, now: Micros, id: RequestId, view: &TrueView, out: &mut Vec<Action>) {
         let Some(open) = self.open.get(&id) else { return };
-        let left = open.new.deadline - 2 * self.set.tick - now;
-        let spent = open.attempts.len() as u32 >= self.set.limits.max_attempts;
-        let to = if left <= 0 || spent { None } else { self.choose(now, id, sight) };
+        let time_left = open.new.deadline - 2 * self.settings.tick - now;
+        let attempts_used = open.attempts.len() as u32 >= self.settings.limits.max_attempts;
+        let to = if time_left <= 0 || attempts_used { None } else { self.select(now, id, view) };
         let Some(open) = self.open.get_mut(&id) else { return };
         match to {
             Some(to) => {
-                let aim = self.set.classes[open.new.class].latency_objective;
-                let timeout = match self.pick {
+                let latency_objective = self.settings.classes[open.new.class].latency_objective;
+                let timeout = match self.selection {
                     // It knows what it waits for; past the aim that is worth nothing.
-                    Pick::TrueState => left.min(open.arrived + aim - now),
+                    Selection::TrueState => time_left.min(open.arrived + latency_objective - now),
                     // Half of the time for the first, so that a second has as much.
-                    _ if open.attempts.is_empty() => left / 2,
-                    _ => left,
+                    _ if open.attempts.is_empty() => time_left / 2,
+                    _ => time_left,
                 };
                 open.attempts.push(Sent { to, at: now, may_have_run: true });
                 self.in_flight[to] += 1;
@@ -157,14 +160,14 @@
                 });
             }
             None => {
-                let effect = self.set.classes[open.new.class].idempotency;
-                let ran = open.attempts.iter().filter(|a| a.may_have_run).map(|a| a.at).min();
-                let harmless = match (ran, effect) {
+                let idempotency = self.settings.classes[open.new.class].idempotency;
+                let executed = open.attempts.iter().filter(|a| a.may_have_run).map(|a| a.at).min();
+                let safe_to_retry = match (executed, idempotency) {
                     (None, _) | (_, Idempotency::Idempotent) => true,
                     (Some(at), Idempotency::WithKey { scope: DedupScope::All, ttl }) => now - at < ttl,
                     _ => false,
                 };
-                out.push(if harmless {
+                out.push(if safe_to_retry {
                     Action::Reject { request: id, retry_after: 0 }
                 } else {
                     Action::Fail(id)
@@ -174,7 +177,7 @@
         }
     }
 
-    fn ended(&mut self, now: Micros, end: AttemptEnd, sight: &Sight, out: &mut Vec<Action>) {
+    fn attempt_ended(&mut self, now: Micros, end: AttemptEnd, view: &TrueView, out: &mut Vec<Action>) {
         self.in_flight[end.endpoint] = self.in_flight[end.endpoint].saturating_sub(1);
         if end.request_completed || end.outcome == Outcome::Ok {
             self.open.remove(&end.request);
@@ -182,19 +185,19 @@
         }
         if let Some(open) = self.open.get_mut(&end.request) {
             open.attempts[end.attempt as usize].may_have_run = !end.outcome.was_never_executed();
-            self.go(now, end.request, sight, out);
+            self.send_or_finish(now, end.request, view, out);
         }
     }
 }
 
-impl Decider for Plain {
-    fn handle(&mut self, now: Micros, event: Event, sight: &Sight, out: &mut Vec<Action>) {
+impl Decider for Baseline {
+    fn handle(&mut self, now: Micros, event: Event, view: &TrueView, out: &mut Vec<Action>) {
         match event {
-            Event::EndpointList(update) => self.list(update),
+            Event::EndpointList(update) => self.apply_list(update),
             Event::RequestReceived(new) => {
                 let id = new.id;
                 self.open.insert(id, Open { new, arrived: now, attempts: Vec::new() });
-                self.go(now, id, sight, out);
+                self.send_or_finish(now, id, view, out);
             }
             Event::Cordoned(server) => {
                 self.cordoned.insert(server);
@@ -202,7 +205,7 @@
             Event::Uncordoned(server) => {
                 self.cordoned.remove(&server);
             }
-            Event::AttemptEnded(end) => self.ended(now, end, sight, out),
+            Event::AttemptEnded(end) => self.attempt_ended(now, end, view, out),
             Event::RequestAbandoned(id) => {
                 self.open.remove(&id);
             }
--- a/crates/fleet/src/model/discovery.rs
+++ b/crates/fleet/src/model/discovery.rs
@@ -41,26 +41,26 @@
 
 impl Discovery {
     /// Takes in a change, which the next round tells; gives the version that has it.
-    pub fn learn(&mut self, change: Change) -> usize {
+    pub fn record(&mut self, change: Change) -> usize {
         self.log.push(change);
         self.log.len()
     }
 
     /// A round: what was learnt can be told from now on. Gives whether there is anything new.
     pub fn publish(&mut self, now: Micros) -> bool {
-        let news = self.published < self.log.len();
+        let changed = self.published < self.log.len();
         self.published = self.log.len();
-        self.reach(now);
-        news
+        self.mark_reachable(now);
+        changed
     }
 
     /// It goes away, or is back.
-    pub fn away(&mut self, now: Micros, down: bool) {
+    pub fn set_down(&mut self, now: Micros, down: bool) {
         self.down = down;
-        self.reach(now);
+        self.mark_reachable(now);
     }
 
-    fn reach(&mut self, now: Micros) {
+    fn mark_reachable(&mut self, now: Micros) {
         if !self.down {
             self.reachable.resize(self.published, now);
         }
@@ -77,12 +77,12 @@
     }
 
     /// Changes after that version, up to the newest.
-    pub fn since(&self, version: usize) -> &[Change] {
+    pub fn changes_after(&self, version: usize) -> &[Change] {
         &self.log[version.min(self.published)..self.published]
     }
 
     /// Changes up to that version.
-    pub fn until(&self, version: usize) -> &[Change] {
+    pub fn changes_until(&self, version: usize) -> &[Change] {
         &self.log[..version]
     }
 
@@ -92,9 +92,9 @@
         if self.down {
             return Err(now + timeout);
         }
-        let begins = self.busy_until.max(now);
-        self.busy_until = begins + takes;
-        if begins - now > timeout { Err(now + timeout) } else { Ok(self.busy_until) }
+        let starts = self.busy_until.max(now);
+        self.busy_until = starts + takes;
+        if starts - now > timeout { Err(now + timeout) } else { Ok(self.busy_until) }
     }
 }
 
--- a/crates/fleet/src/model/discovery/tests.rs
+++ b/crates/fleet/src/model/discovery/tests.rs
@@ -14,10 +14,13 @@
 fn a_reader_is_told_what_came_after_its_version_once_it_is_published() {
     let mut discovery = Discovery::default();
     let entry = Entry { status: EndpointStatus::Ready, started: None };
-    discovery.learn(Change { server: 1, entry, since: 5 });
-    assert_eq!(discovery.since(0).len(), 0);
+    discovery.record(Change { server: 1, entry, since: 5 });
+    assert_eq!(discovery.changes_after(0).len(), 0);
     assert!(discovery.publish(10) && !discovery.publish(20));
-    assert_eq!((discovery.version(), discovery.since(0).len(), discovery.since(1).len()), (1, 1, 0));
+    assert_eq!(
+        (discovery.version(), discovery.changes_after(0).len(), discovery.changes_after(1).len()),
+        (1, 1, 0)
+    );
 }
 
 #[test]
@@ -25,14 +28,14 @@
     let mut discovery = Discovery::default();
     let entry = Entry { status: EndpointStatus::Ready, started: None };
     let change = Change { server: 1, entry, since: 5 };
-    discovery.learn(change);
+    discovery.record(change);
     discovery.publish(100);
-    discovery.away(200, true);
-    discovery.learn(change);
+    discovery.set_down(200, true);
+    discovery.record(change);
     discovery.publish(300);
     assert_eq!([0, 1, 2].map(|v| discovery.reachable_since(v)), [None, Some(100), None]);
-    discovery.learn(change);
-    discovery.away(400, false);
+    discovery.record(change);
+    discovery.set_down(400, false);
     assert_eq!([1, 2, 3].map(|v| discovery.reachable_since(v)), [Some(100), Some(400), None]);
     discovery.publish(500);
     assert_eq!(discovery.reachable_since(3), Some(500));
--- a/crates/fleet/src/model/calendar.rs
+++ b/crates/fleet/src/model/event_queue.rs
@@ -6,15 +6,15 @@
 
 /// The first round of a sidecar at or after an instant; what is a round already stays. Rounds are multiples of `tick`
 /// on the model's clock, never counted on from the last one, so that they can't drift from what was asked for.
-pub fn round_at(at: Micros, tick: Micros) -> Micros {
+pub fn round_up_to_tick(at: Micros, tick: Micros) -> Micros {
     if tick <= 1 { at } else { (at + tick - 1).div_euclid(tick) * tick }
 }
 
 /// Events by instant; those of one instant in the order in which they were made.
-pub struct Calendar<E> {
+pub struct EventQueue<E> {
     heap: BinaryHeap<Entry<E>>,
-    made: u64,
-    taken: u64,
+    scheduled: u64,
+    processed: u64,
     digest: u64,
     now: Micros,
 }
@@ -42,32 +42,32 @@
     }
 }
 
-impl<E> Default for Calendar<E> {
+impl<E> Default for EventQueue<E> {
     fn default() -> Self {
-        Self { heap: BinaryHeap::new(), made: 0, taken: 0, digest: 0xcbf2_9ce4_8422_2325, now: 0 }
+        Self { heap: BinaryHeap::new(), scheduled: 0, processed: 0, digest: 0xcbf2_9ce4_8422_2325, now: 0 }
     }
 }
 
-impl<E> Calendar<E> {
+impl<E> EventQueue<E> {
     /// Notes an event; one in the past happens now, after what is due now already.
-    pub fn at(&mut self, at: Micros, event: E) {
-        self.made += 1;
-        self.heap.push(Entry { at: at.max(self.now), number: self.made, event });
+    pub fn schedule(&mut self, at: Micros, event: E) {
+        self.scheduled += 1;
+        self.heap.push(Entry { at: at.max(self.now), number: self.scheduled, event });
     }
 
     /// The next event and its instant.
     pub fn next(&mut self) -> Option<(Micros, E)> {
         let entry = self.heap.pop()?;
         self.now = entry.at;
-        self.taken += 1;
-        self.note(entry.at as u64);
-        self.note(entry.number);
+        self.processed += 1;
+        self.add_to_digest(entry.at as u64);
+        self.add_to_digest(entry.number);
         Some((entry.at, entry.event))
     }
 
     /// Adds to the digest: what was decided, beside when.
-    pub fn note(&mut self, figure: u64) {
-        self.digest = (self.digest ^ figure).wrapping_mul(0x100_0000_01b3).rotate_left(17);
+    pub fn add_to_digest(&mut self, value: u64) {
+        self.digest = (self.digest ^ value).wrapping_mul(0x100_0000_01b3).rotate_left(17);
     }
 
     /// The digest of all events so far: equal for runs that went alike.
@@ -76,8 +76,8 @@
     }
 
     /// Events taken so far.
-    pub fn taken(&self) -> u64 {
-        self.taken
+    pub fn processed(&self) -> u64 {
+        self.processed
     }
 }
 
@@ -87,11 +87,11 @@
 
     #[test]
     fn events_of_one_instant_come_in_the_order_in_which_they_were_made() {
-        let mut calendar = Calendar::default();
+        let mut events = EventQueue::default();
         for (at, event) in [(5, 'c'), (3, 'a'), (5, 'd'), (3, 'b')] {
-            calendar.at(at, event);
+            events.schedule(at, event);
         }
-        let all: Vec<_> = std::iter::from_fn(|| calendar.next()).collect();
+        let all: Vec<_> = std::iter::from_fn(|| events.next()).collect();
         assert_eq!(all, [(3, 'a'), (3, 'b'), (5, 'c'), (5, 'd')]);
     }
 
@@ -101,21 +101,29 @@
         // whole rounds never.
         let (mut now, mut exact) = (0, 0);
         for _ in 0..10_000 {
-            let next = round_at(now + 12_000, 5_000);
+            let next = round_up_to_tick(now + 12_000, 5_000);
             assert!((12_000..17_000).contains(&(next - now)));
             now = next;
-            exact = round_at(exact + 15_000, 5_000);
+            exact = round_up_to_tick(exact + 15_000, 5_000);
         }
         assert_eq!((now, exact), (150_000_000, 150_000_000));
-        assert_eq!((round_at(7, 0), round_at(7, 1), round_at(10, 5), round_at(-7, 5)), (7, 7, 10, -5));
+        assert_eq!(
+            (
+                round_up_to_tick(7, 0),
+                round_up_to_tick(7, 1),
+                round_up_to_tick(10, 5),
+                round_up_to_tick(-7, 5)
+            ),
+            (7, 7, 10, -5)
+        );
     }
 
     #[test]
     fn what_is_noted_for_the_past_happens_now_and_not_before() {
-        let mut calendar = Calendar::default();
-        calendar.at(10, 'a');
-        assert_eq!(calendar.next(), Some((10, 'a')));
-        calendar.at(4, 'b');
-        assert_eq!(calendar.next(), Some((10, 'b')));
+        let mut events = EventQueue::default();
+        events.schedule(10, 'a');
+        assert_eq!(events.next(), Some((10, 'a')));
+        events.schedule(4, 'b');
+        assert_eq!(events.next(), Some((10, 'b')));
     }
 }
--- a/crates/fleet/src/model/measure.rs
+++ b/crates/fleet/src/model/measure.rs
@@ -8,13 +8,13 @@
 
 /// What became of a client's request, over all its tries.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum End {
+pub enum RequestOutcome {
     /// Answered within its aim.
     InTime,
     /// Answered later.
     Late,
     /// Refused to the last.
-    Refused,
+    Rejected,
     /// Failed, or never answered.
     Failed,
 }
@@ -171,16 +171,16 @@
 }
 
 /// Gathers figures while a run goes on.
-pub struct Gauge {
+pub struct MetricsRecorder {
     windows: Vec<Window>,
     latencies: Vec<Histogram<u64>>,
-    seconds: Vec<Histogram<u32>>,
+    latencies_by_second: Vec<Histogram<u32>>,
     staleness: Histogram<u64>,
     requests: Vec<u64>,
     in_time: Vec<u64>,
     /// Worth asked for and served, by class and by tenant.
-    worths: [Vec<(f64, f64)>; 2],
-    names: Vec<String>,
+    worth_totals: [Vec<(f64, f64)>; 2],
+    class_names: Vec<String>,
     late_worth_lost: f64,
     /// Work asked for, and work that served somebody.
     pub work: (f64, f64),
@@ -189,7 +189,7 @@
     /// Probes sent.
     pub probes: u64,
     /// Lines of lists told.
-    pub lines: u64,
+    pub list_lines: u64,
     /// Calls for lists, those that were told to come again, and lists that were held back.
     pub list_polls: u64,
     /// See there.
@@ -197,8 +197,8 @@
     /// See there.
     pub withheld_lists: u64,
     /// From each change's acknowledgement to the last sidecar that was told of it.
-    pub told_last: Vec<Micros>,
-    told_after: Histogram<u64>,
+    pub last_notified: Vec<Micros>,
+    notified_after: Histogram<u64>,
 }
 
 /// Three figures of a value that need no more than 1% of it; a minute is the most.
@@ -210,100 +210,107 @@
     [0.5, 0.99, last].map(|q| h.value_at_quantile(q) as f64 / 1000.0)
 }
 
-impl Gauge {
+impl MetricsRecorder {
     /// For classes of these names, and so many tenants.
-    pub fn new(names: Vec<String>, tenants: usize) -> Self {
-        let n = names.len();
+    pub fn new(class_names: Vec<String>, tenants: usize) -> Self {
+        let n = class_names.len();
         Self {
             windows: Vec::new(),
             latencies: (0..n).map(|_| histogram()).collect(),
-            seconds: Vec::new(),
+            latencies_by_second: Vec::new(),
             staleness: histogram(),
             requests: vec![0; n],
             in_time: vec![0; n],
-            worths: [vec![(0.0, 0.0); n], vec![(0.0, 0.0); tenants]],
-            names,
+            worth_totals: [vec![(0.0, 0.0); n], vec![(0.0, 0.0); tenants]],
+            class_names,
             late_worth_lost: 0.0,
             work: (0.0, 0.0),
             overload_crashes: 0,
             probes: 0,
-            lines: 0,
+            list_lines: 0,
             list_polls: 0,
             throttled_polls: 0,
             withheld_lists: 0,
-            told_last: Vec::new(),
-            told_after: histogram(),
+            last_notified: Vec::new(),
+            notified_after: histogram(),
         }
     }
 
     /// The second of that instant.
-    pub fn at(&mut self, now: Micros) -> &mut Window {
+    pub fn window(&mut self, now: Micros) -> &mut Window {
         let second = (now / SECOND).max(0) as usize;
         if self.windows.len() <= second {
             self.windows.resize_with(second + 1, Window::default);
-            self.seconds.resize_with(second + 1, histogram);
+            self.latencies_by_second.resize_with(second + 1, histogram);
         }
         &mut self.windows[second]
     }
 
     /// A client's first try.
-    pub fn ask(&mut self, now: Micros, worth: Worth, work: f64) {
-        let window = self.at(now);
+    pub fn record_request(&mut self, now: Micros, worth: Worth, work: f64) {
+        let window = self.window(now);
         window.requests += 1;
         window.worth += worth.full;
         self.requests[usize::from(worth.class)] += 1;
-        self.book(worth, |booked| booked.0 += worth.full);
+        self.add_worth(worth, |totals| totals.0 += worth.full);
         self.work.0 += work;
     }
 
     /// Books something to a request's class, and to its tenant.
-    fn book(&mut self, worth: Worth, what: impl Fn(&mut (f64, f64))) {
-        what(&mut self.worths[0][usize::from(worth.class)]);
+    fn add_worth(&mut self, worth: Worth, what: impl Fn(&mut (f64, f64))) {
+        what(&mut self.worth_totals[0][usize::from(worth.class)]);
         if let Some(tenant) = worth.tenant {
-            what(&mut self.worths[1][usize::from(tenant)]);
+            what(&mut self.worth_totals[1][usize::from(tenant)]);
         }
     }
 
     /// What became of a request that was first tried at `first`.
-    pub fn end(&mut self, now: Micros, first: Micros, worth: Worth, aim: Micros, end: End) {
+    pub fn record_outcome(
+        &mut self,
+        now: Micros,
+        first: Micros,
+        worth: Worth,
+        latency_objective: Micros,
+        end: RequestOutcome,
+    ) {
         let class = usize::from(worth.class);
-        let window = self.at(first);
+        let window = self.window(first);
         match end {
-            End::InTime => {
+            RequestOutcome::InTime => {
                 window.in_time += 1;
                 window.served += worth.full;
                 self.in_time[class] += 1;
-                self.book(worth, |booked| booked.1 += worth.full);
+                self.add_worth(worth, |totals| totals.1 += worth.full);
             }
-            End::Late => {
+            RequestOutcome::Late => {
                 window.late += 1;
                 window.served += worth.late;
-                self.book(worth, |booked| booked.1 += worth.late);
+                self.add_worth(worth, |totals| totals.1 += worth.late);
             }
-            End::Refused => window.refused += 1,
-            End::Failed => window.failed += 1,
+            RequestOutcome::Rejected => window.refused += 1,
+            RequestOutcome::Failed => window.failed += 1,
         }
-        if matches!(end, End::InTime | End::Late) {
+        if matches!(end, RequestOutcome::InTime | RequestOutcome::Late) {
             let took = (now - first).max(1) as u64;
             self.latencies[class].saturating_record(took);
-            self.at(now);
-            self.seconds[(now / SECOND) as usize].saturating_record(took);
+            self.window(now);
+            self.latencies_by_second[(now / SECOND) as usize].saturating_record(took);
         }
-        if end != End::InTime && now - first > aim {
+        if end != RequestOutcome::InTime && now - first > latency_objective {
             self.late_worth_lost += worth.full;
         }
     }
 
     /// A sidecar was told of a change that old.
-    pub fn told(&mut self, now: Micros, age: Micros) {
-        let window = self.at(now);
+    pub fn record_staleness(&mut self, now: Micros, age: Micros) {
+        let window = self.window(now);
         window.staleness_ms = window.staleness_ms.max(age as f64 / 1000.0);
         self.staleness.saturating_record(age.max(1) as u64);
     }
 
     /// A sidecar was told of a change so long after its acknowledgement.
-    pub fn told_after(&mut self, age: Micros) {
-        self.told_after.saturating_record(age.max(1) as u64);
+    pub fn record_notification(&mut self, age: Micros) {
+        self.notified_after.saturating_record(age.max(1) as u64);
     }
 
     /// All figures of a run of that length with so many servers, which did so much work.
@@ -315,7 +322,7 @@
         servers: usize,
         done: f64,
     ) -> Figures {
-        for (window, latencies) in self.windows.iter_mut().zip(&self.seconds) {
+        for (window, latencies) in self.windows.iter_mut().zip(&self.latencies_by_second) {
             let at = |q| latencies.value_at_quantile(q) as f64 / 1000.0;
             (window.p50_ms, window.p99_ms, window.p999_ms) = (at(0.5), at(0.99), at(0.999));
         }
@@ -328,9 +335,9 @@
         };
         let whole_run = share(day);
         let worst_window = day.windows(10.min(day.len().max(1))).map(share).fold(1.0, f64::min);
-        let classes: Vec<_> = (0..self.names.len())
+        let classes: Vec<_> = (0..self.class_names.len())
             .map(|c| ClassFigures {
-                name: self.names[c].clone(),
+                name: self.class_names[c].clone(),
                 requests: self.requests[c],
                 in_time: self.in_time[c] as f64 / self.requests[c].max(1) as f64,
                 latency_ms: quantiles(&self.latencies[c], 0.999),
@@ -338,7 +345,7 @@
             .collect();
         let worst =
             |of: &[(f64, f64)]| of.iter().filter(|w| w.0 > 0.0).map(|w| w.1 / w.0).fold(1.0, f64::min);
-        let (worst_class, worst_tenant) = (worst(&self.worths[0]), worst(&self.worths[1]));
+        let (worst_class, worst_tenant) = (worst(&self.worth_totals[0]), worst(&self.worth_totals[1]));
         let sum = |f: &dyn Fn(&Window) -> u64| self.windows.iter().map(f).sum::<u64>() as f64;
         let requests = sum(&|w| w.requests).max(1.0);
         let tries = sum(&|w| w.tries);
@@ -347,7 +354,7 @@
         let wasted = (done - self.work.1).max(0.0) / self.work.0.max(1.0);
         let worth: f64 = self.windows.iter().map(|w| w.worth).sum();
         let mut last = histogram::<u64>();
-        self.told_last.iter().for_each(|t| last.saturating_record((*t).max(1) as u64));
+        self.last_notified.iter().for_each(|t| last.saturating_record((*t).max(1) as u64));
         let mut all = histogram::<u64>();
         for latencies in &self.latencies {
             all.add(latencies).expect("all have the same bounds");
@@ -361,7 +368,7 @@
             self.probes as f64 / requests,
             sum(&|w| w.handshakes) / requests,
             held / (100.0 * servers as f64),
-            self.lines as f64 / (100.0 * requests),
+            self.list_lines as f64 / (100.0 * requests),
         ];
         let prices: f64 = prices.each.iter().zip(charged).map(|(price, share)| price * share).sum();
         Figures {
@@ -386,7 +393,7 @@
             overload_crashes: self.overload_crashes,
             latency_ms: quantiles(&all, 0.999),
             staleness_ms: quantiles(&self.staleness, 1.0),
-            notified_after_ms: quantiles(&self.told_after, 1.0),
+            notified_after_ms: quantiles(&self.notified_after, 1.0),
             last_notified_ms: quantiles(&last, 1.0),
             list_polls: self.list_polls,
             throttled_polls: self.throttled_polls,
--- a/crates/fleet/src/model/rules.rs
+++ b/crates/fleet/src/model/rules.rs
@@ -23,47 +23,50 @@
 /// What a send is checked against.
 pub struct SendCheck<'a> {
     /// What a repeat would do.
-    pub effect: Idempotency,
+    pub idempotency: Idempotency,
     /// Earlier attempts of the try.
     pub earlier: &'a [Sent],
     /// The attempt.
     pub to: Sent,
     /// Whether the request has its final answer already.
-    pub over: bool,
+    pub finished: bool,
     /// Whether the sidecar's lists ever had that server.
     pub listed: bool,
     /// When the sidecar was told that it drains or is gone.
-    pub told_gone: Option<Micros>,
+    pub unavailable_since: Option<Micros>,
     /// How long sends may go on after that.
-    pub grace: Micros,
+    pub drain_grace: Micros,
     /// Attempts that are allowed.
-    pub most: u32,
+    pub max_attempts: u32,
     /// Whether two may be out at once.
-    pub copies: bool,
+    pub may_hedge: bool,
 }
 
 /// The rule that a send breaks.
-pub fn of_send(c: &SendCheck) -> Option<&'static str> {
+pub fn check_send(c: &SendCheck) -> Option<&'static str> {
     let now = c.to.at;
     let ran = || c.earlier.iter().filter(|a| a.open || a.may_have_run);
-    let repeat = match c.effect {
+    let repeat = match c.idempotency {
         Idempotency::Idempotent => false,
         Idempotency::NonIdempotent => ran().next().is_some(),
         Idempotency::WithKey { scope, ttl } => ran().any(|a| {
-            let alike = match scope {
+            let same_scope = match scope {
                 DedupScope::All => true,
                 DedupScope::Zone => a.zone == c.to.zone,
                 DedupScope::Cell => a.cell == c.to.cell,
             };
-            !alike || now - a.at >= ttl
+            !same_scope || now - a.at >= ttl
         }),
     };
     [
-        (c.over, "a send for a request that is over"),
+        (c.finished, "a send for a request that is over"),
         (!c.listed, "a send to a server that was never listed"),
-        (c.told_gone.is_some_and(|at| now > at + c.grace), "a send to a server that drains or is gone"),
-        (c.earlier.len() as u32 >= c.most, "more attempts than allowed"),
-        (!c.copies && c.earlier.iter().any(|a| a.open), "a second attempt while one is out"),
+        (
+            c.unavailable_since.is_some_and(|at| now > at + c.drain_grace),
+            "a send to a server that drains or is gone",
+        ),
+        (c.earlier.len() as u32 >= c.max_attempts, "more attempts than allowed"),
+        (!c.may_hedge && c.earlier.iter().any(|a| a.open), "a second attempt while one is out"),
         (repeat, "a repeat of what may have run"),
     ]
     .into_iter()
@@ -72,29 +75,29 @@
 }
 
 /// Whether a refusal, which says that a repeat is harmless, is true.
-pub fn of_refusal(now: Micros, effect: Idempotency, earlier: &[Sent]) -> Option<&'static str> {
+pub fn check_rejection(now: Micros, idempotency: Idempotency, earlier: &[Sent]) -> Option<&'static str> {
     let first = earlier.iter().filter(|a| a.open || a.may_have_run).map(|a| a.at).min();
-    let harmless = match (first, effect) {
+    let safe_to_retry = match (first, idempotency) {
         (None, _) | (_, Idempotency::Idempotent) => true,
         (Some(at), Idempotency::WithKey { scope: DedupScope::All, ttl }) => now - at < ttl,
         _ => false,
     };
-    (!harmless).then_some("a refusal of what may have run")
+    (!safe_to_retry).then_some("a refusal of what may have run")
 }
 
 /// Whether the fall of a cold server is a break, by the share of what it was sent that came from sidecars that had been
 /// told of its start.
-pub fn of_fall(informed: f64) -> Option<&'static str> {
+pub fn check_cold_overload(informed: f64) -> Option<&'static str> {
     (informed > 2.0 / 3.0).then_some("a cold server pushed over")
 }
 
 /// Broken rules by name.
 #[derive(Default)]
-pub struct Broken(pub BTreeMap<&'static str, u64>);
+pub struct Violations(pub BTreeMap<&'static str, u64>);
 
-impl Broken {
+impl Violations {
     /// Counts one, if there is one.
-    pub fn note(&mut self, rule: Option<&'static str>) {
+    pub fn record(&mut self, rule: Option<&'static str>) {
         if let Some(rule) = rule {
             *self.0.entry(rule).or_default() += 1;
         }
--- a/crates/fleet/src/model/rules/tests.rs
+++ b/crates/fleet/src/model/rules/tests.rs
@@ -8,21 +8,25 @@
     Sent { zone, cell: 0, at, open, may_have_run }
 }
 
-fn check(effect: Idempotency, earlier: &[Sent], change: impl Fn(&mut SendCheck)) -> Option<&'static str> {
+fn check(
+    idempotency: Idempotency,
+    earlier: &[Sent],
+    change: impl Fn(&mut SendCheck),
+) -> Option<&'static str> {
     let to = sent(500, 1, true, true);
     let mut check = SendCheck {
-        effect,
+        idempotency,
         earlier,
         to,
-        over: false,
+        finished: false,
         listed: true,
-        told_gone: None,
-        grace: 100,
-        most: 3,
-        copies: false,
+        unavailable_since: None,
+        drain_grace: 100,
+        max_attempts: 3,
+        may_hedge: false,
     };
     change(&mut check);
-    of_send(&check)
+    check_send(&check)
 }
 
 #[test]
@@ -41,11 +45,11 @@
         Some("a send to a server that was never listed")
     );
     assert_eq!(
-        check(Idempotency::Idempotent, &[], |c| c.over = true),
+        check(Idempotency::Idempotent, &[], |c| c.finished = true),
         Some("a send for a request that is over")
     );
-    assert_eq!(check(Idempotency::Idempotent, &[], |c| c.told_gone = Some(400)), None);
-    let late = check(Idempotency::Idempotent, &[], |c| c.told_gone = Some(399));
+    assert_eq!(check(Idempotency::Idempotent, &[], |c| c.unavailable_since = Some(400)), None);
+    let late = check(Idempotency::Idempotent, &[], |c| c.unavailable_since = Some(399));
     assert_eq!(late, Some("a send to a server that drains or is gone"));
 }
 
@@ -53,15 +57,15 @@
 fn a_refusal_must_be_harmless() {
     let all = Idempotency::WithKey { scope: DedupScope::All, ttl: 1000 };
     let (ran, never) = (sent(0, 1, false, true), sent(0, 1, false, false));
-    assert_eq!(of_refusal(999, all, &[ran]), None);
-    assert!(of_refusal(1000, all, &[ran]).is_some());
-    assert!(of_refusal(1, KEYED, &[ran]).is_some());
-    assert!(of_refusal(1, Idempotency::NonIdempotent, &[ran]).is_some());
-    assert_eq!(of_refusal(1, Idempotency::NonIdempotent, &[never]), None);
+    assert_eq!(check_rejection(999, all, &[ran]), None);
+    assert!(check_rejection(1000, all, &[ran]).is_some());
+    assert!(check_rejection(1, KEYED, &[ran]).is_some());
+    assert!(check_rejection(1, Idempotency::NonIdempotent, &[ran]).is_some());
+    assert_eq!(check_rejection(1, Idempotency::NonIdempotent, &[never]), None);
 }
 
 #[test]
 fn a_fall_is_a_break_where_over_two_thirds_of_what_it_was_sent_came_from_those_who_knew() {
-    assert_eq!([0.0, 0.5, 2.0 / 3.0].map(of_fall), [None; 3]);
-    assert_eq!([0.667, 1.0].map(of_fall), [Some("a cold server pushed over"); 2]);
+    assert_eq!([0.0, 0.5, 2.0 / 3.0].map(check_cold_overload), [None; 3]);
+    assert_eq!([0.667, 1.0].map(check_cold_overload), [Some("a cold server pushed over"); 2]);
 }
--- a/crates/fleet/src/model/run/faults.rs
+++ b/crates/fleet/src/model/run/faults.rs
@@ -6,20 +6,20 @@
     pub(super) fn pause(&mut self, now: Micros, server: u32, begin: bool) {
         let s = &mut self.servers[server as usize];
         s.pause(now, begin);
-        let name = chance::mix(self.world.seed ^ now as u64 ^ u64::from(server) << 40);
+        let random_key = chance::mix(self.world.seed ^ now as u64 ^ u64::from(server) << 40);
         let at = if begin {
-            now + (s.spec.pause as f64 * (1.0 + s.spec.pause_grow * s.use_now())) as Micros
+            now + (s.spec.pause as f64 * (1.0 + s.spec.pause_growth * s.utilization())) as Micros
         } else {
-            now + (s.spec.pause_every as f64 * (0.5 + chance::unit(name))) as Micros
+            now + (s.spec.pause_every as f64 * (0.5 + chance::unit(random_key))) as Micros
         };
         if now < self.world.length {
-            self.calendar.at(at, Happens::Pause(server, !begin));
+            self.events.schedule(at, SimEvent::Pause(server, !begin));
         }
-        self.look_again(now, server);
+        self.reschedule_completion(now, server);
     }
 
     pub(super) fn end_server(&mut self, now: Micros, server: usize) {
-        let lost = self.servers[server].lose_all(now);
+        let lost = self.servers[server].reset_all(now);
         self.servers[server].machine = Machine::Down;
         for id in lost {
             let reused = self.attempts[id as usize].reused;
@@ -32,60 +32,60 @@
     }
 
     /// Discovery learns of a server's state after a while.
-    pub(super) fn learns(
+    pub(super) fn schedule_discovery_update(
         &mut self,
         now: Micros,
         server: usize,
         status: EndpointStatus,
         after: crate::site::Range,
     ) {
-        if self.roster.is_some() {
+        if self.registry.is_some() {
             // A server that ends by plan takes itself off; of one that does not, its lease tells.
             let told = status != EndpointStatus::Removed || self.servers[server].draining.is_some();
             return if told {
-                self.tell_roster(now, server, status)
+                self.report_to_registry(now, server, status)
             };
         }
         let entry = Entry { status, started: self.servers[server].started };
-        let at = now + crate::seconds(after.draw(&mut self.lists));
-        self.calendar.at(at, Happens::Learns(Change { server, entry, since: now }));
+        let at = now + crate::seconds(after.draw(&mut self.list_rng));
+        self.events.schedule(at, SimEvent::DiscoveryUpdate(Change { server, entry, since: now }));
     }
 
-    pub(super) fn planned(&mut self, now: Micros, what: Happening) -> Result<(), SettingsError> {
+    pub(super) fn apply_planned(&mut self, now: Micros, what: PlannedEvent) -> Result<(), SettingsError> {
         let d = self.world.discovery.clone();
         match what {
-            Happening::Drain(s) if self.servers[s].machine == Machine::Up => {
+            PlannedEvent::Drain(s) if self.servers[s].machine == Machine::Up => {
                 self.servers[s].draining = Some(now);
-                self.learns(now, s, EndpointStatus::Draining, d.notice);
+                self.schedule_discovery_update(now, s, EndpointStatus::Draining, d.notice);
             }
-            Happening::End(s) if self.servers[s].machine != Machine::Down => {
+            PlannedEvent::Stop(s) if self.servers[s].machine != Machine::Down => {
                 self.end_server(now, s);
-                self.learns(now, s, EndpointStatus::Removed, d.notice);
+                self.schedule_discovery_update(now, s, EndpointStatus::Removed, d.notice);
             }
-            Happening::Start(s) if !self.servers[s].tipped => {
+            PlannedEvent::Start(s) if !self.servers[s].crashed_by_overload => {
                 if self.servers[s].machine == Machine::Silent {
-                    self.servers[s].lose_all(now);
+                    self.servers[s].reset_all(now);
                 }
                 self.servers[s].start(now);
-                self.starts[s] = usize::MAX;
-                self.learns(now, s, EndpointStatus::Ready, d.add);
+                self.start_versions[s] = usize::MAX;
+                self.schedule_discovery_update(now, s, EndpointStatus::Ready, d.add);
             }
-            Happening::Silent(s) if self.servers[s].machine == Machine::Up => {
+            PlannedEvent::Silent(s) if self.servers[s].machine == Machine::Up => {
                 self.servers[s].advance(now);
                 self.servers[s].machine = Machine::Silent;
-                self.learns(now, s, EndpointStatus::Removed, d.silent_notice);
+                self.schedule_discovery_update(now, s, EndpointStatus::Removed, d.silent_notice);
             }
-            Happening::Pause(s, begin) => {
+            PlannedEvent::Pause(s, begin) => {
                 self.servers[s].pause(now, begin);
-                self.look_again(now, s as u32);
+                self.reschedule_completion(now, s as u32);
             }
-            Happening::Slow(s, factor) => {
+            PlannedEvent::Slow(s, factor) => {
                 self.servers[s].advance(now);
                 self.servers[s].slow *= factor;
-                self.look_again(now, s as u32);
+                self.reschedule_completion(now, s as u32);
             }
-            Happening::Errors(s, share) => self.servers[s].errors = share,
-            Happening::Cordon(s, out) => {
+            PlannedEvent::Errors(s, share) => self.servers[s].errors = share,
+            PlannedEvent::Cordon(s, out) => {
                 if out {
                     self.cordoned.insert(s)
                 } else {
@@ -98,24 +98,24 @@
                     } else {
                         told.remove(&(s as u32))
                     };
-                    self.tell(now, id, if out { Event::Cordoned(s) } else { Event::Uncordoned(s) });
+                    self.dispatch(now, id, if out { Event::Cordoned(s) } else { Event::Uncordoned(s) });
                 }
             }
-            Happening::TurnAway(s, class) => self.servers[s].turns_away = class,
-            Happening::Cut(zone, both, begin) => self.world.links.cut(zone, both, begin),
-            Happening::Traffic(None, factor) => self.traffic.0 *= factor,
-            Happening::Traffic(Some(zone), factor) => self.traffic.1[zone] *= factor,
-            Happening::KillSidecar(s) => self.kill(now, s as u32),
-            Happening::StopSidecar(s, away) => {
+            PlannedEvent::RejectClass(s, class) => self.servers[s].rejected_class = class,
+            PlannedEvent::Cut(zone, both, begin) => self.world.links.cut(zone, both, begin),
+            PlannedEvent::Traffic(None, factor) => self.traffic_factors.0 *= factor,
+            PlannedEvent::Traffic(Some(zone), factor) => self.traffic_factors.1[zone] *= factor,
+            PlannedEvent::KillSidecar(s) => self.kill_process(now, s as u32),
+            PlannedEvent::StopSidecar(s, away) => {
                 if let Some(p) = self.sidecars[s].process {
                     self.processes[p as usize].stopping = true;
-                    self.calendar.at(now + LINGER, Happens::Leaves(p, away));
+                    self.events.schedule(now + MIN_STOP_TIME, SimEvent::StopCheck(p, away));
                 }
             }
-            Happening::StartSidecar(s) if self.sidecars[s].process.is_none() => {
+            PlannedEvent::StartSidecar(s) if self.sidecars[s].process.is_none() => {
                 self.start_process(now, s as u32, false)?
             }
-            Happening::UpgradeSidecar(s) => {
+            PlannedEvent::UpgradeSidecar(s) => {
                 if let Some(old) = self.sidecars[s].process {
                     self.start_process(now, s as u32, false)?;
                     if self.processes[old as usize].open.is_empty() {
@@ -123,20 +123,22 @@
                     }
                 }
             }
-            Happening::Discovery(up) => {
-                self.discovery.away(now, !up);
-                self.roster_away(now, !up);
+            PlannedEvent::Discovery(up) => {
+                self.discovery.set_down(now, !up);
+                self.registry_outage(now, !up);
             }
-            Happening::Roster(place, silent, begin) => self.roster_fault(now, place, silent, begin),
-            Happening::Resets(share) => self.resets = share,
-            Happening::Spoilt(share) => self.spoilt = share,
-            Happening::LateConnects(share, late) => self.late_connects = (share, late),
-            Happening::Eager(times, leave) => self.eager = (times, leave),
-            Happening::BadClients(s, every) => {
-                let before = std::mem::replace(&mut self.sidecars[s].bad, every);
+            PlannedEvent::RegistryReplica(place, silent, begin) => {
+                self.registry_fault(now, place, silent, begin)
+            }
+            PlannedEvent::Resets(share) => self.reset_share = share,
+            PlannedEvent::CorruptResponses(share) => self.corrupt_share = share,
+            PlannedEvent::LateConnects(share, late) => self.late_connects = (share, late),
+            PlannedEvent::RetrySurge(times, leave) => self.retry_surge = (times, leave),
+            PlannedEvent::MalformedClients(s, every) => {
+                let before = std::mem::replace(&mut self.sidecars[s].malformed_interval, every);
                 // One stream of them at a time.
                 if before == 0 {
-                    self.calendar.at(now, Happens::Bad(s as u32));
+                    self.events.schedule(now, SimEvent::MalformedMessage(s as u32));
                 }
             }
             _ => {}
@@ -144,35 +146,37 @@
         Ok(())
     }
 
-    pub(super) fn leaves(&mut self, now: Micros, process: u32, away: Micros) {
+    pub(super) fn stop_if_idle(&mut self, now: Micros, process: u32, away: Micros) {
         let p = &self.processes[process as usize];
         let sidecar = p.sidecar;
         if self.sidecars[sidecar as usize].process != Some(process) {
             return;
         }
         if !p.open.is_empty() {
-            return self.calendar.at(now + LINGER / 8, Happens::Leaves(process, away));
+            return self.events.schedule(now + MIN_STOP_TIME / 8, SimEvent::StopCheck(process, away));
         }
         self.sidecars[sidecar as usize].process = None;
         self.end_process(process);
-        self.calendar.at(now + away, Happens::Starts(sidecar));
+        self.events.schedule(now + away, SimEvent::StartProcess(sidecar));
     }
 
-    pub(super) fn kill(&mut self, now: Micros, sidecar: u32) {
+    pub(super) fn kill_process(&mut self, now: Micros, sidecar: u32) {
         let Some(process) = self.sidecars[sidecar as usize].process.take() else { return };
         let mut open: Vec<u32> = self.processes[process as usize].open.drain().collect();
         open.sort_unstable();
         let path = self.world.links.client as Micros + 1;
         for id in open {
-            self.tries[id as usize].over = true;
+            self.tries[id as usize].finished = true;
             for attempt in self.tries[id as usize].attempts.clone() {
                 if std::mem::take(&mut self.attempts[attempt as usize].open) {
-                    self.give_up(now, attempt);
+                    self.cancel_attempt(now, attempt);
                 }
                 let sent = self.attempts[attempt as usize].sent;
-                self.requests[self.tries[id as usize].request as usize].ran.get_or_insert(sent);
+                self.requests[self.tries[id as usize].request as usize]
+                    .may_have_run_since
+                    .get_or_insert(sent);
             }
-            self.calendar.at(now + path, Happens::Answer(id, Answer::Failed));
+            self.events.schedule(now + path, SimEvent::ResponseArrived(id, Response::Failed));
         }
         self.end_process(process);
     }
--- a/crates/fleet/src/model/run/mod.rs
+++ b/crates/fleet/src/model/run/mod.rs
@@ -4,16 +4,16 @@
 mod clients;
 mod faults;
 mod list;
-mod roster;
+mod registry;
 mod sidecars;
 
-use super::calendar::{Calendar, round_at};
-use super::decider::{AdapterError, Decider, Policy, Sight, Source, Spent};
+use super::decider::{AdapterError, Decider, DeciderFactory, DecisionTime, Policy, TrueView};
 use super::discovery::{Change, Discovery, Entry};
-use super::measure::{End, Figures, Gauge, Worth};
-use super::rules::{self, Broken, SendCheck, Sent};
+use super::event_queue::{EventQueue, round_up_to_tick};
+use super::measure::{Figures, MetricsRecorder, RequestOutcome, Worth};
+use super::rules::{self, SendCheck, Sent, Violations};
 use super::server::{Arrival, Arriving, Machine, Server};
-use super::world::{Happening, World};
+use super::world::{PlannedEvent, World};
 use crate::chance::{self, stream};
 use crate::{Micros, SECOND};
 use lotusmoor_balancer::{
@@ -26,9 +26,9 @@
 use std::collections::BTreeSet;
 
 /// What discovery has to tell counts as told this long after discovery had it and could be reached.
-const TOLD_WITHIN: Micros = 6 * SECOND;
+const PRESUMED_KNOWN_AFTER: Micros = 6 * SECOND;
 /// After it is told to stop a sidecar stays at least this long, as new connections keep coming.
-const LINGER: Micros = 400_000;
+const MIN_STOP_TIME: Micros = 400_000;
 
 /// Why a world can't be played.
 #[derive(Debug, thiserror::Error)]
@@ -44,10 +44,10 @@
 /// A run that has not begun.
 pub struct Run {
     world: World,
-    source: Source,
+    factory: DeciderFactory,
     settings: Vec<Settings>,
-    effects: Vec<Idempotency>,
-    calendar: Calendar<Happens>,
+    idempotency: Vec<Idempotency>,
+    events: EventQueue<SimEvent>,
     servers: Vec<Server>,
     sidecars: Vec<Sidecar>,
     processes: Vec<Process>,
@@ -56,63 +56,63 @@
     attempts: Vec<Attempt>,
     discovery: Discovery,
     /// The roster, where the world has one.
-    roster: Option<Box<roster::Roster>>,
+    registry: Option<Box<registry::Registry>>,
     /// Servers that operators have taken out.
     cordoned: BTreeSet<usize>,
     /// The version that tells of each server's last start.
-    starts: Vec<usize>,
+    start_versions: Vec<usize>,
     /// The version that first told that a server drains or is gone, where that is the last that is known of it.
-    leaving: Vec<Option<usize>>,
-    traffic: (f64, Vec<f64>),
-    resets: f64,
-    spoilt: f64,
+    removal_versions: Vec<Option<usize>>,
+    traffic_factors: (f64, Vec<f64>),
+    reset_share: f64,
+    corrupt_share: f64,
     late_connects: (f64, Micros),
     /// How many times as often clients try, and the share more that leaves early.
-    eager: (f64, f64),
+    retry_surge: (f64, f64),
     /// What each tenant has asked for in a second.
-    quotas: Vec<(Micros, f64)>,
-    gauge: Gauge,
-    broken: Broken,
-    lists: ChaCha8Rng,
+    tenant_usage: Vec<(Micros, f64)>,
+    metrics: MetricsRecorder,
+    violations: Violations,
+    list_rng: ChaCha8Rng,
     actions: Vec<Action>,
 }
 
 /// What can happen. Numbers are places in the tables of the run.
-enum Happens {
+enum SimEvent {
     /// A client of that sidecar asks something new.
-    Ask(u32),
+    ClientRequest(u32),
     /// A client sends its request, for the first time or again.
-    Send(u32),
+    ClientSend(u32),
     /// A try has come to its sidecar's process.
-    Arrives(u32),
+    TryArrived(u32),
     /// A client gives up a try.
-    GivesUp(u32),
+    ClientTimeout(u32),
     /// The time for a final answer, slack and all, is over.
-    Overdue(u32),
+    ResponseOverdue(u32),
     /// An answer has come to its client.
-    Answer(u32, Answer),
+    ResponseArrived(u32, Response),
     /// A new connection has come up, and the request goes out on it, on its way for so long.
-    Connected(u32, Micros),
+    ConnectionEstablished(u32, Micros),
     /// An attempt has come to its server.
-    AtServer(u32),
+    AttemptArrived(u32),
     /// A server is told that an attempt is given up.
-    Cancel(u32),
+    CancelArrived(u32),
     /// A server may be done with something; the stamp tells whether that still holds.
-    Done(u32, u32),
+    ServerCompletion(u32, u32),
     /// A message has come to a sidecar, whose processor gets to it in its turn.
-    Comes(u32, Message),
+    MessageArrived(u32, Message),
     /// A message that is no request is sent to a sidecar.
-    Bad(u32),
+    MalformedMessage(u32),
     /// The first byte of a streamed answer has come to its sidecar.
-    Started(u32),
+    StreamStarted(u32),
     /// A server's stream ends so.
-    Streamed(u32, Outcome),
+    StreamEnded(u32, Outcome),
     /// An attempt's end has come to its sidecar.
-    Outcome(u32, Outcome),
+    AttemptEnded(u32, Outcome),
     /// A probe that a process sent at that instant has ended.
-    Probed(u32, u32, Micros, Outcome),
+    ProbeEnded(u32, u32, Micros, Outcome),
     /// A sidecar stops waiting for an attempt.
-    TimeOut(u32),
+    AttemptTimeout(u32),
     /// A timer of a process goes off.
     Timer(u32, u64),
     /// A server's own pause begins, or ends.
@@ -120,31 +120,31 @@
     /// The plan's next.
     Planned(u32),
     /// A change that discovery learns of.
-    Learns(Change),
+    DiscoveryUpdate(Change),
     /// Discovery's round.
-    Round,
+    PublishRound,
     /// What discovery has published comes to a sidecar.
-    Told(u32),
+    ListPushed(u32),
     /// A process calls discovery, and that call is answered or has failed.
-    Call(u32),
-    Called(u32, bool),
+    FetchList(u32),
+    FetchEnded(u32, bool),
     /// A process that was told to stop ends, if all is answered; it starts again so long after.
-    Leaves(u32, Micros),
+    StopCheck(u32, Micros),
     /// A sidecar's next process starts.
-    Starts(u32),
+    StartProcess(u32),
     /// Something about the roster.
-    Roster(roster::RosterEvent),
+    Registry(registry::RegistryEvent),
     /// Idle connections are looked through.
-    Sweep,
+    IdleSweep,
 }
 
 #[derive(Clone, Copy)]
-enum Answer {
+enum Response {
     Served,
-    Refused(Micros),
+    Rejected(Micros),
     Failed,
     /// There was nobody to take it.
-    Unreached,
+    ConnectionRefused,
 }
 
 /// A sidecar's place: what stays over restarts of its process.
@@ -152,13 +152,13 @@
     rng: ChaCha8Rng,
     process: Option<u32>,
     /// The newest version that it was told.
-    told: usize,
+    known_version: usize,
     starts: u64,
     /// The list that its file has, where it rides a roster.
-    file: Option<lotusmoor_registry_client::EndpointList>,
+    saved_list: Option<lotusmoor_registry_client::EndpointList>,
     processor: Processor,
     /// A message that is no request comes so often; 0 for never.
-    bad: Micros,
+    malformed_interval: Micros,
 }
 
 /// A sidecar's share of a core, which takes one message at a time.
@@ -166,8 +166,8 @@
 struct Processor {
     busy_until: Micros,
     /// Its use in a second.
-    second: Micros,
-    used: f64,
+    current_second: Micros,
+    used_in_second: f64,
 }
 
 /// What a sidecar's processor has to look at.
@@ -177,14 +177,14 @@
     Started(u32),
     Outcome(u32, Outcome),
     /// Something that is no request.
-    Bad,
+    Malformed,
 }
 
 struct Process {
     sidecar: u32,
     decider: Option<Box<dyn Decider>>,
     /// Its way with the roster.
-    riding: Option<Box<roster::Riding>>,
+    registry_watch: Option<Box<registry::RegistryWatch>>,
     /// It takes nothing new.
     stopping: bool,
     watching: bool,
@@ -192,7 +192,7 @@
     /// Idle connections by server: since when, and to which of its starts.
     idle: FxHashMap<u32, Vec<(Micros, u32)>>,
     /// Servers that it was told drain or are gone, and when.
-    gone: FxHashMap<u32, Micros>,
+    unavailable: FxHashMap<u32, Micros>,
     /// Servers that operators took out, and when it was told.
     cordoned: FxHashMap<u32, Micros>,
 }
@@ -202,17 +202,17 @@
     sidecar: u32,
     work: f32,
     key: u32,
-    first: Micros,
+    first_try_at: Micros,
     tries: u8,
     retries: u8,
-    honours: bool,
-    impatient: bool,
+    honours_retry_after: bool,
+    leaves_early: bool,
     worth: Worth,
     tenant: Option<u8>,
     /// The first attempt of it that may have run.
-    ran: Option<Micros>,
-    last: Option<End>,
-    over: bool,
+    may_have_run_since: Option<Micros>,
+    last_outcome: Option<RequestOutcome>,
+    finished: bool,
 }
 
 struct Try {
@@ -221,14 +221,14 @@
     due: Micros,
     attempts: Vec<u32>,
     /// It has its final answer, or its client has left.
-    over: bool,
+    finished: bool,
     client_gone: bool,
     /// The first byte of a streamed answer came: no time runs any more.
     started: Option<Micros>,
 }
 
 struct Attempt {
-    of: u32,
+    try_id: u32,
     number: u32,
     server: u32,
     incarnation: u32,
@@ -256,21 +256,21 @@
             settings.push(decoded.settings);
         }
         let classes = world.classes.iter().map(|c| c.name.clone()).collect();
-        let gauge = Gauge::new(classes, world.tenants.len());
+        let metrics = MetricsRecorder::new(classes, world.tenants.len());
         let zones = world.zones.len();
         let sidecar = |i: usize| Sidecar {
             rng: stream(world.seed, "arrivals", i as u64),
             process: None,
-            told: 0,
+            known_version: 0,
             starts: 0,
-            file: None,
+            saved_list: None,
             processor: Processor::default(),
-            bad: 0,
+            malformed_interval: 0,
         };
         Ok(Self {
-            effects: settings[0].classes.iter().map(|c| c.idempotency).collect(),
+            idempotency: settings[0].classes.iter().map(|c| c.idempotency).collect(),
             settings,
-            calendar: Calendar::default(),
+            events: EventQueue::default(),
             servers: world.servers.iter().cloned().map(Server::new).collect(),
             sidecars: (0..world.sidecars.len()).map(sidecar).collect(),
             processes: Vec::new(),
@@ -278,152 +278,152 @@
             tries: Vec::new(),
             attempts: Vec::new(),
             discovery: Discovery::default(),
-            roster: None,
+            registry: None,
             cordoned: BTreeSet::new(),
-            starts: vec![0; world.servers.len()],
-            leaving: vec![None; world.servers.len()],
-            traffic: (1.0, vec![1.0; zones]),
-            resets: 0.0,
-            spoilt: 0.0,
+            start_versions: vec![0; world.servers.len()],
+            removal_versions: vec![None; world.servers.len()],
+            traffic_factors: (1.0, vec![1.0; zones]),
+            reset_share: 0.0,
+            corrupt_share: 0.0,
             late_connects: (0.0, 0),
-            eager: (1.0, 0.0),
-            quotas: vec![(0, 0.0); world.tenants.len()],
-            gauge,
-            broken: Broken::default(),
-            lists: stream(world.seed, "lists", 0),
+            retry_surge: (1.0, 0.0),
+            tenant_usage: vec![(0, 0.0); world.tenants.len()],
+            metrics,
+            violations: Violations::default(),
+            list_rng: stream(world.seed, "lists", 0),
             actions: Vec::new(),
-            source: policy.open()?,
+            factory: policy.factory()?,
             world,
         })
     }
 
     /// From now on the time that decisions take is measured, on the machine's clock; the run goes as it would.
-    pub fn time_decisions(&mut self) -> Spent {
-        let spent = Spent::default();
-        let source = std::mem::replace(&mut self.source, Source::Own(Policy::Module));
-        self.source = Source::Timed(Box::new(source), spent.clone());
-        spent
+    pub fn time_decisions(&mut self) -> DecisionTime {
+        let decision_time = DecisionTime::default();
+        let factory = std::mem::replace(&mut self.factory, DeciderFactory::Builtin(Policy::Module));
+        self.factory = DeciderFactory::Timed(Box::new(factory), decision_time.clone());
+        decision_time
     }
 
     /// Plays it to the end: until nobody asks any more and all is answered.
     pub fn execute(mut self) -> Result<Figures, RunError> {
-        self.start_roster();
+        self.start_registry();
         for i in 0..self.sidecars.len() as u32 {
             self.start_process(0, i, true)?;
-            self.next_ask(0, i);
+            self.schedule_next_request(0, i);
         }
         for (i, server) in self.world.servers.iter().enumerate().filter(|(_, s)| s.pause_every > 0) {
             let first =
                 (chance::unit(self.world.seed ^ (i as u64) << 20) * server.pause_every as f64) as Micros;
-            self.calendar.at(first, Happens::Pause(i as u32, true));
+            self.events.schedule(first, SimEvent::Pause(i as u32, true));
         }
         for (i, planned) in self.world.plan.iter().enumerate() {
-            self.calendar.at(planned.at, Happens::Planned(i as u32));
+            self.events.schedule(planned.at, SimEvent::Planned(i as u32));
         }
-        self.calendar.at(self.world.discovery.period, Happens::Round);
-        self.calendar.at(SECOND, Happens::Sweep);
+        self.events.schedule(self.world.discovery.period, SimEvent::PublishRound);
+        self.events.schedule(SECOND, SimEvent::IdleSweep);
         // Past this every client has its answer or has given up: whatever still turns is a loop.
         let longest = self.world.classes.iter().map(|c| c.deadline).max().unwrap_or(SECOND);
         let end = self.world.length + 2 * longest + SECOND;
-        while let Some((now, event)) = self.calendar.next() {
+        while let Some((now, event)) = self.events.next() {
             if now > end {
                 break;
             }
-            self.happens(now, event)?;
+            self.handle_event(now, event)?;
         }
         let done = self.servers.iter().map(|s| s.done).sum();
-        if let Some(roster) = &self.roster {
-            self.gauge.told_last = roster.told_last().collect();
+        if let Some(registry) = &self.registry {
+            self.metrics.last_notified = registry.last_notified().collect();
         }
         let world = &self.world;
         let mut figures =
-            self.gauge.figures(world.length, world.goal, world.prices, self.servers.len(), done);
-        figures.violations = self.broken.0.into_iter().map(|(rule, n)| (rule.to_owned(), n)).collect();
-        (figures.events, figures.digest) = (self.calendar.taken(), self.calendar.digest());
+            self.metrics.figures(world.length, world.goal, world.prices, self.servers.len(), done);
+        figures.violations = self.violations.0.into_iter().map(|(rule, n)| (rule.to_owned(), n)).collect();
+        (figures.events, figures.digest) = (self.events.processed(), self.events.digest());
         Ok(figures)
     }
 
-    fn happens(&mut self, now: Micros, event: Happens) -> Result<(), SettingsError> {
+    fn handle_event(&mut self, now: Micros, event: SimEvent) -> Result<(), SettingsError> {
         match event {
-            Happens::Ask(sidecar) => self.ask(now, sidecar),
-            Happens::Send(request) => self.send(now, request),
-            Happens::Arrives(id) => self.arrives(now, id),
-            Happens::GivesUp(id) => self.gives_up(now, id),
-            Happens::Overdue(id) => self.overdue(now, id),
-            Happens::Answer(id, answer) => self.answered(now, id, answer),
-            Happens::Connected(id, path) => self.connected(now, id, path),
-            Happens::AtServer(id) => self.at_server(now, id),
-            Happens::Cancel(id) => {
+            SimEvent::ClientRequest(sidecar) => self.new_request(now, sidecar),
+            SimEvent::ClientSend(request) => self.send(now, request),
+            SimEvent::TryArrived(id) => self.try_arrived(now, id),
+            SimEvent::ClientTimeout(id) => self.client_timeout(now, id),
+            SimEvent::ResponseOverdue(id) => self.response_overdue(now, id),
+            SimEvent::ResponseArrived(id, answer) => self.response_arrived(now, id, answer),
+            SimEvent::ConnectionEstablished(id, path) => self.connection_established(now, id, path),
+            SimEvent::AttemptArrived(id) => self.attempt_arrived(now, id),
+            SimEvent::CancelArrived(id) => {
                 let a = &self.attempts[id as usize];
                 if self.servers[a.server as usize].incarnation == a.incarnation {
                     let server = a.server;
                     self.servers[server as usize].cancel(now, id);
-                    self.look_again(now, server);
+                    self.reschedule_completion(now, server);
                 }
             }
-            Happens::Done(server, stamp) if self.servers[server as usize].stamp == stamp => {
-                self.done(now, server)
+            SimEvent::ServerCompletion(server, stamp) if self.servers[server as usize].stamp == stamp => {
+                self.complete_requests(now, server)
             }
-            Happens::Done(..) => {}
-            Happens::Comes(sidecar, message) => {
-                let after = self.processed(now, sidecar);
-                self.handled(now + after, message);
+            SimEvent::ServerCompletion(..) => {}
+            SimEvent::MessageArrived(sidecar, message) => {
+                let after = self.processing_delay(now, sidecar);
+                self.schedule_processed(now + after, message);
             }
-            Happens::Bad(sidecar) => {
-                let every = self.sidecars[sidecar as usize].bad;
+            SimEvent::MalformedMessage(sidecar) => {
+                let every = self.sidecars[sidecar as usize].malformed_interval;
                 if every > 0 && now < self.world.length {
-                    self.comes(now, sidecar, Message::Bad);
-                    self.calendar.at(now + every, Happens::Bad(sidecar));
+                    self.deliver_message(now, sidecar, Message::Malformed);
+                    self.events.schedule(now + every, SimEvent::MalformedMessage(sidecar));
                 }
             }
-            Happens::Started(id) => self.stream_started(now, id),
-            Happens::Streamed(id, how) => self.streamed(now, id, how),
-            Happens::Outcome(id, how) => self.outcome(now, id, how),
-            Happens::Probed(process, server, sent, outcome) => {
+            SimEvent::StreamStarted(id) => self.stream_started(now, id),
+            SimEvent::StreamEnded(id, how) => self.stream_ended(now, id, how),
+            SimEvent::AttemptEnded(id, how) => self.attempt_ended(now, id, how),
+            SimEvent::ProbeEnded(process, server, sent, outcome) => {
                 if !matches!(outcome, Outcome::ConnectFailed | Outcome::Rejected) {
                     let s = &mut self.servers[server as usize];
                     s.probes = s.probes.saturating_sub(1);
                 }
-                let (endpoint, took, load) = (server as usize, now - sent, self.load(now, server));
+                let (endpoint, took, load) = (server as usize, now - sent, self.load_report(now, server));
                 let load = if outcome == Outcome::Ok { load } else { LoadReport::default() };
-                self.tell(
+                self.dispatch(
                     now,
                     process,
                     Event::HealthCheckEnded { endpoint, outcome, duration: took, load_report: load },
                 );
             }
-            Happens::TimeOut(id) => self.time_out(now, id),
-            Happens::Timer(process, token) => self.tell(now, process, Event::Timer(token)),
-            Happens::Pause(server, begin) => self.pause(now, server, begin),
-            Happens::Planned(i) => {
+            SimEvent::AttemptTimeout(id) => self.attempt_timeout(now, id),
+            SimEvent::Timer(process, token) => self.dispatch(now, process, Event::Timer(token)),
+            SimEvent::Pause(server, begin) => self.pause(now, server, begin),
+            SimEvent::Planned(i) => {
                 let what = self.world.plan[i as usize].what.clone();
-                self.planned(now, what)?;
+                self.apply_planned(now, what)?;
             }
-            Happens::Learns(change) => {
-                let version = self.discovery.learn(change);
+            SimEvent::DiscoveryUpdate(change) => {
+                let version = self.discovery.record(change);
                 if change.entry.started == self.servers[change.server].started
                     && change.entry.status == EndpointStatus::Ready
                 {
-                    self.starts[change.server] = version;
+                    self.start_versions[change.server] = version;
                 }
-                let leaving = &mut self.leaving[change.server];
+                let removal = &mut self.removal_versions[change.server];
                 if change.entry.status == EndpointStatus::Ready {
-                    *leaving = None;
+                    *removal = None;
                 } else {
-                    leaving.get_or_insert(version);
+                    removal.get_or_insert(version);
                 }
             }
-            Happens::Round => self.round(now),
-            Happens::Told(sidecar) => self.told(now, sidecar),
-            Happens::Call(process) => self.call(now, process),
-            Happens::Called(process, fine) => self.called(now, process, fine),
-            Happens::Leaves(process, away) => self.leaves(now, process, away),
-            Happens::Starts(sidecar) if self.sidecars[sidecar as usize].process.is_none() => {
+            SimEvent::PublishRound => self.publish_round(now),
+            SimEvent::ListPushed(sidecar) => self.list_pushed(now, sidecar),
+            SimEvent::FetchList(process) => self.fetch_list(now, process),
+            SimEvent::FetchEnded(process, succeeded) => self.fetch_ended(now, process, succeeded),
+            SimEvent::StopCheck(process, away) => self.stop_if_idle(now, process, away),
+            SimEvent::StartProcess(sidecar) if self.sidecars[sidecar as usize].process.is_none() => {
                 self.start_process(now, sidecar, false)?
             }
-            Happens::Starts(_) => {}
-            Happens::Roster(event) => self.roster_event(now, event),
-            Happens::Sweep => self.sweep(now),
+            SimEvent::StartProcess(_) => {}
+            SimEvent::Registry(event) => self.registry_event(now, event),
+            SimEvent::IdleSweep => self.close_idle_connections(now),
         }
         Ok(())
     }
--- a/crates/fleet/src/model/run/sidecars.rs
+++ b/crates/fleet/src/model/run/sidecars.rs
@@ -5,45 +5,46 @@
 impl Run {
     /// Sidecars that work in rounds hear of things at the next one.
     pub(super) fn round_up(&self, at: Micros) -> Micros {
-        round_at(at, self.world.tick)
+        round_up_to_tick(at, self.world.tick)
     }
 
     /// A message comes to a sidecar, whose own time for it follows.
-    pub(super) fn comes(&mut self, at: Micros, sidecar: u32, message: Message) {
+    pub(super) fn deliver_message(&mut self, at: Micros, sidecar: u32, message: Message) {
         match self.world.processor {
-            None => self.handled(at + self.world.sidecar_time, message),
-            Some(_) => self.calendar.at(at, Happens::Comes(sidecar, message)),
+            None => self.schedule_processed(at + self.world.sidecar_time, message),
+            Some(_) => self.events.schedule(at, SimEvent::MessageArrived(sidecar, message)),
         }
     }
 
     /// A sidecar is done with a message then.
-    pub(super) fn handled(&mut self, at: Micros, message: Message) {
+    pub(super) fn schedule_processed(&mut self, at: Micros, message: Message) {
         let what = match message {
-            Message::Try(id) => Happens::Arrives(id),
-            Message::Started(id) => Happens::Started(id),
-            Message::Outcome(id, how) => Happens::Outcome(id, how),
-            Message::Bad => return,
+            Message::Try(id) => SimEvent::TryArrived(id),
+            Message::Started(id) => SimEvent::StreamStarted(id),
+            Message::Outcome(id, outcome) => SimEvent::AttemptEnded(id, outcome),
+            Message::Malformed => return,
         };
         let at = self.round_up(at);
-        self.calendar.at(at, what);
+        self.events.schedule(at, what);
     }
 
     /// How long a sidecar takes for a message, in or out, what its processor has in hand included.
-    pub(super) fn processed(&mut self, now: Micros, sidecar: u32) -> Micros {
+    pub(super) fn processing_delay(&mut self, now: Micros, sidecar: u32) -> Micros {
         let Some(spec) = self.world.processor else { return self.world.sidecar_time };
         let p = &mut self.sidecars[sidecar as usize].processor;
-        if p.second != now / SECOND {
-            (p.second, p.used) = (now / SECOND, 0.0);
+        if p.current_second != now / SECOND {
+            (p.current_second, p.used_in_second) = (now / SECOND, 0.0);
         }
-        p.used += spec.message;
+        p.used_in_second += spec.message;
         p.busy_until = p.busy_until.max(now) + spec.message as Micros;
         p.busy_until - now + self.world.sidecar_time
     }
 
     /// Whether a sidecar has used more of its processor in this second than the site allows.
-    pub(super) fn overused(&self, now: Micros, sidecar: u32) -> bool {
+    pub(super) fn cpu_limit_exceeded(&self, now: Micros, sidecar: u32) -> bool {
         let p = &self.sidecars[sidecar as usize].processor;
-        p.second == now / SECOND && self.world.processor.is_some_and(|spec| p.used > spec.most_per_s)
+        p.current_second == now / SECOND
+            && self.world.processor.is_some_and(|spec| p.used_in_second > spec.most_per_s)
     }
 
     pub(super) fn start_process(
@@ -56,43 +57,43 @@
         place.starts += 1;
         let seed = chance::mix(self.world.seed ^ u64::from(sidecar) << 24 ^ place.starts << 56) >> 1;
         let id = self.processes.len() as u32;
-        let (set, world) = (self.settings[sidecar as usize].clone(), &self.world);
+        let (settings, world) = (self.settings[sidecar as usize].clone(), &self.world);
         let object = || world.settings_for(sidecar as usize);
-        let decider = self.source.start(u64::from(id), set, &object, seed)?;
+        let decider = self.factory.start(u64::from(id), settings, &object, seed)?;
         place.process = Some(id);
-        let version = place.told;
+        let version = place.known_version;
         self.processes.push(Process {
             sidecar,
             decider: Some(decider),
-            riding: None,
+            registry_watch: None,
             stopping: false,
             watching: first,
             open: FxHashSet::default(),
             idle: FxHashMap::default(),
-            gone: FxHashMap::default(),
+            unavailable: FxHashMap::default(),
             cordoned: FxHashMap::default(),
         });
-        if self.roster.is_some() {
-            self.start_riding(now, id, seed);
+        if self.registry.is_some() {
+            self.start_watch(now, id, seed);
         } else {
             let list = self.list_at(version);
-            self.note_gone(now, id, &list);
-            self.tell(now, id, Event::EndpointList(EndpointListUpdate::Cached(list)));
+            self.record_unavailable(now, id, &list);
+            self.dispatch(now, id, Event::EndpointList(EndpointListUpdate::Cached(list)));
         }
         // What operators told outlives an upgrade.
         for server in self.cordoned.clone() {
             self.processes[id as usize].cordoned.insert(server as u32, now);
-            self.tell(now, id, Event::Cordoned(server));
+            self.dispatch(now, id, Event::Cordoned(server));
         }
-        if !first && self.roster.is_none() {
-            self.calendar.at(now + 1000, Happens::Call(id));
+        if !first && self.registry.is_none() {
+            self.events.schedule(now + 1000, SimEvent::FetchList(id));
         }
         Ok(())
     }
 
-    pub(super) fn arrives(&mut self, now: Micros, id: u32) {
+    pub(super) fn try_arrived(&mut self, now: Micros, id: u32) {
         let t = &mut self.tries[id as usize];
-        if t.over {
+        if t.finished {
             return;
         }
         // What was on its way to a process that has ended since comes to the one that has its socket, or is reset
@@ -102,16 +103,18 @@
             match self.sidecars[sidecar].process.filter(|p| !self.processes[*p as usize].stopping) {
                 Some(process) => t.process = process,
                 None => {
-                    t.over = true;
-                    return self.calendar.at(now + 1, Happens::Answer(id, Answer::Unreached));
+                    t.finished = true;
+                    return self
+                        .events
+                        .schedule(now + 1, SimEvent::ResponseArrived(id, Response::ConnectionRefused));
                 }
             }
         }
         let (process, due) = (t.process, t.due);
         // Those that it has no seat for are turned away before it.
-        if self.processes[process as usize].open.len() >= self.world.seats {
-            t.over = true;
-            return self.calendar.at(now + 1, Happens::Answer(id, Answer::Unreached));
+        if self.processes[process as usize].open.len() >= self.world.max_open_requests {
+            t.finished = true;
+            return self.events.schedule(now + 1, SimEvent::ResponseArrived(id, Response::ConnectionRefused));
         }
         let r = &self.requests[t.request as usize];
         let new = NewRequest {
@@ -120,18 +123,18 @@
             tenant: r.tenant.map(usize::from),
             partition_key: Some(u64::from(r.key)),
             deadline: due,
-            expected_work: self.world.hints.then(|| {
-                let rough = chance::factor(self.world.seed ^ u64::from(t.request) << 16, 0.3);
-                (f64::from(r.work) * rough) as Micros
+            expected_work: self.world.work_estimates.then(|| {
+                let error = chance::log_normal_factor(self.world.seed ^ u64::from(t.request) << 16, 0.3);
+                (f64::from(r.work) * error) as Micros
             }),
             is_client_retry: r.tries > 1,
             body_incomplete: false,
         };
         self.processes[process as usize].open.insert(id);
-        self.tell(now, process, Event::RequestReceived(new));
+        self.dispatch(now, process, Event::RequestReceived(new));
     }
 
-    pub(super) fn close(&mut self, process: u32, id: u32) {
+    pub(super) fn close_request(&mut self, process: u32, id: u32) {
         let p = &mut self.processes[process as usize];
         p.open.remove(&id);
         // The old process of an upgrade ends once all it had is answered.
@@ -152,44 +155,44 @@
     }
 
     /// Hands an event to a process, and does what it asks for.
-    pub(super) fn tell(&mut self, now: Micros, process: u32, event: Event) {
+    pub(super) fn dispatch(&mut self, now: Micros, process: u32, event: Event) {
         let mut actions = std::mem::take(&mut self.actions);
         let p = &mut self.processes[process as usize];
         let Some(decider) = &mut p.decider else {
             self.actions = actions;
             return;
         };
-        let sight = Sight {
+        let view = TrueView {
             servers: &self.servers,
             links: &self.world.links,
             zone: self.world.sidecars[p.sidecar as usize].zone,
-            fall: self.world.fall,
+            overload_limit: self.world.overload_limit,
         };
-        decider.handle(now, event, &sight, &mut actions);
+        decider.handle(now, event, &view, &mut actions);
         for action in actions.drain(..) {
-            self.act(now, process, action);
+            self.perform(now, process, action);
         }
         self.actions = actions;
     }
 
-    pub(super) fn act(&mut self, now: Micros, process: u32, action: Action) {
+    pub(super) fn perform(&mut self, now: Micros, process: u32, action: Action) {
         match action {
             Action::Send { request, endpoint, timeout, .. } => {
-                self.attempt(now, process, request as u32, endpoint, timeout)
+                self.send_attempt(now, process, request as u32, endpoint, timeout)
             }
             Action::Reject { request, retry_after } => {
                 let id = request as u32;
-                if !self.tries[id as usize].over {
-                    let sent = self.sent(id);
-                    let effect = self.effects
+                if !self.tries[id as usize].finished {
+                    let sent = self.sent_attempts(id);
+                    let idempotency = self.idempotency
                         [usize::from(self.requests[self.tries[id as usize].request as usize].class)];
-                    self.broken.note(rules::of_refusal(now, effect, &sent));
-                    self.gauge.at(now).refusals += 1;
-                    self.answer(now, process, id, Answer::Refused(retry_after));
+                    self.violations.record(rules::check_rejection(now, idempotency, &sent));
+                    self.metrics.window(now).refusals += 1;
+                    self.respond(now, process, id, Response::Rejected(retry_after));
                 }
             }
-            Action::Fail(request) if !self.tries[request as usize].over => {
-                self.answer(now, process, request as u32, Answer::Failed)
+            Action::Fail(request) if !self.tries[request as usize].finished => {
+                self.respond(now, process, request as u32, Response::Failed)
             }
             Action::Cancel { request, attempt } => {
                 let id = self.tries[request as usize].attempts.get(attempt as usize).copied();
@@ -197,18 +200,19 @@
                     |id: &u32| self.attempts[*id as usize].open && !self.attempts[*id as usize].started;
                 if let Some(id) = id.filter(ends) {
                     // It is given up now, and that is told at the next turn.
-                    self.give_up(now, id);
-                    self.calendar.at(self.round_up(now + 1), Happens::Outcome(id, Outcome::Cancelled));
+                    self.cancel_attempt(now, id);
+                    self.events
+                        .schedule(self.round_up(now + 1), SimEvent::AttemptEnded(id, Outcome::Cancelled));
                 }
             }
             Action::SetTimer { after, token } => {
                 let at = self.round_up(now + after.max(1));
-                self.calendar.at(at, Happens::Timer(process, token));
+                self.events.schedule(at, SimEvent::Timer(process, token));
             }
             Action::Subscribe(true) | Action::FetchEndpointList
-                if self.world.discovery.on_request && self.roster.is_none() =>
+                if self.world.discovery.on_request && self.registry.is_none() =>
             {
-                self.calendar.at(now + 1000, Happens::Call(process));
+                self.events.schedule(now + 1000, SimEvent::FetchList(process));
             }
             Action::CloseIdleConnections(endpoint) => {
                 let idle =
@@ -217,51 +221,55 @@
                 let held = idle.iter().filter(|(_, i)| *i == s.incarnation).count();
                 s.connections = s.connections.saturating_sub(held as u32);
             }
-            Action::HealthCheck(endpoint) => self.probe(now, process, endpoint),
+            Action::HealthCheck(endpoint) => self.send_probe(now, process, endpoint),
             // Messages to peers, which the site does not allow.
             _ => {}
         }
     }
 
     /// A probe: its work is taken off what the server does for requests, and it is turned away beside too many others.
-    pub(super) fn probe(&mut self, now: Micros, process: u32, server: usize) {
-        self.gauge.probes += 1;
-        let (work, deep, patience) = self.world.probe;
+    pub(super) fn send_probe(&mut self, now: Micros, process: u32, server: usize) {
+        self.metrics.probes += 1;
+        let (work, queued, timeout) = self.world.probe;
         let zone = self.world.sidecars[self.processes[process as usize].sidecar as usize].zone;
         let s = &self.servers[server];
-        let (to, stretch) = (s.spec.zone, s.spec.stretch);
-        let path = self.world.links.time(zone, to, stretch) + self.world.links.time(to, zone, stretch);
-        let waits = if deep { s.backlog() / s.spec.cores } else { 0.0 };
+        let (to, latency_factor) = (s.spec.zone, s.spec.latency_factor);
+        let path = self.world.links.delay(zone, to, latency_factor)
+            + self.world.links.delay(to, zone, latency_factor);
+        let queueing = if queued { s.backlog() / s.spec.cores } else { 0.0 };
         let core = (s.capacity(now) / s.spec.cores).max(1e-9);
-        let took = path + ((waits + work) / core).min(1e12) as Micros;
-        let full = f64::from(s.probes) >= (self.world.probe_cap * s.spec.cores).max(1.0);
+        let took = path + ((queueing + work) / core).min(1e12) as Micros;
+        let at_capacity = f64::from(s.probes) >= (self.world.probe_cap * s.spec.cores).max(1.0);
         let (took, outcome) = match s.machine {
             Machine::Down => (path, Outcome::ConnectFailed),
-            Machine::Up if full && self.world.links.both(zone, to) => (path, Outcome::Rejected),
-            Machine::Up if took <= patience && self.world.links.both(zone, to) => (took, Outcome::Ok),
-            _ => (patience, Outcome::TimedOut),
+            Machine::Up if at_capacity && self.world.links.bidirectional(zone, to) => {
+                (path, Outcome::Rejected)
+            }
+            Machine::Up if took <= timeout && self.world.links.bidirectional(zone, to) => (took, Outcome::Ok),
+            _ => (timeout, Outcome::TimedOut),
         };
         if matches!(outcome, Outcome::Ok | Outcome::TimedOut) {
             self.servers[server].probes += 1;
         }
         if outcome == Outcome::Ok {
-            self.servers[server].steal(now, work);
-            self.look_again(now, server as u32);
+            self.servers[server].consume_capacity(now, work);
+            self.reschedule_completion(now, server as u32);
         }
-        self.calendar.at(self.round_up(now + took), Happens::Probed(process, server as u32, now, outcome));
+        self.events
+            .schedule(self.round_up(now + took), SimEvent::ProbeEnded(process, server as u32, now, outcome));
     }
 
-    pub(super) fn answer(&mut self, now: Micros, process: u32, id: u32, answer: Answer) {
-        self.calendar.note(u64::from(id));
-        self.tries[id as usize].over = true;
-        self.close(process, id);
+    pub(super) fn respond(&mut self, now: Micros, process: u32, id: u32, answer: Response) {
+        self.events.add_to_digest(u64::from(id));
+        self.tries[id as usize].finished = true;
+        self.close_request(process, id);
         let path = self.world.links.client as Micros + 1;
         let sidecar = self.processes[process as usize].sidecar;
-        let own = self.processed(now, sidecar);
-        self.calendar.at(now + path + own, Happens::Answer(id, answer));
+        let processing = self.processing_delay(now, sidecar);
+        self.events.schedule(now + path + processing, SimEvent::ResponseArrived(id, answer));
     }
 
-    pub(super) fn sent(&self, id: u32) -> Vec<Sent> {
+    pub(super) fn sent_attempts(&self, id: u32) -> Vec<Sent> {
         let of = |a: &u32| {
             let a = &self.attempts[*a as usize];
             let spec = &self.servers[a.server as usize].spec;
--- a/crates/fleet/src/model/server.rs
+++ b/crates/fleet/src/model/server.rs
@@ -29,12 +29,12 @@
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum Arrival {
     /// Taken.
-    Taken,
+    Accepted,
     /// Turned away unseen.
-    TurnedAway,
+    Rejected,
     /// It was one too many for a cold server, which falls over; with the share of what it was sent that came from
     /// sidecars that knew of its start.
-    Tipped(f64),
+    Overloaded(f64),
 }
 
 /// A request that comes to a server.
@@ -52,23 +52,23 @@
 
 /// What a server that starts is allowed before it falls over.
 #[derive(Clone, Copy, Debug)]
-pub struct Fall {
+pub struct OverloadLimit {
     /// Multiple of what it can do.
     pub multiple: f64,
     /// Over any window of this length.
     pub window: Micros,
     /// Mean work of a request, in microseconds of the standard core.
-    pub mean: f64,
+    pub mean_work: f64,
 }
 
-impl Fall {
+impl OverloadLimit {
     /// Work beyond which a server that is allowed `allowed` falls: of N requests of mean work, two times the root of N
     /// and two more are its slack for chance, three times and three under 30, as the operators' page has it.
-    pub fn most(&self, allowed: f64) -> f64 {
-        const FEW: f64 = 30.0;
-        let n = allowed / self.mean;
-        let chance = if n < FEW { 3.0 * n.sqrt() + 3.0 } else { 2.0 * n.sqrt() + 2.0 };
-        (n + chance) * self.mean
+    pub fn max_work(&self, allowed: f64) -> f64 {
+        const SMALL_SAMPLE: f64 = 30.0;
+        let n = allowed / self.mean_work;
+        let tolerance = if n < SMALL_SAMPLE { 3.0 * n.sqrt() + 3.0 } else { 2.0 * n.sqrt() + 2.0 };
+        (n + tolerance) * self.mean_work
     }
 }
 
@@ -85,13 +85,13 @@
     /// When it began to drain.
     pub draining: Option<Micros>,
     /// It fell over and stays down.
-    pub tipped: bool,
+    pub crashed_by_overload: bool,
     /// How many times slower it is than it should be.
     pub slow: f64,
     /// Share of requests that it answers with an error.
     pub errors: f64,
     /// The class that it turns away.
-    pub turns_away: Option<u8>,
+    pub rejected_class: Option<u8>,
     /// Connections that it holds, as the attempts that they can carry.
     pub connections: u32,
     /// Attempts whose answers it streams.
@@ -99,9 +99,9 @@
     /// Probes that it has in hand.
     pub probes: u32,
     /// Requests in hand when the list last looked.
-    pub seen: f64,
+    pub published_load: f64,
     /// Work that is on its way to it.
-    pub coming: f64,
+    pub in_transit: f64,
     /// Marks the completion that is still meant.
     pub stamp: u32,
     /// Work done in all.
@@ -109,7 +109,7 @@
     /// Its last load report (waiting, in hand, use of the cores), and when it was read.
     pub report: ([f64; 3], Micros),
     /// Work done before its last start.
-    done_cold: f64,
+    done_before_start: f64,
     paused: u32,
     running: Vec<Job>,
     waiting: VecDeque<Job>,
@@ -117,31 +117,31 @@
     attained: f64,
     updated: Micros,
     /// What a cold one was sent of late.
-    sent: VecDeque<(Micros, f64, bool)>,
-    sent_sum: f64,
+    recent_arrivals: VecDeque<(Micros, f64, bool)>,
+    recent_work: f64,
     keys: VecDeque<(u64, Micros)>,
 }
 
 impl Server {
     /// One that has run for long, or one that is still to start.
     pub fn new(spec: ServerSpec) -> Self {
-        let machine = if spec.later { Machine::Down } else { Machine::Up };
+        let machine = if spec.starts_later { Machine::Down } else { Machine::Up };
         Self {
             machine,
             incarnation: 0,
             started: None,
             draining: None,
-            tipped: false,
+            crashed_by_overload: false,
             slow: 1.0,
             errors: spec.error_rate,
-            turns_away: None,
+            rejected_class: None,
             connections: 0,
             streaming: Vec::new(),
             probes: 0,
-            seen: 0.0,
-            coming: 0.0,
+            published_load: 0.0,
+            in_transit: 0.0,
             stamp: 0,
-            done_cold: 0.0,
+            done_before_start: 0.0,
             done: 0.0,
             report: ([0.0; 3], -SECOND),
             paused: 0,
@@ -149,15 +149,15 @@
             waiting: VecDeque::new(),
             attained: 0.0,
             updated: 0,
-            sent: VecDeque::new(),
-            sent_sum: 0.0,
+            recent_arrivals: VecDeque::new(),
+            recent_work: 0.0,
             keys: VecDeque::new(),
             spec,
         }
     }
 
     /// Requests in hand.
-    pub fn held(&self) -> usize {
+    pub fn in_flight(&self) -> usize {
         self.running.len() + self.waiting.len()
     }
 
@@ -169,10 +169,12 @@
     /// Share of its capacity that it has by its age.
     pub fn warmth(&self, now: Micros) -> f64 {
         let Some(started) = self.started else { return 1.0 };
-        let whole = (self.spec.cold as f64).max(1.0);
+        let whole = (self.spec.warm_up_time as f64).max(1.0);
         let mut age = (now - started) as f64 / whole;
         if self.spec.warms_by_work {
-            age = age.max(2.0 * (self.done - self.done_cold) / (whole * self.spec.cores * self.spec.speed));
+            age = age.max(
+                2.0 * (self.done - self.done_before_start) / (whole * self.spec.cores * self.spec.speed),
+            );
         }
         (self.spec.cold_from + (1.0 - self.spec.cold_from) * age).min(1.0)
     }
@@ -180,10 +182,10 @@
     /// Work that each core does in a microsecond.
     fn core(&self, now: Micros) -> f64 {
         let table = f64::from(self.connections) / f64::from(self.spec.connections.max(1) * self.spec.streams);
-        let crowd = self.held() as f64 / self.spec.cores;
-        let thrash = if crowd > self.spec.thrash_at { self.spec.thrash } else { 0.0 };
+        let load_per_core = self.in_flight() as f64 / self.spec.cores;
+        let thrash = if load_per_core > self.spec.thrash_at { self.spec.thrash } else { 0.0 };
         self.spec.speed * self.warmth(now) / self.slow
-            * (1.0 - self.spec.full_tax * table.min(1.0))
+            * (1.0 - self.spec.connection_overhead * table.min(1.0))
             * (1.0 - thrash)
     }
 
@@ -194,23 +196,32 @@
 
     /// Work that a cold one bears in the window: by its age alone, as the rule has it; that it is slow or in a pause
     /// besides is told to nobody.
-    fn bears(&self, now: Micros, fall: Fall) -> f64 {
-        fall.multiple * self.spec.cores * self.spec.speed * self.warmth(now) * fall.window as f64
+    fn overload_budget(&self, now: Micros, overload_limit: OverloadLimit) -> f64 {
+        overload_limit.multiple
+            * self.spec.cores
+            * self.spec.speed
+            * self.warmth(now)
+            * overload_limit.window as f64
     }
 
     /// Work that it may still be sent, while it is cold, at half of what it bears.
-    pub fn room(&self, now: Micros, fall: Fall) -> f64 {
+    pub fn overload_headroom(&self, now: Micros, overload_limit: OverloadLimit) -> f64 {
         if self.warmth(now) >= 1.0 {
             return f64::INFINITY;
         }
-        let recent = self.sent.iter().filter(|s| s.0 > now - fall.window).map(|s| s.1).sum::<f64>();
-        0.5 * self.bears(now, fall) - recent - self.coming
+        let recent = self
+            .recent_arrivals
+            .iter()
+            .filter(|s| s.0 > now - overload_limit.window)
+            .map(|s| s.1)
+            .sum::<f64>();
+        0.5 * self.overload_budget(now, overload_limit) - recent - self.in_transit
     }
 
     /// Work that is left in hand, or on its way.
     pub fn backlog(&self) -> f64 {
         let running: f64 = self.running.iter().map(|j| (j.work - self.attained).max(0.0)).sum();
-        self.coming + running + self.waiting.iter().map(|j| j.work).sum::<f64>()
+        self.in_transit + running + self.waiting.iter().map(|j| j.work).sum::<f64>()
     }
 
     fn rate(&self, now: Micros) -> f64 {
@@ -240,23 +251,31 @@
     }
 
     /// A request's last byte has come. A server that drains turns away what comes more than `grace` later.
-    pub fn arrive(&mut self, now: Micros, new: Arriving, fall: Fall, grace: Micros) -> Arrival {
+    pub fn arrive(
+        &mut self,
+        now: Micros,
+        new: Arriving,
+        overload_limit: OverloadLimit,
+        grace: Micros,
+    ) -> Arrival {
         let Arriving { attempt, work, due, informed } = new;
         if self.warmth(now) < 1.0 {
-            self.sent.push_back((now, work, informed));
-            self.sent_sum += work;
-            while let Some((_, old, _)) = self.sent.front().copied().filter(|s| s.0 <= now - fall.window) {
-                self.sent_sum -= old;
-                self.sent.pop_front();
+            self.recent_arrivals.push_back((now, work, informed));
+            self.recent_work += work;
+            while let Some((_, old, _)) =
+                self.recent_arrivals.front().copied().filter(|s| s.0 <= now - overload_limit.window)
+            {
+                self.recent_work -= old;
+                self.recent_arrivals.pop_front();
             }
-            if self.sent_sum > fall.most(self.bears(now, fall)) {
-                self.tipped = true;
-                let knew: f64 = self.sent.iter().filter(|s| s.2).map(|s| s.1).sum();
-                return Arrival::Tipped(knew / self.sent_sum);
+            if self.recent_work > overload_limit.max_work(self.overload_budget(now, overload_limit)) {
+                self.crashed_by_overload = true;
+                let informed_work: f64 = self.recent_arrivals.iter().filter(|s| s.2).map(|s| s.1).sum();
+                return Arrival::Overloaded(informed_work / self.recent_work);
             }
         }
         if self.draining.is_some_and(|since| now > since + grace) {
-            return Arrival::TurnedAway;
+            return Arrival::Rejected;
         }
         self.advance(now);
         let job = Job { attempt, work, due };
@@ -265,9 +284,9 @@
         } else if self.waiting.len() < self.spec.queue {
             self.waiting.push_back(job);
         } else {
-            return Arrival::TurnedAway;
+            return Arrival::Rejected;
         }
-        Arrival::Taken
+        Arrival::Accepted
     }
 
     fn begin(&mut self, job: Job) {
@@ -312,11 +331,11 @@
     }
 
     /// All that is in hand is lost; gives the attempts.
-    pub fn lose_all(&mut self, now: Micros) -> Vec<u32> {
+    pub fn reset_all(&mut self, now: Micros) -> Vec<u32> {
         self.advance(now);
         let running = self.running.drain(..).map(|j| j.attempt);
-        let held = running.chain(self.waiting.drain(..).map(|j| j.attempt));
-        let mut lost: Vec<u32> = held.chain(self.streaming.drain(..)).collect();
+        let in_flight = running.chain(self.waiting.drain(..).map(|j| j.attempt));
+        let mut lost: Vec<u32> = in_flight.chain(self.streaming.drain(..)).collect();
         lost.sort_unstable();
         (self.connections, self.probes, self.stamp) = (0, 0, self.stamp + 1);
         self.keys.clear();
@@ -326,11 +345,12 @@
     /// Its process starts, cold.
     pub fn start(&mut self, now: Micros) {
         self.updated = now;
-        (self.machine, self.started, self.draining, self.tipped) = (Machine::Up, Some(now), None, false);
+        (self.machine, self.started, self.draining, self.crashed_by_overload) =
+            (Machine::Up, Some(now), None, false);
         self.incarnation += 1;
-        self.done_cold = self.done;
-        self.sent.clear();
-        (self.sent_sum, self.paused) = (0.0, 0);
+        self.done_before_start = self.done;
+        self.recent_arrivals.clear();
+        (self.recent_work, self.paused) = (0.0, 0);
     }
 
     /// A pause begins or ends; they may overlap.
@@ -340,7 +360,7 @@
     }
 
     /// Something beside the requests takes so much work of its cores; where some stand idle, nobody feels it.
-    pub fn steal(&mut self, now: Micros, work: f64) {
+    pub fn consume_capacity(&mut self, now: Micros, work: f64) {
         self.advance(now);
         let n = self.running.len() as f64;
         if n >= self.spec.cores {
@@ -350,15 +370,16 @@
     }
 
     /// Share of its cores in use.
-    pub fn use_now(&self) -> f64 {
+    pub fn utilization(&self) -> f64 {
         (self.running.len() as f64 / self.spec.cores).min(1.0)
     }
 
     /// Whether it knows a key already; from now on it does.
-    pub fn knows(&mut self, now: Micros, key: u64) -> bool {
+    pub fn touch_key(&mut self, now: Micros, key: u64) -> bool {
         let known = self.keys.iter().position(|(k, _)| *k == key);
-        let fresh =
-            known.and_then(|at| self.keys.remove(at)).is_some_and(|(_, at)| now - at < self.spec.key_time);
+        let fresh = known
+            .and_then(|at| self.keys.remove(at))
+            .is_some_and(|(_, at)| now - at < self.spec.key_retention);
         self.keys.push_back((key, now));
         while self.keys.len() > self.spec.keys {
             self.keys.pop_front();
--- a/crates/fleet/src/model/server/tests.rs
+++ b/crates/fleet/src/model/server/tests.rs
@@ -2,7 +2,7 @@
 
 use super::*;
 
-const NO_FALL: Fall = Fall { multiple: 1e9, window: SECOND, mean: 1000.0 };
+const NO_LIMIT: OverloadLimit = OverloadLimit { multiple: 1e9, window: SECOND, mean_work: 1000.0 };
 
 fn server(change: impl Fn(&mut ServerSpec)) -> Server {
     let mut spec = ServerSpec::plain(0);
@@ -10,8 +10,13 @@
     Server::new(spec)
 }
 
-fn send(s: &mut Server, attempt: u32, work: f64, fall: Fall) -> Arrival {
-    s.arrive(0, Arriving { attempt, work, due: SECOND, informed: !attempt.is_multiple_of(4) }, fall, 0)
+fn send(s: &mut Server, attempt: u32, work: f64, overload_limit: OverloadLimit) -> Arrival {
+    s.arrive(
+        0,
+        Arriving { attempt, work, due: SECOND, informed: !attempt.is_multiple_of(4) },
+        overload_limit,
+        0,
+    )
 }
 
 fn done_at(server: &mut Server, now: Micros) -> Vec<u32> {
@@ -24,9 +29,9 @@
 fn two_that_share_a_core_take_twice_as_long_and_a_third_waits_for_a_slot() {
     let mut s = server(|s| (s.cores, s.slots, s.queue) = (1.0, 2, 1));
     for attempt in 0..3 {
-        assert_eq!(send(&mut s, attempt, 1000.0, NO_FALL), Arrival::Taken);
+        assert_eq!(send(&mut s, attempt, 1000.0, NO_LIMIT), Arrival::Accepted);
     }
-    assert_eq!(send(&mut s, 3, 1000.0, NO_FALL), Arrival::TurnedAway);
+    assert_eq!(send(&mut s, 3, 1000.0, NO_LIMIT), Arrival::Rejected);
     assert_eq!(s.next_done(0), Some(2000));
     assert_eq!(done_at(&mut s, 2000), [0, 1]);
     assert_eq!((s.next_done(2000), s.queued()), (Some(3000), 0));
@@ -35,7 +40,7 @@
 #[test]
 fn a_pause_stops_work_and_two_that_overlap_last_until_the_last_ends() {
     let mut s = server(|_| {});
-    send(&mut s, 0, 1000.0, NO_FALL);
+    send(&mut s, 0, 1000.0, NO_LIMIT);
     s.pause(500, true);
     s.pause(600, true);
     s.pause(700, false);
@@ -46,39 +51,40 @@
 
 #[test]
 fn a_cold_server_falls_over_beyond_its_budget_and_a_warm_one_never() {
-    let fall = Fall { multiple: 3.0, window: SECOND, mean: 10_000.0 };
-    let flood = |s: &mut Server| (0..400).map(|i| send(s, i, 10_000.0, fall)).collect::<Vec<_>>();
+    let overload_limit = OverloadLimit { multiple: 3.0, window: SECOND, mean_work: 10_000.0 };
+    let overload =
+        |s: &mut Server| (0..400).map(|i| send(s, i, 10_000.0, overload_limit)).collect::<Vec<_>>();
     let mut warm = server(|s| s.queue = 1000);
-    assert!(flood(&mut warm).iter().all(|a| *a == Arrival::Taken));
-    let mut cold = server(|s| (s.queue, s.cold_from, s.cold) = (1000, 0.1, 10 * SECOND));
+    assert!(overload(&mut warm).iter().all(|a| *a == Arrival::Accepted));
+    let mut cold = server(|s| (s.queue, s.cold_from, s.warm_up_time) = (1000, 0.1, 10 * SECOND));
     cold.start(0);
     // 3 x 0.1 x 1 s of work.
-    let all = flood(&mut cold);
-    let tipped = all.iter().position(|a| matches!(a, Arrival::Tipped(_)));
+    let all = overload(&mut cold);
+    let crashed_by_overload = all.iter().position(|a| matches!(a, Arrival::Overloaded(_)));
     // 30 of mean work are allowed; twice the root of 30 and two come on top, 42.95 in all.
-    assert_eq!(tipped, Some(42));
-    assert_eq!(all[42], Arrival::Tipped(32.0 / 43.0));
+    assert_eq!(crashed_by_overload, Some(42));
+    assert_eq!(all[42], Arrival::Overloaded(32.0 / 43.0));
 }
 
 #[test]
 fn what_a_cold_server_bears_is_counted_in_requests_of_mean_work_whatever_each_one_takes() {
-    let fall = Fall { multiple: 3.0, window: SECOND, mean: 10_000.0 };
+    let overload_limit = OverloadLimit { multiple: 3.0, window: SECOND, mean_work: 10_000.0 };
     // (30 + 2 x 5.477 + 2) x 10 ms of work, as many small requests or as one large one.
-    let most = fall.most(300_000.0);
+    let most = overload_limit.max_work(300_000.0);
     assert!((most - 429_544.5).abs() < 0.1, "{most}");
     // Under 30, (16 + 3 x 4 + 3) x 10 ms.
-    assert!((fall.most(160_000.0) - 310_000.0).abs() < 0.1);
-    for (work, bears) in [(1_000.0, 429), (50_000.0, 8), (429_000.0, 1), (430_000.0, 0)] {
-        let mut cold = server(|s| (s.queue, s.cold_from, s.cold) = (1000, 0.1, 10 * SECOND));
+    assert!((overload_limit.max_work(160_000.0) - 310_000.0).abs() < 0.1);
+    for (work, accepted) in [(1_000.0, 429), (50_000.0, 8), (429_000.0, 1), (430_000.0, 0)] {
+        let mut cold = server(|s| (s.queue, s.cold_from, s.warm_up_time) = (1000, 0.1, 10 * SECOND));
         cold.start(0);
-        let first = (0..1000).position(|i| send(&mut cold, i, work, fall) != Arrival::Taken);
-        assert_eq!(first, Some(bears), "{work}");
+        let first = (0..1000).position(|i| send(&mut cold, i, work, overload_limit) != Arrival::Accepted);
+        assert_eq!(first, Some(accepted), "{work}");
     }
 }
 
 #[test]
 fn one_that_warms_by_work_is_never_slower_than_by_time() {
-    let mut s = server(|s| (s.cold_from, s.cold, s.warms_by_work) = (0.2, 10 * SECOND, true));
+    let mut s = server(|s| (s.cold_from, s.warm_up_time, s.warms_by_work) = (0.2, 10 * SECOND, true));
     s.start(0);
     assert!((s.warmth(5 * SECOND) - 0.6).abs() < 1e-9);
     s.done += 4.0 * SECOND as f64;
@@ -88,20 +94,20 @@
 
 #[test]
 fn a_cancel_ends_what_waits_and_what_runs_only_where_the_machine_does_so() {
-    for (all, held) in [(false, 1), (true, 0)] {
+    for (all, in_flight) in [(false, 1), (true, 0)] {
         let mut s = server(|s| (s.slots, s.queue, s.cancels_running) = (1, 5, all));
-        send(&mut s, 0, 1000.0, NO_FALL);
-        send(&mut s, 1, 1000.0, NO_FALL);
+        send(&mut s, 0, 1000.0, NO_LIMIT);
+        send(&mut s, 1, 1000.0, NO_LIMIT);
         s.cancel(10, 1);
         s.cancel(10, 0);
-        assert_eq!(s.held(), held);
+        assert_eq!(s.in_flight(), in_flight);
     }
 }
 
 #[test]
 fn a_key_is_known_for_its_time_and_while_there_is_room() {
-    let mut s = server(|s| (s.keys, s.key_time) = (2, SECOND));
-    assert!(!s.knows(0, 1) && s.knows(10, 1) && !s.knows(20, 2) && !s.knows(30, 3));
-    assert!(!s.knows(40, 1), "two others came since");
-    assert!(!s.knows(2 * SECOND, 3), "too long ago");
+    let mut s = server(|s| (s.keys, s.key_retention) = (2, SECOND));
+    assert!(!s.touch_key(0, 1) && s.touch_key(10, 1) && !s.touch_key(20, 2) && !s.touch_key(30, 3));
+    assert!(!s.touch_key(40, 1), "two others came since");
+    assert!(!s.touch_key(2 * SECOND, 3), "too long ago");
 }
--- a/crates/fleet/src/model/world.rs
+++ b/crates/fleet/src/model/world.rs
@@ -2,7 +2,7 @@
 //! all policies under one seed.
 
 use super::link::Links;
-use super::server::Fall;
+use super::server::OverloadLimit;
 use crate::chance::{self, stream};
 use crate::scenario::{Fault, FaultKind, Scenario};
 use crate::site::{Conn, Kind, Range, Site};
@@ -33,7 +33,7 @@
     /// Share of its capacity at its start ...
     pub cold_from: f64,
     /// ... and the time until it is warm.
-    pub cold: Micros,
+    pub warm_up_time: Micros,
     /// It warms by its work as well: twice as fast as by time where it has as much as it can do.
     pub warms_by_work: bool,
     /// Time between two pauses; 0 for none.
@@ -41,7 +41,7 @@
     /// Length of a pause.
     pub pause: Micros,
     /// Growth of a pause with the machine's use.
-    pub pause_grow: f64,
+    pub pause_growth: f64,
     /// Share of requests answered with an error.
     pub error_rate: f64,
     /// Whether a cancel ends what runs.
@@ -53,19 +53,19 @@
     /// ... each for so many attempts.
     pub streams: u32,
     /// Share of its capacity that a full table of them takes.
-    pub full_tax: f64,
+    pub connection_overhead: f64,
     /// Share of its capacity lost beyond so many requests a core.
     pub thrash: f64,
     /// Requests in hand for each core from which on it is.
     pub thrash_at: f64,
     /// How much longer its links are than others', as a factor.
-    pub stretch: f64,
+    pub latency_factor: f64,
     /// Keys that it remembers.
     pub keys: usize,
     /// For how long.
-    pub key_time: Micros,
+    pub key_retention: Micros,
     /// It starts later, as another's successor.
-    pub later: bool,
+    pub starts_later: bool,
 }
 
 impl ServerSpec {
@@ -81,23 +81,23 @@
             slots: 16,
             queue: 100,
             cold_from: 0.2,
-            cold: 10 * SECOND,
+            warm_up_time: 10 * SECOND,
             warms_by_work: false,
             pause_every: 0,
             pause: 0,
-            pause_grow: 0.0,
+            pause_growth: 0.0,
             error_rate: 0.0,
             cancels_running: true,
             drops_expired: true,
             connections: 1000,
             streams: 1,
-            full_tax: 0.0,
+            connection_overhead: 0.0,
             thrash: 0.0,
             thrash_at: f64::INFINITY,
-            stretch: 1.0,
+            latency_factor: 1.0,
             keys: 0,
-            key_time: 0,
-            later: false,
+            key_retention: 0,
+            starts_later: false,
         }
     }
 }
@@ -127,7 +127,7 @@
     /// Variation between attempts at one request.
     pub noise: f64,
     /// Answers within this earn the worth.
-    pub aim: Micros,
+    pub latency_objective: Micros,
     /// A client waits so long over all tries.
     pub deadline: Micros,
     /// Worth of a request.
@@ -137,7 +137,7 @@
     /// How long an answer streams after its first byte; 0 for whole answers.
     pub stream: Micros,
     /// Whether clients may repeat what may have run: 0 never, else for so long.
-    pub repeat_for: Micros,
+    pub retry_window: Micros,
 }
 
 /// A tenant.
@@ -172,7 +172,7 @@
     /// Whether answers carry them, or probes alone.
     pub on_answers: bool,
     /// Whether they tell what waits, what is in hand, and the use of the cores.
-    pub tells: [bool; 3],
+    pub fields: [bool; 3],
 }
 
 /// Prices, in points of the result.
@@ -197,11 +197,11 @@
 
 /// Something that happens at an instant.
 #[derive(Clone, Debug, PartialEq)]
-pub enum Happening {
+pub enum PlannedEvent {
     /// A server drains.
     Drain(usize),
     /// A server's process ends; connections are reset.
-    End(usize),
+    Stop(usize),
     /// A server's process starts, cold.
     Start(usize),
     /// A server's machine goes silent.
@@ -213,7 +213,7 @@
     /// A server answers such a share with errors.
     Errors(usize, f64),
     /// A server turns a class away, or none.
-    TurnAway(usize, Option<u8>),
+    RejectClass(usize, Option<u8>),
     /// Operators take a server out at every sidecar, or give it back.
     Cordon(usize, bool),
     /// A zone is cut off; whether in both directions, and whether it begins.
@@ -231,17 +231,17 @@
     /// Discovery is away, or back.
     Discovery(bool),
     /// The replica of the roster at that place after its leader is away, silently or not; whether it begins.
-    Roster(usize, bool, bool),
+    RegistryReplica(usize, bool, bool),
     /// Such a share of answers is lost.
     Resets(f64),
     /// Such a share of answers can't be read.
-    Spoilt(f64),
+    CorruptResponses(f64),
     /// Such a share of new connections comes up so much later.
     LateConnects(f64, Micros),
     /// A sidecar gets a message that is no request so often; 0 for no more.
-    BadClients(usize, Micros),
+    MalformedClients(usize, Micros),
     /// Clients try so many times as often, and such a share leaves early.
-    Eager(f64, f64),
+    RetrySurge(f64, f64),
 }
 
 /// When something happens.
@@ -250,7 +250,7 @@
     /// The instant.
     pub at: Micros,
     /// What.
-    pub what: Happening,
+    pub what: PlannedEvent,
 }
 
 /// Conduct of the clients.
@@ -263,13 +263,13 @@
     /// Whether waits double.
     pub doubling: bool,
     /// Share that heeds a time to come back.
-    pub honour: f64,
+    pub honours_retry_after: f64,
     /// First wait.
     pub backoff: f64,
     /// Longest time to come back that is heeded.
-    pub max_hold_off: Micros,
+    pub max_retry_after: Micros,
     /// Share that leaves early.
-    pub impatient: f64,
+    pub leaves_early: f64,
 }
 
 /// Conduct of discovery.
@@ -297,7 +297,7 @@
 
 /// A roster, with what its log and its answers cost.
 #[derive(Clone, Debug)]
-pub struct RosterSpec {
+pub struct RegistrySpec {
     /// Replicas.
     pub replicas: usize,
     /// From a write to its being at a majority.
@@ -307,7 +307,7 @@
     /// Leases of servers.
     pub lease_ms: u64,
     /// Whole lists that a replica tells in a second.
-    pub whole_lists_per_s: f64,
+    pub full_lists_per_s: f64,
     /// Time that an answer takes its replica ...
     pub answer: Micros,
     /// ... and each line of it.
@@ -346,9 +346,9 @@
     /// Discovery.
     pub discovery: DiscoverySpec,
     /// A roster in discovery's place.
-    pub roster: Option<RosterSpec>,
+    pub registry: Option<RegistrySpec>,
     /// Popularity of the keys, added up.
-    pub keys: Vec<f64>,
+    pub key_popularity: Vec<f64>,
     /// Height and length of the wave in the traffic.
     pub wave: (f64, Micros),
     /// Share of the work that a known key saves.
@@ -357,19 +357,19 @@
     /// when one that is not made has failed.
     pub handshake: (f64, f64),
     /// Idle connections close after this.
-    pub idle: Micros,
+    pub idle_timeout: Micros,
     /// Connections not made within this have failed.
     pub dial_timeout: Micros,
     /// Load reports.
     pub report: Option<ReportSpec>,
     /// Requests come with a rough figure of their work.
-    pub hints: bool,
+    pub work_estimates: bool,
     /// What a probe costs, whether it waits like a request, and when one that is not answered has failed.
     pub probe: (f64, bool, Micros),
     /// Drains are heeded within this.
-    pub grace: Micros,
+    pub drain_grace: Micros,
     /// What a cold server bears before it falls over.
-    pub fall: Fall,
+    pub overload_limit: OverloadLimit,
     /// Weights of the result.
     pub goal: GoalSpec,
     /// Prices.
@@ -385,7 +385,7 @@
     /// Sidecars' processors; `None`: never short.
     pub processor: Option<ProcessorSpec>,
     /// Requests that a sidecar may have open.
-    pub seats: usize,
+    pub max_open_requests: usize,
     /// Attempts that a connection carries at a time.
     pub streams: u32,
     /// Probes that a server answers at a time, for each core.
@@ -402,23 +402,27 @@
         let tier = &site.tier[0];
         let zones = site.net.zones.len();
         let conn = &tier.conn;
-        let (handshake, full_tax) =
+        let (handshake, connection_overhead) =
             ((conn.handshake_rtts.draw(rng).round(), conn.handshake_us.draw(rng)), conn.full_tax.draw(rng));
         let report = tier.report.as_ref().filter(|r| r.how != "none").map(|r| {
             let period = millis(r.period_ms.draw(rng) + r.delay_ms.draw(rng));
             let told = |field: &str| r.fields.iter().any(|f| f == field);
-            let tells = [told("queue") || r.fields.is_empty(), told("inflight"), told("util")];
-            ReportSpec { period, noise: r.noise.draw(rng), on_answers: r.how == "answers", tells }
+            let fields = [told("queue") || r.fields.is_empty(), told("inflight"), told("util")];
+            ReportSpec { period, noise: r.noise.draw(rng), on_answers: r.how == "answers", fields }
         });
         let cell_size = tier.cell_size.draw(rng).max(1.0);
-        let (key_gain, key_time) = (site.fam.affinity_gain.draw(rng), seconds(site.fam.affinity_s.draw(rng)));
+        let (key_gain, key_retention) =
+            (site.fam.affinity_gain.draw(rng), seconds(site.fam.affinity_s.draw(rng)));
         let keys_per_core = site.fam.affinity_keys_per_core.draw(rng);
 
         let classes = Self::classes(scenario, site, rng);
         let longest = classes.iter().map(|c| c.deadline).max().unwrap_or(SECOND);
         let servers = {
-            let kinds: Vec<_> =
-                tier.kind.iter().map(|k| (k, k.share.draw(rng), Drawn::of(k, conn, rng))).collect();
+            let kinds: Vec<_> = tier
+                .kind
+                .iter()
+                .map(|k| (k, k.share.draw(rng), KindParameters::draw(k, conn, rng)))
+                .collect();
             let shares: f64 = kinds.iter().map(|k| k.1).sum();
             let skew = site.net.server_skew.draw(rng);
             let mut servers = Vec::with_capacity(scenario.servers);
@@ -430,9 +434,9 @@
                     left <= 0.0
                 });
                 let (kind, _, drawn) = &kinds[at.unwrap_or(kinds.len() - 1)];
-                let speed = drawn.speed * chance::factor(start.random(), kind.speed_cv.mid());
-                let rough = if matches!(tier.weights.as_str(), "rough" | "live") {
-                    chance::factor(start.random(), 0.1)
+                let speed = drawn.speed * chance::log_normal_factor(start.random(), kind.speed_cv.mid());
+                let error = if matches!(tier.weights.as_str(), "rough" | "live") {
+                    chance::log_normal_factor(start.random(), 0.1)
                 } else {
                     1.0
                 };
@@ -440,29 +444,29 @@
                     zone: 0,
                     kind: at.unwrap_or(kinds.len() - 1),
                     cell: 0,
-                    weight: if tier.weights == "none" { 1.0 } else { kind.cores * speed * rough },
+                    weight: if tier.weights == "none" { 1.0 } else { kind.cores * speed * error },
                     cores: kind.cores,
                     speed,
                     slots: (drawn.slots * kind.cores).ceil() as usize,
                     queue: (drawn.queue * kind.cores) as usize,
                     cold_from: kind.cold_from.draw(&mut start),
-                    cold: seconds(kind.cold_s.draw(&mut start)),
+                    warm_up_time: seconds(kind.cold_s.draw(&mut start)),
                     warms_by_work: kind.warm_by == "work",
                     pause_every: seconds(kind.pause_every_s.draw(&mut start)),
                     pause: millis(kind.pause_ms.draw(&mut start)),
-                    pause_grow: drawn.pause_grow,
+                    pause_growth: drawn.pause_growth,
                     error_rate: kind.error_rate.draw(&mut start),
                     cancels_running: drawn.cancels_running,
                     drops_expired: kind.drops_expired,
                     connections: (drawn.connections * kind.cores) as u32,
                     streams: conn.streams,
-                    full_tax,
+                    connection_overhead,
                     thrash: kind.thrash,
                     thrash_at: if kind.thrash > 0.0 { drawn.thrash_at } else { f64::INFINITY },
-                    stretch: 1.0 + skew * start.random::<f64>(),
+                    latency_factor: 1.0 + skew * start.random::<f64>(),
                     keys: (keys_per_core * kind.cores) as usize,
-                    key_time,
-                    later: false,
+                    key_retention,
+                    starts_later: false,
                 });
             }
             // Kinds and zones must not go together.
@@ -482,7 +486,7 @@
         let wave =
             (if wavy { site.load.swing.draw(rng) } else { 0.0 }, seconds(20.0 + 20.0 * rng.random::<f64>()));
         let zipf = site.load.key_zipf.draw(rng);
-        let keys = (1..=site.load.keys.draw(rng).max(1.0) as u64)
+        let key_popularity = (1..=site.load.keys.draw(rng).max(1.0) as u64)
             .scan(0.0, |sum, k| {
                 *sum += (k as f64).powf(-zipf);
                 Some(*sum)
@@ -499,7 +503,7 @@
             length: seconds(scenario.length_s),
             tick: if scenario.ticked { millis(site.day.tick_ms) } else { 0 },
             sidecar_time: scenario.sidecar_us,
-            settings: settings_of(site, &classes, &tenants, scenario),
+            settings: sidecar_settings(site, &classes, &tenants, scenario),
             zones: net.zones.clone(),
             kinds: tier.kind.iter().map(|k| k.name.clone()).collect(),
             servers,
@@ -510,10 +514,10 @@
                 retries: clients.retries.draw(rng),
                 try_share: clients.try_share.draw(rng),
                 doubling: clients.backoff == "exp",
-                honour: clients.honour.draw(rng),
+                honours_retry_after: clients.honour.draw(rng),
                 backoff: clients.backoff_ms.draw(rng) * 1000.0 * scenario.pace,
-                max_hold_off: millis(clients.max_retry_after_ms),
-                impatient: clients.impatient.draw(rng),
+                max_retry_after: millis(clients.max_retry_after_ms),
+                leaves_early: clients.impatient.draw(rng),
             },
             discovery: DiscoverySpec {
                 on_request: d.mode != "push",
@@ -526,30 +530,30 @@
                 call_timeout: seconds(scenario.discovery.call_timeout_s),
                 retry: millis(scenario.discovery.retry_ms).max(1000),
             },
-            roster: scenario.roster.as_ref().map(|r| RosterSpec {
+            registry: scenario.registry.as_ref().map(|r| RegistrySpec {
                 replicas: r.replicas,
                 commit_ms: r.commit_ms,
                 failover_s: r.failover_s,
                 lease_ms: (r.lease_s * 1000.0) as u64,
-                whole_lists_per_s: r.whole_lists_per_s,
+                full_lists_per_s: r.whole_lists_per_s,
                 answer: r.answer_us as Micros,
                 line: r.line_us,
                 file: r.file,
             }),
-            keys,
+            key_popularity,
             wave,
             key_gain,
             handshake,
-            idle: seconds(conn.idle_s),
+            idle_timeout: seconds(conn.idle_s),
             dial_timeout: millis(conn.connect_timeout_ms),
             report,
-            hints: !matches!(site.load.hints.as_str(), "" | "none"),
+            work_estimates: !matches!(site.load.hints.as_str(), "" | "none"),
             probe: (tier.probe.work_us.draw(rng), tier.probe.deep, millis(tier.probe.timeout_ms)),
-            grace: millis(site.rules.drain_grace_ms),
-            fall: Fall {
+            drain_grace: millis(site.rules.drain_grace_ms),
+            overload_limit: OverloadLimit {
                 multiple: site.rules.fall_multiple,
                 window: millis(site.rules.fall_ms),
-                mean: mean_work,
+                mean_work,
             },
             goal: GoalSpec {
                 whole_run: site.goal.whole,
@@ -575,7 +579,7 @@
                     _ => f64::INFINITY,
                 },
             }),
-            seats: match site.allow.most_held {
+            max_open_requests: match site.allow.most_held {
                 0 => usize::MAX,
                 most => most as usize,
             },
@@ -598,13 +602,13 @@
                 lognormal: !c.dist.is_empty() && c.dist[rng.random_range(0..c.dist.len())] == "lognormal",
                 cv: c.cv.draw(rng),
                 noise: c.attempt_noise.draw(rng),
-                aim: millis(c.aim_ms * scenario.pace),
+                latency_objective: millis(c.aim_ms * scenario.pace),
                 deadline: millis(c.deadline_ms * scenario.pace),
                 worth: c.worth,
                 late_worth: c.late_worth,
                 // Drawn apart, so that classes of whole answers are what they were.
                 stream: millis(c.stream_ms.mid() * scenario.pace),
-                repeat_for: match (c.effect.as_str(), c.group.as_deref()) {
+                retry_window: match (c.effect.as_str(), c.group.as_deref()) {
                     ("safe", _) => Micros::MAX / 4,
                     ("keyed", None | Some("all")) => millis(c.window_ms * scenario.pace),
                     _ => 0,
@@ -638,9 +642,10 @@
         let mut rng = stream(seed, "sidecars", 0);
         let zones = site.net.zones.len();
         let (skew, cv) = (site.load.zone_skew.draw(&mut rng), site.load.stream_cv.draw(&mut rng));
-        let by_zone: Vec<f64> = (0..zones).map(|_| chance::factor(rng.random(), skew)).collect();
-        let shares: Vec<f64> =
-            (0..scenario.sidecars).map(|i| by_zone[i % zones] * chance::factor(rng.random(), cv)).collect();
+        let by_zone: Vec<f64> = (0..zones).map(|_| chance::log_normal_factor(rng.random(), skew)).collect();
+        let shares: Vec<f64> = (0..scenario.sidecars)
+            .map(|i| by_zone[i % zones] * chance::log_normal_factor(rng.random(), cv))
+            .collect();
         let sum: f64 = shares.iter().sum();
         let spec = |(i, share): (usize, &f64)| SidecarSpec { zone: i % zones, rate: rate * share / sum };
         shares.iter().enumerate().map(spec).collect()
@@ -650,11 +655,11 @@
         let mut faults = scenario.fault.clone();
         let mut rng = stream(self.seed, "troubles", 0);
         let known: Vec<_> =
-            site.trouble.iter().filter_map(|t| Some((t, FaultKind::of_trouble(&t.name)?))).collect();
+            site.trouble.iter().filter_map(|t| Some((t, FaultKind::from_trouble(&t.name)?))).collect();
         for _ in 0..if known.is_empty() { 0 } else { scenario.site_troubles } {
             let (trouble, kind) = known[rng.random_range(0..known.len())];
             let at_s = scenario.length_s * (0.1 + 0.5 * rng.random::<f64>());
-            let size = if trouble.size == Range::default() { Range::of(1.0, 1.0) } else { trouble.size };
+            let size = if trouble.size == Range::default() { Range::new(1.0, 1.0) } else { trouble.size };
             let (for_s, part, extra) = (trouble.len_s, trouble.part, trouble.extra);
             faults.push(Fault { kind, at_s, for_s, part, size, extra, zone: None });
         }
@@ -671,17 +676,17 @@
         let (part, size, extra) = (fault.part.draw(rng), fault.size.draw(rng), fault.extra.draw(rng));
         let zone = rng.random_range(0..self.zones.len());
         let zone = fault.zone.map_or(zone, |z| z % self.zones.len());
-        let mut struck = |n: usize| {
+        let mut pick_targets = |n: usize| {
             let mut all: Vec<usize> = (0..n).collect();
             all.shuffle(rng);
             all.truncate((part * n as f64).round() as usize);
             all
         };
-        let first: Vec<usize> = (0..self.servers.len()).filter(|s| !self.servers[*s].later).collect();
-        let servers: Vec<usize> = struck(first.len()).into_iter().map(|i| first[i]).collect();
-        let sidecars = struck(self.sidecars.len());
+        let first: Vec<usize> = (0..self.servers.len()).filter(|s| !self.servers[*s].starts_later).collect();
+        let servers: Vec<usize> = pick_targets(first.len()).into_iter().map(|i| first[i]).collect();
+        let sidecars = pick_targets(self.sidecars.len());
         let step = |i: usize, n: usize| at + len * i as Micros / n.max(1) as Micros;
-        use Happening as H;
+        use PlannedEvent as H;
         let mut plan = Vec::new();
         match fault.kind {
             FaultKind::Pauses => {
@@ -698,7 +703,7 @@
                 plan.extend(servers.iter().flat_map(|s| [(at, H::Silent(*s)), (at + len, H::Start(*s))]))
             }
             FaultKind::Crash => {
-                plan.extend(servers.iter().flat_map(|s| [(at, H::End(*s)), (at + len, H::Start(*s))]))
+                plan.extend(servers.iter().flat_map(|s| [(at, H::Stop(*s)), (at + len, H::Start(*s))]))
             }
             FaultKind::Slow => plan.extend(
                 servers.iter().flat_map(|s| [(at, H::Slow(*s, size)), (at + len, H::Slow(*s, 1.0 / size))]),
@@ -707,9 +712,9 @@
                 let usual = self.servers[*s].error_rate;
                 [(at, H::Errors(*s, size)), (at + len, H::Errors(*s, usual))]
             })),
-            FaultKind::TurnAwayClass => plan.extend(servers.iter().flat_map(|s| {
+            FaultKind::RejectClass => plan.extend(servers.iter().flat_map(|s| {
                 let class = (extra as usize).min(self.classes.len() - 1) as u8;
-                [(at, H::TurnAway(*s, Some(class))), (at + len, H::TurnAway(*s, None))]
+                [(at, H::RejectClass(*s, Some(class))), (at + len, H::RejectClass(*s, None))]
             })),
             FaultKind::ZoneLost => {
                 let lost = first.iter().filter(|s| self.servers[**s].zone == zone);
@@ -737,29 +742,29 @@
                 let n = servers.len();
                 for (i, s) in servers.into_iter().enumerate() {
                     let new = self.servers.len();
-                    self.servers.push(ServerSpec { later: true, ..self.servers[s].clone() });
+                    self.servers.push(ServerSpec { starts_later: true, ..self.servers[s].clone() });
                     let t = step(i, n);
                     plan.extend([
                         (t, H::Start(new)),
                         (t, H::Drain(s)),
-                        (t + 2 * self.grace + longest, H::End(s)),
+                        (t + 2 * self.drain_grace + longest, H::Stop(s)),
                     ]);
                 }
             }
             FaultKind::Restart => {
                 let n = servers.len();
                 for (i, s) in servers.into_iter().enumerate() {
-                    let (t, end) = (step(i, n), step(i, n) + 2 * self.grace + longest);
-                    plan.extend([(t, H::Drain(s)), (end, H::End(s)), (end + SECOND, H::Start(s))]);
+                    let (t, end) = (step(i, n), step(i, n) + 2 * self.drain_grace + longest);
+                    plan.extend([(t, H::Drain(s)), (end, H::Stop(s)), (end + SECOND, H::Start(s))]);
                 }
             }
             FaultKind::RestartByHand => {
                 let n = servers.len();
                 for (i, s) in servers.into_iter().enumerate() {
-                    let (t, end) = (step(i, n), step(i, n) + self.grace + longest);
+                    let (t, end) = (step(i, n), step(i, n) + self.drain_grace + longest);
                     let back = end + seconds(extra);
                     let listed = back + seconds(self.discovery.add.high()) + 2 * self.discovery.period;
-                    plan.extend([(t, H::Cordon(s, true)), (end, H::End(s))]);
+                    plan.extend([(t, H::Cordon(s, true)), (end, H::Stop(s))]);
                     plan.extend([(back, H::Start(s)), (listed, H::Cordon(s, false))]);
                 }
             }
@@ -784,24 +789,28 @@
             FaultKind::DiscoveryDown => {
                 plan.extend([(at, H::Discovery(false)), (at + len, H::Discovery(true))])
             }
-            FaultKind::RosterKilled | FaultKind::RosterHeld => {
-                let silent = fault.kind == FaultKind::RosterHeld;
+            FaultKind::RegistryKilled | FaultKind::RegistryPaused => {
+                let silent = fault.kind == FaultKind::RegistryPaused;
                 let place = extra as usize;
                 plan.extend([
-                    (at, H::Roster(place, silent, true)),
-                    (at + len, H::Roster(place, silent, false)),
+                    (at, H::RegistryReplica(place, silent, true)),
+                    (at + len, H::RegistryReplica(place, silent, false)),
                 ])
             }
             FaultKind::Resets => plan.extend([(at, H::Resets(size)), (at + len, H::Resets(0.0))]),
-            FaultKind::Spoilt => plan.extend([(at, H::Spoilt(size)), (at + len, H::Spoilt(0.0))]),
+            FaultKind::CorruptResponses => {
+                plan.extend([(at, H::CorruptResponses(size)), (at + len, H::CorruptResponses(0.0))])
+            }
             FaultKind::LateConnects => plan
                 .extend([(at, H::LateConnects(size, seconds(extra))), (at + len, H::LateConnects(0.0, 0))]),
-            FaultKind::BadClients => {
+            FaultKind::MalformedClients => {
                 let every = (SECOND as f64 / size).max(1.0) as Micros;
-                let each = |s| [(at, H::BadClients(s, every)), (at + len, H::BadClients(s, 0))];
+                let each = |s| [(at, H::MalformedClients(s, every)), (at + len, H::MalformedClients(s, 0))];
                 plan.extend(sidecars.into_iter().flat_map(each));
             }
-            FaultKind::Eager => plan.extend([(at, H::Eager(size, extra)), (at + len, H::Eager(1.0, 0.0))]),
+            FaultKind::RetrySurge => {
+                plan.extend([(at, H::RetrySurge(size, extra)), (at + len, H::RetrySurge(1.0, 0.0))])
+            }
         }
         self.plan.extend(plan.into_iter().map(|(at, what)| Planned { at, what }));
     }
@@ -821,23 +830,23 @@
 }
 
 /// What is drawn once for a kind.
-struct Drawn {
+struct KindParameters {
     speed: f64,
     slots: f64,
     queue: f64,
-    pause_grow: f64,
+    pause_growth: f64,
     connections: f64,
     thrash_at: f64,
     cancels_running: bool,
 }
 
-impl Drawn {
-    fn of(kind: &Kind, conn: &Conn, rng: &mut impl RngExt) -> Self {
+impl KindParameters {
+    fn draw(kind: &Kind, conn: &Conn, rng: &mut impl RngExt) -> Self {
         Self {
             speed: kind.speed.draw(rng),
             slots: kind.slots_per_core.draw(rng),
             queue: kind.queue_per_core.draw(rng),
-            pause_grow: kind.pause_grow.draw(rng),
+            pause_growth: kind.pause_grow.draw(rng),
             connections: conn.cap_per_core.draw(rng),
             thrash_at: kind.thrash_at.draw(rng),
             cancels_running: !kind.cancel.is_empty()
@@ -847,7 +856,7 @@
 }
 
 /// The settings object, as the simulator's wire and the sidecar's configuration have it.
-fn settings_of(
+fn sidecar_settings(
     site: &Site,
     classes: &[ClassSpec],
     tenants: &[TenantSpec],
@@ -873,12 +882,12 @@
         .iter()
         .zip(classes)
         .map(|(c, drawn)| {
-            let effect = match c.effect.as_str() {
+            let idempotency = match c.effect.as_str() {
                 "safe" => "pure",
                 "keyed" => "token",
                 _ => "side_effect",
             };
-            json!({"Name": c.name, "AimUs": drawn.aim, "DeadlineUs": drawn.deadline, "Effect": effect,
+            json!({"Name": c.name, "AimUs": drawn.latency_objective, "DeadlineUs": drawn.deadline, "Effect": idempotency,
                 "DedupScope": c.group.as_deref().unwrap_or("all"), "KeyTtlUs": millis(c.window_ms * scenario.pace),
                 "LateShare": c.late_worth, "Worth": c.worth, "Streaming": drawn.stream > 0})
         })
@@ -953,8 +962,8 @@
     fn replaced_servers_have_successors_that_start_when_they_drain() {
         let text = format!("{SMALL}[[fault]]\nkind = \"replace\"\nat_s = 5\nfor_s = 4\npart = 0.2\n");
         let world = world(&text, 1);
-        assert_eq!(world.servers.iter().filter(|s| s.later).count(), 6);
-        let starts = world.plan.iter().filter(|p| matches!(p.what, Happening::Start(s) if s >= 30));
+        assert_eq!(world.servers.iter().filter(|s| s.starts_later).count(), 6);
+        let starts = world.plan.iter().filter(|p| matches!(p.what, PlannedEvent::Start(s) if s >= 30));
         assert!(starts.clone().all(|p| (5 * SECOND..9 * SECOND).contains(&p.at)));
         assert_eq!(starts.count(), 6);
     }
--- a/crates/fleet/src/scenario/fault.rs
+++ b/crates/fleet/src/scenario/fault.rs
@@ -15,10 +15,10 @@
     #[serde(default)]
     pub for_s: Range,
     /// Share of those that it can strike.
-    #[serde(default = "all")]
+    #[serde(default = "default_part")]
     pub part: Range,
     /// Its strength.
-    #[serde(default = "one")]
+    #[serde(default = "default_size")]
     pub size: Range,
     /// A further figure.
     #[serde(default)]
@@ -28,12 +28,12 @@
     pub zone: Option<usize>,
 }
 
-fn all() -> Range {
-    Range::of(1.0, 1.0)
+fn default_part() -> Range {
+    Range::new(1.0, 1.0)
 }
 
-fn one() -> Range {
-    Range::of(1.0, 1.0)
+fn default_size() -> Range {
+    Range::new(1.0, 1.0)
 }
 
 /// The kinds of fault.
@@ -49,7 +49,8 @@
     /// `part` of the servers answer a share `size` of requests with an error for `for_s`.
     Errors,
     /// `part` of the servers turn the class at place `extra` of the site's list away for `for_s`.
-    TurnAwayClass,
+    #[serde(rename = "turn_away_class")]
+    RejectClass,
     /// `part` of the servers' processes die at once, connections reset, and start again cold after `for_s`.
     Crash,
     /// All servers of a zone go silent for `for_s` and come back cold.
@@ -78,19 +79,24 @@
     /// Discovery neither tells nor answers for `for_s`.
     DiscoveryDown,
     /// The replica of the roster `extra` places after its leader is killed, and back after `for_s`.
-    RosterKilled,
+    #[serde(rename = "roster_killed")]
+    RegistryKilled,
     /// The same, which stands still for so long.
-    RosterHeld,
+    #[serde(rename = "roster_held")]
+    RegistryPaused,
     /// A share `size` of the answers of all servers is lost with its connection for `for_s`.
     Resets,
     /// A share `size` of the answers of all servers can't be read, for `for_s`.
-    Spoilt,
+    #[serde(rename = "spoilt")]
+    CorruptResponses,
     /// A share `size` of new connections comes up `extra` s late, for `for_s`.
     LateConnects,
     /// `part` of the sidecars get `size` messages a second that are no requests, for `for_s`.
-    BadClients,
+    #[serde(rename = "bad_clients")]
+    MalformedClients,
     /// Clients try `size` times as often, and a share `extra` of them leaves early, for `for_s`.
-    Eager,
+    #[serde(rename = "eager")]
+    RetrySurge,
 }
 
 impl FaultKind {
@@ -101,7 +107,7 @@
             Self::Vanish => "vanish",
             Self::Slow => "slow",
             Self::Errors => "errors",
-            Self::TurnAwayClass => "turn_away_class",
+            Self::RejectClass => "turn_away_class",
             Self::Crash => "crash",
             Self::ZoneLost => "zone_lost",
             Self::ZoneCut => "zone_cut",
@@ -115,18 +121,18 @@
             Self::SidecarsRestarted => "sidecars_restarted",
             Self::SidecarsUpgraded => "sidecars_upgraded",
             Self::DiscoveryDown => "discovery_down",
-            Self::RosterKilled => "roster_killed",
-            Self::RosterHeld => "roster_held",
+            Self::RegistryKilled => "roster_killed",
+            Self::RegistryPaused => "roster_held",
             Self::Resets => "resets",
-            Self::Spoilt => "spoilt",
+            Self::CorruptResponses => "spoilt",
             Self::LateConnects => "late_connects",
-            Self::BadClients => "bad_clients",
-            Self::Eager => "eager",
+            Self::MalformedClients => "bad_clients",
+            Self::RetrySurge => "eager",
         }
     }
 
     /// The site's troubles, whose names are the operators'.
-    pub fn of_trouble(name: &str) -> Option<Self> {
+    pub fn from_trouble(name: &str) -> Option<Self> {
         let all = [Self::Pauses, Self::Vanish, Self::Slow, Self::Burst, Self::ZoneCut];
         all.into_iter().find(|kind| kind.name() == name)
     }
@@ -134,10 +140,10 @@
 
 impl Fault {
     /// The key that can't be meant, and why.
-    pub(super) fn wrong(&self) -> Option<(&'static str, &'static str)> {
+    pub(super) fn invalid_key(&self) -> Option<(&'static str, &'static str)> {
         let share = |r: Range| r.low() >= 0.0 && r.high() <= 1.0;
-        use FaultKind::{Errors, LateConnects, Resets, Spoilt};
-        let of_answers = matches!(self.kind, Errors | Resets | Spoilt | LateConnects);
+        use FaultKind::{CorruptResponses, Errors, LateConnects, Resets};
+        let of_answers = matches!(self.kind, Errors | Resets | CorruptResponses | LateConnects);
         [
             (self.at_s >= 0.0, "at_s", "must not be negative"),
             (self.for_s.low() >= 0.0, "for_s", "must not be negative"),
--- a/crates/fleet/src/scenario/mod.rs
+++ b/crates/fleet/src/scenario/mod.rs
@@ -27,22 +27,23 @@
     /// Traffic as a share of what all servers, warm and whole, can do.
     pub load: Range,
     /// Work, aims, deadlines and clients' waits are this part of the site's: requests come so much faster.
-    #[serde(default = "whole")]
+    #[serde(default = "default_factor")]
     pub pace: f64,
     /// Discovery's own room.
     #[serde(default)]
-    pub discovery: DiscoveryRoom,
+    pub discovery: DiscoveryOptions,
     /// A roster of the project's own, in discovery's place.
     #[serde(default)]
-    pub roster: Option<RosterRoom>,
+    #[serde(rename = "roster")]
+    pub registry: Option<RegistryOptions>,
     /// What a sidecar's own process adds to a request, each way.
-    #[serde(default = "own_time")]
+    #[serde(default = "default_sidecar_us")]
     pub sidecar_us: i64,
     /// What a sidecar's processor takes for each message, in or out; 0: it is never short.
     #[serde(default)]
     pub message_us: f64,
     /// Share of a core that a sidecar has.
-    #[serde(default = "whole")]
+    #[serde(default = "default_factor")]
     pub sidecar_cores: f64,
     /// Whether sidecars handle what has come once a tick, as the operators' simulator has it, or at once.
     #[serde(default)]
@@ -58,7 +59,7 @@
 /// What discovery can serve; a push costs nothing, a call to begin a watch does.
 #[derive(Clone, Debug, Deserialize)]
 #[serde(deny_unknown_fields, default)]
-pub struct DiscoveryRoom {
+pub struct DiscoveryOptions {
     /// Calls that it answers a second.
     pub calls_per_s: f64,
     /// A call that has waited so long fails.
@@ -67,7 +68,7 @@
     pub retry_ms: f64,
 }
 
-impl Default for DiscoveryRoom {
+impl Default for DiscoveryOptions {
     fn default() -> Self {
         Self { calls_per_s: 20.0, call_timeout_s: 2.0, retry_ms: 250.0 }
     }
@@ -77,7 +78,7 @@
 /// 5 to 10 ms for a write and 2.2 to 2.5 s for a change of leader; an answer's cost was not measured (`docs/roster.md`).
 #[derive(Clone, Debug, Deserialize)]
 #[serde(deny_unknown_fields, default)]
-pub struct RosterRoom {
+pub struct RegistryOptions {
     /// Replicas.
     pub replicas: usize,
     /// From a write to its being at a majority.
@@ -96,12 +97,12 @@
     pub file: bool,
 }
 
-impl Default for RosterRoom {
+impl Default for RegistryOptions {
     fn default() -> Self {
         Self {
             replicas: 3,
-            commit_ms: Range::of(2.0, 6.0),
-            failover_s: Range::of(1.0, 2.5),
+            commit_ms: Range::new(2.0, 6.0),
+            failover_s: Range::new(1.0, 2.5),
             lease_s: 6.0,
             whole_lists_per_s: 500.0,
             answer_us: 60.0,
@@ -111,11 +112,11 @@
     }
 }
 
-fn whole() -> f64 {
+fn default_factor() -> f64 {
     1.0
 }
 
-fn own_time() -> i64 {
+fn default_sidecar_us() -> i64 {
     100
 }
 
@@ -158,30 +159,33 @@
     }
 
     fn check(&self, path: &Path) -> Result<(), FileError> {
-        let wrong = |key: String, what: &str| {
+        let invalid = |key: String, what: &str| {
             Err(FileError::InvalidValue { path: path.to_owned(), key, what: what.to_owned() })
         };
-        for (key, fine) in [
+        for (key, valid) in [
             ("length_s", self.length_s > 0.0 && self.length_s <= 86_400.0),
             ("sidecars", self.sidecars > 0),
             ("servers", self.servers > 0),
             ("load", self.load.low() > 0.0 && self.load.high() < 100.0),
             ("pace", self.pace > 0.0 && self.pace <= 1000.0),
             ("discovery.calls_per_s", self.discovery.calls_per_s > 0.0),
-            ("roster.replicas", self.roster.as_ref().is_none_or(|r| (1..=9).contains(&r.replicas))),
-            ("roster.lease_s", self.roster.as_ref().is_none_or(|r| r.lease_s >= 0.5 && r.lease_s <= 3600.0)),
-            ("roster.whole_lists_per_s", self.roster.as_ref().is_none_or(|r| r.whole_lists_per_s > 0.0)),
+            ("roster.replicas", self.registry.as_ref().is_none_or(|r| (1..=9).contains(&r.replicas))),
+            (
+                "roster.lease_s",
+                self.registry.as_ref().is_none_or(|r| r.lease_s >= 0.5 && r.lease_s <= 3600.0),
+            ),
+            ("roster.whole_lists_per_s", self.registry.as_ref().is_none_or(|r| r.whole_lists_per_s > 0.0)),
             ("sidecar_us", (0..1_000_000).contains(&self.sidecar_us)),
             ("message_us", (0.0..1e6).contains(&self.message_us)),
             ("sidecar_cores", self.sidecar_cores > 0.0 && self.sidecar_cores <= 64.0),
         ] {
-            if !fine {
-                return wrong(key.into(), "is out of range");
+            if !valid {
+                return invalid(key.into(), "is out of range");
             }
         }
         for (i, fault) in self.fault.iter().enumerate() {
-            if let Some((key, what)) = fault.wrong() {
-                return wrong(format!("fault {i} ({}): {key}", fault.kind.name()), what);
+            if let Some((key, what)) = fault.invalid_key() {
+                return invalid(format!("fault {i} ({}): {key}", fault.kind.name()), what);
             }
         }
         Ok(())
--- a/crates/fleet/src/site/mod.rs
+++ b/crates/fleet/src/site/mod.rs
@@ -110,7 +110,7 @@
 
 impl Default for Day {
     fn default() -> Self {
-        Self { length_s: Range::of(45.0, 60.0), tick_ms: 5.0, in_step: true, start_spread_ms: 0.0 }
+        Self { length_s: Range::new(45.0, 60.0), tick_ms: 5.0, in_step: true, start_spread_ms: 0.0 }
     }
 }
 
@@ -164,7 +164,7 @@
 }
 
 fn few_keys() -> Range {
-    Range::of(200.0, 330.0)
+    Range::new(200.0, 330.0)
 }
 
 /// Links.
@@ -212,13 +212,13 @@
 impl Default for Clients {
     fn default() -> Self {
         Self {
-            retries: Range::of(1.0, 2.99),
-            try_share: Range::of(0.4, 0.8),
+            retries: Range::new(1.0, 2.99),
+            try_share: Range::new(0.4, 0.8),
             backoff: "exp".into(),
-            honour: Range::of(0.7, 1.0),
-            backoff_ms: Range::of(22.0, 180.0),
+            honour: Range::new(0.7, 1.0),
+            backoff_ms: Range::new(22.0, 180.0),
             max_retry_after_ms: 2500.0,
-            impatient: Range::of(0.0, 0.02),
+            impatient: Range::new(0.0, 0.02),
             marks_retry: true,
         }
     }
@@ -246,11 +246,11 @@
     fn default() -> Self {
         Self {
             mode: "push".into(),
-            notice_s: Range::of(0.83, 4.8),
-            silent_notice_s: Range::of(4.0, 9.8),
-            add_s: Range::of(1.1, 2.4),
-            period_ms: Range::of(210.0, 1200.0),
-            spread_ms: Range::of(24.0, 84.0),
+            notice_s: Range::new(0.83, 4.8),
+            silent_notice_s: Range::new(4.0, 9.8),
+            add_s: Range::new(1.1, 2.4),
+            period_ms: Range::new(210.0, 1200.0),
+            spread_ms: Range::new(24.0, 84.0),
         }
     }
 }
@@ -419,7 +419,7 @@
 
 impl Default for Probe {
     fn default() -> Self {
-        let (work_us, cap_per_core) = (Range::of(48.0, 96.0), Range::of(3.6, 9.8));
+        let (work_us, cap_per_core) = (Range::new(48.0, 96.0), Range::new(3.6, 9.8));
         Self { work_us, cap_per_core, deep: true, timeout_ms: 200.0 }
     }
 }
@@ -570,73 +570,73 @@
 
     /// Reads the text of one; `path` is for messages.
     pub fn parse(path: &Path, text: &str) -> Result<Self, FileError> {
-        let form = |source| FileError::Parse { path: path.to_owned(), source: Box::new(source) };
+        let parse_error = |source| FileError::Parse { path: path.to_owned(), source: Box::new(source) };
         let mut unused = Vec::new();
-        let de = toml::Deserializer::parse(text).map_err(form)?;
+        let de = toml::Deserializer::parse(text).map_err(parse_error)?;
         let mut site: Site = serde_ignored::deserialize(de, |key| unused.push(key.to_string()))
-            .map_err(|e: toml::de::Error| form(located(e, text)))?;
+            .map_err(|e: toml::de::Error| parse_error(with_location(e, text)))?;
         site.unused = unused;
         site.check(path)?;
         Ok(site)
     }
 
     fn check(&self, path: &Path) -> Result<(), FileError> {
-        let wrong = |key: &str, what: &str| {
+        let invalid = |key: &str, what: &str| {
             Err(FileError::InvalidValue { path: path.to_owned(), key: key.to_owned(), what: what.to_owned() })
         };
         if self.net.zones.is_empty() {
-            return wrong("net.zones", "at least one zone is wanted");
+            return invalid("net.zones", "at least one zone is wanted");
         }
-        let Some(tier) = self.tier.first() else { return wrong("tier", "at least one tier is wanted") };
+        let Some(tier) = self.tier.first() else { return invalid("tier", "at least one tier is wanted") };
         if tier.kind.is_empty() || self.class.is_empty() {
-            return wrong("tier.kind, class", "at least one kind of machine and one class are wanted");
+            return invalid("tier.kind, class", "at least one kind of machine and one class are wanted");
         }
         for kind in &tier.kind {
             let key = format!("tier.kind {}", kind.name);
             if !(kind.cores > 0.0 && kind.speed.low() > 0.0 && kind.slots_per_core.low() > 0.0) {
-                return wrong(&key, "cores, speed and slots_per_core must be above 0");
+                return invalid(&key, "cores, speed and slots_per_core must be above 0");
             }
             if !(kind.cold_from.low() > 0.0 && kind.cold_from.high() <= 1.0) {
-                return wrong(&key, "cold_from must lie above 0 and up to 1");
+                return invalid(&key, "cold_from must lie above 0 and up to 1");
             }
         }
         for class in &self.class {
             let key = format!("class {}", class.name);
             if !(class.work_ms.low() > 0.0 && class.aim_ms > 0.0 && class.deadline_ms >= class.aim_ms) {
-                return wrong(
+                return invalid(
                     &key,
                     "work_ms and aim_ms must be above 0, and deadline_ms no less than aim_ms",
                 );
             }
             if class.stream_ms.low() < 0.0 {
-                return wrong(&format!("{key}: stream_ms"), "must not be negative");
+                return invalid(&format!("{key}: stream_ms"), "must not be negative");
             }
             if !["safe", "keyed", "unsafe"].contains(&class.effect.as_str()) {
-                return wrong(&format!("{key}: effect"), "is none of safe, keyed, unsafe");
+                return invalid(&format!("{key}: effect"), "is none of safe, keyed, unsafe");
             }
         }
         for tenant in &self.tenant {
             if !(tenant.share.low() > 0.0 && tenant.traffic.low() > 0.0) {
-                return wrong(&format!("tenant {}", tenant.name), "share and traffic must be above 0");
+                return invalid(&format!("tenant {}", tenant.name), "share and traffic must be above 0");
             }
         }
         if !["", "request", "work"].contains(&self.load.worth_by.as_str()) {
-            return wrong("load.worth_by", "is neither request nor work");
+            return invalid("load.worth_by", "is neither request nor work");
         }
         if tier.conn.streams == 0 {
-            return wrong("tier.conn.streams", "must be above 0");
+            return invalid("tier.conn.streams", "must be above 0");
         }
         let known = ["queue", "inflight", "util"];
         let fields = tier.report.iter().flat_map(|r| &r.fields);
         if let Some(other) = fields.into_iter().find(|f| !known.contains(&f.as_str())) {
-            return wrong("tier.report.fields", &format!("{other} is none of {}", known.join(", ")));
+            return invalid("tier.report.fields", &format!("{other} is none of {}", known.join(", ")));
         }
         Ok(())
     }
 }
 
 /// The error with its place in the text, which reading a tree of keys loses.
-fn located(mut error: toml::de::Error, text: &str) -> toml::de::Error {
+fn with_location(mut error: toml::de::Error, text: &str) -> toml::de::Error {
     error.set_input(Some(text));
     error
 }
@@ -663,8 +663,11 @@
         assert_eq!(parse(&more).expect("it is read").unused, ["net.mtu"]);
         let wrong =
             parse(&text.replace("max_attempts = 5", "max_attempts = \"five\"")).expect_err("no number");
-        let said = wrong.to_string();
-        assert!(said.contains("s.toml") && said.contains("max_attempts") && said.contains("line"), "{said}");
+        let message = wrong.to_string();
+        assert!(
+            message.contains("s.toml") && message.contains("max_attempts") && message.contains("line"),
+            "{message}"
+        );
         let cold =
             parse(&text.replace("cold_from = [0.12, 0.27]", "cold_from = 0")).expect_err("no capacity");
         assert!(cold.to_string().contains("tier.kind fast-single: cold_from"), "{cold}");
--- a/crates/fleet/src/site/range.rs
+++ b/crates/fleet/src/site/range.rs
@@ -5,7 +5,7 @@
 
 /// Two ends, in either order; for some figures the first is the milder one.
 #[derive(Clone, Copy, Debug, Default, Deserialize, PartialEq)]
-#[serde(from = "Written")]
+#[serde(from = "SerializedRange")]
 pub struct Range {
     from: f64,
     to: f64,
@@ -13,29 +13,29 @@
 
 #[derive(Deserialize)]
 #[serde(untagged, expecting = "a number or a pair of numbers")]
-enum Written {
+enum SerializedRange {
     One(f64),
     Two([f64; 2]),
 }
 
-impl From<Written> for Range {
-    fn from(written: Written) -> Self {
-        match written {
-            Written::One(x) => Self::of(x, x),
-            Written::Two([from, to]) => Self::of(from, to),
+impl From<SerializedRange> for Range {
+    fn from(serialized: SerializedRange) -> Self {
+        match serialized {
+            SerializedRange::One(x) => Self::new(x, x),
+            SerializedRange::Two([from, to]) => Self::new(from, to),
         }
     }
 }
 
 impl From<f64> for Range {
     fn from(x: f64) -> Self {
-        Self::of(x, x)
+        Self::new(x, x)
     }
 }
 
 impl Range {
     /// Between these.
-    pub const fn of(from: f64, to: f64) -> Self {
+    pub const fn new(from: f64, to: f64) -> Self {
         Self { from, to }
     }
 
