--- a/crates/fleet/src/chance.rs
+++ b/crates/fleet/src/chance.rs
@@ -1,10 +1,10 @@
-//! Random numbers by purpose. Each purpose has a stream of its own from the run's one seed: what one policy does
-//! must not change which requests the next one meets.
+//! Independent random streams and keyed random values, derived from a run's seed. Each purpose has a stream of its
+//! own, so that the decisions of a policy don't change the requests of a run: all policies see the same ones.
 
 use rand::SeedableRng;
 use rand_chacha::ChaCha8Rng;
 
-/// The stream of one purpose; `number` tells the sidecar, server or fault that it is for.
+/// The random stream of a purpose; `number` identifies the sidecar, server or fault that it is for.
 pub fn stream(seed: u64, purpose: &str, number: u64) -> ChaCha8Rng {
     let purpose = purpose
         .bytes()
@@ -14,7 +14,8 @@
     rng
 }
 
-/// One step of SplitMix64: a number that looks drawn, for things that are named rather than drawn in order.
+/// One step of SplitMix64: a stateless pseudo-random hash, for values that depend on a key instead of the order of
+/// draws.
 pub fn mix(x: u64) -> u64 {
     let x = x.wrapping_add(0x9e37_79b9_7f4a_7c15);
     let x = (x ^ (x >> 30)).wrapping_mul(0xbf58_476d_1ce4_e5b9);
@@ -22,18 +23,18 @@
     x ^ (x >> 31)
 }
 
-/// Evenly in 0 to 1 (1 left out) by name alone.
+/// A value derived from a key, uniform in [0, 1).
 pub fn unit(key: u64) -> f64 {
     (mix(key) >> 11) as f64 / (1u64 << 53) as f64
 }
 
-/// A standard normal figure by name alone (Box and Muller).
+/// A standard normal value derived from a key (Box-Muller transform).
 pub fn normal(key: u64) -> f64 {
     let (a, b) = (1.0 - unit(key), unit(!key));
     (-2.0 * a.ln()).sqrt() * (std::f64::consts::TAU * b).cos()
 }
 
-/// A log-normal factor of mean 1 with that coefficient of variation, by name alone.
+/// A log-normal factor derived from a key, with mean 1 and coefficient of variation `cv`.
 pub fn log_normal_factor(key: u64, cv: f64) -> f64 {
     let spread = (1.0 + cv * cv).ln();
     (normal(key) * spread.sqrt() - spread / 2.0).exp()
@@ -45,7 +46,7 @@
     use rand::Rng;
 
     #[test]
-    fn streams_repeat_by_name_and_differ_between_names() {
+    fn streams_are_reproducible_and_differ_by_seed_purpose_and_number() {
         let first = |seed, purpose, number| stream(seed, purpose, number).next_u64();
         assert_eq!(first(1, "arrivals", 3), first(1, "arrivals", 3));
         let others = [first(2, "arrivals", 3), first(1, "servers", 3), first(1, "arrivals", 4)];
@@ -53,7 +54,7 @@
     }
 
     #[test]
-    fn factors_have_mean_one_and_the_spread_asked_for() {
+    fn log_normal_factors_have_mean_one_and_the_given_variation() {
         let n = 200_000;
         let all: Vec<f64> = (0..n).map(|i| log_normal_factor(mix(i), 0.5)).collect();
         let mean = all.iter().sum::<f64>() / n as f64;
--- a/crates/fleet/src/experiment/compare.rs
+++ b/crates/fleet/src/experiment/compare.rs
@@ -1,29 +1,29 @@
-//! Comparison in pairs: two variants on the same days.
+//! Paired comparison of two variants over the same seeds.
 
 use super::{Line, measure};
 use crate::chance::stream;
 use rand::RngExt;
 use std::collections::BTreeMap;
 
-/// How one variant differs from another, over the days that both played.
+/// How one variant differs from another, over the seeds that both have results for.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Comparison {
     /// The scenario, and the point of the sweep.
     pub at: String,
-    /// Days that both played.
+    /// Number of seeds that both have results for.
     pub pairs: usize,
     /// Median of each.
     pub medians: (f64, f64),
     /// Median of the differences, the other less the base.
     pub difference: f64,
-    /// 95% of medians of differences drawn anew from these pairs lie in here.
+    /// 95% bootstrap confidence interval of the median difference.
     pub interval: (f64, f64),
 }
 
-/// Draws of the bootstrap.
+/// Number of bootstrap resamples.
 const RESAMPLES: usize = 4000;
 
-/// The median, which of an even number is the mean of the middle two; 0 of none.
+/// The median, for an even number of values the mean of the middle two; 0 if there are none.
 pub(super) fn median(mut all: Vec<f64>) -> f64 {
     all.sort_by(f64::total_cmp);
     match all.len() {
@@ -33,7 +33,7 @@
     }
 }
 
-/// Compares `other` to `base` by a measure, for each scenario and point; `None` for a measure that is not known.
+/// Compares `other` to `base` by a measure, for each scenario and point; `None` for an unknown measure.
 pub fn compare(lines: &[Line], measure_name: &str, base: &str, other: &str) -> Option<Vec<Comparison>> {
     let mut values_by_seed: BTreeMap<String, BTreeMap<u64, [Option<f64>; 2]>> = BTreeMap::new();
     for line in lines {
@@ -65,7 +65,8 @@
     Some(compared.collect())
 }
 
-/// Where 95% of medians lie of as many draws with replacement; the draws are the same each time.
+/// 95% percentile bootstrap interval of the median. The resampling has a fixed seed, so that results are
+/// reproducible.
 fn bootstrap(differences: &[f64]) -> (f64, f64) {
     let mut rng = stream(0, "bootstrap", differences.len() as u64);
     let draw = |_| {
@@ -95,8 +96,8 @@
     }
 
     #[test]
-    fn days_are_paired_by_seed_and_those_that_one_lacks_are_left_out() {
-        // Days differ by far more than the variants do.
+    fn pairs_results_by_seed_and_skips_unpaired_seeds() {
+        // Seeds differ by far more than the variants do.
         let mut lines: Vec<_> = (1..=10)
             .flat_map(|s| {
                 let g = s as f64 / 10.0;
@@ -109,11 +110,11 @@
         assert_eq!((compared.len(), c.pairs, c.at.as_str()), (1, 10, "s"));
         assert!((c.difference - 0.011).abs() < 1e-9, "{c:?}");
         assert!(c.interval.0 > 0.0099 && c.interval.1 < 0.0121, "{c:?}");
-        assert_eq!(compare(&lines, "beauty", "a", "b"), None);
+        assert_eq!(compare(&lines, "no_such_measure", "a", "b"), None);
     }
 
     #[test]
-    fn medians_are_of_the_middle() {
+    fn median_is_the_middle_value() {
         assert_eq!((median(vec![3.0, 1.0, 2.0]), median(vec![4.0, 1.0]), median(vec![])), (2.0, 2.5, 0.0));
     }
 }
--- a/crates/fleet/src/experiment/measure.rs
+++ b/crates/fleet/src/experiment/measure.rs
@@ -1,4 +1,4 @@
-//! The figures that runs are compared by, by name.
+//! The measures by which runs are compared, and their names.
 
 use crate::model::Figures;
 
--- a/crates/fleet/src/experiment/mod.rs
+++ b/crates/fleet/src/experiment/mod.rs
@@ -1,5 +1,5 @@
-//! Experiments: scenarios, variants and sweeps, played over seeds; their results as JSON lines; comparisons in pairs
-//! and a report.
+//! Experiments: scenarios, variants and parameter sweeps, run over a set of seeds; their results as JSON lines;
+//! paired comparisons and a report.
 
 mod compare;
 mod measure;
@@ -20,38 +20,38 @@
 use serde::{Deserialize, Serialize};
 use std::path::Path;
 
-/// An experiment as its file has it; unknown keys are refused.
+/// An experiment file; unknown keys are errors.
 #[derive(Clone, Debug, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Experiment {
     /// Its name.
     pub name: String,
-    /// Scenarios: names of those that come with the tool, or files beside this one.
+    /// Scenarios: names of built-in ones, or files relative to this one.
     pub scenarios: Vec<String>,
-    /// How many seeds, from 1; or the seeds themselves.
+    /// The number of seeds, from 1, or a list of seeds.
     pub seeds: Seeds,
-    /// What the report shows of each run.
+    /// The measures that the report shows.
     #[serde(default = "default_measures")]
     pub measures: Vec<String>,
-    /// What is compared.
+    /// The variants to compare.
     pub variant: Vec<Variant>,
-    /// Figures of the scenario that are varied, each value with each of the others.
+    /// Parameters of the scenario that are varied, in all combinations.
     #[serde(default)]
     pub sweep: Sweep,
 }
 
-/// How many seeds, from 1; or the seeds themselves.
+/// The number of seeds, from 1, or a list of seeds.
 #[derive(Clone, Debug, Deserialize)]
 #[serde(untagged, expecting = "a number of seeds, or a list of them")]
 pub enum Seeds {
-    /// So many, from 1.
+    /// The seeds from 1 up to this number.
     Count(u64),
-    /// These.
+    /// These seeds.
     List(Vec<u64>),
 }
 
 impl Seeds {
-    /// All of them.
+    /// All seeds.
     pub fn list(&self) -> Vec<u64> {
         match self {
             Self::Count(n) => (1..=*n).collect(),
@@ -60,48 +60,48 @@
     }
 }
 
-/// What decides in the sidecars.
+/// A variant: the load-balancing policy and, optionally, the registry.
 #[derive(Clone, Debug, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Variant {
     /// Its name in results and reports.
     pub name: String,
-    /// A policy, or `adapter:PROGRAM` with a path from this file's folder.
+    /// A policy, or `adapter:PROGRAM` with a path relative to this file's folder.
     pub policy: String,
-    /// A roster in discovery's place; absent: the scenario's.
+    /// The project's own registry in place of discovery; the scenario's if absent.
     #[serde(default)]
     #[serde(rename = "roster")]
     pub registry: Option<RegistryOptions>,
 }
 
-/// Figures that are varied; an empty list leaves the scenario's.
+/// Parameters that are varied; an empty list leaves the scenario's value.
 #[derive(Clone, Debug, Default, Deserialize)]
 #[serde(deny_unknown_fields, default)]
 pub struct Sweep {
-    /// Traffic as a share of what all servers can do.
+    /// Load as a share of the capacity of all servers.
     pub load: Vec<f64>,
-    /// Sidecars.
+    /// Number of sidecars.
     pub sidecars: Vec<usize>,
-    /// Servers.
+    /// Number of servers.
     pub servers: Vec<usize>,
 }
 
-/// One point of a sweep; absent figures are the scenario's own.
+/// One point of a sweep; absent parameters are the scenario's.
 #[derive(Clone, Copy, Debug, Default, Deserialize, Serialize, PartialEq)]
 pub struct Point {
-    /// Traffic as a share of what all servers can do.
+    /// Load as a share of the capacity of all servers.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub load: Option<f64>,
-    /// Sidecars.
+    /// Number of sidecars.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub sidecars: Option<usize>,
-    /// Servers.
+    /// Number of servers.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub servers: Option<usize>,
 }
 
 impl Point {
-    /// The scenario at this point.
+    /// The scenario with this point's parameters.
     pub fn apply_to(&self, scenario: &Scenario) -> Scenario {
         let mut scenario = scenario.clone();
         scenario.load = self.load.map_or(scenario.load, |l| Range::new(l, l));
@@ -124,7 +124,7 @@
 }
 
 impl Sweep {
-    /// Every value with each of the others.
+    /// All combinations of the values.
     pub fn points(&self) -> Vec<Point> {
         fn values<T: Copy>(all: &[T]) -> Vec<Option<T>> {
             if all.is_empty() { vec![None] } else { all.iter().copied().map(Some).collect() }
@@ -147,19 +147,19 @@
     ["g", "refused", "attempts", "p99_ms"].map(str::to_owned).to_vec()
 }
 
-/// An experiment with all that it names.
+/// An experiment with the scenarios and variants that it names.
 #[derive(Debug)]
 pub struct Loaded {
     /// The experiment.
     pub experiment: Experiment,
     /// Its scenarios and their sites.
     pub scenarios: Vec<(Scenario, Site)>,
-    /// Its variants by name: who decides, and the roster where it is the variant's own.
+    /// Its variants by name: the policy, and the registry if the variant has its own.
     pub variants: Vec<(String, (Policy, Option<RegistryOptions>))>,
 }
 
 impl Experiment {
-    /// Reads an experiment and what it names.
+    /// Reads an experiment and the scenarios that it names.
     pub fn load(path: &Path) -> Result<Loaded, FileError> {
         let text = read_text(path)?;
         let experiment: Self = toml::from_str(&text)
@@ -180,12 +180,11 @@
                 None => Policy::from_name(&variant.policy),
             };
             let key = format!("variant {}: policy", variant.name);
-            let policy =
-                policy.ok_or_else(|| invalid(key, format!("there is no policy {}", variant.policy)))?;
+            let policy = policy.ok_or_else(|| invalid(key, format!("unknown policy {}", variant.policy)))?;
             variants.push((variant.name.clone(), (policy, variant.registry.clone())));
         }
         if scenarios.is_empty() || variants.is_empty() || experiment.seeds.list().is_empty() {
-            let what = "at least one of each is wanted".into();
+            let what = "at least one of each is required".into();
             return Err(invalid("scenarios, variant, seeds".into(), what));
         }
         for (key, valid) in [
@@ -206,7 +205,7 @@
         let mut names: Vec<_> = variants.iter().map(|v| &v.0).collect();
         names.sort();
         if names.windows(2).any(|w| w[0] == w[1]) {
-            return Err(invalid("variant".into(), "two have one name".into()));
+            return Err(invalid("variant".into(), "two variants have the same name".into()));
         }
         Ok(Loaded { experiment, scenarios, variants })
     }
@@ -217,7 +216,7 @@
     use super::*;
 
     #[test]
-    fn a_sweep_goes_through_each_value_with_each_of_the_others() {
+    fn sweep_covers_all_combinations() {
         let sweep = Sweep { load: vec![0.5, 0.9], sidecars: vec![3, 30], servers: vec![] };
         let parts: Vec<_> = sweep.points().iter().map(Point::to_string).collect();
         assert_eq!(
--- a/crates/fleet/src/experiment/play.rs
+++ b/crates/fleet/src/experiment/play.rs
@@ -1,4 +1,4 @@
-//! Plays what of an experiment has no result yet, several runs at a time.
+//! Executes the runs of an experiment that have no result yet, several at a time.
 
 use super::results::{Line, Results, ResultsError};
 use super::{Loaded, Point};
@@ -11,13 +11,13 @@
 use std::process::Command;
 use std::sync::{Mutex, PoisonError};
 
-/// Why an experiment ended early.
+/// Why an experiment was aborted.
 #[derive(Debug, thiserror::Error)]
 pub enum ExperimentError {
-    /// Its results can't be kept.
+    /// Its results could not be read or written.
     #[error("{0}")]
     Results(#[from] ResultsError),
-    /// A run can't be played.
+    /// A run could not be executed.
     #[error("{0}")]
     Run(#[from] RunError),
 }
@@ -32,13 +32,16 @@
     seed: u64,
 }
 
-/// Plays all of it, on so many cores (0: all there are); gives how many runs were played now, and how many had
-/// results.
+/// Executes the runs that have no result yet, on this number of cores (0 for all). Returns how many runs were
+/// executed and how many already had results.
 pub fn run_experiment(loaded: &Loaded, file: &Path, cores: usize) -> Result<(usize, usize), ExperimentError> {
     let commit = commit();
     let results = Results::open(file, &commit)?;
     if results.torn {
-        tracing::warn!("{}: its last line was torn, and that run is played again", file.display());
+        tracing::warn!(
+            "{}: the last line was incomplete and has been removed; that run is executed again",
+            file.display()
+        );
     }
     let experiment = &loaded.experiment;
     let mut tasks = Vec::new();
@@ -66,7 +69,7 @@
         !results.lines.iter().any(|stored| stored.is_same_run(&expected))
     });
     let bar = ProgressBar::new(tasks.len() as u64);
-    let style = ProgressStyle::with_template("{bar:40} {pos}/{len} runs, {elapsed} gone, {eta} to go");
+    let style = ProgressStyle::with_template("{bar:40} {pos}/{len} runs, {elapsed} elapsed, {eta} left");
     bar.set_style(style.unwrap_or_else(|_| ProgressStyle::default_bar()));
     let results = Mutex::new(results);
     let run_all = || {
@@ -88,7 +91,7 @@
     Ok((tasks.len(), all - tasks.len()))
 }
 
-/// The commit of this folder's repository, with `+` behind it where sources differ from it.
+/// The commit of the working directory's repository, followed by `+` if sources differ from it.
 pub(crate) fn commit() -> String {
     let git = |args: &[&str]| {
         let out = Command::new("git").args(args).output().ok().filter(|o| o.status.success())?;
--- a/crates/fleet/src/experiment/report.rs
+++ b/crates/fleet/src/experiment/report.rs
@@ -1,4 +1,4 @@
-//! A report: one HTML page with plots as SVG, nothing loaded from elsewhere.
+//! The report: a self-contained HTML page with SVG plots.
 
 use super::compare::median;
 use super::{Line, measure};
@@ -13,12 +13,12 @@
     /// There are no results.
     #[error("there are no results to report")]
     Empty,
-    /// A plot can't be drawn.
-    #[error("a plot can't be drawn: {0}")]
+    /// A plot could not be drawn.
+    #[error("cannot draw a plot: {0}")]
     Plot(String),
 }
 
-/// Colours that also tell apart for those who see few.
+/// Colours that remain distinguishable with colour blindness.
 const COLOURS: [RGBColor; 6] = [
     RGBColor(0, 114, 178),
     RGBColor(213, 94, 0),
@@ -35,24 +35,24 @@
     n as f64 / of.max(1) as f64
 }
 
-/// What is shown second by second.
+/// Plots over the seconds of a run.
 const OVER_TIME: [(&str, OfWindow); 9] = [
     ("Goodput: requests served in time, by the second of their first try", |w| w.in_time as f64),
-    ("Share of requests refused to the last", |w| share(w.refused, w.requests)),
+    ("Share of requests rejected on their last try", |w| share(w.refused, w.requests)),
     ("Attempts for each try", |w| share(w.attempts, w.tries)),
     ("Median latency, ms", |w| w.p50_ms),
     ("99th percentile of latency, ms", |w| w.p99_ms),
     ("99.9th percentile of latency, ms", |w| w.p999_ms),
-    ("Age of the oldest change of the list that a sidecar was told, ms", |w| w.staleness_ms),
-    ("Connections held by servers", |w| w.connections as f64),
+    ("Age of the oldest list change that a sidecar was notified of, ms", |w| w.staleness_ms),
+    ("Open connections to servers", |w| w.connections as f64),
     ("New connections", |w| w.handshakes as f64),
 ];
 
-/// What is shown over the points of a sweep.
+/// Measures that are plotted over the points of a sweep.
 const OVER_SCALE: [&str; 8] =
     ["g", "whole", "refused", "attempts", "p99_ms", "p999_ms", "handshakes", "staleness_p99_ms"];
 
-/// What is drawn of one variant, in the order of their names.
+/// The plotted points of a variant; curves are in the order of the variants' names.
 type Curve = Vec<(f64, f64)>;
 
 /// Writes the page.
@@ -73,7 +73,7 @@
     for scenario in scenarios {
         let of: Vec<&Line> = lines.iter().filter(|l| l.scenario == scenario).collect();
         let _ = write!(page, "<h2>{}</h2><p>", escaped(scenario));
-        // One legend for all plots: within one it would hide what is drawn.
+        // One legend for all plots, because inside a plot it would cover the curves.
         for (i, variant) in variants.iter().enumerate() {
             let RGBColor(r, g, b) = COLOURS[i % COLOURS.len()];
             let _ =
@@ -210,7 +210,7 @@
     use crate::model::Figures;
 
     #[test]
-    fn a_page_has_a_table_and_plots_and_loads_nothing() {
+    fn page_is_self_contained_with_table_and_plots() {
         let line = |seed, load, variant: &str| Line {
             experiment: "a <b>".into(),
             commit: "c".into(),
@@ -225,7 +225,7 @@
             },
         };
         let lines = [line(1, 0.5, "x"), line(2, 0.5, "x"), line(1, 0.9, "y")];
-        let page = report(&lines, &["g".into()]).expect("it is drawn");
+        let page = report(&lines, &["g".into()]).expect("a page");
         assert!(page.contains("a &lt;b&gt;") && page.contains("0.5000"));
         assert_eq!(page.matches("<svg").count(), 2 * OVER_TIME.len() + OVER_SCALE.len());
         assert!(!page.contains("src=") && !page.contains("href="));
--- a/crates/fleet/src/experiment/results.rs
+++ b/crates/fleet/src/experiment/results.rs
@@ -1,4 +1,5 @@
-//! Results on disk: a line of JSON for each run. A file that an interrupt has torn is read up to the tear.
+//! Result files: a line of JSON for each run. If an interruption left an incomplete last line, the lines before it
+//! are still read.
 
 use super::Point;
 use crate::model::Figures;
@@ -7,12 +8,12 @@
 use std::io::{self, Write};
 use std::path::{Path, PathBuf};
 
-/// One run.
+/// The result of one run.
 #[derive(Clone, Debug, Deserialize, Serialize, PartialEq)]
 pub struct Line {
     /// The experiment.
     pub experiment: String,
-    /// The text that was played: the commit, with `+` behind it where files differed from it.
+    /// The commit of the sources, followed by `+` if files differed from it.
     pub commit: String,
     /// The scenario.
     pub scenario: String,
@@ -22,30 +23,30 @@
     pub point: Point,
     /// The seed.
     pub seed: u64,
-    /// What came of it.
+    /// The results of the run.
     pub figures: Figures,
 }
 
 impl Line {
-    /// Whether both are the same run.
+    /// Whether both are results of the same run: experiment, scenario, variant, point and seed.
     pub fn is_same_run(&self, other: &Self) -> bool {
         let key = |l: &Self| (l.experiment.clone(), l.scenario.clone(), l.variant.clone(), l.seed);
         key(self) == key(other) && self.point == other.point
     }
 }
 
-/// Why a file of results can't be used.
+/// Why a result file can't be used.
 #[derive(Debug, thiserror::Error)]
 pub enum ResultsError {
-    /// It can't be read or written.
+    /// The file could not be read or written.
     #[error("{path}: {source}")]
     Io {
         /// The file.
         path: PathBuf,
-        /// What the system says.
+        /// The system's error.
         source: io::Error,
     },
-    /// A line before the last is no result: that was no interrupt.
+    /// A line before the last one is invalid, which no interruption can cause.
     #[error("{path}: line {line}: {source}")]
     Line {
         /// The file.
@@ -55,8 +56,10 @@
         /// What is wrong.
         source: serde_json::Error,
     },
-    /// It holds results of another text; the two can't be told apart later.
-    #[error("{path}: holds results of {found}, and this is {now}: name another file, or remove it")]
+    /// The file contains results of another commit; they must not be mixed in one file.
+    #[error(
+        "{path}: holds results of {found}, but the current commit is {now}: use another file, or remove this one"
+    )]
     Commit {
         /// The file.
         path: PathBuf,
@@ -67,18 +70,18 @@
     },
 }
 
-/// A file of results, open to be added to.
+/// A result file, open for appending.
 pub struct Results {
     path: PathBuf,
     file: File,
-    /// What it held when it was opened.
+    /// The results that it contained when it was opened.
     pub lines: Vec<Line>,
-    /// A torn line at its end was cut off.
+    /// Whether an incomplete last line was removed.
     pub torn: bool,
 }
 
 impl Results {
-    /// Reads a file of results; a last line that does not end is left out.
+    /// Reads a result file; returns the results, and whether an incomplete last line was skipped.
     pub fn read(path: &Path) -> Result<(Vec<Line>, bool), ResultsError> {
         let text =
             std::fs::read(path).map_err(|source| ResultsError::Io { path: path.to_owned(), source })?;
@@ -92,7 +95,8 @@
         for (i, line) in complete.split(|b| *b == b'\n').enumerate().filter(|(_, l)| !l.is_empty()) {
             match serde_json::from_slice(line) {
                 Ok(line) => lines.push(line),
-                // Blocks of a file may reach the disk out of order: the last line can end and still be torn.
+                // Blocks of a file may reach the disk out of order, so that the last line can be damaged even though
+                // it ends with a newline.
                 Err(_) if i + 1 == count => torn = true,
                 Err(source) => return Err(ResultsError::Line { path: path.to_owned(), line: i + 1, source }),
             }
@@ -100,8 +104,8 @@
         Ok((lines, torn))
     }
 
-    /// Opens a file of results to go on with it, or begins one. What is torn is cut off first, by rename, so that
-    /// an interrupt at this point loses nothing.
+    /// Opens a result file to continue it, or creates one. An incomplete last line is removed first by replacing the
+    /// file atomically, so that an interruption meanwhile loses nothing.
     pub fn open(path: &Path, commit: &str) -> Result<Self, ResultsError> {
         let io = |source| ResultsError::Io { path: path.to_owned(), source };
         let (lines, torn) = if path.exists() { Self::read(path)? } else { (Vec::new(), false) };
@@ -123,7 +127,7 @@
         Ok(Self { path: path.to_owned(), file, lines, torn })
     }
 
-    /// Adds a run: one write, so that lines of an interrupted file are whole but for the last.
+    /// Appends a result in a single write, so that after an interruption only the last line can be incomplete.
     pub fn add(&mut self, line: &Line) -> Result<(), ResultsError> {
         let io = |source| ResultsError::Io { path: self.path.clone(), source };
         let mut text = serde_json::to_vec(line).map_err(|e| io(e.into()))?;
@@ -149,36 +153,36 @@
     }
 
     #[test]
-    fn a_file_torn_anywhere_in_its_last_line_is_gone_on_with() {
-        let folder = tempfile::tempdir().expect("a folder");
+    fn continues_a_file_with_an_incomplete_last_line() {
+        let folder = tempfile::tempdir().expect("temporary directory");
         let path = folder.path().join("r.jsonl");
         let write = |n: u64| {
-            let mut results = Results::open(&path, "abc").expect("it opens");
-            (1..=n).for_each(|seed| results.add(&line(seed)).expect("it is written"));
+            let mut results = Results::open(&path, "abc").expect("opens");
+            (1..=n).for_each(|seed| results.add(&line(seed)).expect("written"));
         };
         write(3);
-        let complete = std::fs::read(&path).expect("it is there");
+        let complete = std::fs::read(&path).expect("file exists");
         let second_ends =
             complete.iter().enumerate().filter(|(_, b)| **b == b'\n').nth(1).expect("three lines").0 + 1;
         for cut in [second_ends, second_ends + 1, complete.len() - 20, complete.len() - 1] {
-            std::fs::write(&path, &complete[..cut]).expect("it is cut");
-            let mut results = Results::open(&path, "abc").expect("it opens");
+            std::fs::write(&path, &complete[..cut]).expect("truncated");
+            let mut results = Results::open(&path, "abc").expect("opens");
             assert_eq!((results.lines.len(), results.torn), (2, cut != second_ends), "cut at {cut}");
-            results.add(&line(9)).expect("it is written");
-            let (lines, torn) = Results::read(&path).expect("it is read");
+            results.add(&line(9)).expect("written");
+            let (lines, torn) = Results::read(&path).expect("read");
             assert_eq!((lines.len(), torn, lines[2].seed), (3, false, 9));
         }
     }
 
     #[test]
-    fn a_broken_line_in_the_middle_and_another_commit_are_errors() {
-        let folder = tempfile::tempdir().expect("a folder");
+    fn rejects_invalid_earlier_lines_and_other_commits() {
+        let folder = tempfile::tempdir().expect("temporary directory");
         let path = folder.path().join("r.jsonl");
-        Results::open(&path, "abc").and_then(|mut r| r.add(&line(1))).expect("it is written");
+        Results::open(&path, "abc").and_then(|mut r| r.add(&line(1))).expect("written");
         let other = Results::open(&path, "def").err().map(|e| e.to_string());
         assert!(other.is_some_and(|e| e.contains("holds results of abc")));
-        let complete = std::fs::read_to_string(&path).expect("it is there");
-        std::fs::write(&path, format!("{{\"broken\n{complete}")).expect("it is written");
+        let complete = std::fs::read_to_string(&path).expect("file exists");
+        std::fs::write(&path, format!("{{\"broken\n{complete}")).expect("written");
         let broken = Results::open(&path, "abc").err().map(|e| e.to_string());
         assert!(broken.is_some_and(|e| e.contains("line 1")));
     }
--- a/crates/fleet/src/lib.rs
+++ b/crates/fleet/src/lib.rs
@@ -1,5 +1,5 @@
-//! A model of a fleet of sidecars in simulated time, experiments on it, and a harness that plays real processes
-//! with faults between them. Pages: `docs/fleet.md`.
+//! Simulation of a fleet of sidecars, experiments on it, and a harness that runs real processes with fault injection.
+//! See `docs/fleet.md`.
 
 pub mod capacity;
 pub mod chance;
@@ -13,18 +13,18 @@
 pub mod soak;
 pub mod sweep;
 
-/// Microseconds: an instant on the model's clock, or a duration; the decision module's own unit.
+/// Microseconds: an instant on the simulated clock, or a duration. The balancer uses the same unit.
 pub use lotusmoor_balancer::Micros;
 
 /// Microseconds in a second.
 pub const SECOND: Micros = 1_000_000;
 
-/// A time of the clock from seconds, as files give it.
+/// Converts seconds, as in files, to microseconds.
 pub fn seconds(s: f64) -> Micros {
     (s * SECOND as f64).round() as Micros
 }
 
-/// A time of the clock from milliseconds, as files give it.
+/// Converts milliseconds, as in files, to microseconds.
 pub fn millis(ms: f64) -> Micros {
     (ms * 1000.0).round() as Micros
 }
--- a/crates/fleet/src/model/decider.rs
+++ b/crates/fleet/src/model/decider.rs
@@ -1,4 +1,4 @@
-//! Who decides in a sidecar: the module, or a baseline behind the same events and actions.
+//! The policy that decides in a sidecar: the balancer, or a baseline with the same events and actions.
 
 mod adapter;
 mod plain;
@@ -15,26 +15,26 @@
 use std::sync::{Arc, Mutex};
 use std::time::{Duration, Instant};
 
-/// What sidecars are run by.
+/// The load-balancing policy of the sidecars.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Hash)]
 pub enum Policy {
-    /// The decision module.
+    /// The project's balancer.
     #[default]
     Module,
-    /// The same, which hears of no failure that would open a circuit.
+    /// The balancer without circuit breakers: failures that would open a circuit are hidden from it.
     NoBreakers,
-    /// Round robin over what the list has, and tries again elsewhere.
+    /// Round robin over the listed servers, with retries on other servers.
     RoundRobin,
-    /// Least in flight of what this sidecar itself sent.
+    /// The server with the fewest attempts in flight from this sidecar.
     LeastInFlight,
-    /// Sees the true state of all servers and links, at once.
+    /// An idealised policy that sees the current state of all servers and links.
     TrueState,
-    /// A program that speaks the simulator's wire: an earlier version of the project.
+    /// A program that speaks the operators' simulator protocol, such as an earlier version of the project.
     Adapter(PathBuf),
 }
 
 impl Policy {
-    /// Those that come with the tool.
+    /// The built-in policies.
     pub const ALL: [Self; 5] =
         [Self::Module, Self::NoBreakers, Self::RoundRobin, Self::LeastInFlight, Self::TrueState];
 
@@ -50,7 +50,7 @@
         }
     }
 
-    /// The policy of that name; `adapter:PROGRAM` is one that speaks the simulator's wire.
+    /// The policy of that name; `adapter:PROGRAM` starts a program that speaks the simulator protocol.
     pub fn from_name(name: &str) -> Option<Self> {
         match name.strip_prefix("adapter:") {
             Some(program) => Some(Self::Adapter(program.into())),
@@ -58,7 +58,7 @@
         }
     }
 
-    /// What starts the sidecars of one run.
+    /// Creates the factory for the deciders of one run.
     pub(super) fn factory(self) -> Result<DeciderFactory, AdapterError> {
         Ok(match self {
             Self::Adapter(program) => DeciderFactory::Adapter(Adapter::start(&program)?),
@@ -67,19 +67,19 @@
     }
 }
 
-/// Starts the decisions of one run's sidecars.
+/// Creates the deciders of one run's sidecars.
 pub(super) enum DeciderFactory {
     Builtin(Policy),
     Adapter(Arc<Mutex<Adapter>>),
     Timed(Box<DeciderFactory>, DecisionTime),
 }
 
-/// Real time that decisions have taken.
+/// Wall-clock time that decisions have taken.
 #[derive(Clone, Default)]
 pub struct DecisionTime(Arc<AtomicU64>);
 
 impl DecisionTime {
-    /// All of it so far.
+    /// The total so far.
     pub fn get(&self) -> Duration {
         Duration::from_nanos(self.0.load(Ordering::Relaxed))
     }
@@ -96,7 +96,8 @@
 }
 
 impl DeciderFactory {
-    /// A sidecar's decisions, from the start. `number` is new with each; `object` is what the settings were read from.
+    /// Creates a decider for a new sidecar process. `number` is unique in the run; `object` returns the settings
+    /// object that `settings` was decoded from.
     pub fn start(
         &self,
         number: u64,
@@ -124,7 +125,7 @@
     }
 }
 
-/// The true state of things, seen from a sidecar. Only the baseline that is meant to see it looks.
+/// The current state of the simulation, seen from a sidecar. Only [`Policy::TrueState`] uses it.
 pub struct TrueView<'a> {
     /// All servers.
     pub servers: &'a [Server],
@@ -132,12 +133,13 @@
     pub links: &'a Links,
     /// The sidecar's zone.
     pub zone: usize,
-    /// What cold servers bear.
+    /// The overload limit of servers that are warming up.
     pub overload_limit: OverloadLimit,
 }
 
 impl TrueView<'_> {
-    /// When a request with that much work would be done there; `None` where it would not, or must not be sent.
+    /// The expected time until a request with that much work would complete there; `None` if the server can't
+    /// complete it or must not be sent it.
     pub fn expected_completion(&self, now: Micros, server: EndpointId, work: f64) -> Option<f64> {
         let s = &self.servers[server];
         let usable = s.machine == Machine::Up && s.draining.is_none() && s.errors < 0.2;
@@ -153,9 +155,9 @@
     }
 }
 
-/// The decisions of one sidecar.
+/// The decision logic of one sidecar process.
 pub trait Decider: Send {
-    /// Takes one event that happens at `now` and appends what is to be done.
+    /// Handles an event at time `now` and appends the resulting actions.
     fn handle(&mut self, now: Micros, event: Event, view: &TrueView, out: &mut Vec<Action>);
 }
 
@@ -167,8 +169,8 @@
     }
 }
 
-/// The module with its ears shut to what would open a circuit: failures are told as ones that say nothing of the
-/// server. They keep what matters to the retry filter, whether the attempt may have run.
+/// The balancer without circuit breakers: failures are reported as outcomes that don't count against the server. They
+/// preserve whether the attempt may have been executed, which the retry filter needs.
 struct NoBreakers(Balancer);
 
 impl Decider for NoBreakers {
--- a/crates/fleet/src/model/decider/adapter.rs
+++ b/crates/fleet/src/model/decider/adapter.rs
@@ -1,5 +1,6 @@
-//! An earlier version of the project, or any program that speaks the simulator's wire: one process hosts the
-//! decisions of all sidecars of a run. Each event is a batch of its own, so that the order is the model's.
+//! Runs the policy in an external program that speaks the operators' simulator protocol, such as an earlier version
+//! of the project. One process hosts all sidecars of a run. Each event is sent as a batch of its own, so that the
+//! order of events is the simulation's.
 
 use super::{Decider, TrueView};
 use crate::Micros;
@@ -11,20 +12,20 @@
 use std::process::{Child, ChildStdin, ChildStdout, Command, Stdio};
 use std::sync::{Arc, Mutex, PoisonError};
 
-/// Why a program's decisions can't be had.
+/// Why an adapter program can't be used.
 #[derive(Debug, thiserror::Error)]
 pub enum AdapterError {
-    /// It can't be started.
+    /// The program could not be started.
     #[error("{program}: {source}")]
     Start {
         /// The program.
         program: String,
-        /// What the system says.
+        /// The system's error.
         source: std::io::Error,
     },
 }
 
-/// A running program that speaks the wire.
+/// A running program that speaks the protocol.
 pub struct Adapter {
     child: Child,
     input: ChildStdin,
@@ -32,12 +33,12 @@
     batch: u64,
     now: Micros,
     line: String,
-    /// It has ended or spoken out of turn: nothing more is asked of it.
+    /// The program has exited or its pipe has failed; nothing more is sent to it.
     failed: bool,
 }
 
 impl Adapter {
-    /// Starts it.
+    /// Starts the program.
     pub fn start(program: &Path) -> Result<Arc<Mutex<Self>>, AdapterError> {
         let failed = |source| AdapterError::Start { program: program.display().to_string(), source };
         let mut child =
@@ -48,7 +49,7 @@
         Ok(Arc::new(Mutex::new(Self { child, input, output, batch: 0, now: 0, line, failed: false })))
     }
 
-    /// Sends a batch of lines, and reads the actions that answer it.
+    /// Sends a batch of lines and reads the actions in response.
     fn exchange(&mut self, now: Micros, lines: &str, out: &mut Vec<Action>) {
         self.batch += 1;
         self.now = now;
@@ -72,20 +73,20 @@
 
     fn mark_failed(&mut self) {
         if !std::mem::replace(&mut self.failed, true) {
-            tracing::error!("the program on the wire has ended; requests that it had get no answer");
+            tracing::error!("the adapter program has exited; its open requests get no response");
         }
     }
 }
 
 impl Drop for Adapter {
     fn drop(&mut self) {
-        // It ends with its input; if it does not, it is ended.
+        // The program exits when its input closes; it is killed in case it doesn't.
         let _ = self.child.kill();
         let _ = self.child.wait();
     }
 }
 
-/// One sidecar's decisions there.
+/// One sidecar process hosted by the program.
 pub struct Instance {
     adapter: Arc<Mutex<Adapter>>,
     number: u64,
@@ -97,7 +98,7 @@
 }
 
 impl Instance {
-    /// Starts one with that settings object; `number` must be new to the program.
+    /// Starts a sidecar with that settings object; `number` must be unused in the program.
     pub fn start(adapter: Arc<Mutex<Adapter>>, number: u64, settings: &serde_json::Value, seed: u64) -> Self {
         let names = |key: &str, of: &dyn Fn(&serde_json::Value) -> Option<String>| {
             settings[key].as_array().map(|all| all.iter().filter_map(of).collect()).unwrap_or_default()
@@ -111,7 +112,7 @@
 
     fn entries(&mut self, kind: u8, list: &[EndpointEntry]) {
         use std::fmt::Write;
-        // Lists are numbered from 0 and may be used again at once.
+        // List numbers may be reused immediately, so all lists use 0.
         let _ = writeln!(self.pending, "catalog RosterId=0 Hosts={}", list.len());
         for l in list {
             let status = match l.status {
@@ -181,10 +182,11 @@
             }
             Event::RequestAbandoned(id) => writeln!(self.pending, "withdrawn I={i} Ticket={id}"),
             Event::Timer(token) => writeln!(self.pending, "alarm I={i} Ctx={token}"),
-            // No words of the simulator's: programs built by `experiments/versions` know them, others pass over them.
+            // Not part of the simulator protocol: programs built by `experiments/versions` understand these lines,
+            // others ignore them.
             Event::Cordoned(server) => writeln!(self.pending, "cordon I={i} Endpoint=10.0.0.1:{server}"),
             Event::Uncordoned(server) => writeln!(self.pending, "uncordon I={i} Endpoint=10.0.0.1:{server}"),
-            // The model has no more of these for a policy.
+            // The simulation sends a policy no other events.
             _ => Ok(()),
         };
     }
@@ -210,7 +212,7 @@
     }
 }
 
-/// An outcome in the wire's words, which has one for both kinds of reset.
+/// The protocol's name of an outcome; both kinds of reset share one.
 fn outcome_name(outcome: Outcome) -> &'static str {
     match outcome {
         Outcome::Ok => "OK",
@@ -224,14 +226,14 @@
     }
 }
 
-/// A load report as a field of a line.
+/// A load report as a field of a protocol line; empty if nothing is reported.
 fn load_field(load: &LoadReport) -> String {
     let all = [("waiting", load.waiting), ("active", load.active), ("cpu", load.cpu)];
     let told: Vec<_> = all.iter().filter_map(|(name, v)| Some(format!("{name}:{}", (*v)?))).collect();
     if told.is_empty() { String::new() } else { format!(" Load={}", told.join(",")) }
 }
 
-/// The action that a line asks for; none for what the model has no use for.
+/// Parses an action line; `None` for lines that the simulation ignores.
 fn parse_action(line: &str) -> Option<Action> {
     let (name, rest) = line.split_once(' ')?;
     let field = |key: &str| rest.split(' ').find_map(|part| part.strip_prefix(key)?.strip_prefix('='));
@@ -262,7 +264,7 @@
     use super::*;
 
     #[test]
-    fn actions_are_read_as_the_wire_has_them() {
+    fn parses_action_lines() {
         let send = parse_action("hand_off I=3 Ticket=7 Endpoint=10.0.0.1:12 TimeoutUs=80000");
         assert_eq!(
             send,
--- a/crates/fleet/src/model/decider/plain.rs
+++ b/crates/fleet/src/model/decider/plain.rs
@@ -1,5 +1,5 @@
-//! The baselines: a plain loop of picks and retries, with one of several ways to pick. They keep the rules, as the
-//! module does, and have neither breakers nor bulkheads.
+//! The baseline policies: selection and retries with one of several selection methods. They keep the rules, as the
+//! balancer does, and have neither circuit breakers nor bulkheads.
 
 use super::{Decider, TrueView};
 use crate::Micros;
@@ -10,24 +10,24 @@
 use rustc_hash::FxHashMap;
 use std::collections::BTreeSet;
 
-/// How a server is picked.
+/// How a server is selected.
 #[derive(Clone, Copy, PartialEq, Eq)]
 pub enum Selection {
-    /// The next one in turn.
+    /// The next server in turn.
     RoundRobin,
-    /// The one with the least in flight from here.
+    /// The server with the fewest attempts in flight from this sidecar.
     LeastInFlight,
-    /// The one that will be done first, as things truly stand.
+    /// The server that will complete the request first, by its current state.
     TrueState,
 }
 
 pub struct Baseline {
     settings: Settings,
     selection: Selection,
-    /// Servers by number, as listed; absent ones are of no concern.
+    /// Listed servers by number; `None` for those that are not listed.
     endpoints: Vec<Option<EndpointEntry>>,
     in_flight: Vec<u32>,
-    /// Taken out by operators.
+    /// Servers cordoned by operators.
     cordoned: BTreeSet<EndpointId>,
     next_index: usize,
     open: FxHashMap<RequestId, Open>,
@@ -42,13 +42,13 @@
 struct Sent {
     to: EndpointId,
     at: Micros,
-    /// Until it is proven otherwise.
+    /// True until the outcome shows that it was not executed.
     may_have_run: bool,
 }
 
 impl Baseline {
     pub fn new(settings: Settings, selection: Selection, seed: u64) -> Self {
-        // Sidecars that begin at one place in the list would go round in step.
+        // A start that depends on the seed keeps sidecars from going through the list in step.
         let next_index = (seed >> 16) as usize;
         let (endpoints, in_flight, cordoned, open) = Default::default();
         Self { settings, selection, endpoints, in_flight, cordoned, next_index, open }
@@ -115,8 +115,9 @@
                 Some(found)
             }
             Selection::TrueState => {
-                // Work of a request is not told; a quarter of the least aim is near what sites ask for on the mean.
-                // Queues are held to half of that aim: what waits longer is late more often than not.
+                // A request's work is unknown; a quarter of the shortest latency objective is close to the mean work
+                // at typical sites. Queueing is limited to half of that objective, because requests that wait longer
+                // are mostly late.
                 let least = self
                     .settings
                     .classes
@@ -144,9 +145,9 @@
             Some(to) => {
                 let latency_objective = self.settings.classes[open.new.class].latency_objective;
                 let timeout = match self.selection {
-                    // It knows what it waits for; past the aim that is worth nothing.
+                    // It knows the expected completion time; past the latency objective a response earns nothing.
                     Selection::TrueState => time_left.min(open.arrived + latency_objective - now),
-                    // Half of the time for the first, so that a second has as much.
+                    // Half of the time for the first attempt, so that a second one has as much.
                     _ if open.attempts.is_empty() => time_left / 2,
                     _ => time_left,
                 };
--- a/crates/fleet/src/model/discovery.rs
+++ b/crates/fleet/src/model/discovery.rs
@@ -1,52 +1,52 @@
-//! The list service as the platform has it: it learns of changes late, tells them in rounds, and answers calls one
-//! at a time. What it was told and when is kept, so that any reader's version can be brought up to date.
+//! The platform's discovery service: it learns of changes with a delay, publishes them in rounds, and answers fetches
+//! one at a time. It keeps a log of the changes, so that a reader of any version can be brought up to date.
 
 use crate::Micros;
 use lotusmoor_balancer::EndpointStatus;
 
-/// A server's entry as the list has it.
+/// A server's entry in the list.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Entry {
-    /// Its state.
+    /// Its status.
     pub status: EndpointStatus,
-    /// Start of its process; `None` is long ago.
+    /// When its process started; `None` for one that was running before the simulation.
     pub started: Option<Micros>,
 }
 
-/// A change: the server, its entry, and when it became true.
+/// A change of the list: the server, its entry, and when its state changed.
 #[derive(Clone, Copy, Debug)]
 pub struct Change {
     /// The server.
     pub server: usize,
     /// Its entry from then on.
     pub entry: Entry,
-    /// When it became true.
+    /// When the server's state changed.
     pub since: Micros,
 }
 
-/// The list and its service.
+/// The list and the service that publishes it.
 #[derive(Default)]
 pub struct Discovery {
-    /// It neither tells nor answers.
+    /// It is down: it neither pushes updates nor answers fetches.
     pub down: bool,
-    /// All changes; a version is how many of them it holds.
+    /// All changes; a version is the number of changes that it includes.
     log: Vec<Change>,
-    /// Changes that can be told by now.
+    /// Number of changes published so far.
     published: usize,
-    /// For each version that has been told or could be asked for, since when.
+    /// For each published version, since when it could be pushed or fetched.
     reachable: Vec<Micros>,
-    /// When the calls that it has are answered.
+    /// When the fetches accepted so far are answered.
     busy_until: Micros,
 }
 
 impl Discovery {
-    /// Takes in a change, which the next round tells; gives the version that has it.
+    /// Records a change, which the next round publishes; returns the version that includes it.
     pub fn record(&mut self, change: Change) -> usize {
         self.log.push(change);
         self.log.len()
     }
 
-    /// A round: what was learnt can be told from now on. Gives whether there is anything new.
+    /// Publishes the recorded changes; returns whether there are any.
     pub fn publish(&mut self, now: Micros) -> bool {
         let changed = self.published < self.log.len();
         self.published = self.log.len();
@@ -54,7 +54,7 @@
         changed
     }
 
-    /// It goes away, or is back.
+    /// Takes the service down or brings it back.
     pub fn set_down(&mut self, now: Micros, down: bool) {
         self.down = down;
         self.mark_reachable(now);
@@ -66,28 +66,29 @@
         }
     }
 
-    /// Since when discovery has had that version and could be reached; `None` where it never could.
+    /// Since when that version could be pushed or fetched; `None` if it never could, because it was not published or
+    /// discovery has been down since.
     pub fn reachable_since(&self, version: usize) -> Option<Micros> {
         self.reachable.get(version.checked_sub(1)?).copied()
     }
 
-    /// The newest version that can be told.
+    /// The newest published version.
     pub fn version(&self) -> usize {
         self.published
     }
 
-    /// Changes after that version, up to the newest.
+    /// The published changes after that version.
     pub fn changes_after(&self, version: usize) -> &[Change] {
         &self.log[version.min(self.published)..self.published]
     }
 
-    /// Changes up to that version.
+    /// The changes up to and including that version.
     pub fn changes_until(&self, version: usize) -> &[Change] {
         &self.log[..version]
     }
 
-    /// A call comes in; gives when it is answered, or when it has failed. One that nobody waits for any more still
-    /// takes its time, as its caller's leaving is not seen.
+    /// Handles a fetch; returns when it is answered, or when it has failed. A fetch whose caller has timed out still
+    /// takes its processing time, because the service does not notice that.
     pub fn call(&mut self, now: Micros, takes: Micros, timeout: Micros) -> Result<Micros, Micros> {
         if self.down {
             return Err(now + timeout);
--- a/crates/fleet/src/model/discovery/tests.rs
+++ b/crates/fleet/src/model/discovery/tests.rs
@@ -1,9 +1,9 @@
-//! The list service by itself.
+//! Tests of the discovery service.
 
 use super::*;
 
 #[test]
-fn of_a_hundred_calls_at_once_those_that_fit_into_the_time_out_are_answered() {
+fn answers_only_the_fetches_that_start_within_the_timeout() {
     let mut discovery = Discovery::default();
     let calls: Vec<_> = (0..100).map(|_| discovery.call(0, 50_000, 2_000_000)).collect();
     assert_eq!(calls.iter().filter(|c| c.is_ok()).count(), 41);
@@ -11,7 +11,7 @@
 }
 
 #[test]
-fn a_reader_is_told_what_came_after_its_version_once_it_is_published() {
+fn returns_published_changes_after_a_version() {
     let mut discovery = Discovery::default();
     let entry = Entry { status: EndpointStatus::Ready, started: None };
     discovery.record(Change { server: 1, entry, since: 5 });
@@ -24,7 +24,7 @@
 }
 
 #[test]
-fn a_version_can_be_reached_from_its_round_on_or_once_discovery_is_back() {
+fn version_is_reachable_from_its_round_or_the_end_of_an_outage() {
     let mut discovery = Discovery::default();
     let entry = Entry { status: EndpointStatus::Ready, started: None };
     let change = Change { server: 1, entry, since: 5 };
--- a/crates/fleet/src/model/event_queue.rs
+++ b/crates/fleet/src/model/event_queue.rs
@@ -1,16 +1,16 @@
-//! What is still to happen, in a defined order, and a digest of what has.
+//! A queue of future events in a deterministic order, and a digest of processed events.
 
 use crate::Micros;
 use std::cmp::Ordering;
 use std::collections::BinaryHeap;
 
-/// The first round of a sidecar at or after an instant; what is a round already stays. Rounds are multiples of `tick`
-/// on the model's clock, never counted on from the last one, so that they can't drift from what was asked for.
+/// The first tick at or after an instant. Ticks are multiples of `tick` on the simulated clock, never counted from
+/// the previous one, so timers can't drift.
 pub fn round_up_to_tick(at: Micros, tick: Micros) -> Micros {
     if tick <= 1 { at } else { (at + tick - 1).div_euclid(tick) * tick }
 }
 
-/// Events by instant; those of one instant in the order in which they were made.
+/// Events ordered by time; events at the same time keep the order in which they were scheduled.
 pub struct EventQueue<E> {
     heap: BinaryHeap<Entry<E>>,
     scheduled: u64,
@@ -49,13 +49,13 @@
 }
 
 impl<E> EventQueue<E> {
-    /// Notes an event; one in the past happens now, after what is due now already.
+    /// Schedules an event. An event in the past is due now, after the events that are already due now.
     pub fn schedule(&mut self, at: Micros, event: E) {
         self.scheduled += 1;
         self.heap.push(Entry { at: at.max(self.now), number: self.scheduled, event });
     }
 
-    /// The next event and its instant.
+    /// Removes the next event and returns it with its time.
     pub fn next(&mut self) -> Option<(Micros, E)> {
         let entry = self.heap.pop()?;
         self.now = entry.at;
@@ -65,17 +65,17 @@
         Some((entry.at, entry.event))
     }
 
-    /// Adds to the digest: what was decided, beside when.
+    /// Adds a value to the digest, so that it covers decisions as well as times.
     pub fn add_to_digest(&mut self, value: u64) {
         self.digest = (self.digest ^ value).wrapping_mul(0x100_0000_01b3).rotate_left(17);
     }
 
-    /// The digest of all events so far: equal for runs that went alike.
+    /// The digest of all events so far; identical runs have equal digests.
     pub fn digest(&self) -> u64 {
         self.digest
     }
 
-    /// Events taken so far.
+    /// Number of events processed so far.
     pub fn processed(&self) -> u64 {
         self.processed
     }
@@ -86,7 +86,7 @@
     use super::*;
 
     #[test]
-    fn events_of_one_instant_come_in_the_order_in_which_they_were_made() {
+    fn events_at_the_same_time_keep_their_order() {
         let mut events = EventQueue::default();
         for (at, event) in [(5, 'c'), (3, 'a'), (5, 'd'), (3, 'b')] {
             events.schedule(at, event);
@@ -97,8 +97,8 @@
 
     #[test]
     fn timers_rounded_up_do_not_drift() {
-        // A timer of 12 ms set at each of its own rounds of 5 ms: late by less than a round each time, and one of
-        // whole rounds never.
+        // A 12 ms timer that is set again at each expiry, with 5 ms ticks, is late by less than a tick each time; a
+        // 15 ms timer is never late.
         let (mut now, mut exact) = (0, 0);
         for _ in 0..10_000 {
             let next = round_up_to_tick(now + 12_000, 5_000);
@@ -119,7 +119,7 @@
     }
 
     #[test]
-    fn what_is_noted_for_the_past_happens_now_and_not_before() {
+    fn events_scheduled_in_the_past_are_due_now() {
         let mut events = EventQueue::default();
         events.schedule(10, 'a');
         assert_eq!(events.next(), Some((10, 'a')));
--- a/crates/fleet/src/model/link.rs
+++ b/crates/fleet/src/model/link.rs
@@ -1,4 +1,4 @@
-//! Links: how long a message takes, and which zones hear of each other.
+//! Network links: message delays and network partitions between zones.
 
 use crate::Micros;
 use crate::chance;
@@ -6,27 +6,27 @@
 /// The network of a world.
 #[derive(Clone, Debug)]
 pub struct Links {
-    /// One way within a zone, and between two.
+    /// Mean one-way delay within a zone.
     pub same_zone: f64,
-    /// One way between two zones.
+    /// Mean one-way delay between two zones.
     pub cross_zone: f64,
-    /// Between a client and its sidecar.
+    /// One-way delay between a client and its sidecar.
     pub client: f64,
-    /// Variation of a message's time.
+    /// Coefficient of variation of the delay.
     pub jitter: f64,
-    /// How many cuts there are now from a zone (first) to another.
+    /// Number of active cuts from a zone (first index) to another (second).
     cuts: Vec<Vec<u32>>,
     seed: u64,
     messages: u64,
 }
 
 impl Links {
-    /// Whole links between so many zones; times in microseconds.
+    /// Intact links between this number of zones; delays in microseconds.
     pub fn new(zones: usize, same_zone: f64, cross_zone: f64, client: f64, jitter: f64, seed: u64) -> Self {
         Self { same_zone, cross_zone, client, jitter, cuts: vec![vec![0; zones]; zones], seed, messages: 0 }
     }
 
-    /// How long a message takes from zone to zone; `stretch` is the receiver's own share of it.
+    /// Draws the delay of a message between zones; `latency_factor` is the receiving server's own factor on it.
     pub fn delay(&mut self, from: usize, to: usize, latency_factor: f64) -> Micros {
         self.messages += 1;
         let mean = if from == to { self.same_zone } else { self.cross_zone };
@@ -34,22 +34,23 @@
         (time as Micros).max(1)
     }
 
-    /// How long it takes on the mean.
+    /// The mean delay between zones.
     pub fn mean_delay(&self, from: usize, to: usize) -> f64 {
         if from == to { self.same_zone } else { self.cross_zone }
     }
 
-    /// Whether messages from the one zone come to the other.
+    /// Whether messages from one zone reach the other.
     pub fn is_open(&self, from: usize, to: usize) -> bool {
         self.cuts[from][to] == 0
     }
 
-    /// Whether both hear of each other, as a new connection wants.
+    /// Whether messages pass in both directions, which a new connection needs.
     pub fn bidirectional(&self, one: usize, other: usize) -> bool {
         self.is_open(one, other) && self.is_open(other, one)
     }
 
-    /// Cuts a zone off from the others, or joins it again; `in_too` cuts what comes in as well.
+    /// Begins or ends a cut of a zone's outgoing links to the others; with `inbound_too`, of the incoming links as
+    /// well.
     pub fn cut(&mut self, zone: usize, inbound_too: bool, begin: bool) {
         for other in (0..self.cuts.len()).filter(|other| *other != zone) {
             let both = [Some((zone, other)), inbound_too.then_some((other, zone))];
@@ -66,7 +67,7 @@
     use super::*;
 
     #[test]
-    fn cuts_that_overlap_last_until_the_last_one_ends() {
+    fn overlapping_cuts_last_until_the_last_one_ends() {
         let mut links = Links::new(3, 100.0, 3000.0, 50.0, 0.0, 1);
         links.cut(0, true, true);
         links.cut(0, false, true);
--- a/crates/fleet/src/model/measure.rs
+++ b/crates/fleet/src/model/measure.rs
@@ -1,4 +1,4 @@
-//! What a run is measured by.
+//! Metrics of a run.
 
 use super::world::{GoalSpec, PriceSpec};
 use crate::{Micros, SECOND};
@@ -6,66 +6,66 @@
 use serde::{Deserialize, Serialize};
 use std::collections::BTreeMap;
 
-/// What became of a client's request, over all its tries.
+/// The outcome of a client's request over all its tries.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum RequestOutcome {
-    /// Answered within its aim.
+    /// Answered within its latency objective.
     InTime,
-    /// Answered later.
+    /// Answered after its latency objective.
     Late,
-    /// Refused to the last.
+    /// The last try was rejected.
     Rejected,
-    /// Failed, or never answered.
+    /// Failed or never answered.
     Failed,
 }
 
-/// A second of the day. Requests count in the second of their first try.
+/// One second of the run. Requests count in the second of their first try.
 #[derive(Clone, Debug, Default, Deserialize, Serialize, PartialEq)]
 pub struct Window {
-    /// First tries.
+    /// Requests, each counted at its first try.
     #[serde(rename = "asked")]
     pub requests: u64,
     /// Answered within their aim.
     pub in_time: u64,
-    /// Answered later.
+    /// Answered after its latency objective.
     pub late: u64,
-    /// Refused to the last.
+    /// The last try was rejected.
     pub refused: u64,
-    /// Failed, or never answered.
+    /// Failed or never answered.
     pub failed: u64,
-    /// Worth asked for, and served in time.
+    /// Worth of the requests.
     pub worth: f64,
-    /// Worth served in time.
+    /// Worth earned by responses: in full in time, in part when late.
     pub served: f64,
-    /// Tries of clients that came in this second.
+    /// Clients' tries in this second.
     pub tries: u64,
-    /// Refusals in this second.
+    /// Rejections in this second.
     pub refusals: u64,
     /// Attempts sent in this second.
     pub attempts: u64,
-    /// Of them, ones that crossed zones.
+    /// Attempts of these that went to another zone.
     #[serde(rename = "crossed")]
     pub cross_zone: u64,
     /// New connections.
     pub handshakes: u64,
-    /// Connections held at its end.
+    /// Open connections at the end of the second.
     pub connections: u64,
-    /// Median and 99th percentile of the latency of requests answered in this second, in milliseconds.
+    /// Median latency of the requests answered in this second, in milliseconds.
     pub p50_ms: f64,
-    /// The 99th percentile.
+    /// 99th percentile of that latency.
     pub p99_ms: f64,
-    /// The 99.9th percentile.
+    /// 99.9th percentile of that latency.
     pub p999_ms: f64,
-    /// Age of the oldest change that a sidecar was told in this second, in milliseconds.
+    /// Age of the oldest change that a sidecar was notified of in this second, in milliseconds.
     pub staleness_ms: f64,
 }
 
-/// A class over the day.
+/// A request class over the whole run.
 #[derive(Clone, Debug, Default, Deserialize, Serialize, PartialEq)]
 pub struct ClassFigures {
     /// Its name.
     pub name: String,
-    /// First tries.
+    /// Requests, each counted at its first try.
     #[serde(rename = "asked")]
     pub requests: u64,
     /// Share answered in time.
@@ -74,103 +74,103 @@
     pub latency_ms: [f64; 3],
 }
 
-/// What a run is judged by.
+/// The results of a run.
 #[derive(Clone, Debug, Default, Deserialize, Serialize, PartialEq)]
 pub struct Figures {
-    /// Worth served in time over worth asked for, mixed and with prices off, as the site's goal has it.
+    /// Share of the worth that was earned, weighted as the site's goal says, less the site's prices.
     #[serde(rename = "g")]
     pub score: f64,
-    /// Over the whole day.
+    /// Share of the worth earned over the whole run.
     #[serde(rename = "whole")]
     pub whole_run: f64,
-    /// Over the worst 10 s.
+    /// The same share in the worst 10 s.
     pub worst_window: f64,
-    /// Of the worst class.
+    /// The same share for the worst class.
     pub worst_class: f64,
-    /// Of the worst tenant, within its share; 1 without tenants.
+    /// The same share for the worst tenant, for requests within its quota; 1 without tenants.
     pub worst_tenant: f64,
-    /// First tries.
+    /// Requests, each counted at its first try.
     #[serde(rename = "asked")]
     pub requests: u64,
-    /// Share of them answered late, refused, failed.
+    /// Share of requests answered late.
     pub late: f64,
-    /// Share refused to the last.
+    /// Share of requests whose last try was rejected.
     pub refused: f64,
-    /// Share failed or never answered.
+    /// Share of requests that failed or were never answered.
     pub failed: f64,
-    /// Tries of clients for each first try.
+    /// Client tries for each request.
     pub tries: f64,
     /// Attempts for each try.
     pub attempts: f64,
-    /// Attempts across zones, as a share of all.
+    /// Share of attempts that went to another zone.
     #[serde(rename = "crossed")]
     pub cross_zone: f64,
-    /// New connections for each first try.
+    /// New connections for each request.
     pub handshakes: f64,
-    /// Work done that served nobody, as a share of the work asked for.
+    /// Wasted work (of responses that no client received), as a share of the requests' work.
     pub wasted: f64,
-    /// Servers that fell over.
+    /// Servers that crashed from overload while warming up.
     #[serde(rename = "tipped")]
     pub overload_crashes: u64,
     /// Latency from the first try, in milliseconds: median, 99th percentile, 99.9th.
     pub latency_ms: [f64; 3],
-    /// Time from a change to its being told a sidecar, in milliseconds: median, 99th percentile, most.
+    /// Time from a change to the notification of a sidecar, in milliseconds: median, 99th percentile, maximum.
     pub staleness_ms: [f64; 3],
-    /// Time from a change's acknowledgement by a roster to a sidecar's being told, in milliseconds: median, 99th
-    /// percentile, most.
+    /// Time from a change's acknowledgement by the registry to the notification of a sidecar, in milliseconds:
+    /// median, 99th percentile, maximum.
     #[serde(default)]
     #[serde(rename = "told_after_ms")]
     pub notified_after_ms: [f64; 3],
-    /// The same to the last sidecar's being told, over changes.
+    /// The same to the notification of the last sidecar, over changes.
     #[serde(default)]
     #[serde(rename = "told_last_ms")]
     pub last_notified_ms: [f64; 3],
-    /// Calls for lists at a roster.
+    /// Polls for the list at the registry.
     #[serde(default)]
     #[serde(rename = "list_calls")]
     pub list_polls: u64,
-    /// Of them, those that were told to come again.
+    /// Polls of these that the registry rejected with a retry time.
     #[serde(default)]
     #[serde(rename = "turned_away")]
     pub throttled_polls: u64,
-    /// Lists that sidecars held back.
+    /// List updates that sidecars withheld from the balancer.
     #[serde(default)]
     #[serde(rename = "held_back")]
     pub withheld_lists: u64,
-    /// Broken rules by name.
+    /// Number of violations of each rule.
     #[serde(rename = "broken")]
     pub violations: BTreeMap<String, u64>,
-    /// By class.
+    /// Results of each class.
     pub classes: Vec<ClassFigures>,
-    /// By second.
+    /// Results of each second.
     pub windows: Vec<Window>,
-    /// Events played.
+    /// Events processed.
     pub events: u64,
-    /// Equal for runs that went alike.
+    /// Digest of the run; identical runs have equal digests.
     pub digest: u64,
 }
 
 impl Figures {
-    /// Requests answered in time.
+    /// Number of requests answered within their latency objective.
     pub fn in_time(&self) -> u64 {
         self.windows.iter().map(|w| w.in_time).sum()
     }
 }
 
-/// What a client's request is worth.
+/// The worth of a client's request.
 #[derive(Clone, Copy, Debug)]
 pub struct Worth {
     /// Its class.
     pub class: u8,
-    /// Its tenant, where it is within its share.
+    /// Its tenant, if the request is within the tenant's quota.
     pub tenant: Option<u8>,
-    /// Worth in time.
+    /// Worth when answered in time.
     pub full: f64,
-    /// Worth late.
+    /// Worth when answered late.
     pub late: f64,
 }
 
-/// Gathers figures while a run goes on.
+/// Collects the metrics of a run.
 pub struct MetricsRecorder {
     windows: Vec<Window>,
     latencies: Vec<Histogram<u64>>,
@@ -178,32 +178,32 @@
     staleness: Histogram<u64>,
     requests: Vec<u64>,
     in_time: Vec<u64>,
-    /// Worth asked for and served, by class and by tenant.
+    /// Worth of the requests and worth earned: by class, and by tenant.
     worth_totals: [Vec<(f64, f64)>; 2],
     class_names: Vec<String>,
     late_worth_lost: f64,
-    /// Work asked for, and work that served somebody.
+    /// Work of the requests, and work of the responses that clients received.
     pub work: (f64, f64),
-    /// Servers that fell over.
+    /// Servers that crashed from overload while warming up.
     pub overload_crashes: u64,
-    /// Probes sent.
+    /// Health checks sent.
     pub probes: u64,
-    /// Lines of lists told.
+    /// List entries sent to sidecars.
     pub list_lines: u64,
-    /// Calls for lists, those that were told to come again, and lists that were held back.
+    /// Polls for the list at the registry.
     pub list_polls: u64,
-    /// See there.
+    /// Polls that the registry rejected with a retry time.
     pub throttled_polls: u64,
-    /// See there.
+    /// List updates that sidecars withheld from the balancer.
     pub withheld_lists: u64,
-    /// From each change's acknowledgement to the last sidecar that was told of it.
+    /// For each change, the time from its acknowledgement to the last sidecar's notification.
     pub last_notified: Vec<Micros>,
     notified_after: Histogram<u64>,
 }
 
-/// Three figures of a value that need no more than 1% of it; a minute is the most.
+/// A histogram of microseconds with two significant digits, up to one hour.
 fn histogram<T: hdrhistogram::Counter>() -> Histogram<T> {
-    Histogram::new_with_bounds(1, 3_600_000_000, 2).expect("the bounds are fixed and fine")
+    Histogram::new_with_bounds(1, 3_600_000_000, 2).expect("constant bounds are valid")
 }
 
 fn quantiles(h: &Histogram<u64>, last: f64) -> [f64; 3] {
@@ -211,7 +211,7 @@
 }
 
 impl MetricsRecorder {
-    /// For classes of these names, and so many tenants.
+    /// Creates a recorder for these classes and this number of tenants.
     pub fn new(class_names: Vec<String>, tenants: usize) -> Self {
         let n = class_names.len();
         Self {
@@ -236,7 +236,7 @@
         }
     }
 
-    /// The second of that instant.
+    /// The window of the second that contains `now`.
     pub fn window(&mut self, now: Micros) -> &mut Window {
         let second = (now / SECOND).max(0) as usize;
         if self.windows.len() <= second {
@@ -246,7 +246,7 @@
         &mut self.windows[second]
     }
 
-    /// A client's first try.
+    /// Records a client's first try.
     pub fn record_request(&mut self, now: Micros, worth: Worth, work: f64) {
         let window = self.window(now);
         window.requests += 1;
@@ -256,7 +256,7 @@
         self.work.0 += work;
     }
 
-    /// Books something to a request's class, and to its tenant.
+    /// Applies an update to the worth totals of a request's class and tenant.
     fn add_worth(&mut self, worth: Worth, what: impl Fn(&mut (f64, f64))) {
         what(&mut self.worth_totals[0][usize::from(worth.class)]);
         if let Some(tenant) = worth.tenant {
@@ -264,7 +264,7 @@
         }
     }
 
-    /// What became of a request that was first tried at `first`.
+    /// Records the outcome of a request that was first tried at `first`.
     pub fn record_outcome(
         &mut self,
         now: Micros,
@@ -301,19 +301,19 @@
         }
     }
 
-    /// A sidecar was told of a change that old.
+    /// Records that a sidecar was notified of a change of this age.
     pub fn record_staleness(&mut self, now: Micros, age: Micros) {
         let window = self.window(now);
         window.staleness_ms = window.staleness_ms.max(age as f64 / 1000.0);
         self.staleness.saturating_record(age.max(1) as u64);
     }
 
-    /// A sidecar was told of a change so long after its acknowledgement.
+    /// Records that a sidecar was notified of a change this long after its acknowledgement.
     pub fn record_notification(&mut self, age: Micros) {
         self.notified_after.saturating_record(age.max(1) as u64);
     }
 
-    /// All figures of a run of that length with so many servers, which did so much work.
+    /// The results of a run of that length; `servers` is the number of servers, and `done` the work that they did.
     pub fn figures(
         mut self,
         length: Micros,
@@ -326,7 +326,7 @@
             let at = |q| latencies.value_at_quantile(q) as f64 / 1000.0;
             (window.p50_ms, window.p99_ms, window.p999_ms) = (at(0.5), at(0.99), at(0.999));
         }
-        // The first second is for sidecars to come into their own.
+        // The first second is excluded as warm-up.
         let day =
             &self.windows[1.min(self.windows.len())..((length / SECOND) as usize).min(self.windows.len())];
         let share = |of: &[Window]| {
@@ -357,7 +357,7 @@
         self.last_notified.iter().for_each(|t| last.saturating_record((*t).max(1) as u64));
         let mut all = histogram::<u64>();
         for latencies in &self.latencies {
-            all.add(latencies).expect("all have the same bounds");
+            all.add(latencies).expect("all histograms have the same bounds");
         }
         let late_lost = self.late_worth_lost / worth.max(1.0);
         let held = sum(&|w| w.connections) / self.windows.len().max(1) as f64;
--- a/crates/fleet/src/model/mod.rs
+++ b/crates/fleet/src/model/mod.rs
@@ -1,5 +1,5 @@
-//! The fleet in simulated time: servers, links, discovery, clients, and sidecars that run the decision module
-//! itself. One loop, one order of events; the same seed gives the same run, whatever the machine's cores.
+//! Discrete-event simulation of a fleet: servers, links, discovery, clients, and sidecars that run the real balancer.
+//! A run is single-threaded and deterministic: the same seed gives the same run on any machine.
 
 pub mod decider;
 mod discovery;
--- a/crates/fleet/src/model/rules.rs
+++ b/crates/fleet/src/model/rules.rs
@@ -1,48 +1,48 @@
-//! The rules that every decider must keep, checked on each action. What breaks one is counted by its name; a model
-//! in which a rule could be broken unseen would prove nothing.
+//! The rules that every policy must keep. The simulation checks them on each action and counts violations by rule, so
+//! that no result rests on undetected violations.
 
 use crate::Micros;
 use lotusmoor_balancer::{DedupScope, Idempotency};
 use std::collections::BTreeMap;
 
-/// An attempt as the rules see it.
+/// An attempt as far as the rules need it.
 #[derive(Clone, Copy, Debug)]
 pub struct Sent {
     /// Zone of its server.
     pub zone: usize,
     /// Cell of its server.
     pub cell: u64,
-    /// When.
+    /// When it was sent.
     pub at: Micros,
-    /// Whether it is still out.
+    /// Whether it is still in flight.
     pub open: bool,
-    /// Whether it may have run.
+    /// Whether its server may have executed it.
     pub may_have_run: bool,
 }
 
-/// What a send is checked against.
+/// The inputs for the check of a send.
 pub struct SendCheck<'a> {
-    /// What a repeat would do.
+    /// Idempotency of the request's class.
     pub idempotency: Idempotency,
-    /// Earlier attempts of the try.
+    /// Earlier attempts of the same try.
     pub earlier: &'a [Sent],
-    /// The attempt.
+    /// The attempt to send.
     pub to: Sent,
-    /// Whether the request has its final answer already.
+    /// Whether the request already has its final response.
     pub finished: bool,
-    /// Whether the sidecar's lists ever had that server.
+    /// Whether the server was ever listed.
     pub listed: bool,
-    /// When the sidecar was told that it drains or is gone.
+    /// When the sidecar learned, or is presumed to have learned, that the server is draining or removed.
     pub unavailable_since: Option<Micros>,
-    /// How long sends may go on after that.
+    /// How long sends are still allowed after that.
     pub drain_grace: Micros,
-    /// Attempts that are allowed.
+    /// Maximum number of attempts.
     pub max_attempts: u32,
-    /// Whether two may be out at once.
+    /// Whether two attempts may be in flight at once.
     pub may_hedge: bool,
 }
 
-/// The rule that a send breaks.
+/// The rule that a send violates.
 pub fn check_send(c: &SendCheck) -> Option<&'static str> {
     let now = c.to.at;
     let ran = || c.earlier.iter().filter(|a| a.open || a.may_have_run);
@@ -74,7 +74,7 @@
     .map(|(_, rule)| rule)
 }
 
-/// Whether a refusal, which says that a repeat is harmless, is true.
+/// The rule that a rejection violates: it tells the client that a retry is safe, which must be true.
 pub fn check_rejection(now: Micros, idempotency: Idempotency, earlier: &[Sent]) -> Option<&'static str> {
     let first = earlier.iter().filter(|a| a.open || a.may_have_run).map(|a| a.at).min();
     let safe_to_retry = match (first, idempotency) {
@@ -85,18 +85,18 @@
     (!safe_to_retry).then_some("a refusal of what may have run")
 }
 
-/// Whether the fall of a cold server is a break, by the share of what it was sent that came from sidecars that had been
-/// told of its start.
+/// The rule that the overload of a server that is warming up violates. `informed` is the share of its recent work
+/// that came from sidecars that knew about its restart; up to two thirds is no violation.
 pub fn check_cold_overload(informed: f64) -> Option<&'static str> {
     (informed > 2.0 / 3.0).then_some("a cold server pushed over")
 }
 
-/// Broken rules by name.
+/// Number of violations of each rule.
 #[derive(Default)]
 pub struct Violations(pub BTreeMap<&'static str, u64>);
 
 impl Violations {
-    /// Counts one, if there is one.
+    /// Counts a violation, if there is one.
     pub fn record(&mut self, rule: Option<&'static str>) {
         if let Some(rule) = rule {
             *self.0.entry(rule).or_default() += 1;
--- a/crates/fleet/src/model/rules/tests.rs
+++ b/crates/fleet/src/model/rules/tests.rs
@@ -1,4 +1,4 @@
-//! Each rule by itself.
+//! Tests of each rule.
 
 use super::*;
 
@@ -30,7 +30,7 @@
 }
 
 #[test]
-fn each_rule_on_sends_is_seen_broken_and_kept() {
+fn detects_violations_of_each_send_rule() {
     let (out, ran, never) = (sent(0, 1, true, true), sent(0, 1, false, true), sent(0, 1, false, false));
     assert_eq!(check(Idempotency::Idempotent, &[ran], |_| {}), None);
     assert_eq!(check(Idempotency::NonIdempotent, &[never], |_| {}), None);
@@ -54,7 +54,7 @@
 }
 
 #[test]
-fn a_refusal_must_be_harmless() {
+fn rejection_requires_that_a_retry_is_safe() {
     let all = Idempotency::WithKey { scope: DedupScope::All, ttl: 1000 };
     let (ran, never) = (sent(0, 1, false, true), sent(0, 1, false, false));
     assert_eq!(check_rejection(999, all, &[ran]), None);
@@ -65,7 +65,7 @@
 }
 
 #[test]
-fn a_fall_is_a_break_where_over_two_thirds_of_what_it_was_sent_came_from_those_who_knew() {
+fn overload_is_a_violation_above_two_thirds_informed_work() {
     assert_eq!([0.0, 0.5, 2.0 / 3.0].map(check_cold_overload), [None; 3]);
     assert_eq!([0.667, 1.0].map(check_cold_overload), [Some("a cold server pushed over"); 2]);
 }
--- a/crates/fleet/src/model/run/attempts.rs
+++ b/crates/fleet/src/model/run/attempts.rs
@@ -93,7 +93,7 @@
         }
         s.connections += streams;
         s.in_transit += work;
-        // What else the connection can carry stands ready for the next.
+        // The connection's remaining streams are available to the next attempts.
         let more = (1..streams).map(|_| (now, incarnation));
         self.processes[process as usize].idle.entry(server as u32).or_default().extend(more);
         self.attempts[number as usize].connected = true;
@@ -102,7 +102,8 @@
         self.events.schedule(now + handshake, SimEvent::ConnectionEstablished(number, path));
     }
 
-    /// A new connection has come up. What was given up meanwhile, as its client has left say, is not written.
+    /// Handles an established connection. An attempt that was cancelled meanwhile, for example because the client
+    /// disconnected, is not sent.
     pub(super) fn connection_established(&mut self, now: Micros, id: u32, path: Micros) {
         let a = &self.attempts[id as usize];
         if a.open && !self.tries[a.try_id as usize].finished {
@@ -112,8 +113,8 @@
         }
     }
 
-    /// From when on a version of the list counts as told, whether it came or not; `None`: not yet. A roster's versions
-    /// count from their acknowledgement.
+    /// The time from which sidecars are presumed to know a list version, whether they received it or not; `None` if
+    /// it is not published yet. A registry's versions count from their acknowledgement.
     fn presumed_known_at(&self, version: usize) -> Option<Micros> {
         let since = match &self.registry {
             Some(registry) => registry.acknowledged_at(version as u64),
@@ -128,7 +129,7 @@
         (self.world.sidecars[sidecar].zone, self.servers[a.server as usize].spec.zone)
     }
 
-    /// Something goes back to the sidecar, unless the link is cut.
+    /// Sends an attempt's outcome back to the sidecar, unless the link is cut.
     pub(super) fn reply(&mut self, now: Micros, id: u32, outcome: Outcome) {
         let a = &self.attempts[id as usize];
         let (zone, from) = self.zones_of(a);
@@ -145,7 +146,7 @@
         self.processes[process as usize].sidecar
     }
 
-    /// A server's answer begins, and streams until it ends so.
+    /// Starts a server's response stream, which ends with `outcome`.
     fn start_stream(&mut self, now: Micros, id: u32, length: Micros, outcome: Outcome) {
         let (zone, from) = self.zones_of(&self.attempts[id as usize]);
         let server = self.attempts[id as usize].server as usize;
@@ -161,14 +162,14 @@
 
     pub(super) fn stream_ended(&mut self, now: Micros, id: u32, outcome: Outcome) {
         let streaming = &mut self.servers[self.attempts[id as usize].server as usize].streaming;
-        // One whose server ended meanwhile broke with it.
+        // If the server stopped meanwhile, the stream has already been reset.
         if let Some(at) = streaming.iter().position(|s| *s == id) {
             streaming.swap_remove(at);
             self.reply(now, id, outcome);
         }
     }
 
-    /// The first byte has come: the attempt is the client's, and no time runs any more.
+    /// Handles the first byte of a response: the attempt is committed to the client, and timeouts no longer apply.
     pub(super) fn stream_started(&mut self, now: Micros, id: u32) {
         let a = &mut self.attempts[id as usize];
         let t = &mut self.tries[a.try_id as usize];
@@ -194,7 +195,7 @@
         let s = &mut self.servers[server as usize];
         match s.machine {
             Machine::Silent => return,
-            // What was written to a process that is no more is reset.
+            // A connection to a process that has ended is reset.
             Machine::Down => return self.reply(now, id, reset(reused)),
             Machine::Up if !same_incarnation => return self.reply(now, id, reset(reused)),
             Machine::Up => {}
@@ -224,7 +225,7 @@
                 self.metrics.overload_crashes += 1;
                 let s = &self.servers[server as usize];
                 tracing::debug!(
-                    "{:.3} s: server {server} (kind {}, speed {:.2}) falls over, {:.2} warm, {:.0}% by those who knew",
+                    "{:.3} s: server {server} (kind {}, speed {:.2}) crashed from overload while warming up ({:.2} of its capacity), {:.0}% of its load from sidecars that knew about its restart",
                     now as f64 / SECOND as f64,
                     s.spec.kind,
                     s.spec.speed,
@@ -238,7 +239,7 @@
         }
     }
 
-    /// A server's next completion, as things stand now.
+    /// Schedules the server's next completion at its current rate and invalidates the one scheduled before.
     pub(super) fn reschedule_completion(&mut self, now: Micros, server: u32) {
         let s = &mut self.servers[server as usize];
         s.stamp += 1;
@@ -262,7 +263,7 @@
             let outcome = if chance::unit(random_key) < s.errors {
                 Outcome::Error
             } else if chance::unit(random_key ^ 0x5b01) < self.corrupt_share {
-                // It may have run, and nothing can be made of its answer.
+                // It may have been executed, but the response is corrupt.
                 Outcome::Error
             } else if chance::unit(!random_key) < self.reset_share {
                 reset(self.attempts[id as usize].reused)
@@ -302,12 +303,12 @@
             let sent = self.attempts[id as usize].sent;
             self.requests[request as usize].may_have_run_since.get_or_insert(sent);
         }
-        // A stream that breaks has reached its client, who sees that it is not whole.
+        // The client has already received part of a stream that breaks, and sees that it is incomplete.
         let stream_broke = self.attempts[id as usize].started && outcome != Outcome::Ok;
         if stream_broke && !over {
             self.respond(now, process, of, Response::Failed);
         }
-        // The first answer goes to the client by itself.
+        // The first successful response is forwarded without an action of the policy.
         if outcome == Outcome::Ok && !over {
             self.metrics.work.1 += work;
             self.respond(now, process, of, Response::Served);
@@ -344,7 +345,7 @@
         LoadReport { waiting, active, cpu, ..LoadReport::default() }
     }
 
-    /// An attempt's connection ends, if it has one.
+    /// Releases an attempt's connection, if it has one.
     pub(super) fn release_connection(&mut self, id: u32) {
         let a = &mut self.attempts[id as usize];
         let s = &mut self.servers[a.server as usize];
@@ -354,9 +355,9 @@
         }
     }
 
-    /// A sidecar closes an attempt's connection, of which the server hears.
+    /// Cancels an attempt by closing its connection or stream, and notifies the server if the link is open.
     pub(super) fn cancel_attempt(&mut self, now: Micros, id: u32) {
-        // One of several on a connection ends without it.
+        // With several streams on a connection, only the attempt's stream is closed.
         if self.world.streams == 1 {
             self.release_connection(id);
         }
--- a/crates/fleet/src/model/run/clients.rs
+++ b/crates/fleet/src/model/run/clients.rs
@@ -1,4 +1,4 @@
-//! What clients do: they ask, wait, give up and try again.
+//! Clients: they send requests, wait for responses, time out and retry.
 
 use super::*;
 
@@ -37,7 +37,8 @@
         let retries = clients.retries * self.retry_surge.0;
         let extra_retry = u8::from(rng.random::<f64>() < retries.fract());
         let work = (spec.work * relative_work).max(1.0);
-        // By name: sites without tenants must meet the days that they met before.
+        // Derived from a key instead of the sidecar's random stream, so that sites without tenants keep their random
+        // sequences.
         let random_key = chance::mix(world.seed ^ 0x7e4a ^ (self.requests.len() as u64) << 8);
         let mut pick = chance::unit(random_key);
         let tenant = world.tenants.iter().position(|t| {
@@ -148,7 +149,7 @@
         let (request, process, due, over) = (t.request, t.process, t.due, t.finished);
         let answer_grace = self.settings[self.requests[request as usize].sidecar as usize].rules.answer_grace;
         if now < due && !over {
-            // It left early; what is open is called off.
+            // The client disconnected early; open attempts are cancelled.
             self.tries[id as usize].finished = true;
             self.close_request(process, id);
             self.dispatch(now, process, Event::RequestAbandoned(RequestId::from(id)));
@@ -171,7 +172,8 @@
         self.dispatch(now, process, Event::RequestAbandoned(RequestId::from(id)));
     }
 
-    /// A client tries again, if its class, its patience and its time allow.
+    /// Schedules a client's retry if the class, the number of retries and the deadline allow it; otherwise finishes
+    /// the request.
     pub(super) fn retry_or_finish(
         &mut self,
         now: Micros,
--- a/crates/fleet/src/model/run/faults.rs
+++ b/crates/fleet/src/model/run/faults.rs
@@ -1,4 +1,4 @@
-//! What goes wrong, as planned.
+//! Carries out the planned faults and operations.
 
 use super::*;
 
@@ -25,13 +25,13 @@
             let reused = self.attempts[id as usize].reused;
             self.reply(now, id, reset(reused));
         }
-        // What was kept open is closed, and the sidecars see that.
+        // Idle connections to it are closed, which the sidecars notice.
         for process in &mut self.processes {
             process.idle.remove(&(server as u32));
         }
     }
 
-    /// Discovery learns of a server's state after a while.
+    /// Schedules discovery's update for a server's new state, after its detection delay.
     pub(super) fn schedule_discovery_update(
         &mut self,
         now: Micros,
@@ -40,7 +40,7 @@
         after: crate::site::Range,
     ) {
         if self.registry.is_some() {
-            // A server that ends by plan takes itself off; of one that does not, its lease tells.
+            // A server that stops after a drain deregisters itself; for any other the lease expires.
             let told = status != EndpointStatus::Removed || self.servers[server].draining.is_some();
             return if told {
                 self.report_to_registry(now, server, status)
@@ -136,7 +136,7 @@
             PlannedEvent::RetrySurge(times, leave) => self.retry_surge = (times, leave),
             PlannedEvent::MalformedClients(s, every) => {
                 let before = std::mem::replace(&mut self.sidecars[s].malformed_interval, every);
-                // One stream of them at a time.
+                // Only one recurring event for each sidecar at a time.
                 if before == 0 {
                     self.events.schedule(now, SimEvent::MalformedMessage(s as u32));
                 }
--- a/crates/fleet/src/model/run/list.rs
+++ b/crates/fleet/src/model/run/list.rs
@@ -1,4 +1,4 @@
-//! The list of servers, and how sidecars are told of it.
+//! The endpoint list and its distribution to sidecars.
 
 use super::*;
 
@@ -20,7 +20,7 @@
         }
     }
 
-    /// The list as that version has it.
+    /// The list at that version.
     pub(super) fn list_at(&self, version: usize) -> Vec<EndpointEntry> {
         let first = |i: usize| Entry {
             status: if self.servers[i].spec.starts_later {
@@ -72,7 +72,7 @@
         }
     }
 
-    /// What a process was told of servers that it must not send to any more.
+    /// Records which servers a process now knows to be draining or removed.
     pub(super) fn record_unavailable(&mut self, now: Micros, process: u32, list: &[EndpointEntry]) {
         let gone = &mut self.processes[process as usize].unavailable;
         for l in list {
--- a/crates/fleet/src/model/run/mod.rs
+++ b/crates/fleet/src/model/run/mod.rs
@@ -1,4 +1,4 @@
-//! One run: the loop that plays a world under a policy.
+//! One run: the event loop that simulates a world under a policy.
 
 mod attempts;
 mod clients;
@@ -25,23 +25,23 @@
 use rustc_hash::{FxHashMap, FxHashSet};
 use std::collections::BTreeSet;
 
-/// What discovery has to tell counts as told this long after discovery had it and could be reached.
+/// A sidecar is presumed to know a version of the endpoint list this long after discovery had it and was reachable.
 const PRESUMED_KNOWN_AFTER: Micros = 6 * SECOND;
-/// After it is told to stop a sidecar stays at least this long, as new connections keep coming.
+/// A stopping sidecar stays up at least this long, because new connections keep arriving.
 const MIN_STOP_TIME: Micros = 400_000;
 
-/// Why a world can't be played.
+/// Why a world can't be simulated.
 #[derive(Debug, thiserror::Error)]
 pub enum RunError {
-    /// The module can't decide under the site's settings.
+    /// The balancer rejected the site's settings.
     #[error("{0}")]
     Settings(#[from] SettingsError),
-    /// The program that is to decide can't be started.
+    /// The adapter program could not be started.
     #[error("{0}")]
     Adapter(#[from] AdapterError),
 }
 
-/// A run that has not begun.
+/// A run that has not started.
 pub struct Run {
     world: World,
     factory: DeciderFactory,
@@ -55,21 +55,21 @@
     tries: Vec<Try>,
     attempts: Vec<Attempt>,
     discovery: Discovery,
-    /// The roster, where the world has one.
+    /// The registry, if the world has one in place of the platform's discovery.
     registry: Option<Box<registry::Registry>>,
-    /// Servers that operators have taken out.
+    /// Servers that operators have cordoned.
     cordoned: BTreeSet<usize>,
-    /// The version that tells of each server's last start.
+    /// For each server, the list version that contains its latest start; `usize::MAX` until there is one.
     start_versions: Vec<usize>,
-    /// The version that first told that a server drains or is gone, where that is the last that is known of it.
+    /// For each server, the list version that announced its drain or removal; `None` while it is listed as ready.
     removal_versions: Vec<Option<usize>>,
     traffic_factors: (f64, Vec<f64>),
     reset_share: f64,
     corrupt_share: f64,
     late_connects: (f64, Micros),
-    /// How many times as often clients try, and the share more that leaves early.
+    /// Factor on the clients' number of retries, and the additional share of clients that disconnect early.
     retry_surge: (f64, f64),
-    /// What each tenant has asked for in a second.
+    /// For each tenant, the current second and its requests in that second.
     tenant_usage: Vec<(Micros, f64)>,
     metrics: MetricsRecorder,
     violations: Violations,
@@ -77,64 +77,64 @@
     actions: Vec<Action>,
 }
 
-/// What can happen. Numbers are places in the tables of the run.
+/// An event of the simulation. Numbers are indices into the vectors of [`Run`].
 enum SimEvent {
-    /// A client of that sidecar asks something new.
+    /// A client of this sidecar starts a new request.
     ClientRequest(u32),
-    /// A client sends its request, for the first time or again.
+    /// A client sends its request: the first try or a retry.
     ClientSend(u32),
-    /// A try has come to its sidecar's process.
+    /// A try arrived at its sidecar's process.
     TryArrived(u32),
-    /// A client gives up a try.
+    /// A client stops waiting for the response to a try.
     ClientTimeout(u32),
-    /// The time for a final answer, slack and all, is over.
+    /// The deadline for the final response, grace period included, has passed.
     ResponseOverdue(u32),
-    /// An answer has come to its client.
+    /// A response arrived at the client.
     ResponseArrived(u32, Response),
-    /// A new connection has come up, and the request goes out on it, on its way for so long.
+    /// A new connection is established; the request goes out on it with this one-way delay.
     ConnectionEstablished(u32, Micros),
-    /// An attempt has come to its server.
+    /// An attempt arrived at its server.
     AttemptArrived(u32),
-    /// A server is told that an attempt is given up.
+    /// The cancellation of an attempt arrived at its server.
     CancelArrived(u32),
-    /// A server may be done with something; the stamp tells whether that still holds.
+    /// A server may have completed requests; ignored if the server's completion stamp has changed since.
     ServerCompletion(u32, u32),
-    /// A message has come to a sidecar, whose processor gets to it in its turn.
+    /// A message arrived at a sidecar and is queued on its processor.
     MessageArrived(u32, Message),
-    /// A message that is no request is sent to a sidecar.
+    /// A client sends a malformed message to a sidecar.
     MalformedMessage(u32),
-    /// The first byte of a streamed answer has come to its sidecar.
+    /// The first byte of a streamed response arrived at the sidecar.
     StreamStarted(u32),
-    /// A server's stream ends so.
+    /// A server's response stream ends with this outcome.
     StreamEnded(u32, Outcome),
-    /// An attempt's end has come to its sidecar.
+    /// The outcome of an attempt arrived at its sidecar.
     AttemptEnded(u32, Outcome),
-    /// A probe that a process sent at that instant has ended.
+    /// A health check of a server ended: process, server, when it was sent, and the outcome.
     ProbeEnded(u32, u32, Micros, Outcome),
-    /// A sidecar stops waiting for an attempt.
+    /// A sidecar's timeout for an attempt expires.
     AttemptTimeout(u32),
-    /// A timer of a process goes off.
+    /// A timer of a process expires.
     Timer(u32, u64),
-    /// A server's own pause begins, or ends.
+    /// A server's regular pause begins (`true`) or ends.
     Pause(u32, bool),
-    /// The plan's next.
+    /// An entry of the world's plan is due.
     Planned(u32),
-    /// A change that discovery learns of.
+    /// Discovery records a change of a server's state.
     DiscoveryUpdate(Change),
-    /// Discovery's round.
+    /// Discovery publishes the changes recorded since the last round.
     PublishRound,
-    /// What discovery has published comes to a sidecar.
+    /// A published list update arrives at a sidecar.
     ListPushed(u32),
-    /// A process calls discovery, and that call is answered or has failed.
+    /// A process fetches the endpoint list from discovery.
     FetchList(u32),
     FetchEnded(u32, bool),
-    /// A process that was told to stop ends, if all is answered; it starts again so long after.
+    /// A stopping process exits if it has no open requests; its successor starts after this delay.
     StopCheck(u32, Micros),
-    /// A sidecar's next process starts.
+    /// A sidecar's next process starts, unless one is running.
     StartProcess(u32),
-    /// Something about the roster.
+    /// An event of the registry.
     Registry(registry::RegistryEvent),
-    /// Idle connections are looked through.
+    /// Idle connections that have reached the idle timeout are closed.
     IdleSweep,
 }
 
@@ -143,57 +143,57 @@
     Served,
     Rejected(Micros),
     Failed,
-    /// There was nobody to take it.
+    /// No sidecar process accepted the request, so it was never processed.
     ConnectionRefused,
 }
 
-/// A sidecar's place: what stays over restarts of its process.
+/// The state of a sidecar that survives restarts of its process.
 struct Sidecar {
     rng: ChaCha8Rng,
     process: Option<u32>,
-    /// The newest version that it was told.
+    /// The newest list version that it has received.
     known_version: usize,
     starts: u64,
-    /// The list that its file has, where it rides a roster.
+    /// The list saved in its file, if it gets its list from a registry.
     saved_list: Option<lotusmoor_registry_client::EndpointList>,
     processor: Processor,
-    /// A message that is no request comes so often; 0 for never.
+    /// Interval between malformed messages; 0 for none.
     malformed_interval: Micros,
 }
 
-/// A sidecar's share of a core, which takes one message at a time.
+/// A sidecar's share of a core, which handles one message at a time.
 #[derive(Default)]
 struct Processor {
     busy_until: Micros,
-    /// Its use in a second.
+    /// The second that `used_in_second` counts processor time for.
     current_second: Micros,
     used_in_second: f64,
 }
 
-/// What a sidecar's processor has to look at.
+/// A message that costs a sidecar processor time.
 #[derive(Clone, Copy)]
 enum Message {
     Try(u32),
     Started(u32),
     Outcome(u32, Outcome),
-    /// Something that is no request.
+    /// A malformed message.
     Malformed,
 }
 
 struct Process {
     sidecar: u32,
     decider: Option<Box<dyn Decider>>,
-    /// Its way with the roster.
+    /// The registry watcher, if the list comes from a registry.
     registry_watch: Option<Box<registry::RegistryWatch>>,
-    /// It takes nothing new.
+    /// It accepts no new requests.
     stopping: bool,
     watching: bool,
     open: FxHashSet<u32>,
-    /// Idle connections by server: since when, and to which of its starts.
+    /// Idle connections by server: idle since when, and to which incarnation of the server.
     idle: FxHashMap<u32, Vec<(Micros, u32)>>,
-    /// Servers that it was told drain or are gone, and when.
+    /// Servers that it knows to be draining or removed, and since when.
     unavailable: FxHashMap<u32, Micros>,
-    /// Servers that operators took out, and when it was told.
+    /// Servers that operators cordoned, and when it was notified.
     cordoned: FxHashMap<u32, Micros>,
 }
 
@@ -209,7 +209,7 @@
     leaves_early: bool,
     worth: Worth,
     tenant: Option<u8>,
-    /// The first attempt of it that may have run.
+    /// When the first attempt that a server may have executed was sent.
     may_have_run_since: Option<Micros>,
     last_outcome: Option<RequestOutcome>,
     finished: bool,
@@ -220,10 +220,10 @@
     process: u32,
     due: Micros,
     attempts: Vec<u32>,
-    /// It has its final answer, or its client has left.
+    /// It has its final response, or its client has disconnected.
     finished: bool,
     client_gone: bool,
-    /// The first byte of a streamed answer came: no time runs any more.
+    /// When the first byte of a streamed response arrived; from then on timeouts no longer apply.
     started: Option<Micros>,
 }
 
@@ -237,22 +237,22 @@
     work: f32,
     open: bool,
     reused: bool,
-    /// It holds one of its server's connections.
+    /// It occupies one of its server's connections.
     connected: bool,
     may_have_run: bool,
-    /// It streams its answer.
+    /// Its response stream has started.
     started: bool,
 }
 
 impl Run {
-    /// Sets a world up under a policy.
+    /// Prepares the simulation of a world under a policy.
     pub fn new(world: World, policy: Policy) -> Result<Self, RunError> {
         let mut settings = Vec::with_capacity(world.sidecars.len());
         for i in 0..world.sidecars.len() {
             let text = world.settings_for(i).to_string();
             let decoded = lotusmoor_balancer::settings::decode(&text);
-            let decoded =
-                decoded.map_err(|_| SettingsError::Undecodable("not in the form that sidecars read"))?;
+            let decoded = decoded
+                .map_err(|_| SettingsError::Undecodable("not in the format of the sidecar settings"))?;
             settings.push(decoded.settings);
         }
         let classes = world.classes.iter().map(|c| c.name.clone()).collect();
@@ -297,7 +297,7 @@
         })
     }
 
-    /// From now on the time that decisions take is measured, on the machine's clock; the run goes as it would.
+    /// Measures the wall-clock time that decisions take from now on. Simulated time and results are not affected.
     pub fn time_decisions(&mut self) -> DecisionTime {
         let decision_time = DecisionTime::default();
         let factory = std::mem::replace(&mut self.factory, DeciderFactory::Builtin(Policy::Module));
@@ -305,7 +305,7 @@
         decision_time
     }
 
-    /// Plays it to the end: until nobody asks any more and all is answered.
+    /// Runs the simulation to the end: until clients have stopped sending and all requests are finished.
     pub fn execute(mut self) -> Result<Figures, RunError> {
         self.start_registry();
         for i in 0..self.sidecars.len() as u32 {
@@ -322,7 +322,8 @@
         }
         self.events.schedule(self.world.discovery.period, SimEvent::PublishRound);
         self.events.schedule(SECOND, SimEvent::IdleSweep);
-        // Past this every client has its answer or has given up: whatever still turns is a loop.
+        // After this time every client has its response or has given up. Events that remain only reschedule
+        // themselves.
         let longest = self.world.classes.iter().map(|c| c.deadline).max().unwrap_or(SECOND);
         let end = self.world.length + 2 * longest + SECOND;
         while let Some((now, event)) = self.events.next() {
@@ -429,7 +430,7 @@
     }
 }
 
-/// A connection that breaks under an attempt.
+/// The outcome of a connection reset during an attempt.
 fn reset(reused: bool) -> Outcome {
     if reused { Outcome::ReusedConnectionReset } else { Outcome::Reset }
 }
--- a/crates/fleet/src/model/run/registry.rs
+++ b/crates/fleet/src/model/run/registry.rs
@@ -1,5 +1,6 @@
-//! The list from a roster of the project's own: its list, leases and admission, and the sidecars' watchers, are the very
-//! cores that run in processes. What the log costs (a commit, a change of leader) is drawn from what was measured.
+//! The endpoint list from the project's own registry. Its list, leases and admission control, and the sidecars'
+//! watchers, are the state machines that the real processes run. Replication is not simulated: commit latency and
+//! failover time are drawn from the scenario's ranges.
 
 use super::*;
 use crate::model::world::RegistrySpec;
@@ -9,48 +10,49 @@
 use lotusmoor_registry_client as client;
 use lotusmoor_registry_client::{EndpointList, ListUpdate, RegistryWatcher, Version};
 
-/// What can happen about a roster. Numbers are places in its tables.
+/// An event of the registry. Numbers are indices: of polls, writes and replicas in [`Registry`], of processes and
+/// servers in [`Run`].
 #[derive(Clone, Copy)]
 pub(super) enum RegistryEvent {
-    /// A call has come to its replica.
+    /// A poll arrived at its replica.
     PollArrived(u32),
-    /// A watch has waited for its time.
+    /// A long poll has reached its wait time.
     PollExpired(u32),
-    /// A call's answer, or its failure, has come to its sidecar.
+    /// The response to a poll, or its failure, arrived at the sidecar.
     PollAnswered(u32),
-    /// A watcher's timer is due, if it was not set anew.
+    /// A watcher's timer expires; ignored if it was set again since (process, stamp).
     WatcherTimer(u32, u32),
-    /// A write comes to the leader.
+    /// A write arrived at the leader.
     WriteArrived(u32),
-    /// A write is at a majority.
+    /// A write is committed.
     Committed(u32),
-    /// A replica has what was committed.
+    /// A replica learned that a write is committed.
     Published(u32),
     /// A server renews its lease.
     Renew(u32),
-    /// The leader looks through the leases.
+    /// The leader checks for expired leases.
     LeaseCheck,
 }
 
-/// Renewals are sent so often, and the leases looked through.
+/// How often the leader checks for expired leases.
 const LEASE_CHECK_INTERVAL: Micros = SECOND / 4;
-/// A writer that is turned away comes again after about this.
+/// Mean interval between retries of a write while there is no leader.
 const WRITE_RETRY_INTERVAL: Micros = SECOND / 2;
-/// What a replica responds to a poll that it has no capacity for.
+/// The HTTP status of a replica that has no capacity for a poll.
 const SERVICE_UNAVAILABLE: u16 = 503;
 
 /// A replica.
 struct Replica {
     zone: usize,
     up: bool,
-    /// It stands still: it says nothing.
+    /// Its process is paused and does not respond.
     paused: bool,
     admission: Admission,
     busy_until: Micros,
     waiting: Vec<u32>,
 }
 
-/// A sidecar's call.
+/// A sidecar's poll for list updates.
 struct Poll {
     process: u32,
     number: u64,
@@ -59,31 +61,31 @@
     wait: Micros,
     arrived: Micros,
     is_waiting: bool,
-    /// How it ended: an answer, or a time to come again.
+    /// Its result: an update, or a failure with an optional time after which to retry.
     reply: Result<Box<ListUpdate>, Option<Micros>>,
 }
 
-/// A change that was acknowledged.
+/// An acknowledged change of the list.
 struct Acknowledged {
     index: u64,
     at: Micros,
-    /// When it became true.
+    /// When the server's state changed.
     since: Micros,
     last_told: Micros,
 }
 
-/// The roster and what is known of its changes.
+/// The registry, its polls and writes, and when its changes were acknowledged.
 pub(super) struct Registry {
     spec: RegistrySpec,
     list: List,
     leases: LeaseTracker,
     replicas: Vec<Replica>,
     leader: usize,
-    /// Nobody leads until then.
+    /// There is no leader until then.
     leaderless_until: Micros,
-    /// Replicas that are away, the last first.
+    /// Replicas that are killed or paused, the latest at the end.
     failed: Vec<usize>,
-    /// The one that leads from then on has yet to take the leases up.
+    /// The new leader has not restarted the leases yet.
     leases_stale: bool,
     polls: Vec<Poll>,
     writes: Vec<(Command, Micros)>,
@@ -125,7 +127,7 @@
         now >= self.leaderless_until && self.is_available(self.leader)
     }
 
-    /// The leader is gone: another leads after a while, if there is one.
+    /// Starts a failover: another available replica becomes leader after the failover time.
     fn lose_leader(&mut self, now: Micros) {
         let after = crate::seconds(self.spec.failover_s.draw(&mut self.rng));
         self.leaderless_until = now + after;
@@ -141,23 +143,23 @@
         Some(self.acknowledged[at].at)
     }
 
-    /// Figures of its changes: how long from the acknowledgement to a sidecar's hearing, and to the last one's.
+    /// For each change that reached a sidecar, the time from its acknowledgement to the last sidecar's notification.
     pub(super) fn last_notified(&self) -> impl Iterator<Item = Micros> {
         self.acknowledged.iter().filter(|a| a.last_told > 0).map(|a| a.last_told - a.at)
     }
 }
 
-/// A sidecar's watcher, where its list comes from a roster.
+/// A process's registry watcher and its timer.
 pub(super) struct RegistryWatch {
     watcher: RegistryWatcher,
-    /// Marks the wake that is still meant.
+    /// Generation of the current timer; events with an older stamp are ignored.
     stamp: u32,
     next_wake: Micros,
     has_list: bool,
 }
 
 impl Run {
-    /// Founds the roster with the servers that are there, and starts their renewals.
+    /// Bootstraps the registry with the servers that are running, and starts their lease renewals.
     pub(super) fn start_registry(&mut self) {
         let Some(spec) = self.world.registry.clone() else { return };
         let mut registry = Registry::new(spec, self.world.zones.len(), self.world.seed);
@@ -199,7 +201,7 @@
 
     // ---- Servers ----
 
-    /// A server has a new state, of which the roster learns from itself or by its silence.
+    /// Writes a server's new state to the registry: it registers, drains or is removed.
     pub(super) fn report_to_registry(&mut self, now: Micros, server: usize, status: EndpointStatus) {
         let Some(registry) = &self.registry else { return };
         let name = server_name(server);
@@ -337,7 +339,7 @@
         let zone = registry.replicas[leader].zone;
         for replica in 0..replicas {
             let to = self.registry.as_ref().map_or(0, |r| r.replicas[replica].zone);
-            // A follower hears that it is committed with the next heartbeat or entry.
+            // A follower learns that it is committed with the next heartbeat or log entry.
             let after = if replica == leader { 1 } else { self.world.links.delay(zone, to, 1.0) };
             self.schedule_registry(now + after, RegistryEvent::Published(replica as u32));
         }
@@ -375,14 +377,15 @@
         a.is_waiting = false;
         let mut update = registry.list.update(a.after.map(|v| v.index));
         update.waited_ms = ((now - a.arrived) / 1000) as u64;
-        // Without a leader a replica's list grows older.
+        // Without a leader the age of a replica's list grows. With one it is reported as 250 ms, within the time
+        // between heartbeats.
         let lost =
             if now < registry.leaderless_until { now - (registry.leaderless_until - SECOND) } else { 0 };
         update.age_ms = 250 + (lost.max(0) / 1000) as u64;
         self.send_reply(now, poll, Ok(Box::new(update)));
     }
 
-    /// Answers are made one after the other.
+    /// Sends the result of a poll to the sidecar. A replica produces its responses one after another.
     fn send_reply(&mut self, now: Micros, poll: u32, reply: Result<Box<ListUpdate>, Option<Micros>>) {
         let Some(registry) = &mut self.registry else { return };
         let a = &mut registry.polls[poll as usize];
@@ -403,7 +406,8 @@
 
     // ---- Faults ----
 
-    /// A replica is gone, silently or not, or back; 0 is the one that leads.
+    /// Kills or pauses (`silent`) a replica, or brings the one back that failed last. `place` counts from the leader,
+    /// which is 0.
     pub(super) fn registry_fault(&mut self, now: Micros, place: usize, silent: bool, begin: bool) {
         let Some(registry) = &mut self.registry else { return };
         let all = registry.replicas.len();
@@ -417,7 +421,7 @@
                 registry.lose_leader(now);
             }
             if !silent {
-                // Their connections are reset.
+                // The connections of waiting polls are reset.
                 for poll in waiting {
                     self.send_reply(now, poll, Err(None));
                 }
@@ -425,7 +429,7 @@
         }
     }
 
-    /// All of it is away, or back.
+    /// Stops all replicas, or starts them again.
     pub(super) fn registry_outage(&mut self, now: Micros, away: bool) {
         let Some(registry) = &mut self.registry else { return };
         let waiting: Vec<u32> =
@@ -443,7 +447,8 @@
 
     // ---- Sidecars ----
 
-    /// A process begins to ride, with the list of its file; at the very first that is the list that all have.
+    /// Starts a process's registry watcher with its saved list. The very first process of a sidecar starts with the
+    /// initial list.
     pub(super) fn start_watch(&mut self, now: Micros, process: u32, seed: u64) {
         let sidecar = self.processes[process as usize].sidecar as usize;
         let Some(registry) = &self.registry else { return };
@@ -457,7 +462,7 @@
         let watcher = RegistryWatcher::new(client::Settings::new(registry.replicas.len()), seed);
         let watch = RegistryWatch { watcher, stamp: 0, next_wake: 0, has_list: false };
         self.processes[process as usize].registry_watch = Some(Box::new(watch));
-        // Without its file it has the list of its configuration, which is as old as that.
+        // Without a saved list the process starts with the one in its configuration, the initial list.
         if known.is_none() {
             let list = self.list_at(0);
             self.dispatch(now, process, Event::EndpointList(EndpointListUpdate::Cached(list)));
@@ -574,7 +579,7 @@
     }
 }
 
-/// What a driver on sockets would see: a refusal names a time, a broken connection doesn't.
+/// The error that the real network driver reports: a rejected poll has a retry time, a broken connection doesn't.
 fn poll_error(retry_after: Option<Micros>) -> client::PollError {
     match retry_after {
         Some(_) => client::PollError::Status(SERVICE_UNAVAILABLE),
--- a/crates/fleet/src/model/run/sidecars.rs
+++ b/crates/fleet/src/model/run/sidecars.rs
@@ -1,14 +1,14 @@
-//! Sidecars' processes, and what they ask for.
+//! Sidecar processes, their events and the actions of their policy.
 
 use super::*;
 
 impl Run {
-    /// Sidecars that work in rounds hear of things at the next one.
+    /// Rounds up to the next tick; sidecars with ticks handle events only then.
     pub(super) fn round_up(&self, at: Micros) -> Micros {
         round_up_to_tick(at, self.world.tick)
     }
 
-    /// A message comes to a sidecar, whose own time for it follows.
+    /// A message arrives at a sidecar at `at`, and is handled after the sidecar's processing time.
     pub(super) fn deliver_message(&mut self, at: Micros, sidecar: u32, message: Message) {
         match self.world.processor {
             None => self.schedule_processed(at + self.world.sidecar_time, message),
@@ -16,7 +16,7 @@
         }
     }
 
-    /// A sidecar is done with a message then.
+    /// Schedules the event of a message that a sidecar has processed.
     pub(super) fn schedule_processed(&mut self, at: Micros, message: Message) {
         let what = match message {
             Message::Try(id) => SimEvent::TryArrived(id),
@@ -28,7 +28,7 @@
         self.events.schedule(at, what);
     }
 
-    /// How long a sidecar takes for a message, in or out, what its processor has in hand included.
+    /// How long a sidecar takes to process a message, in or out, including the time in its processor's queue.
     pub(super) fn processing_delay(&mut self, now: Micros, sidecar: u32) -> Micros {
         let Some(spec) = self.world.processor else { return self.world.sidecar_time };
         let p = &mut self.sidecars[sidecar as usize].processor;
@@ -40,7 +40,7 @@
         p.busy_until - now + self.world.sidecar_time
     }
 
-    /// Whether a sidecar has used more of its processor in this second than the site allows.
+    /// Whether a sidecar has used more processor time in this second than the site allows.
     pub(super) fn cpu_limit_exceeded(&self, now: Micros, sidecar: u32) -> bool {
         let p = &self.sidecars[sidecar as usize].processor;
         p.current_second == now / SECOND
@@ -80,7 +80,7 @@
             self.record_unavailable(now, id, &list);
             self.dispatch(now, id, Event::EndpointList(EndpointListUpdate::Cached(list)));
         }
-        // What operators told outlives an upgrade.
+        // Operators' cordons survive restarts and upgrades.
         for server in self.cordoned.clone() {
             self.processes[id as usize].cordoned.insert(server as u32, now);
             self.dispatch(now, id, Event::Cordoned(server));
@@ -96,8 +96,8 @@
         if t.finished {
             return;
         }
-        // What was on its way to a process that has ended since comes to the one that has its socket, or is reset
-        // and was never taken.
+        // If the process has ended since the request was sent, the process that took over its socket handles it; if
+        // there is none, the connection is reset and the request was never processed.
         if self.processes[t.process as usize].decider.is_none() {
             let sidecar = self.processes[t.process as usize].sidecar as usize;
             match self.sidecars[sidecar].process.filter(|p| !self.processes[*p as usize].stopping) {
@@ -111,7 +111,7 @@
             }
         }
         let (process, due) = (t.process, t.due);
-        // Those that it has no seat for are turned away before it.
+        // Above the limit on open requests, connections are refused before the policy sees them.
         if self.processes[process as usize].open.len() >= self.world.max_open_requests {
             t.finished = true;
             return self.events.schedule(now + 1, SimEvent::ResponseArrived(id, Response::ConnectionRefused));
@@ -137,13 +137,13 @@
     pub(super) fn close_request(&mut self, process: u32, id: u32) {
         let p = &mut self.processes[process as usize];
         p.open.remove(&id);
-        // The old process of an upgrade ends once all it had is answered.
+        // After an upgrade the old process exits once all its requests are answered.
         if p.open.is_empty() && self.sidecars[p.sidecar as usize].process != Some(process) {
             self.end_process(process);
         }
     }
 
-    /// Its connections end with it.
+    /// Ends a process and closes its connections.
     pub(super) fn end_process(&mut self, process: u32) {
         let p = &mut self.processes[process as usize];
         p.decider = None;
@@ -154,7 +154,7 @@
         }
     }
 
-    /// Hands an event to a process, and does what it asks for.
+    /// Passes an event to a process's policy and performs the actions it returns.
     pub(super) fn dispatch(&mut self, now: Micros, process: u32, event: Event) {
         let mut actions = std::mem::take(&mut self.actions);
         let p = &mut self.processes[process as usize];
@@ -199,7 +199,7 @@
                 let ends =
                     |id: &u32| self.attempts[*id as usize].open && !self.attempts[*id as usize].started;
                 if let Some(id) = id.filter(ends) {
-                    // It is given up now, and that is told at the next turn.
+                    // The attempt is cancelled now; the policy is notified at the next tick.
                     self.cancel_attempt(now, id);
                     self.events
                         .schedule(self.round_up(now + 1), SimEvent::AttemptEnded(id, Outcome::Cancelled));
@@ -222,12 +222,13 @@
                 s.connections = s.connections.saturating_sub(held as u32);
             }
             Action::HealthCheck(endpoint) => self.send_probe(now, process, endpoint),
-            // Messages to peers, which the site does not allow.
+            // Messages to peers, which the simulation doesn't support, and actions that no longer apply.
             _ => {}
         }
     }
 
-    /// A probe: its work is taken off what the server does for requests, and it is turned away beside too many others.
+    /// Sends a health check. Its work is taken from the server's capacity for requests, and it is rejected while the
+    /// server is handling too many others.
     pub(super) fn send_probe(&mut self, now: Micros, process: u32, server: usize) {
         self.metrics.probes += 1;
         let (work, queued, timeout) = self.world.probe;
--- a/crates/fleet/src/model/server.rs
+++ b/crates/fleet/src/model/server.rs
@@ -1,59 +1,59 @@
-//! A server: slots that share its cores, a waiting room, cold starts, pauses, and a table of connections. It knows
-//! attempts by number and nothing of sidecars.
+//! A server: request slots that share its cores (processor sharing), a queue, slow start after a restart, pauses, and
+//! a connection table. It identifies attempts by number and knows nothing about sidecars.
 
 use super::world::ServerSpec;
 use crate::{Micros, SECOND};
 use std::collections::VecDeque;
 
-/// Whether it can be reached.
+/// Whether the server can be reached.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Machine {
-    /// Not yet, or no longer: connections are refused.
+    /// Not started yet, or stopped: connections are refused.
     Down,
-    /// It runs.
+    /// Running.
     Up,
-    /// It says nothing at all.
+    /// Unresponsive: nothing it is sent is answered.
     Silent,
 }
 
-/// A request in hand.
+/// A queued or running request.
 #[derive(Clone, Copy, Debug)]
 struct Job {
     attempt: u32,
-    /// Work left when it waits; once begun, the running figure at which it is done.
+    /// Remaining work while it is queued; once it runs, the value of `Server::attained` at which it completes.
     work: f64,
     due: Micros,
 }
 
-/// What becomes of a request that arrives.
+/// The result of a request's arrival.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum Arrival {
-    /// Taken.
+    /// Queued or started.
     Accepted,
-    /// Turned away unseen.
+    /// Rejected without being executed.
     Rejected,
-    /// It was one too many for a cold server, which falls over; with the share of what it was sent that came from
-    /// sidecars that knew of its start.
+    /// The request overloaded a server that is still warming up, and the server crashes. Holds the share of its
+    /// recent work that came from sidecars that knew about its restart.
     Overloaded(f64),
 }
 
-/// A request that comes to a server.
+/// A request that arrives at a server.
 #[derive(Clone, Copy, Debug)]
 pub struct Arriving {
     /// Its attempt.
     pub attempt: u32,
     /// Its work, in microseconds of the standard core.
     pub work: f64,
-    /// When its sidecar stops waiting.
+    /// When its sidecar's timeout expires.
     pub due: Micros,
-    /// Whether its sidecar was told of this start of the server.
+    /// Whether its sidecar knew about this start of the server.
     pub informed: bool,
 }
 
-/// What a server that starts is allowed before it falls over.
+/// How much work a server that is warming up accepts before it crashes.
 #[derive(Clone, Copy, Debug)]
 pub struct OverloadLimit {
-    /// Multiple of what it can do.
+    /// Multiple of its current capacity.
     pub multiple: f64,
     /// Over any window of this length.
     pub window: Micros,
@@ -62,8 +62,9 @@
 }
 
 impl OverloadLimit {
-    /// Work beyond which a server that is allowed `allowed` falls: of N requests of mean work, two times the root of N
-    /// and two more are its slack for chance, three times and three under 30, as the operators' page has it.
+    /// The work beyond which a server crashes whose nominal limit is `allowed`. With N = `allowed` in requests of
+    /// mean work, the tolerance for random bursts is 2 √N + 2 requests, or 3 √N + 3 if N is under 30, as the
+    /// operators' simulator defines it.
     pub fn max_work(&self, allowed: f64) -> f64 {
         const SMALL_SAMPLE: f64 = 30.0;
         let n = allowed / self.mean_work;
@@ -74,56 +75,56 @@
 
 /// A server's state.
 pub struct Server {
-    /// What it is.
+    /// Its fixed properties.
     pub spec: ServerSpec,
-    /// Whether it can be reached.
+    /// Whether the server can be reached.
     pub machine: Machine,
-    /// Counts its starts; what went to an earlier one is void.
+    /// Number of its starts. Requests and connections to an earlier incarnation are reset.
     pub incarnation: u32,
-    /// When its process started; `None` is long ago.
+    /// When its process started; `None` for one that was running before the simulation.
     pub started: Option<Micros>,
-    /// When it began to drain.
+    /// When it started draining.
     pub draining: Option<Micros>,
-    /// It fell over and stays down.
+    /// It crashed from overload and stays down.
     pub crashed_by_overload: bool,
-    /// How many times slower it is than it should be.
+    /// Factor by which it is slower than normal.
     pub slow: f64,
-    /// Share of requests that it answers with an error.
+    /// Share of requests that fail with an error.
     pub errors: f64,
-    /// The class that it turns away.
+    /// The request class that it rejects.
     pub rejected_class: Option<u8>,
-    /// Connections that it holds, as the attempts that they can carry.
+    /// Open connections, counted in the concurrent attempts that they can carry.
     pub connections: u32,
-    /// Attempts whose answers it streams.
+    /// Attempts whose responses it is streaming.
     pub streaming: Vec<u32>,
-    /// Probes that it has in hand.
+    /// Health checks in flight.
     pub probes: u32,
-    /// Requests in hand when the list last looked.
+    /// Queued and running requests for each core at discovery's last round.
     pub published_load: f64,
-    /// Work that is on its way to it.
+    /// Work of requests in transit to it.
     pub in_transit: f64,
-    /// Marks the completion that is still meant.
+    /// Generation of the scheduled completion event; events with an older stamp are ignored.
     pub stamp: u32,
-    /// Work done in all.
+    /// Total work done.
     pub done: f64,
-    /// Its last load report (waiting, in hand, use of the cores), and when it was read.
+    /// Its last load report (queued, queued and running, core utilization), and when it was taken.
     pub report: ([f64; 3], Micros),
-    /// Work done before its last start.
+    /// Total work done at the time of its last start.
     done_before_start: f64,
     paused: u32,
     running: Vec<Job>,
     waiting: VecDeque<Job>,
-    /// Work done for each running request since the start of time.
+    /// Cumulative work that processor sharing has given each running request since the simulation started.
     attained: f64,
     updated: Micros,
-    /// What a cold one was sent of late.
+    /// While warming up, the arrivals within the window: time, work, and whether the sidecar knew about the restart.
     recent_arrivals: VecDeque<(Micros, f64, bool)>,
     recent_work: f64,
     keys: VecDeque<(u64, Micros)>,
 }
 
 impl Server {
-    /// One that has run for long, or one that is still to start.
+    /// A server that has long been running, or one that is yet to start.
     pub fn new(spec: ServerSpec) -> Self {
         let machine = if spec.starts_later { Machine::Down } else { Machine::Up };
         Self {
@@ -156,17 +157,17 @@
         }
     }
 
-    /// Requests in hand.
+    /// Queued and running requests.
     pub fn in_flight(&self) -> usize {
         self.running.len() + self.waiting.len()
     }
 
-    /// Requests that wait.
+    /// Queued requests.
     pub fn queued(&self) -> usize {
         self.waiting.len()
     }
 
-    /// Share of its capacity that it has by its age.
+    /// The share of its capacity that it has reached in its slow start.
     pub fn warmth(&self, now: Micros) -> f64 {
         let Some(started) = self.started else { return 1.0 };
         let whole = (self.spec.warm_up_time as f64).max(1.0);
@@ -189,13 +190,14 @@
             * (1.0 - thrash)
     }
 
-    /// Work that it does in a microsecond with all cores in use, pauses left out.
+    /// Work that it does in a microsecond with all cores in use, ignoring pauses.
     pub fn capacity(&self, now: Micros) -> f64 {
         self.core(now) * self.spec.cores
     }
 
-    /// Work that a cold one bears in the window: by its age alone, as the rule has it; that it is slow or in a pause
-    /// besides is told to nobody.
+    /// The nominal limit on the work that a server may be sent in the window while it is warming up. As the rule
+    /// defines it, the limit depends on the time since the start only: sidecars can't know whether the server is slow
+    /// or paused as well.
     fn overload_budget(&self, now: Micros, overload_limit: OverloadLimit) -> f64 {
         overload_limit.multiple
             * self.spec.cores
@@ -204,7 +206,7 @@
             * overload_limit.window as f64
     }
 
-    /// Work that it may still be sent, while it is cold, at half of what it bears.
+    /// The work that it may still be sent while it is warming up, up to half of the nominal limit.
     pub fn overload_headroom(&self, now: Micros, overload_limit: OverloadLimit) -> f64 {
         if self.warmth(now) >= 1.0 {
             return f64::INFINITY;
@@ -218,7 +220,7 @@
         0.5 * self.overload_budget(now, overload_limit) - recent - self.in_transit
     }
 
-    /// Work that is left in hand, or on its way.
+    /// Remaining work of running, queued and in-transit requests.
     pub fn backlog(&self) -> f64 {
         let running: f64 = self.running.iter().map(|j| (j.work - self.attained).max(0.0)).sum();
         self.in_transit + running + self.waiting.iter().map(|j| j.work).sum::<f64>()
@@ -231,7 +233,8 @@
         self.core(now) * (self.spec.cores / self.running.len().max(1) as f64).min(1.0)
     }
 
-    /// Brings the running figure up to now. Call it before anything that changes the rate.
+    /// Adds the work done since the last call to `attained` and `done`. Must be called before any change that affects
+    /// the rate.
     pub fn advance(&mut self, now: Micros) {
         let gained = self.rate(self.updated) * (now - self.updated) as f64;
         self.done += gained * self.running.len() as f64;
@@ -239,7 +242,7 @@
         self.updated = now;
     }
 
-    /// When the next request is done, as things stand; or when to look again, as a cold server warms.
+    /// When the next request completes at the current rate, or when to recompute that while the server is warming up.
     pub fn next_done(&self, now: Micros) -> Option<Micros> {
         let least = self.running.iter().map(|j| j.work).min_by(f64::total_cmp)?;
         let rate = self.rate(now);
@@ -250,7 +253,8 @@
         Some(now + if self.warmth(now) < 1.0 { after.min(SECOND / 5) } else { after })
     }
 
-    /// A request's last byte has come. A server that drains turns away what comes more than `grace` later.
+    /// Handles a fully received request. A draining server rejects requests that arrive more than `grace` after the
+    /// drain.
     pub fn arrive(
         &mut self,
         now: Micros,
@@ -293,7 +297,7 @@
         self.running.push(Job { work: self.attained + job.work, ..job });
     }
 
-    /// Takes what is done by now out of work, and lets the next begin; gives the attempts that are done.
+    /// Removes completed requests, appends their attempts to `done`, and starts queued requests in the free slots.
     pub fn finish(&mut self, now: Micros, done: &mut Vec<u32>) {
         self.advance(now);
         let (attained, first) = (self.attained + 1e-6, done.len());
@@ -317,7 +321,7 @@
         }
     }
 
-    /// Its sidecar has given up an attempt; whether that ends it depends on the machine.
+    /// Handles a cancelled attempt. A queued one is removed; a running one only if the machine ends running work.
     pub fn cancel(&mut self, now: Micros, attempt: u32) {
         self.advance(now);
         if let Some(at) = self.waiting.iter().position(|j| j.attempt == attempt) {
@@ -330,7 +334,7 @@
         }
     }
 
-    /// All that is in hand is lost; gives the attempts.
+    /// Drops all requests, connections and remembered keys; returns the affected attempts.
     pub fn reset_all(&mut self, now: Micros) -> Vec<u32> {
         self.advance(now);
         let running = self.running.drain(..).map(|j| j.attempt);
@@ -342,7 +346,7 @@
         lost
     }
 
-    /// Its process starts, cold.
+    /// Starts its process, with a slow start.
     pub fn start(&mut self, now: Micros) {
         self.updated = now;
         (self.machine, self.started, self.draining, self.crashed_by_overload) =
@@ -353,13 +357,14 @@
         (self.recent_work, self.paused) = (0.0, 0);
     }
 
-    /// A pause begins or ends; they may overlap.
+    /// Begins or ends a pause; pauses may overlap.
     pub fn pause(&mut self, now: Micros, begin: bool) {
         self.advance(now);
         self.paused = if begin { self.paused + 1 } else { self.paused.saturating_sub(1) };
     }
 
-    /// Something beside the requests takes so much work of its cores; where some stand idle, nobody feels it.
+    /// Takes work away from the running requests for something else, such as a health check. With idle cores this has
+    /// no effect.
     pub fn consume_capacity(&mut self, now: Micros, work: f64) {
         self.advance(now);
         let n = self.running.len() as f64;
@@ -369,12 +374,12 @@
         }
     }
 
-    /// Share of its cores in use.
+    /// Share of the cores in use.
     pub fn utilization(&self) -> f64 {
         (self.running.len() as f64 / self.spec.cores).min(1.0)
     }
 
-    /// Whether it knows a key already; from now on it does.
+    /// Whether the key is remembered and not expired; remembers it from now on, evicting the oldest.
     pub fn touch_key(&mut self, now: Micros, key: u64) -> bool {
         let known = self.keys.iter().position(|(k, _)| *k == key);
         let fresh = known
--- a/crates/fleet/src/model/server/tests.rs
+++ b/crates/fleet/src/model/server/tests.rs
@@ -1,4 +1,4 @@
-//! A server by itself.
+//! Tests of a single server.
 
 use super::*;
 
@@ -26,7 +26,7 @@
 }
 
 #[test]
-fn two_that_share_a_core_take_twice_as_long_and_a_third_waits_for_a_slot() {
+fn two_requests_share_a_core_and_a_third_waits_for_a_slot() {
     let mut s = server(|s| (s.cores, s.slots, s.queue) = (1.0, 2, 1));
     for attempt in 0..3 {
         assert_eq!(send(&mut s, attempt, 1000.0, NO_LIMIT), Arrival::Accepted);
@@ -38,7 +38,7 @@
 }
 
 #[test]
-fn a_pause_stops_work_and_two_that_overlap_last_until_the_last_ends() {
+fn overlapping_pauses_stop_work_until_the_last_one_ends() {
     let mut s = server(|_| {});
     send(&mut s, 0, 1000.0, NO_LIMIT);
     s.pause(500, true);
@@ -50,7 +50,7 @@
 }
 
 #[test]
-fn a_cold_server_falls_over_beyond_its_budget_and_a_warm_one_never() {
+fn only_a_server_that_is_warming_up_crashes_from_overload() {
     let overload_limit = OverloadLimit { multiple: 3.0, window: SECOND, mean_work: 10_000.0 };
     let overload =
         |s: &mut Server| (0..400).map(|i| send(s, i, 10_000.0, overload_limit)).collect::<Vec<_>>();
@@ -61,13 +61,13 @@
     // 3 x 0.1 x 1 s of work.
     let all = overload(&mut cold);
     let crashed_by_overload = all.iter().position(|a| matches!(a, Arrival::Overloaded(_)));
-    // 30 of mean work are allowed; twice the root of 30 and two come on top, 42.95 in all.
+    // The nominal limit is 30 requests of mean work; with the tolerance of 2 √30 + 2 it is 42.95.
     assert_eq!(crashed_by_overload, Some(42));
     assert_eq!(all[42], Arrival::Overloaded(32.0 / 43.0));
 }
 
 #[test]
-fn what_a_cold_server_bears_is_counted_in_requests_of_mean_work_whatever_each_one_takes() {
+fn overload_limit_counts_work_in_requests_of_mean_work() {
     let overload_limit = OverloadLimit { multiple: 3.0, window: SECOND, mean_work: 10_000.0 };
     // (30 + 2 x 5.477 + 2) x 10 ms of work, as many small requests or as one large one.
     let most = overload_limit.max_work(300_000.0);
@@ -83,7 +83,7 @@
 }
 
 #[test]
-fn one_that_warms_by_work_is_never_slower_than_by_time() {
+fn slow_start_by_work_is_never_slower_than_by_time() {
     let mut s = server(|s| (s.cold_from, s.warm_up_time, s.warms_by_work) = (0.2, 10 * SECOND, true));
     s.start(0);
     assert!((s.warmth(5 * SECOND) - 0.6).abs() < 1e-9);
@@ -93,7 +93,7 @@
 }
 
 #[test]
-fn a_cancel_ends_what_waits_and_what_runs_only_where_the_machine_does_so() {
+fn cancellation_ends_running_requests_only_if_configured() {
     for (all, in_flight) in [(false, 1), (true, 0)] {
         let mut s = server(|s| (s.slots, s.queue, s.cancels_running) = (1, 5, all));
         send(&mut s, 0, 1000.0, NO_LIMIT);
@@ -105,9 +105,9 @@
 }
 
 #[test]
-fn a_key_is_known_for_its_time_and_while_there_is_room() {
+fn keys_expire_and_are_evicted() {
     let mut s = server(|s| (s.keys, s.key_retention) = (2, SECOND));
     assert!(!s.touch_key(0, 1) && s.touch_key(10, 1) && !s.touch_key(20, 2) && !s.touch_key(30, 3));
-    assert!(!s.touch_key(40, 1), "two others came since");
-    assert!(!s.touch_key(2 * SECOND, 3), "too long ago");
+    assert!(!s.touch_key(40, 1), "evicted by two other keys");
+    assert!(!s.touch_key(2 * SECOND, 3), "expired");
 }
--- a/crates/fleet/src/model/world.rs
+++ b/crates/fleet/src/model/world.rs
@@ -1,5 +1,5 @@
-//! A world: one draw from a site and a scenario. Everything in it is fixed before the first event, and equal for
-//! all policies under one seed.
+//! A world: the input of one run, drawn from a site and a scenario. Everything in it is fixed before the first event,
+//! and the same for all policies under one seed.
 
 use super::link::Links;
 use super::server::OverloadLimit;
@@ -11,65 +11,65 @@
 use rand::seq::SliceRandom;
 use serde_json::json;
 
-/// A server as it is; what it does stands in `server`.
+/// The fixed properties of a server; `server` simulates its behaviour.
 #[derive(Clone, Debug)]
 pub struct ServerSpec {
-    /// Its zone, by number.
+    /// Index of its zone.
     pub zone: usize,
-    /// Its kind, by number.
+    /// Index of its kind of machine.
     pub kind: usize,
     /// Its cell.
     pub cell: u64,
-    /// Weight that the list tells.
+    /// Weight in the endpoint list.
     pub weight: f64,
     /// Cores.
     pub cores: f64,
     /// Work that a core does in a microsecond, in microseconds of the standard core.
     pub speed: f64,
-    /// Requests in work.
+    /// Requests that it executes at a time.
     pub slots: usize,
-    /// Requests that wait.
+    /// Requests that it queues.
     pub queue: usize,
-    /// Share of its capacity at its start ...
+    /// Share of its capacity when its process has just started.
     pub cold_from: f64,
-    /// ... and the time until it is warm.
+    /// Time from the start of its process until it has its full capacity.
     pub warm_up_time: Micros,
-    /// It warms by its work as well: twice as fast as by time where it has as much as it can do.
+    /// The slow start also advances with the work done: under full load twice as fast as with time alone.
     pub warms_by_work: bool,
     /// Time between two pauses; 0 for none.
     pub pause_every: Micros,
     /// Length of a pause.
     pub pause: Micros,
-    /// Growth of a pause with the machine's use.
+    /// Relative growth of a pause at full utilization.
     pub pause_growth: f64,
     /// Share of requests answered with an error.
     pub error_rate: f64,
-    /// Whether a cancel ends what runs.
+    /// Whether a cancellation ends a running request.
     pub cancels_running: bool,
-    /// Whether what is overdue is dropped before it is begun.
+    /// Whether queued requests whose sidecar has timed out are dropped.
     pub drops_expired: bool,
-    /// Connections that it holds ...
+    /// Size of its connection table.
     pub connections: u32,
-    /// ... each for so many attempts.
+    /// Concurrent attempts on one connection.
     pub streams: u32,
-    /// Share of its capacity that a full table of them takes.
+    /// Share of its capacity that a full connection table takes.
     pub connection_overhead: f64,
-    /// Share of its capacity lost beyond so many requests a core.
+    /// Share of its capacity lost while it is thrashing.
     pub thrash: f64,
-    /// Requests in hand for each core from which on it is.
+    /// Queued and running requests for each core above which it is thrashing.
     pub thrash_at: f64,
-    /// How much longer its links are than others', as a factor.
+    /// Factor on the delay of messages to and from it.
     pub latency_factor: f64,
-    /// Keys that it remembers.
+    /// Number of keys that it remembers.
     pub keys: usize,
-    /// For how long.
+    /// How long it remembers a key.
     pub key_retention: Micros,
-    /// It starts later, as another's successor.
+    /// It starts during the run, as the replacement of another server.
     pub starts_later: bool,
 }
 
 impl ServerSpec {
-    /// One core of speed 1 with no faults, for tests and small worlds.
+    /// One core of speed 1 without faults, for tests and small worlds.
     pub fn plain(zone: usize) -> Self {
         Self {
             zone,
@@ -105,9 +105,9 @@
 /// A sidecar with its clients.
 #[derive(Clone, Debug)]
 pub struct SidecarSpec {
-    /// Its zone, by number.
+    /// Index of its zone.
     pub zone: usize,
-    /// First tries a second, on the mean.
+    /// Mean number of requests a second, retries not counted.
     pub rate: f64,
 }
 
@@ -120,23 +120,23 @@
     pub share: f64,
     /// Mean work, in microseconds of the standard core.
     pub work: f64,
-    /// Whether work is spread like a log-normal figure instead of an exponential one.
+    /// Whether the work has a log-normal distribution instead of an exponential one.
     pub lognormal: bool,
-    /// Variation of the work.
+    /// Coefficient of variation of the work, if it is log-normal.
     pub cv: f64,
-    /// Variation between attempts at one request.
+    /// Coefficient of variation of the work between attempts at one request.
     pub noise: f64,
-    /// Answers within this earn the worth.
+    /// Latency objective: responses within this time earn the full worth.
     pub latency_objective: Micros,
-    /// A client waits so long over all tries.
+    /// Deadline of a request over all its tries.
     pub deadline: Micros,
     /// Worth of a request.
     pub worth: f64,
-    /// Share of it that a late answer earns.
+    /// Share of the worth that a late response earns.
     pub late_worth: f64,
-    /// How long an answer streams after its first byte; 0 for whole answers.
+    /// How long a response streams after its first byte; 0 for responses that are not streamed.
     pub stream: Micros,
-    /// Whether clients may repeat what may have run: 0 never, else for so long.
+    /// How long after the first attempt clients may retry a request that may have been executed; 0 for never.
     pub retry_window: Micros,
 }
 
@@ -145,195 +145,198 @@
 pub struct TenantSpec {
     /// Its name.
     pub name: String,
-    /// Its share of what the servers can do.
+    /// Its share of the servers' capacity.
     pub share: f64,
-    /// Its part of the traffic.
+    /// Its share of the traffic.
     pub traffic: f64,
-    /// Requests a second within its share, over all sidecars.
+    /// Requests a second, over all sidecars, that are within its share of the capacity.
     pub quota_per_s: f64,
 }
 
 /// A sidecar's processor.
 #[derive(Clone, Copy, Debug)]
 pub struct ProcessorSpec {
-    /// What each message takes of it, in or out, as real time.
+    /// Time that it takes for each message, in or out, in microseconds.
     pub message: f64,
-    /// Use in a second, past which requests are late; infinite for no such limit.
+    /// Processor time in a second above which responses count as late, in microseconds; infinite for no limit.
     pub most_per_s: f64,
 }
 
 /// Load reports.
 #[derive(Clone, Debug)]
 pub struct ReportSpec {
-    /// Between two readings, with the age at which one is told.
+    /// Interval between load readings plus the delay until a reading is reported.
     pub period: Micros,
-    /// Their error.
+    /// Coefficient of variation of the reported values' error.
     pub noise: f64,
-    /// Whether answers carry them, or probes alone.
+    /// Whether responses carry load reports, or health checks alone.
     pub on_answers: bool,
-    /// Whether they tell what waits, what is in hand, and the use of the cores.
+    /// Which values are reported: queued requests, queued and running requests, core utilization.
     pub fields: [bool; 3],
 }
 
-/// Prices, in points of the result.
+/// Prices, subtracted from the score.
 #[derive(Clone, Copy, Debug)]
 pub struct PriceSpec {
-    /// Across zones, waste, late failures, probes, handshakes, connections, lines of lists.
+    /// For cross-zone attempts, wasted work, late failures, health checks, handshakes, connections, list entries.
     pub each: [f64; 7],
 }
 
-/// Weights of the result.
+/// Weights of the score's components.
 #[derive(Clone, Copy, Debug)]
 pub struct GoalSpec {
-    /// The whole day.
+    /// The whole run.
     pub whole_run: f64,
     /// The worst 10 s.
     pub worst_window: f64,
     /// The worst class.
     pub worst_class: f64,
-    /// The worst tenant, within its share.
+    /// The worst tenant, for requests within its quota.
     pub worst_tenant: f64,
 }
 
-/// Something that happens at an instant.
+/// A fault or an operation that is planned for an instant.
 #[derive(Clone, Debug, PartialEq)]
 pub enum PlannedEvent {
-    /// A server drains.
+    /// A server starts draining.
     Drain(usize),
-    /// A server's process ends; connections are reset.
+    /// A server's process stops; its connections are reset.
     Stop(usize),
-    /// A server's process starts, cold.
+    /// A server's process starts, with a slow start.
     Start(usize),
-    /// A server's machine goes silent.
+    /// A server's machine stops responding.
     Silent(usize),
-    /// A server stands still, or goes on.
+    /// A server pauses (`true`) or resumes.
     Pause(usize, bool),
-    /// A server's slowness is multiplied by this.
+    /// A server's slowdown factor is multiplied by this.
     Slow(usize, f64),
-    /// A server answers such a share with errors.
+    /// A server answers this share of requests with errors.
     Errors(usize, f64),
-    /// A server turns a class away, or none.
+    /// A server rejects a class, or none.
     RejectClass(usize, Option<u8>),
-    /// Operators take a server out at every sidecar, or give it back.
+    /// Operators cordon (`true`) or uncordon a server on every sidecar.
     Cordon(usize, bool),
-    /// A zone is cut off; whether in both directions, and whether it begins.
+    /// A zone is partitioned from the others: the zone, whether in both directions, and whether the partition begins
+    /// or ends.
     Cut(usize, bool, bool),
-    /// Traffic of a zone's sidecars, or of all, is multiplied by this.
+    /// Traffic of the sidecars of a zone, or of all sidecars, is multiplied by this.
     Traffic(Option<usize>, f64),
     /// A sidecar's process is killed.
     KillSidecar(usize),
-    /// A sidecar is told to stop: it takes nothing new, ends what it has, and starts again so long after its end.
+    /// A sidecar is stopped gracefully: it accepts no new requests, completes the open ones, exits, and starts again
+    /// after this delay.
     StopSidecar(usize, Micros),
     /// A sidecar's process starts.
     StartSidecar(usize),
-    /// A new process takes over while the old one ends what it has.
+    /// A sidecar's new process takes over while the old one completes its open requests.
     UpgradeSidecar(usize),
-    /// Discovery is away, or back.
+    /// Discovery comes back (`true`) or goes down.
     Discovery(bool),
-    /// The replica of the roster at that place after its leader is away, silently or not; whether it begins.
+    /// A registry replica fails or comes back: its position after the leader, whether it is paused instead of killed,
+    /// and whether the fault begins.
     RegistryReplica(usize, bool, bool),
-    /// Such a share of answers is lost.
+    /// This share of responses is lost to connection resets.
     Resets(f64),
-    /// Such a share of answers can't be read.
+    /// This share of responses is corrupt.
     CorruptResponses(f64),
-    /// Such a share of new connections comes up so much later.
+    /// This share of new connections takes this much longer to establish.
     LateConnects(f64, Micros),
-    /// A sidecar gets a message that is no request so often; 0 for no more.
+    /// A sidecar receives a malformed message at this interval; 0 ends them.
     MalformedClients(usize, Micros),
-    /// Clients try so many times as often, and such a share leaves early.
+    /// Clients' number of retries is multiplied by this, and this additional share of clients disconnects early.
     RetrySurge(f64, f64),
 }
 
-/// When something happens.
+/// An entry of the plan.
 #[derive(Clone, Debug)]
 pub struct Planned {
-    /// The instant.
+    /// When it happens.
     pub at: Micros,
-    /// What.
+    /// What happens.
     pub what: PlannedEvent,
 }
 
-/// Conduct of the clients.
+/// Behaviour of the clients.
 #[derive(Clone, Debug)]
 pub struct ClientSpec {
-    /// Retries, a part being a chance.
+    /// Mean number of retries; a fraction is the probability of one more.
     pub retries: f64,
-    /// Part of the deadline after which a try is given up.
+    /// Timeout of a try, as a share of the deadline.
     pub try_share: f64,
-    /// Whether waits double.
+    /// Whether the backoff doubles with each retry.
     pub doubling: bool,
-    /// Share that heeds a time to come back.
+    /// Share of clients that honour `Retry-After`.
     pub honours_retry_after: f64,
-    /// First wait.
+    /// Initial backoff.
     pub backoff: f64,
-    /// Longest time to come back that is heeded.
+    /// Longest `Retry-After` that is honoured.
     pub max_retry_after: Micros,
-    /// Share that leaves early.
+    /// Share of clients that disconnect early.
     pub leaves_early: f64,
 }
 
-/// Conduct of discovery.
+/// Behaviour of discovery.
 #[derive(Clone, Debug)]
 pub struct DiscoverySpec {
-    /// Sidecars must ask for changes themselves.
+    /// Sidecars must fetch the list; changes are not pushed.
     pub on_request: bool,
-    /// From a process's end or drain to the list.
+    /// Delay from a process's end or drain to the list.
     pub notice: Range,
-    /// From a machine's silence to the list.
+    /// Delay from a machine's failure to the list.
     pub silent_notice: Range,
-    /// From a start to the list.
+    /// Delay from a start to the list.
     pub add: Range,
-    /// Between two versions.
+    /// Interval between two published versions.
     pub period: Micros,
-    /// From a version to the sidecars, at most.
+    /// Maximum delay from a published version to a sidecar.
     pub spread: Micros,
-    /// Time that a call takes discovery.
+    /// Time that discovery takes for a fetch.
     pub call: Micros,
-    /// A call that waits longer fails.
+    /// A fetch that waits longer fails.
     pub call_timeout: Micros,
-    /// First wait before the next call.
+    /// Delay before a failed fetch is retried.
     pub retry: Micros,
 }
 
-/// A roster, with what its log and its answers cost.
+/// The project's own registry, with the cost of its commits and responses.
 #[derive(Clone, Debug)]
 pub struct RegistrySpec {
     /// Replicas.
     pub replicas: usize,
-    /// From a write to its being at a majority.
+    /// Commit latency of a write.
     pub commit_ms: Range,
-    /// From the loss of a leader to the next one's first write.
+    /// Failover time, from the loss of a leader to the next one's first write.
     pub failover_s: Range,
-    /// Leases of servers.
+    /// Lease duration of servers.
     pub lease_ms: u64,
-    /// Whole lists that a replica tells in a second.
+    /// Full lists that a replica sends in a second.
     pub full_lists_per_s: f64,
-    /// Time that an answer takes its replica ...
+    /// Time that a replica takes for a response.
     pub answer: Micros,
-    /// ... and each line of it.
+    /// Additional time for each entry of a response, in microseconds.
     pub line: f64,
-    /// Sidecars keep the last list over a restart.
+    /// Sidecars save their last list over a restart.
     pub file: bool,
 }
 
-/// One day, drawn.
+/// The input of one run.
 #[derive(Clone, Debug)]
 pub struct World {
-    /// What it is drawn from.
+    /// The seed that it is drawn from.
     pub seed: u64,
-    /// How long clients ask.
+    /// How long clients send requests.
     pub length: Micros,
-    /// Sidecars handle what has come at multiples of this; 0 for at once.
+    /// Sidecars handle events at multiples of this; 0 for immediately.
     pub tick: Micros,
-    /// What a sidecar adds to a request each way.
+    /// Latency that a sidecar adds to a request in each direction.
     pub sidecar_time: Micros,
-    /// The settings object of a sidecar, without its own place in it.
+    /// The settings object of the sidecars, without the fields that depend on the sidecar: index and zone.
     pub settings: serde_json::Value,
     /// Names of the zones.
     pub zones: Vec<String>,
     /// Names of the kinds of machine.
     pub kinds: Vec<String>,
-    /// Servers, those that come later at the end.
+    /// Servers; those that start during the run are at the end.
     pub servers: Vec<ServerSpec>,
     /// Sidecars.
     pub sidecars: Vec<SidecarSpec>,
@@ -345,57 +348,56 @@
     pub clients: ClientSpec,
     /// Discovery.
     pub discovery: DiscoverySpec,
-    /// A roster in discovery's place.
+    /// The project's own registry in place of discovery.
     pub registry: Option<RegistrySpec>,
-    /// Popularity of the keys, added up.
+    /// Cumulative popularity weights of the partition keys.
     pub key_popularity: Vec<f64>,
-    /// Height and length of the wave in the traffic.
+    /// Amplitude and period of a sine wave in the traffic.
     pub wave: (f64, Micros),
-    /// Share of the work that a known key saves.
+    /// Share of the work saved at a server that remembers the key.
     pub key_gain: f64,
-    /// Round trips before the first request on a connection, what one costs the server, when idle ones close, and
-    /// when one that is not made has failed.
+    /// Round trips before the first request on a new connection, and the work that the handshake costs the server.
     pub handshake: (f64, f64),
-    /// Idle connections close after this.
+    /// Idle timeout of connections.
     pub idle_timeout: Micros,
-    /// Connections not made within this have failed.
+    /// Connect timeout.
     pub dial_timeout: Micros,
     /// Load reports.
     pub report: Option<ReportSpec>,
-    /// Requests come with a rough figure of their work.
+    /// Requests carry an estimate of their work.
     pub work_estimates: bool,
-    /// What a probe costs, whether it waits like a request, and when one that is not answered has failed.
+    /// Health checks: the work of one, whether it queues like a request, and its timeout.
     pub probe: (f64, bool, Micros),
-    /// Drains are heeded within this.
+    /// How long sends to a draining server are allowed.
     pub drain_grace: Micros,
-    /// What a cold server bears before it falls over.
+    /// How much work a server that is warming up accepts before it crashes.
     pub overload_limit: OverloadLimit,
-    /// Weights of the result.
+    /// Weights of the score's components.
     pub goal: GoalSpec,
     /// Prices.
     pub prices: PriceSpec,
-    /// Tenants; none at most sites.
+    /// Tenants; most sites have none.
     pub tenants: Vec<TenantSpec>,
-    /// Worth of a request beyond its tenant's share, as a part of its class's worth.
+    /// Worth of a request beyond its tenant's quota, as a share of its class's worth.
     pub over_share_worth: f64,
-    /// A request's worth goes by its work.
+    /// A request's worth is proportional to its work.
     pub worth_by_work: bool,
-    /// Listed weights are sizes over the load of a while ago.
+    /// Listed weights are sizes divided by the load at the last discovery round.
     pub live_weights: bool,
-    /// Sidecars' processors; `None`: never short.
+    /// The sidecars' processors; `None` for unlimited capacity.
     pub processor: Option<ProcessorSpec>,
-    /// Requests that a sidecar may have open.
+    /// Maximum number of open requests of a sidecar.
     pub max_open_requests: usize,
-    /// Attempts that a connection carries at a time.
+    /// Concurrent attempts on one connection.
     pub streams: u32,
-    /// Probes that a server answers at a time, for each core.
+    /// Health checks that a server handles at a time, for each core.
     pub probe_cap: f64,
-    /// What happens, in order.
+    /// Planned faults and operations, in order of time.
     pub plan: Vec<Planned>,
 }
 
 impl World {
-    /// Draws one.
+    /// Draws a world.
     pub fn draw(scenario: &Scenario, site: &Site, seed: u64) -> Self {
         let mut rng = stream(seed, "world", 0);
         let rng = &mut rng;
@@ -469,7 +471,7 @@
                     starts_later: false,
                 });
             }
-            // Kinds and zones must not go together.
+            // Shuffled so that a server's zone does not depend on its kind.
             servers.shuffle(&mut start);
             for (i, server) in servers.iter_mut().enumerate() {
                 (server.zone, server.cell) = (i % zones, (i as f64 / cell_size) as u64);
@@ -573,7 +575,8 @@
             live_weights: tier.weights == "live",
             processor: (scenario.message_us > 0.0).then(|| ProcessorSpec {
                 message: scenario.message_us / scenario.sidecar_cores,
-                // The operators' simulator has it, where all is in rounds; real sidecars have their share of a core.
+                // The limit applies only with ticks, as in the operators' simulator; real sidecars are limited by
+                // their share of a core.
                 most_per_s: match site.allow.cpu_ms_per_s {
                     most if scenario.ticked && most > 0.0 => most * 1000.0,
                     _ => f64::INFINITY,
@@ -606,7 +609,8 @@
                 deadline: millis(c.deadline_ms * scenario.pace),
                 worth: c.worth,
                 late_worth: c.late_worth,
-                // Drawn apart, so that classes of whole answers are what they were.
+                // The middle of the range instead of a draw, so that classes without streaming keep their random
+                // sequences.
                 stream: millis(c.stream_ms.mid() * scenario.pace),
                 retry_window: match (c.effect.as_str(), c.group.as_deref()) {
                     ("safe", _) => Micros::MAX / 4,
@@ -620,7 +624,7 @@
         classes
     }
 
-    /// Those of a site, with their parts of what its servers can do, in requests a second.
+    /// The site's tenants. `served` is the servers' capacity in requests a second, from which their quotas follow.
     fn tenants(site: &Site, served: f64, seed: u64) -> Vec<TenantSpec> {
         let mut rng = stream(seed, "tenants", 0);
         let draw = |t: &crate::site::Tenant| {
@@ -725,7 +729,7 @@
                 plan.extend([(at, H::Cut(zone, both, true)), (at + len, H::Cut(zone, both, false))]);
             }
             FaultKind::Burst => {
-                // Up and down in steps of a tenth.
+                // Ramps up and down in ten geometric steps.
                 let (rise, root) = (seconds(extra).min(len / 2), size.powf(0.1));
                 for k in 0..10 {
                     plan.push((at + rise * k / 10, H::Traffic(None, root)));
@@ -815,7 +819,7 @@
         self.plan.extend(plan.into_iter().map(|(at, what)| Planned { at, what }));
     }
 
-    /// The settings object of one sidecar, as the platform writes it.
+    /// The settings object of one sidecar, in the platform's format.
     pub fn settings_for(&self, sidecar: usize) -> serde_json::Value {
         let mut settings = self.settings.clone();
         settings["Index"] = json!(sidecar);
@@ -823,13 +827,13 @@
         settings
     }
 
-    /// First tries a second, on the mean.
+    /// Mean number of requests a second, retries not counted.
     pub fn rate(&self) -> f64 {
         self.sidecars.iter().map(|s| s.rate).sum()
     }
 }
 
-/// What is drawn once for a kind.
+/// Parameters that are drawn once for a kind of machine.
 struct KindParameters {
     speed: f64,
     slots: f64,
@@ -855,7 +859,7 @@
     }
 }
 
-/// The settings object, as the simulator's wire and the sidecar's configuration have it.
+/// The settings object, in the format of the simulator protocol and the sidecar's configuration.
 fn sidecar_settings(
     site: &Site,
     classes: &[ClassSpec],
@@ -920,7 +924,7 @@
             "DrainGraceUs": millis(site.rules.drain_grace_ms), "OverloadFactor": site.rules.fall_multiple,
             "TipAfterUs": millis(site.rules.fall_ms), "WarmWithinUs": seconds(warm_within)},
         "Tenants": tenants,
-        // What is handled at once needs hardly any allowance for rounds.
+        // Without ticks, events are handled immediately and deadlines need almost no margin for them.
         "TickUs": if scenario.ticked { millis(site.day.tick_ms) } else { 1000 },
         "WeightSource": match tier.weights.as_str() { "none" => "silent", "live" => "live", _ => "rough" },
         "Zone": site.net.zones[0],
@@ -933,14 +937,14 @@
     use super::*;
 
     fn world(text: &str, seed: u64) -> World {
-        let (scenario, site) = Scenario::parse(std::path::Path::new("t"), text).expect("it is read");
+        let (scenario, site) = Scenario::parse(std::path::Path::new("t"), text).expect("valid scenario");
         World::draw(&scenario, &site, seed)
     }
 
     const SMALL: &str = "name = \"t\"\nlength_s = 20\nsidecars = 9\nservers = 30\nload = 0.5\n";
 
     #[test]
-    fn a_world_follows_its_seed_and_spreads_servers_over_zones() {
+    fn world_depends_on_its_seed_and_spreads_servers_over_zones() {
         let (a, b, c) = (world(SMALL, 1), world(SMALL, 1), world(SMALL, 2));
         assert_eq!(format!("{a:?}"), format!("{b:?}"));
         assert_ne!(format!("{:?}", a.servers), format!("{:?}", c.servers));
@@ -950,16 +954,16 @@
     }
 
     #[test]
-    fn the_settings_are_read_by_the_decision_module() {
+    fn settings_are_accepted_by_the_balancer() {
         let world = world(SMALL, 3);
         let decoded =
-            lotusmoor_balancer::settings::decode(&world.settings_for(4).to_string()).expect("it is read");
+            lotusmoor_balancer::settings::decode(&world.settings_for(4).to_string()).expect("valid scenario");
         assert_eq!((decoded.settings.index, decoded.settings.instances), (4, 9));
         assert_eq!(decoded.settings.check(), Ok(()));
     }
 
     #[test]
-    fn replaced_servers_have_successors_that_start_when_they_drain() {
+    fn replacements_start_when_the_replaced_servers_drain() {
         let text = format!("{SMALL}[[fault]]\nkind = \"replace\"\nat_s = 5\nfor_s = 4\npart = 0.2\n");
         let world = world(&text, 1);
         assert_eq!(world.servers.iter().filter(|s| s.starts_later).count(), 6);
--- a/crates/fleet/src/scenario/fault.rs
+++ b/crates/fleet/src/scenario/fault.rs
@@ -1,29 +1,29 @@
-//! What goes wrong, and when.
+//! The scheduled faults of a scenario.
 
 use crate::site::Range;
 use serde::Deserialize;
 
-/// One fault. What the figures mean depends on the kind; each kind says which it uses.
+/// A fault. The meaning of its parameters depends on the kind; each kind documents those that it uses.
 #[derive(Clone, Debug, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Fault {
-    /// What happens.
+    /// The kind of fault.
     pub kind: FaultKind,
-    /// When it begins.
+    /// When it begins, in seconds.
     pub at_s: f64,
-    /// How long it lasts, or over how long its steps are spread.
+    /// How long it lasts, or the time over which its steps are spread, in seconds.
     #[serde(default)]
     pub for_s: Range,
-    /// Share of those that it can strike.
+    /// Share of the servers or sidecars that it affects.
     #[serde(default = "default_part")]
     pub part: Range,
-    /// Its strength.
+    /// Its magnitude.
     #[serde(default = "default_size")]
     pub size: Range,
-    /// A further figure.
+    /// A further parameter, specific to the kind.
     #[serde(default)]
     pub extra: Range,
-    /// The zone, by its place in the site's list; absent: one is drawn.
+    /// Index of the zone in the site's list; a random one if absent.
     #[serde(default)]
     pub zone: Option<usize>,
 }
@@ -40,20 +40,21 @@
 #[derive(Clone, Copy, Debug, Deserialize, PartialEq, Eq)]
 #[serde(rename_all = "snake_case")]
 pub enum FaultKind {
-    /// `part` of the servers stand still for `size` ms, `extra` s apart, for `for_s`.
+    /// `part` of the servers pause for `size` ms every `extra` s, for `for_s`.
     Pauses,
-    /// `part` of the servers' machines go silent for `for_s` and come back cold.
+    /// `part` of the servers' machines stop responding for `for_s` and come back with a slow start.
     Vanish,
     /// `part` of the servers run `size` times slower for `for_s`.
     Slow,
     /// `part` of the servers answer a share `size` of requests with an error for `for_s`.
     Errors,
-    /// `part` of the servers turn the class at place `extra` of the site's list away for `for_s`.
+    /// `part` of the servers reject the class with index `extra` in the site's list for `for_s`.
     #[serde(rename = "turn_away_class")]
     RejectClass,
-    /// `part` of the servers' processes die at once, connections reset, and start again cold after `for_s`.
+    /// `part` of the servers' processes crash at the same time, resetting their connections, and restart with a slow
+    /// start after `for_s`.
     Crash,
-    /// All servers of a zone go silent for `for_s` and come back cold.
+    /// All servers of a zone stop responding for `for_s` and come back with a slow start.
     ZoneLost,
     /// The links between a zone and the others carry nothing for `for_s`.
     ZoneCut,
@@ -67,40 +68,42 @@
     Replace,
     /// `part` of the servers are drained and restarted, evenly over `for_s`.
     Restart,
-    /// `part` of the servers are taken out at every sidecar by operators' calls, ended, started again `extra` s later,
-    /// and given back once the list has them; evenly over `for_s`.
+    /// `part` of the servers are cordoned on every sidecar by operators, stopped, restarted `extra` s later, and
+    /// uncordoned once they are listed again; evenly over `for_s`.
     RestartByHand,
-    /// `part` of the sidecars are killed at once; each is back after `for_s`.
+    /// `part` of the sidecars are killed at the same time; each is back after `for_s`.
     SidecarsKilled,
-    /// `part` of the sidecars are told to stop, evenly over `for_s`; each is back `extra` s after its end.
+    /// `part` of the sidecars are stopped gracefully, evenly over `for_s`; each restarts `extra` s after it has
+    /// exited.
     SidecarsRestarted,
-    /// `part` of the sidecars are upgraded with their listening socket passed on, evenly over `for_s`.
+    /// `part` of the sidecars are upgraded with a hand-over of their listening socket, evenly over `for_s`.
     SidecarsUpgraded,
-    /// Discovery neither tells nor answers for `for_s`.
+    /// Discovery is down for `for_s`: it neither pushes updates nor answers fetches.
     DiscoveryDown,
-    /// The replica of the roster `extra` places after its leader is killed, and back after `for_s`.
+    /// The registry replica `extra` positions after the leader is killed, and back after `for_s`.
     #[serde(rename = "roster_killed")]
     RegistryKilled,
-    /// The same, which stands still for so long.
+    /// The registry replica `extra` positions after the leader is paused for `for_s`.
     #[serde(rename = "roster_held")]
     RegistryPaused,
-    /// A share `size` of the answers of all servers is lost with its connection for `for_s`.
+    /// A share `size` of all servers' responses is lost to connection resets for `for_s`.
     Resets,
-    /// A share `size` of the answers of all servers can't be read, for `for_s`.
+    /// A share `size` of all servers' responses is corrupt for `for_s`.
     #[serde(rename = "spoilt")]
     CorruptResponses,
-    /// A share `size` of new connections comes up `extra` s late, for `for_s`.
+    /// A share `size` of new connections takes `extra` s longer to establish, for `for_s`.
     LateConnects,
-    /// `part` of the sidecars get `size` messages a second that are no requests, for `for_s`.
+    /// `part` of the sidecars receive `size` malformed messages a second for `for_s`.
     #[serde(rename = "bad_clients")]
     MalformedClients,
-    /// Clients try `size` times as often, and a share `extra` of them leaves early, for `for_s`.
+    /// Clients make `size` times as many retries, and an additional share `extra` of them disconnects early, for
+    /// `for_s`.
     #[serde(rename = "eager")]
     RetrySurge,
 }
 
 impl FaultKind {
-    /// Its name in files.
+    /// Its name in scenario files.
     pub fn name(self) -> &'static str {
         match self {
             Self::Pauses => "pauses",
@@ -131,7 +134,8 @@
         }
     }
 
-    /// The site's troubles, whose names are the operators'.
+    /// The kind for a fault of a site file (`trouble`), whose names the operators define; `None` for those that are
+    /// not simulated.
     pub fn from_trouble(name: &str) -> Option<Self> {
         let all = [Self::Pauses, Self::Vanish, Self::Slow, Self::Burst, Self::ZoneCut];
         all.into_iter().find(|kind| kind.name() == name)
@@ -139,7 +143,7 @@
 }
 
 impl Fault {
-    /// The key that can't be meant, and why.
+    /// The first key with an invalid value, and what is wrong with it.
     pub(super) fn invalid_key(&self) -> Option<(&'static str, &'static str)> {
         let share = |r: Range| r.low() >= 0.0 && r.high() <= 1.0;
         use FaultKind::{CorruptResponses, Errors, LateConnects, Resets};
--- a/crates/fleet/src/scenario/mod.rs
+++ b/crates/fleet/src/scenario/mod.rs
@@ -1,4 +1,4 @@
-//! A scenario: a site, how many of each, how much traffic, and what goes wrong when. With a seed it makes a
+//! A scenario: a site, the size of the fleet, the load, and scheduled faults. Together with a seed it determines a
 //! [`World`](crate::model::World).
 
 mod fault;
@@ -9,62 +9,64 @@
 use serde::Deserialize;
 use std::path::Path;
 
-/// A scenario as its file has it; unknown keys are refused.
+/// A scenario file; unknown keys are errors.
 #[derive(Clone, Debug, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Scenario {
     /// Its name.
     pub name: String,
-    /// The site file, from the scenario's own folder; absent: the one that comes with the tool.
+    /// The site file, relative to the scenario's folder; the built-in site if absent.
     #[serde(default)]
     pub site: Option<String>,
-    /// How long clients ask.
+    /// How long clients send requests, in seconds.
     pub length_s: f64,
-    /// Sidecars.
+    /// Number of sidecars.
     pub sidecars: usize,
-    /// Servers.
+    /// Number of servers.
     pub servers: usize,
-    /// Traffic as a share of what all servers, warm and whole, can do.
+    /// Load as a share of the capacity of all servers, with none warming up or at fault.
     pub load: Range,
-    /// Work, aims, deadlines and clients' waits are this part of the site's: requests come so much faster.
+    /// Factor on the site's work, latency objectives, deadlines and client backoff. Below 1 requests are shorter and
+    /// arrive at a higher rate.
     #[serde(default = "default_factor")]
     pub pace: f64,
-    /// Discovery's own room.
+    /// Capacity of the platform's discovery.
     #[serde(default)]
     pub discovery: DiscoveryOptions,
-    /// A roster of the project's own, in discovery's place.
+    /// The project's own registry, in place of discovery.
     #[serde(default)]
     #[serde(rename = "roster")]
     pub registry: Option<RegistryOptions>,
-    /// What a sidecar's own process adds to a request, each way.
+    /// Latency that a sidecar adds to a request in each direction, in microseconds.
     #[serde(default = "default_sidecar_us")]
     pub sidecar_us: i64,
-    /// What a sidecar's processor takes for each message, in or out; 0: it is never short.
+    /// Processor time of a sidecar for each message, in or out, in microseconds; 0 for unlimited capacity.
     #[serde(default)]
     pub message_us: f64,
-    /// Share of a core that a sidecar has.
+    /// Share of a core that each sidecar has.
     #[serde(default = "default_factor")]
     pub sidecar_cores: f64,
-    /// Whether sidecars handle what has come once a tick, as the operators' simulator has it, or at once.
+    /// Whether sidecars handle events once a tick, as in the operators' simulator, or immediately.
     #[serde(default)]
     pub ticked: bool,
-    /// Troubles of the site's own, drawn from its list, on top of the faults.
+    /// Number of faults drawn from the site's list (`trouble`), in addition to `fault`.
     #[serde(default)]
     pub site_troubles: usize,
-    /// What goes wrong.
+    /// Scheduled faults.
     #[serde(default)]
     pub fault: Vec<Fault>,
 }
 
-/// What discovery can serve; a push costs nothing, a call to begin a watch does.
+/// Capacity of the platform's discovery. Pushing updates costs nothing; the fetch with which a sidecar subscribes
+/// does.
 #[derive(Clone, Debug, Deserialize)]
 #[serde(deny_unknown_fields, default)]
 pub struct DiscoveryOptions {
-    /// Calls that it answers a second.
+    /// Fetches that it answers a second.
     pub calls_per_s: f64,
-    /// A call that has waited so long fails.
+    /// A fetch that has waited this long fails.
     pub call_timeout_s: f64,
-    /// A sidecar asks again after a failed call: the first wait.
+    /// Delay before a sidecar retries a failed fetch.
     pub retry_ms: f64,
 }
 
@@ -74,26 +76,27 @@
     }
 }
 
-/// A roster of the project's own. The defaults of its times were chosen before real processes were measured, which took
-/// 5 to 10 ms for a write and 2.2 to 2.5 s for a change of leader; an answer's cost was not measured (`docs/roster.md`).
+/// Parameters of the project's own registry. The default times are shorter than those of real processes, which take 5
+/// to 10 ms for a write and 2.2 to 2.5 s for a change of leader; the cost of a response is an assumption
+/// (`docs/roster.md`).
 #[derive(Clone, Debug, Deserialize)]
 #[serde(deny_unknown_fields, default)]
 pub struct RegistryOptions {
-    /// Replicas.
+    /// Number of replicas.
     pub replicas: usize,
-    /// From a write to its being at a majority.
+    /// Commit latency of a write.
     pub commit_ms: Range,
-    /// From the loss of a leader to the next one's first write.
+    /// Failover time, from the loss of a leader to the next one's first write.
     pub failover_s: Range,
-    /// Leases of servers.
+    /// Lease duration of servers.
     pub lease_s: f64,
-    /// Whole lists that a replica tells in a second.
+    /// Full lists that a replica sends in a second.
     pub whole_lists_per_s: f64,
-    /// Time that an answer takes its replica, and each line of it.
+    /// Time that a replica takes for a response.
     pub answer_us: f64,
-    /// See there.
+    /// Additional time for each entry of a response.
     pub line_us: f64,
-    /// Sidecars keep the last list over a restart.
+    /// Sidecars save their last list over a restart.
     pub file: bool,
 }
 
@@ -120,7 +123,7 @@
     100
 }
 
-/// Scenarios that come with the tool, by name: the operators' days for large fleets as their page describes them.
+/// The built-in scenarios by name. They follow the operators' descriptions of their test days for large fleets.
 const BUILTIN: [(&str, &str); 8] = [
     ("calm", include_str!("../../scenarios/calm.toml")),
     ("herd", include_str!("../../scenarios/herd.toml")),
@@ -133,12 +136,12 @@
 ];
 
 impl Scenario {
-    /// Names of the scenarios that come with the tool.
+    /// Names of the built-in scenarios.
     pub fn names() -> impl Iterator<Item = &'static str> {
         BUILTIN.iter().map(|(name, _)| *name)
     }
 
-    /// The scenario of that name, or else the file at that path, with its site.
+    /// Loads the built-in scenario of that name, or else the file at that path, with its site.
     pub fn load(name: &str) -> Result<(Self, Site), FileError> {
         match BUILTIN.iter().find(|(n, _)| *n == name) {
             Some((_, text)) => Self::parse(Path::new(name), text),
@@ -146,7 +149,7 @@
         }
     }
 
-    /// Reads the text of one; the site is looked for beside `path`.
+    /// Parses a scenario; its site file is relative to the folder of `path`.
     pub fn parse(path: &Path, text: &str) -> Result<(Self, Site), FileError> {
         let scenario: Self = toml::from_str(text)
             .map_err(|source| FileError::Parse { path: path.to_owned(), source: Box::new(source) })?;
@@ -197,7 +200,7 @@
     use super::*;
 
     #[test]
-    fn every_scenario_that_comes_with_the_tool_is_read() {
+    fn built_in_scenarios_are_valid() {
         for name in Scenario::names() {
             let (scenario, site) = Scenario::load(name).expect(name);
             assert_eq!((scenario.name.as_str(), site.name.as_str()), (name, "ledger"));
@@ -205,10 +208,10 @@
     }
 
     #[test]
-    fn an_unknown_key_and_a_value_out_of_range_are_told_by_line_and_key() {
+    fn unknown_keys_and_values_out_of_range_are_reported_with_line_and_key() {
         let text = include_str!("../../scenarios/calm.toml");
         let parse = |text: &str| {
-            Scenario::parse(Path::new("x.toml"), text).expect_err("it can't be used").to_string()
+            Scenario::parse(Path::new("x.toml"), text).expect_err("invalid scenario").to_string()
         };
         let unknown = parse(&text.replace("sidecars =", "side_cars ="));
         assert!(
