--- a/crates/fleet/src/site/mod.rs
+++ b/crates/fleet/src/site/mod.rs
@@ -1,7 +1,7 @@
-//! A site file, in the operators' form: ranges from which a day is drawn. Units stand in the keys' names: `_s`
-//! seconds, `_ms` milliseconds, `_us` microseconds; shares lie in 0 to 1.
+//! A site file, in the operators' format: ranges from which a run's parameters are drawn. Key suffixes give the
+//! units: `_s` seconds, `_ms` milliseconds, `_us` microseconds; shares are between 0 and 1.
 //!
-//! Keys of that form that the model has no use for yet are told, not refused: the operators add keys.
+//! Unknown keys are reported but are no error, because the operators add keys that the simulation does not use yet.
 
 mod range;
 
@@ -10,38 +10,38 @@
 use serde::Deserialize;
 use std::path::{Path, PathBuf};
 
-/// Why a file can't be used.
+/// Why a site, scenario or plan file can't be used.
 #[derive(Debug, thiserror::Error)]
 pub enum FileError {
-    /// It can't be read.
+    /// The file could not be read.
     #[error("{path}: {source}")]
     Read {
         /// The file.
         path: PathBuf,
-        /// What the system says.
+        /// The system's error.
         source: std::io::Error,
     },
-    /// It is not of the form; the text has line and key.
+    /// The file could not be parsed; the message has line and key.
     #[error("{path}: {source}")]
     Parse {
         /// The file.
         path: PathBuf,
-        /// Where and what.
+        /// The parser's error.
         source: Box<toml::de::Error>,
     },
-    /// A value can't be meant.
+    /// A value is invalid.
     #[error("{path}: {key}: {what}")]
     InvalidValue {
         /// The file.
         path: PathBuf,
-        /// The key, with the tables that it stands in.
+        /// The key with the tables that contain it.
         key: String,
         /// What is wrong with it.
         what: String,
     },
 }
 
-/// Reads a file whole.
+/// Reads a text file.
 pub(crate) fn read_text(path: &Path) -> Result<String, FileError> {
     std::fs::read_to_string(path).map_err(|source| FileError::Read { path: path.to_owned(), source })
 }
@@ -51,60 +51,60 @@
 pub struct Site {
     /// Its name.
     pub name: String,
-    /// The day.
+    /// The run: its length and the sidecars' ticks.
     #[serde(default)]
     pub day: Day,
-    /// How many there are of each.
+    /// Size of the fleet.
     pub scale: Scale,
     /// Traffic.
     pub load: Load,
     /// Links.
     pub net: Net,
-    /// Clients' conduct.
+    /// Behaviour of the clients.
     #[serde(default)]
     pub clients: Clients,
-    /// The list service.
+    /// The platform's discovery service.
     #[serde(default)]
     pub discovery: Discovery,
     /// What a sidecar may do.
     pub allow: Allow,
-    /// Figures of the rules.
+    /// Parameters of the rules.
     pub rules: Rules,
-    /// Weights of the result.
+    /// Weights of the score's components.
     #[serde(default)]
     pub goal: Goal,
-    /// Prices, in points of the result.
+    /// Prices, subtracted from the score.
     #[serde(default)]
     pub prices: Prices,
-    /// Tiers of servers; the model plays the first.
+    /// Tiers of servers; only the first is simulated.
     pub tier: Vec<Tier>,
     /// Classes of requests.
     pub class: Vec<Class>,
-    /// What may go wrong.
+    /// Faults that may happen.
     #[serde(default)]
     pub trouble: Vec<Trouble>,
-    /// Tenants; the operators' form for them is not published, this one is the project's own.
+    /// Tenants. The operators' format for them is not published; this one is the project's own.
     #[serde(default)]
     pub tenant: Vec<Tenant>,
-    /// What the kind of service adds.
+    /// Key affinity of the service.
     #[serde(default)]
     pub fam: Family,
-    /// Keys of the file that the model has no use for.
+    /// Keys of the file that the simulation does not use.
     #[serde(skip)]
     pub unused: Vec<String>,
 }
 
-/// The day.
+/// The run: its length and the sidecars' ticks.
 #[derive(Clone, Debug, Deserialize)]
 #[serde(default)]
 pub struct Day {
-    /// Length.
+    /// Length of the run.
     pub length_s: Range,
-    /// Least time between two rounds of a sidecar; 0 for at once.
+    /// Interval between the ticks at which a sidecar handles events; 0 for immediately.
     pub tick_ms: f64,
-    /// Whether all sidecars' rounds fall on the same instants.
+    /// Whether all sidecars' ticks are at the same time.
     pub in_step: bool,
-    /// Spread of the sidecars' starts.
+    /// Time over which the sidecars' starts are spread.
     pub start_spread_ms: f64,
 }
 
@@ -114,51 +114,51 @@
     }
 }
 
-/// How many there are of each.
+/// Size of the fleet.
 #[derive(Clone, Debug, Deserialize)]
 pub struct Scale {
-    /// Servers.
+    /// Number of servers.
     pub servers: Range,
-    /// Sidecars.
+    /// Number of sidecars.
     pub balancers: Range,
 }
 
-/// Traffic, as shares of what the servers can do.
+/// Traffic, as shares of the servers' capacity.
 #[derive(Clone, Debug, Deserialize)]
 pub struct Load {
-    /// On a quiet day.
+    /// In a run without faults.
     pub quiet: Range,
-    /// On a day with trouble.
+    /// In a run with faults.
     #[serde(default)]
     pub trouble: Range,
-    /// On a day of overload.
+    /// In a run with overload.
     #[serde(default)]
     pub overload: Range,
     /// `steady` or `wave`; one is drawn.
     #[serde(default)]
     pub shape: Vec<String>,
-    /// Height of the wave, as a share of the mean.
+    /// Amplitude of the wave, as a share of the mean.
     #[serde(default)]
     pub swing: Range,
-    /// How unevenly zones ask, as a coefficient of variation.
+    /// Coefficient of variation of the traffic between zones.
     #[serde(default)]
     pub zone_skew: Range,
-    /// Variation of the sidecars' shares of the traffic.
+    /// Coefficient of variation of the traffic between sidecars.
     #[serde(default)]
     pub stream_cv: Range,
-    /// `none`, or else requests come with a rough figure of their work.
+    /// `none`, or else requests carry an estimate of their work.
     #[serde(default)]
     pub hints: String,
     /// `request`, or `work`: a request is worth its class's worth times its work over the class's mean.
     #[serde(default)]
     pub worth_by: String,
-    /// Worth of a request beyond its tenant's share, as a part of its class's worth.
+    /// Worth of a request beyond its tenant's quota, as a share of its class's worth.
     #[serde(default)]
     pub over_share_worth: f64,
-    /// Distinct keys.
+    /// Number of distinct partition keys.
     #[serde(default = "few_keys")]
     pub keys: Range,
-    /// Exponent of their popularity.
+    /// Exponent of the Zipf distribution of their popularity.
     #[serde(default)]
     pub key_zipf: Range,
 }
@@ -172,38 +172,38 @@
 pub struct Net {
     /// Zones.
     pub zones: Vec<String>,
-    /// One way within a zone.
+    /// One-way delay within a zone.
     pub same_ms: Range,
-    /// One way between two.
+    /// One-way delay between two zones.
     pub cross_ms: Range,
-    /// Between client and sidecar.
+    /// One-way delay between a client and its sidecar.
     #[serde(default)]
     pub client_ms: Range,
-    /// Variation of a message's time, as a coefficient.
+    /// Coefficient of variation of a message's delay.
     #[serde(default)]
     pub jitter: Range,
-    /// How much longer links to one server are than to the next, as a share.
+    /// Largest additional delay of a server's links, as a share of the mean.
     #[serde(default)]
     pub server_skew: Range,
 }
 
-/// Clients' conduct.
+/// Behaviour of the clients.
 #[derive(Clone, Debug, Deserialize)]
 #[serde(default)]
 pub struct Clients {
-    /// Retries of a request; a part is drawn as chance of one more.
+    /// Retries of a request; a fraction is the probability of one more.
     pub retries: Range,
-    /// Part of the deadline after which a try is given up.
+    /// Timeout of a try, as a share of the deadline.
     pub try_share: Range,
     /// `exp` or `fixed`.
     pub backoff: String,
-    /// Share of clients that heed `Retry-After`.
+    /// Share of clients that honour `Retry-After`.
     pub honour: Range,
-    /// First wait before a retry.
+    /// Initial backoff before a retry.
     pub backoff_ms: Range,
-    /// Longest `Retry-After` that they heed.
+    /// Longest `Retry-After` that they honour.
     pub max_retry_after_ms: f64,
-    /// Share of requests whose client leaves early.
+    /// Share of requests whose client disconnects early.
     pub impatient: Range,
     /// Whether retries are marked.
     pub marks_retry: bool,
@@ -224,21 +224,21 @@
     }
 }
 
-/// The list service.
+/// The platform's discovery service.
 #[derive(Clone, Debug, Deserialize)]
 #[serde(default)]
 pub struct Discovery {
-    /// `push` or `ask`.
+    /// `push`, or `ask` if sidecars must fetch the list.
     pub mode: String,
-    /// From a process's end, where its machine lives, to the list.
+    /// Delay from a process's end, on a machine that still responds, to the list.
     pub notice_s: Range,
-    /// The same where the machine is silent.
+    /// The same for a machine that does not respond.
     pub silent_notice_s: Range,
-    /// From a process's start to the list.
+    /// Delay from a process's start to the list.
     pub add_s: Range,
-    /// Between two changes of the list.
+    /// Interval between two published versions of the list.
     pub period_ms: Range,
-    /// From a change to the sidecars.
+    /// Delay from a published version to the sidecars.
     pub spread_ms: Range,
 }
 
@@ -258,53 +258,53 @@
 /// What a sidecar may do.
 #[derive(Clone, Debug, Deserialize)]
 pub struct Allow {
-    /// Probe.
+    /// Send health checks.
     #[serde(default)]
     pub probes: bool,
-    /// Tell its peers.
+    /// Send messages to other sidecars.
     #[serde(default)]
     pub peers: bool,
-    /// Call attempts back.
+    /// Cancel attempts.
     #[serde(default)]
     pub cancel: bool,
-    /// Have two attempts of a request out.
+    /// Send hedged requests: have two attempts of a request in flight.
     #[serde(default)]
     pub second_copies: bool,
-    /// Tell clients when to come back.
+    /// Send `Retry-After` to clients.
     #[serde(default)]
     pub retry_after: bool,
-    /// Attempts of a request.
+    /// Maximum number of attempts of a request.
     pub max_attempts: u32,
-    /// Processor time of a sidecar in a second, past which its requests are late; 0 for no such limit.
+    /// Processor time of a sidecar in a second above which its responses count as late; 0 for no limit.
     #[serde(default)]
     pub cpu_ms_per_s: f64,
-    /// Requests that a sidecar may have open; more are turned away before it. 0 for no such limit.
+    /// Maximum number of open requests of a sidecar; connections above it are refused. 0 for no limit.
     #[serde(default)]
     pub most_held: u32,
 }
 
-/// Figures of the rules.
+/// Parameters of the rules.
 #[derive(Clone, Debug, Deserialize)]
 pub struct Rules {
     /// How long sends to a draining server may go on.
     pub drain_grace_ms: f64,
-    /// A cold server sent more than this multiple of what it can do ...
+    /// A server that is warming up crashes when it is sent more than this multiple of its capacity ...
     pub fall_multiple: f64,
-    /// ... for this long falls over.
+    /// ... within this time.
     pub fall_ms: f64,
 }
 
-/// Weights of the result.
+/// Weights of the score's components.
 #[derive(Clone, Debug, Deserialize)]
 #[serde(default)]
 pub struct Goal {
-    /// The whole day.
+    /// The whole run.
     pub whole: f64,
     /// The worst 10 s.
     pub worst_window: f64,
     /// The worst class.
     pub worst_class: f64,
-    /// The worst tenant, within its share.
+    /// The worst tenant, for requests within its quota.
     pub worst_tenant: f64,
 }
 
@@ -314,23 +314,23 @@
     }
 }
 
-/// Prices, in points of the result.
+/// Prices, subtracted from the score.
 #[derive(Clone, Debug, Default, Deserialize)]
 #[serde(default)]
 pub struct Prices {
-    /// For attempts across zones, as a share of first tries.
+    /// For cross-zone attempts, for each request.
     pub cross_zone: f64,
-    /// For work that served nobody, as a share of what was asked for.
+    /// For wasted work (of responses that no client received), as a share of the requests' work.
     pub waste: f64,
-    /// For probes, as a share of first tries.
+    /// For health checks, for each request.
     pub probe: f64,
-    /// For worth that failed after its aim.
+    /// For the worth of requests that failed after their latency objective.
     pub late_fail: f64,
-    /// For new connections, a first try.
+    /// For new connections, for each request.
     pub handshake: f64,
-    /// For the mean of open connections, a hundred for each server being one.
+    /// For the mean number of open connections, in hundreds for each server.
     pub connection: f64,
-    /// For lines of lists told, over a hundred times the first tries.
+    /// For list entries sent to sidecars, in hundreds for each request.
     pub discovery: f64,
 }
 
@@ -339,10 +339,10 @@
 pub struct Tier {
     /// Its name.
     pub name: String,
-    /// Servers that share which keys they have seen.
+    /// Number of servers in a cell, which share the record of seen idempotency keys.
     #[serde(default)]
     pub cell_size: Range,
-    /// What listed weights tell: `none`, `size`, `rough` or `live`.
+    /// What listed weights contain: `none`, `size`, `rough` (size with an error) or `live` (size divided by load).
     #[serde(default)]
     pub weights: String,
     /// Connections.
@@ -360,22 +360,22 @@
 /// Connections to servers.
 #[derive(Clone, Debug, Deserialize)]
 pub struct Conn {
-    /// Round trips before the first request on one.
+    /// Round trips before the first request on a new connection.
     #[serde(default)]
     pub handshake_rtts: Range,
-    /// What a new one costs the server.
+    /// Work that a new connection costs the server.
     #[serde(default)]
     pub handshake_us: Range,
-    /// Idle ones close after this.
+    /// Idle timeout.
     pub idle_s: f64,
-    /// One not made within this has failed.
+    /// Connect timeout.
     pub connect_timeout_ms: f64,
-    /// Attempts that one carries at a time.
+    /// Concurrent attempts on one connection.
     #[serde(default = "one_stream")]
     pub streams: u32,
-    /// How many a server holds, for each core.
+    /// Size of a server's connection table, for each core.
     pub cap_per_core: Range,
-    /// Share of its capacity that a full table takes.
+    /// Share of a server's capacity that a full connection table takes.
     #[serde(default)]
     pub full_tax: Range,
 }
@@ -387,33 +387,33 @@
 /// Load reports.
 #[derive(Clone, Debug, Deserialize)]
 pub struct Report {
-    /// Where they come from: `answers`, `ask` for probes alone, or `none`.
+    /// Where they come from: `answers` for responses and health checks, `ask` for health checks alone, or `none`.
     pub how: String,
-    /// What they tell: `queue`, `inflight` or `util`; the model knows no others.
+    /// Reported values: `queue`, `inflight` or `util`; others are errors.
     #[serde(default)]
     pub fields: Vec<String>,
-    /// Between two readings.
+    /// Interval between two readings.
     #[serde(default)]
     pub period_ms: Range,
-    /// Age of a reading when it is told.
+    /// Age of a reading when it is reported.
     #[serde(default)]
     pub delay_ms: Range,
-    /// Its error, as a coefficient of variation.
+    /// Coefficient of variation of a reading's error.
     #[serde(default)]
     pub noise: Range,
 }
 
-/// Probes of a server.
+/// Health checks of a server.
 #[derive(Clone, Debug, Deserialize)]
 #[serde(default)]
 pub struct Probe {
-    /// What one costs the server.
+    /// Work that one costs the server.
     pub work_us: Range,
-    /// How many it answers at a time, for each core.
+    /// How many a server handles at a time, for each core.
     pub cap_per_core: Range,
-    /// Whether one waits and is served like a request.
+    /// Whether one queues like a request.
     pub deep: bool,
-    /// One that is not answered within this has failed.
+    /// Timeout of a health check.
     pub timeout_ms: f64,
 }
 
@@ -433,44 +433,44 @@
     pub share: Range,
     /// Its cores.
     pub cores: f64,
-    /// Work that a core does, the standard one being 1.
+    /// Speed of a core, relative to the standard core.
     pub speed: Range,
-    /// Variation of that between machines of the kind.
+    /// Coefficient of variation of the speed between machines of the kind.
     #[serde(default)]
     pub speed_cv: Range,
-    /// Requests in work, for each core.
+    /// Requests that it executes at a time, for each core.
     pub slots_per_core: Range,
-    /// Requests that wait, for each core.
+    /// Requests that it queues, for each core.
     pub queue_per_core: Range,
-    /// Share of its capacity lost when full; 0 for none.
+    /// Share of its capacity lost while it is thrashing; 0 for none.
     #[serde(default)]
     pub thrash: f64,
-    /// Requests in hand for each core from which on it is.
+    /// Queued and running requests for each core above which it is thrashing.
     #[serde(default)]
     pub thrash_at: Range,
-    /// Share of its capacity with which it starts ...
+    /// Share of its capacity when its process has just started.
     pub cold_from: Range,
-    /// ... and the time until it is warm.
+    /// Time from the start of its process until it has its full capacity.
     pub cold_s: Range,
-    /// `time`, or `work`: it warms by what it has done as well.
+    /// `time`, or `work` if the slow start also advances with the work done.
     #[serde(default)]
     pub warm_by: String,
-    /// Time between two pauses, each with its length, and how much longer it grows with use.
+    /// Mean interval between two pauses; 0 for none.
     #[serde(default)]
     pub pause_every_s: Range,
     /// Length of a pause.
     #[serde(default)]
     pub pause_ms: Range,
-    /// Growth of a pause with the machine's use.
+    /// Relative growth of a pause at full utilization.
     #[serde(default)]
     pub pause_grow: Range,
     /// Share of requests answered with an error.
     #[serde(default)]
     pub error_rate: Range,
-    /// What a cancel ends: `queued` what waits, `all` what runs as well; one is drawn.
+    /// What a cancellation ends: `queued` for queued requests alone, `all` for running ones as well; one is drawn.
     #[serde(default)]
     pub cancel: Vec<String>,
-    /// Whether what is overdue is dropped before it is begun.
+    /// Whether queued requests whose sidecar has timed out are dropped.
     #[serde(default)]
     pub drops_expired: bool,
 }
@@ -487,30 +487,30 @@
     /// `exp` or `lognormal`; one is drawn.
     #[serde(default)]
     pub dist: Vec<String>,
-    /// Variation of the work.
+    /// Coefficient of variation of the work, if it is log-normal.
     #[serde(default)]
     pub cv: Range,
-    /// Variation between attempts at one request.
+    /// Coefficient of variation of the work between attempts at one request.
     #[serde(default)]
     pub attempt_noise: Range,
-    /// Answers within this earn the worth.
+    /// Latency objective: responses within this time earn the full worth.
     pub aim_ms: f64,
-    /// A client waits so long over all tries.
+    /// Deadline of a request over all its tries.
     pub deadline_ms: f64,
     /// Worth of a request.
     pub worth: f64,
-    /// Share of it that a late answer earns.
+    /// Share of the worth that a late response earns.
     #[serde(default)]
     pub late_worth: f64,
-    /// `safe`, `keyed` or `unsafe`.
+    /// Idempotency: `safe` (idempotent), `keyed` (with an idempotency key) or `unsafe`.
     pub effect: String,
-    /// How long an answer streams after its first byte; 0 for whole answers.
+    /// How long a response streams after its first byte; 0 for responses that are not streamed.
     #[serde(default)]
     pub stream_ms: Range,
-    /// Keyed: who drops repeats, `all`, `zone` or `cell`.
+    /// If keyed: which servers share seen keys and so drop duplicates, `all`, `zone` or `cell`.
     #[serde(default)]
     pub group: Option<String>,
-    /// Keyed: for how long.
+    /// If keyed: how long servers remember seen keys.
     #[serde(default)]
     pub window_ms: f64,
 }
@@ -520,47 +520,47 @@
 pub struct Tenant {
     /// Its name.
     pub name: String,
-    /// Its share of what the servers can do.
+    /// Its share of the servers' capacity.
     pub share: Range,
-    /// Its part of the traffic.
+    /// Its share of the traffic.
     pub traffic: Range,
 }
 
-/// Something that may go wrong; what the figures mean depends on the name.
+/// A fault that may happen; the meaning of its parameters depends on its name.
 #[derive(Clone, Debug, Deserialize)]
 pub struct Trouble {
     /// Its name.
     pub name: String,
     /// How long it lasts.
     pub len_s: Range,
-    /// Share of the servers that it strikes.
+    /// Share of the servers that it affects.
     #[serde(default)]
     pub part: Range,
-    /// Its strength.
+    /// Its magnitude.
     #[serde(default)]
     pub size: Range,
-    /// A further figure.
+    /// A further parameter.
     #[serde(default)]
     pub extra: Range,
 }
 
-/// What the kind of service adds: servers that remember keys.
+/// Key affinity: a request costs less at a server that remembers its partition key.
 #[derive(Clone, Debug, Default, Deserialize)]
 #[serde(default)]
 pub struct Family {
-    /// Share of the work saved at a server that knows the key.
+    /// Share of the work saved at a server that remembers the key.
     pub affinity_gain: Range,
-    /// How long it knows one.
+    /// How long a server remembers a key.
     pub affinity_s: Range,
-    /// How many, for each core.
+    /// How many keys a server remembers, for each core.
     pub affinity_keys_per_core: Range,
 }
 
 impl Site {
-    /// The site that comes with the tool.
+    /// The built-in site.
     pub fn builtin() -> Self {
         let text = include_str!("../../scenarios/site.toml");
-        Self::parse(Path::new("builtin"), text).expect("a test reads the site that comes with the tool")
+        Self::parse(Path::new("builtin"), text).expect("the built-in site is valid")
     }
 
     /// Reads a site file.
@@ -568,7 +568,7 @@
         Self::parse(path, &read_text(path)?)
     }
 
-    /// Reads the text of one; `path` is for messages.
+    /// Parses a site; `path` is for error messages.
     pub fn parse(path: &Path, text: &str) -> Result<Self, FileError> {
         let parse_error = |source| FileError::Parse { path: path.to_owned(), source: Box::new(source) };
         let mut unused = Vec::new();
@@ -585,11 +585,11 @@
             Err(FileError::InvalidValue { path: path.to_owned(), key: key.to_owned(), what: what.to_owned() })
         };
         if self.net.zones.is_empty() {
-            return invalid("net.zones", "at least one zone is wanted");
+            return invalid("net.zones", "at least one zone is required");
         }
-        let Some(tier) = self.tier.first() else { return invalid("tier", "at least one tier is wanted") };
+        let Some(tier) = self.tier.first() else { return invalid("tier", "at least one tier is required") };
         if tier.kind.is_empty() || self.class.is_empty() {
-            return invalid("tier.kind, class", "at least one kind of machine and one class are wanted");
+            return invalid("tier.kind, class", "at least one kind of machine and one class are required");
         }
         for kind in &tier.kind {
             let key = format!("tier.kind {}", kind.name);
@@ -635,7 +635,7 @@
     }
 }
 
-/// The error with its place in the text, which reading a tree of keys loses.
+/// Restores the error's location in the text, which deserializing through `serde_ignored` loses.
 fn with_location(mut error: toml::de::Error, text: &str) -> toml::de::Error {
     error.set_input(Some(text));
     error
@@ -650,19 +650,19 @@
     }
 
     #[test]
-    fn the_site_that_comes_with_the_tool_is_read_whole() {
+    fn built_in_site_has_no_unknown_keys() {
         let site = Site::builtin();
         assert_eq!(site.unused, Vec::<String>::new());
         assert_eq!((site.tier[0].kind.len(), site.class.len(), site.net.zones.len()), (3, 3, 3));
     }
 
     #[test]
-    fn an_unknown_key_is_told_and_a_wrong_value_names_line_and_key() {
+    fn unknown_keys_are_reported_and_wrong_values_name_line_and_key() {
         let text = include_str!("../../scenarios/site.toml");
         let more = text.replace("[net]", "[net]\nmtu = 1500");
-        assert_eq!(parse(&more).expect("it is read").unused, ["net.mtu"]);
+        assert_eq!(parse(&more).expect("valid site").unused, ["net.mtu"]);
         let wrong =
-            parse(&text.replace("max_attempts = 5", "max_attempts = \"five\"")).expect_err("no number");
+            parse(&text.replace("max_attempts = 5", "max_attempts = \"five\"")).expect_err("not a number");
         let message = wrong.to_string();
         assert!(
             message.contains("s.toml") && message.contains("max_attempts") && message.contains("line"),
--- a/crates/fleet/src/site/range.rs
+++ b/crates/fleet/src/site/range.rs
@@ -1,9 +1,10 @@
-//! A figure that is drawn: one number, or the two ends between which it lies.
+//! A parameter that is drawn: a fixed number, or a range with uniform distribution.
 
 use rand::RngExt;
 use serde::Deserialize;
 
-/// Two ends, in either order; for some figures the first is the milder one.
+/// A range between two ends in either order. Site files may give the milder value first, so the first can be the
+/// greater one.
 #[derive(Clone, Copy, Debug, Default, Deserialize, PartialEq)]
 #[serde(from = "SerializedRange")]
 pub struct Range {
@@ -34,7 +35,7 @@
 }
 
 impl Range {
-    /// Between these.
+    /// The range between these ends.
     pub const fn new(from: f64, to: f64) -> Self {
         Self { from, to }
     }
@@ -49,12 +50,12 @@
         self.from.max(self.to)
     }
 
-    /// In the middle.
+    /// The middle of the range.
     pub fn mid(self) -> f64 {
         (self.from + self.to) / 2.0
     }
 
-    /// A figure between the ends.
+    /// Draws a value, uniformly between the ends.
     pub fn draw(self, rng: &mut impl RngExt) -> f64 {
         self.from + (self.to - self.from) * rng.random::<f64>()
     }
