--- a/crates/fleet/src/chance.rs
+++ b/crates/fleet/src/chance.rs
@@ -15,7 +15,7 @@
 }
 
 /// One step of SplitMix64: a stateless pseudo-random hash, for values that depend on a key instead of the order of
-/// draws.
+/// draws. Callers mix a constant into the key to get independent values for different purposes.
 pub fn mix(x: u64) -> u64 {
     let x = x.wrapping_add(0x9e37_79b9_7f4a_7c15);
     let x = (x ^ (x >> 30)).wrapping_mul(0xbf58_476d_1ce4_e5b9);
--- a/crates/fleet/src/experiment/mod.rs
+++ b/crates/fleet/src/experiment/mod.rs
@@ -3,16 +3,16 @@
 
 mod compare;
 mod measure;
-mod play;
 mod report;
 mod results;
+mod run;
 
 pub use compare::{Comparison, compare};
 pub use measure::{measure, measures};
-pub(crate) use play::commit;
-pub use play::{ExperimentError, run_experiment};
 pub use report::{ReportError, report};
 pub use results::{Line, Results, ResultsError};
+pub(crate) use run::commit;
+pub use run::{ExperimentError, run_experiment};
 
 use crate::model::Policy;
 use crate::scenario::{RegistryOptions, Scenario};
--- a/crates/fleet/src/model/decider.rs
+++ b/crates/fleet/src/model/decider.rs
@@ -85,6 +85,7 @@
     }
 }
 
+/// Adds the time of each decision to a total.
 struct TimedDecider(Box<dyn Decider>, DecisionTime);
 
 impl Decider for TimedDecider {
@@ -142,7 +143,7 @@
     /// complete it or must not be sent it.
     pub fn expected_completion(&self, now: Micros, server: EndpointId, work: f64) -> Option<f64> {
         let s = &self.servers[server];
-        let usable = s.machine == Machine::Up && s.draining.is_none() && s.errors < 0.2;
+        let usable = s.machine == Machine::Up && s.draining.is_none() && s.error_share < 0.2;
         if !usable
             || !self.links.bidirectional(self.zone, s.spec.zone)
             || s.overload_headroom(now, self.overload_limit) < work
@@ -161,6 +162,7 @@
     fn handle(&mut self, now: Micros, event: Event, view: &TrueView, out: &mut Vec<Action>);
 }
 
+/// The project's balancer.
 struct Module(Balancer);
 
 impl Decider for Module {
--- a/crates/fleet/src/model/decider/adapter.rs
+++ b/crates/fleet/src/model/decider/adapter.rs
@@ -110,7 +110,7 @@
         Self { adapter, number, classes, zones, kinds, tenants, pending }
     }
 
-    fn entries(&mut self, kind: u8, list: &[EndpointEntry]) {
+    fn write_list(&mut self, kind: u8, list: &[EndpointEntry]) {
         use std::fmt::Write;
         // List numbers may be reused immediately, so all lists use 0.
         let _ = writeln!(self.pending, "catalog RosterId=0 Hosts={}", list.len());
@@ -135,16 +135,16 @@
         let _ = writeln!(self.pending, "endpoints I={} Epoch=1 Kind={kind} RosterId=0", self.number);
     }
 
-    fn write(&mut self, event: &Event) {
+    fn write_event(&mut self, event: &Event) {
         use std::fmt::Write;
         let i = self.number;
         let _ = match event {
             Event::EndpointList(EndpointListUpdate::Failed) => {
                 writeln!(self.pending, "endpoints I={i} Epoch=1 Kind=0")
             }
-            Event::EndpointList(EndpointListUpdate::Delta(list)) => return self.entries(1, list),
-            Event::EndpointList(EndpointListUpdate::Cached(list)) => return self.entries(2, list),
-            Event::EndpointList(EndpointListUpdate::Full(list)) => return self.entries(3, list),
+            Event::EndpointList(EndpointListUpdate::Delta(list)) => return self.write_list(1, list),
+            Event::EndpointList(EndpointListUpdate::Cached(list)) => return self.write_list(2, list),
+            Event::EndpointList(EndpointListUpdate::Full(list)) => return self.write_list(3, list),
             Event::RequestReceived(new) => {
                 let class = self.classes.get(new.class).map_or("-", String::as_str);
                 let flags = u8::from(new.expected_work.is_some()) + if new.is_client_retry { 2 } else { 0 };
@@ -162,22 +162,22 @@
                 writeln!(self.pending, "under_way I={i} Ticket={request} Go={attempt}")
             }
             Event::AttemptEnded(end) => {
-                let (how, load, settled) = (
+                let (outcome, load, settled) = (
                     outcome_name(end.outcome),
                     load_field(&end.load_report),
                     u8::from(end.request_completed),
                 );
                 writeln!(
                     self.pending,
-                    "returned I={i} Ticket={} Disposition={how} Endpoint=10.0.0.1:{} TookUs={} Go={} Settled={settled}{load}",
+                    "returned I={i} Ticket={} Disposition={outcome} Endpoint=10.0.0.1:{} TookUs={} Go={} Settled={settled}{load}",
                     end.request, end.endpoint, end.duration, end.attempt
                 )
             }
             Event::HealthCheckEnded { endpoint, outcome, duration: took, load_report: load } => {
-                let (how, load) = (outcome_name(*outcome), load_field(load));
+                let (outcome, load) = (outcome_name(*outcome), load_field(load));
                 writeln!(
                     self.pending,
-                    "health_result I={i} Endpoint=10.0.0.1:{endpoint} Disposition={how} TookUs={took}{load}"
+                    "health_result I={i} Endpoint=10.0.0.1:{endpoint} Disposition={outcome} TookUs={took}{load}"
                 )
             }
             Event::RequestAbandoned(id) => writeln!(self.pending, "withdrawn I={i} Ticket={id}"),
@@ -194,7 +194,7 @@
 
 impl Decider for Instance {
     fn handle(&mut self, now: Micros, event: Event, _: &TrueView, out: &mut Vec<Action>) {
-        self.write(&event);
+        self.write_event(&event);
         let mut adapter = self.adapter.lock().unwrap_or_else(PoisonError::into_inner);
         adapter.exchange(now, &self.pending, out);
         self.pending.clear();
@@ -229,8 +229,8 @@
 /// A load report as a field of a protocol line; empty if nothing is reported.
 fn load_field(load: &LoadReport) -> String {
     let all = [("waiting", load.waiting), ("active", load.active), ("cpu", load.cpu)];
-    let told: Vec<_> = all.iter().filter_map(|(name, v)| Some(format!("{name}:{}", (*v)?))).collect();
-    if told.is_empty() { String::new() } else { format!(" Load={}", told.join(",")) }
+    let fields: Vec<_> = all.iter().filter_map(|(name, v)| Some(format!("{name}:{}", (*v)?))).collect();
+    if fields.is_empty() { String::new() } else { format!(" Load={}", fields.join(",")) }
 }
 
 /// Parses an action line; `None` for lines that the simulation ignores.
--- a/crates/fleet/src/model/decider/plain.rs
+++ b/crates/fleet/src/model/decider/plain.rs
@@ -138,8 +138,8 @@
     fn send_or_finish(&mut self, now: Micros, id: RequestId, view: &TrueView, out: &mut Vec<Action>) {
         let Some(open) = self.open.get(&id) else { return };
         let time_left = open.new.deadline - 2 * self.settings.tick - now;
-        let attempts_used = open.attempts.len() as u32 >= self.settings.limits.max_attempts;
-        let to = if time_left <= 0 || attempts_used { None } else { self.select(now, id, view) };
+        let out_of_attempts = open.attempts.len() as u32 >= self.settings.limits.max_attempts;
+        let to = if time_left <= 0 || out_of_attempts { None } else { self.select(now, id, view) };
         let Some(open) = self.open.get_mut(&id) else { return };
         match to {
             Some(to) => {
--- a/crates/fleet/src/model/measure.rs
+++ b/crates/fleet/src/model/measure.rs
@@ -25,7 +25,7 @@
     /// Requests, each counted at its first try.
     #[serde(rename = "asked")]
     pub requests: u64,
-    /// Answered within their aim.
+    /// Answered within their latency objective.
     pub in_time: u64,
     /// Answered after its latency objective.
     pub late: u64,
@@ -257,10 +257,10 @@
     }
 
     /// Applies an update to the worth totals of a request's class and tenant.
-    fn add_worth(&mut self, worth: Worth, what: impl Fn(&mut (f64, f64))) {
-        what(&mut self.worth_totals[0][usize::from(worth.class)]);
+    fn add_worth(&mut self, worth: Worth, update: impl Fn(&mut (f64, f64))) {
+        update(&mut self.worth_totals[0][usize::from(worth.class)]);
         if let Some(tenant) = worth.tenant {
-            what(&mut self.worth_totals[1][usize::from(tenant)]);
+            update(&mut self.worth_totals[1][usize::from(tenant)]);
         }
     }
 
@@ -271,11 +271,11 @@
         first: Micros,
         worth: Worth,
         latency_objective: Micros,
-        end: RequestOutcome,
+        outcome: RequestOutcome,
     ) {
         let class = usize::from(worth.class);
         let window = self.window(first);
-        match end {
+        match outcome {
             RequestOutcome::InTime => {
                 window.in_time += 1;
                 window.served += worth.full;
@@ -290,13 +290,13 @@
             RequestOutcome::Rejected => window.refused += 1,
             RequestOutcome::Failed => window.failed += 1,
         }
-        if matches!(end, RequestOutcome::InTime | RequestOutcome::Late) {
+        if matches!(outcome, RequestOutcome::InTime | RequestOutcome::Late) {
             let took = (now - first).max(1) as u64;
             self.latencies[class].saturating_record(took);
             self.window(now);
             self.latencies_by_second[(now / SECOND) as usize].saturating_record(took);
         }
-        if end != RequestOutcome::InTime && now - first > latency_objective {
+        if outcome != RequestOutcome::InTime && now - first > latency_objective {
             self.late_worth_lost += worth.full;
         }
     }
@@ -327,14 +327,14 @@
             (window.p50_ms, window.p99_ms, window.p999_ms) = (at(0.5), at(0.99), at(0.999));
         }
         // The first second is excluded as warm-up.
-        let day =
+        let measured =
             &self.windows[1.min(self.windows.len())..((length / SECOND) as usize).min(self.windows.len())];
-        let share = |of: &[Window]| {
-            let worth: f64 = of.iter().map(|w| w.worth).sum();
-            if worth > 0.0 { of.iter().map(|w| w.served).sum::<f64>() / worth } else { 1.0 }
+        let share = |selected: &[Window]| {
+            let worth: f64 = selected.iter().map(|w| w.worth).sum();
+            if worth > 0.0 { selected.iter().map(|w| w.served).sum::<f64>() / worth } else { 1.0 }
         };
-        let whole_run = share(day);
-        let worst_window = day.windows(10.min(day.len().max(1))).map(share).fold(1.0, f64::min);
+        let whole_run = share(measured);
+        let worst_window = measured.windows(10.min(measured.len().max(1))).map(share).fold(1.0, f64::min);
         let classes: Vec<_> = (0..self.class_names.len())
             .map(|c| ClassFigures {
                 name: self.class_names[c].clone(),
@@ -343,8 +343,9 @@
                 latency_ms: quantiles(&self.latencies[c], 0.999),
             })
             .collect();
-        let worst =
-            |of: &[(f64, f64)]| of.iter().filter(|w| w.0 > 0.0).map(|w| w.1 / w.0).fold(1.0, f64::min);
+        let worst = |selected: &[(f64, f64)]| {
+            selected.iter().filter(|w| w.0 > 0.0).map(|w| w.1 / w.0).fold(1.0, f64::min)
+        };
         let (worst_class, worst_tenant) = (worst(&self.worth_totals[0]), worst(&self.worth_totals[1]));
         let sum = |f: &dyn Fn(&Window) -> u64| self.windows.iter().map(f).sum::<u64>() as f64;
         let requests = sum(&|w| w.requests).max(1.0);
@@ -360,14 +361,14 @@
             all.add(latencies).expect("all histograms have the same bounds");
         }
         let late_lost = self.late_worth_lost / worth.max(1.0);
-        let held = sum(&|w| w.connections) / self.windows.len().max(1) as f64;
+        let open_connections = sum(&|w| w.connections) / self.windows.len().max(1) as f64;
         let charged = [
             cross_zone / requests,
             wasted,
             late_lost,
             self.probes as f64 / requests,
             sum(&|w| w.handshakes) / requests,
-            held / (100.0 * servers as f64),
+            open_connections / (100.0 * servers as f64),
             self.list_lines as f64 / (100.0 * requests),
         ];
         let prices: f64 = prices.each.iter().zip(charged).map(|(price, share)| price * share).sum();
--- a/crates/fleet/src/model/run/attempts.rs
+++ b/crates/fleet/src/model/run/attempts.rs
@@ -17,8 +17,8 @@
         let (max_attempts, may_hedge) = (limits.max_attempts, limits.may_hedge);
         let [listed, cordoned] =
             [&p.unavailable, &p.cordoned].map(|notified| notified.get(&(server as u32)).copied());
-        let leaving = self.removal_versions[server].and_then(|version| self.presumed_known_at(version));
-        let unavailable_since = listed.into_iter().chain(cordoned).chain(leaving).min();
+        let presumed = self.removal_versions[server].and_then(|version| self.presumed_known_at(version));
+        let unavailable_since = listed.into_iter().chain(cordoned).chain(presumed).min();
         let t = &self.tries[id as usize];
         let r = &self.requests[t.request as usize];
         let earlier = self.sent_attempts(id);
@@ -35,8 +35,8 @@
             max_attempts,
             may_hedge,
         };
-        let broken = rules::check_send(&check);
-        self.violations.record(broken);
+        let violation = rules::check_send(&check);
+        self.violations.record(violation);
         if t.finished || earlier.len() as u32 >= max_attempts {
             return;
         }
@@ -76,7 +76,7 @@
             s.in_transit += work;
             return self.events.schedule(now + path, SimEvent::AttemptArrived(number));
         }
-        if s.machine == Machine::Silent || !self.world.links.bidirectional(zone, to) {
+        if s.machine == Machine::Unresponsive || !self.world.links.bidirectional(zone, to) {
             let failed = self.round_up(now + self.world.dial_timeout);
             return self.events.schedule(failed, SimEvent::AttemptEnded(number, Outcome::ConnectFailed));
         }
@@ -94,8 +94,8 @@
         s.connections += streams;
         s.in_transit += work;
         // The connection's remaining streams are available to the next attempts.
-        let more = (1..streams).map(|_| (now, incarnation));
-        self.processes[process as usize].idle.entry(server as u32).or_default().extend(more);
+        let remaining = (1..streams).map(|_| (now, incarnation));
+        self.processes[process as usize].idle.entry(server as u32).or_default().extend(remaining);
         self.attempts[number as usize].connected = true;
         self.metrics.window(now).handshakes += 1;
         let handshake = (self.world.handshake.0 * 2.0 * path as f64) as Micros + late;
@@ -114,7 +114,7 @@
     }
 
     /// The time from which sidecars are presumed to know a list version, whether they received it or not; `None` if
-    /// it is not published yet. A registry's versions count from their acknowledgement.
+    /// it can't be known yet. A registry's versions count from their acknowledgement.
     fn presumed_known_at(&self, version: usize) -> Option<Micros> {
         let since = match &self.registry {
             Some(registry) => registry.acknowledged_at(version as u64),
@@ -186,7 +186,7 @@
     pub(super) fn attempt_arrived(&mut self, now: Micros, id: u32) {
         let a = &self.attempts[id as usize];
         let (zone, to) = self.zones_of(a);
-        let (of, server, work, due, reused) = (a.try_id, a.server, f64::from(a.work), a.due, a.reused);
+        let (try_id, server, work, due, reused) = (a.try_id, a.server, f64::from(a.work), a.due, a.reused);
         let same_incarnation = a.incarnation == self.servers[server as usize].incarnation;
         self.servers[server as usize].in_transit -= work;
         if !self.world.links.is_open(zone, to) {
@@ -194,13 +194,13 @@
         }
         let s = &mut self.servers[server as usize];
         match s.machine {
-            Machine::Silent => return,
+            Machine::Unresponsive => return,
             // A connection to a process that has ended is reset.
             Machine::Down => return self.reply(now, id, reset(reused)),
             Machine::Up if !same_incarnation => return self.reply(now, id, reset(reused)),
             Machine::Up => {}
         }
-        let t = &self.tries[of as usize];
+        let t = &self.tries[try_id as usize];
         if s.rejected_class == Some(self.requests[t.request as usize].class) {
             return self.reply(now, id, Outcome::Rejected);
         }
@@ -243,7 +243,7 @@
     pub(super) fn reschedule_completion(&mut self, now: Micros, server: u32) {
         let s = &mut self.servers[server as usize];
         s.stamp += 1;
-        if let Some(at) = s.next_done(now) {
+        if let Some(at) = s.next_completion(now) {
             self.events.schedule(at, SimEvent::ServerCompletion(server, s.stamp));
         }
     }
@@ -254,13 +254,13 @@
         for id in done {
             let random_key = chance::mix(self.world.seed ^ 0xe770 ^ u64::from(id));
             let s = &self.servers[server as usize];
-            if s.machine == Machine::Silent {
+            if s.machine == Machine::Unresponsive {
                 continue;
             }
             let class =
                 self.requests[self.tries[self.attempts[id as usize].try_id as usize].request as usize].class;
             let stream = self.world.classes[usize::from(class)].stream;
-            let outcome = if chance::unit(random_key) < s.errors {
+            let outcome = if chance::unit(random_key) < s.error_share {
                 Outcome::Error
             } else if chance::unit(random_key ^ 0x5b01) < self.corrupt_share {
                 // It may have been executed, but the response is corrupt.
@@ -285,11 +285,11 @@
             return;
         }
         a.may_have_run = !outcome.was_never_executed();
-        let (of, server, incarnation, took, number) =
+        let (try_id, server, incarnation, took, number) =
             (a.try_id, a.server, a.incarnation, now - a.sent, a.number);
         let work = f64::from(a.work);
-        let t = &self.tries[of as usize];
-        let (process, request, over) = (t.process, t.request, t.finished);
+        let t = &self.tries[try_id as usize];
+        let (process, request, finished) = (t.process, t.request, t.finished);
         let reusable = matches!(outcome, Outcome::Ok | Outcome::Error | Outcome::Rejected);
         let p = &mut self.processes[process as usize];
         let reusable = reusable
@@ -305,22 +305,22 @@
         }
         // The client has already received part of a stream that breaks, and sees that it is incomplete.
         let stream_broke = self.attempts[id as usize].started && outcome != Outcome::Ok;
-        if stream_broke && !over {
-            self.respond(now, process, of, Response::Failed);
+        if stream_broke && !finished {
+            self.respond(now, process, try_id, Response::Failed);
         }
         // The first successful response is forwarded without an action of the policy.
-        if outcome == Outcome::Ok && !over {
+        if outcome == Outcome::Ok && !finished {
             self.metrics.work.1 += work;
-            self.respond(now, process, of, Response::Served);
+            self.respond(now, process, try_id, Response::Served);
         }
         let load = self.load_report(now, server);
         let end = AttemptEnd {
-            request: RequestId::from(of),
+            request: RequestId::from(try_id),
             attempt: number,
             endpoint: server as usize,
-            outcome: outcome,
+            outcome,
             duration: took,
-            request_completed: over || stream_broke || outcome == Outcome::Ok,
+            request_completed: finished || stream_broke || outcome == Outcome::Ok,
             body_consumed: false,
             load_report: if outcome == Outcome::Ok && self.world.report.as_ref().is_some_and(|r| r.on_answers)
             {
@@ -339,7 +339,7 @@
             let noise =
                 chance::log_normal_factor(self.world.seed ^ now as u64 ^ u64::from(server), report.noise);
             s.report =
-                ([s.queued() as f64, s.in_flight() as f64, s.utilization()].map(|read| read * noise), now);
+                ([s.queued() as f64, s.in_flight() as f64, s.utilization()].map(|value| value * noise), now);
         }
         let [waiting, active, cpu] = [0, 1, 2].map(|i| Some(s.report.0[i]).filter(|_| report.fields[i]));
         LoadReport { waiting, active, cpu, ..LoadReport::default() }
--- a/crates/fleet/src/model/run/clients.rs
+++ b/crates/fleet/src/model/run/clients.rs
@@ -46,15 +46,15 @@
             pick < 0.0
         });
         let within_quota = tenant.is_none_or(|t| {
-            let (second, asked) = &mut self.tenant_usage[t];
+            let (second, requests) = &mut self.tenant_usage[t];
             if *second != now / SECOND {
-                (*second, *asked) = (now / SECOND, 0.0);
+                (*second, *requests) = (now / SECOND, 0.0);
             }
-            *asked += 1.0;
-            *asked <= world.tenants[t].quota_per_s
+            *requests += 1.0;
+            *requests <= world.tenants[t].quota_per_s
         });
-        let part = if within_quota { 1.0 } else { world.over_share_worth };
-        let full = spec.worth * part * if world.worth_by_work { work / spec.work } else { 1.0 };
+        let worth_share = if within_quota { 1.0 } else { world.over_share_worth };
+        let full = spec.worth * worth_share * if world.worth_by_work { work / spec.work } else { 1.0 };
         let tenant = tenant.map(|t| t as u8);
         let worth = Worth {
             class: class as u8,
@@ -95,7 +95,7 @@
         let process = self.sidecars[sidecar].process.filter(|p| !self.processes[*p as usize].stopping);
         let id = self.tries.len() as u32;
         let path = self.world.links.client as Micros + 1;
-        let leaves = r.leaves_early && r.tries == 1;
+        let disconnects_early = r.leaves_early && r.tries == 1;
         self.tries.push(Try {
             request,
             process: process.unwrap_or(u32::MAX),
@@ -111,11 +111,12 @@
                 .schedule(now + path, SimEvent::ResponseArrived(id, Response::ConnectionRefused));
         }
         self.deliver_message(now + path, sidecar as u32, Message::Try(id));
-        let early = if leaves { chance::unit(self.world.seed ^ u64::from(id)) * 0.5 } else { 1.0 };
-        self.events.schedule(now + ((due - now) as f64 * early) as Micros, SimEvent::ClientTimeout(id));
+        let wait_share =
+            if disconnects_early { chance::unit(self.world.seed ^ u64::from(id)) * 0.5 } else { 1.0 };
+        self.events.schedule(now + ((due - now) as f64 * wait_share) as Micros, SimEvent::ClientTimeout(id));
     }
 
-    pub(super) fn response_arrived(&mut self, now: Micros, id: u32, answer: Response) {
+    pub(super) fn response_arrived(&mut self, now: Micros, id: u32, response: Response) {
         let t = &mut self.tries[id as usize];
         if std::mem::replace(&mut t.client_gone, true) {
             return;
@@ -123,13 +124,13 @@
         let request = t.request;
         let r = &self.requests[request as usize];
         let class = &self.world.classes[usize::from(r.class)];
-        match answer {
+        match response {
             Response::Served => {
                 let answered_at = self.tries[id as usize].started.unwrap_or(now);
                 let in_time = answered_at - r.first_try_at <= class.latency_objective
                     && !self.cpu_limit_exceeded(now, r.sidecar);
-                let end = if in_time { RequestOutcome::InTime } else { RequestOutcome::Late };
-                self.finish(answered_at, request, end);
+                let outcome = if in_time { RequestOutcome::InTime } else { RequestOutcome::Late };
+                self.finish(answered_at, request, outcome);
             }
             Response::Rejected(retry_after) => {
                 self.retry_or_finish(now, request, RequestOutcome::Rejected, retry_after, true)
@@ -146,16 +147,16 @@
         if t.started.is_some() || std::mem::replace(&mut t.client_gone, true) {
             return;
         }
-        let (request, process, due, over) = (t.request, t.process, t.due, t.finished);
+        let (request, process, due, finished) = (t.request, t.process, t.due, t.finished);
         let answer_grace = self.settings[self.requests[request as usize].sidecar as usize].rules.answer_grace;
-        if now < due && !over {
+        if now < due && !finished {
             // The client disconnected early; open attempts are cancelled.
             self.tries[id as usize].finished = true;
             self.close_request(process, id);
             self.dispatch(now, process, Event::RequestAbandoned(RequestId::from(id)));
             return self.finish(now, request, RequestOutcome::Failed);
         }
-        if !over {
+        if !finished {
             self.events.schedule(now + answer_grace, SimEvent::ResponseOverdue(id));
         }
         self.retry_or_finish(now, request, RequestOutcome::Failed, 0, false);
@@ -178,7 +179,7 @@
         &mut self,
         now: Micros,
         request: u32,
-        end: RequestOutcome,
+        outcome: RequestOutcome,
         retry_after: Micros,
         safe_to_retry: bool,
     ) {
@@ -195,19 +196,19 @@
         let may_retry = (safe_to_retry || within_retry_window)
             && r.tries <= r.retries
             && now + wait < r.first_try_at + class.deadline;
-        r.last_outcome = Some(end);
+        r.last_outcome = Some(outcome);
         if may_retry {
             self.events.schedule(now + wait, SimEvent::ClientSend(request));
         } else {
-            self.finish(now, request, end);
+            self.finish(now, request, outcome);
         }
     }
 
-    pub(super) fn finish(&mut self, now: Micros, request: u32, end: RequestOutcome) {
+    pub(super) fn finish(&mut self, now: Micros, request: u32, outcome: RequestOutcome) {
         let r = &mut self.requests[request as usize];
         if !std::mem::replace(&mut r.finished, true) {
             let latency_objective = self.world.classes[usize::from(r.class)].latency_objective;
-            self.metrics.record_outcome(now, r.first_try_at, r.worth, latency_objective, end);
+            self.metrics.record_outcome(now, r.first_try_at, r.worth, latency_objective, outcome);
         }
     }
 }
--- a/crates/fleet/src/model/run/faults.rs
+++ b/crates/fleet/src/model/run/faults.rs
@@ -41,8 +41,8 @@
     ) {
         if self.registry.is_some() {
             // A server that stops after a drain deregisters itself; for any other the lease expires.
-            let told = status != EndpointStatus::Removed || self.servers[server].draining.is_some();
-            return if told {
+            let must_write = status != EndpointStatus::Removed || self.servers[server].draining.is_some();
+            return if must_write {
                 self.report_to_registry(now, server, status)
             };
         }
@@ -51,9 +51,9 @@
         self.events.schedule(at, SimEvent::DiscoveryUpdate(Change { server, entry, since: now }));
     }
 
-    pub(super) fn apply_planned(&mut self, now: Micros, what: PlannedEvent) -> Result<(), SettingsError> {
+    pub(super) fn apply_planned(&mut self, now: Micros, event: PlannedEvent) -> Result<(), SettingsError> {
         let d = self.world.discovery.clone();
-        match what {
+        match event {
             PlannedEvent::Drain(s) if self.servers[s].machine == Machine::Up => {
                 self.servers[s].draining = Some(now);
                 self.schedule_discovery_update(now, s, EndpointStatus::Draining, d.notice);
@@ -63,16 +63,16 @@
                 self.schedule_discovery_update(now, s, EndpointStatus::Removed, d.notice);
             }
             PlannedEvent::Start(s) if !self.servers[s].crashed_by_overload => {
-                if self.servers[s].machine == Machine::Silent {
+                if self.servers[s].machine == Machine::Unresponsive {
                     self.servers[s].reset_all(now);
                 }
                 self.servers[s].start(now);
                 self.start_versions[s] = usize::MAX;
                 self.schedule_discovery_update(now, s, EndpointStatus::Ready, d.add);
             }
-            PlannedEvent::Silent(s) if self.servers[s].machine == Machine::Up => {
+            PlannedEvent::Unresponsive(s) if self.servers[s].machine == Machine::Up => {
                 self.servers[s].advance(now);
-                self.servers[s].machine = Machine::Silent;
+                self.servers[s].machine = Machine::Unresponsive;
                 self.schedule_discovery_update(now, s, EndpointStatus::Removed, d.silent_notice);
             }
             PlannedEvent::Pause(s, begin) => {
@@ -81,10 +81,10 @@
             }
             PlannedEvent::Slow(s, factor) => {
                 self.servers[s].advance(now);
-                self.servers[s].slow *= factor;
+                self.servers[s].slowdown *= factor;
                 self.reschedule_completion(now, s as u32);
             }
-            PlannedEvent::Errors(s, share) => self.servers[s].errors = share,
+            PlannedEvent::Errors(s, share) => self.servers[s].error_share = share,
             PlannedEvent::Cordon(s, out) => {
                 if out {
                     self.cordoned.insert(s)
@@ -92,11 +92,11 @@
                     self.cordoned.remove(&s)
                 };
                 for id in 0..self.processes.len() as u32 {
-                    let told = &mut self.processes[id as usize].cordoned;
+                    let cordoned = &mut self.processes[id as usize].cordoned;
                     if out {
-                        told.insert(s as u32, now)
+                        cordoned.insert(s as u32, now)
                     } else {
-                        told.remove(&(s as u32))
+                        cordoned.remove(&(s as u32))
                     };
                     self.dispatch(now, id, if out { Event::Cordoned(s) } else { Event::Uncordoned(s) });
                 }
@@ -106,10 +106,10 @@
             PlannedEvent::Traffic(None, factor) => self.traffic_factors.0 *= factor,
             PlannedEvent::Traffic(Some(zone), factor) => self.traffic_factors.1[zone] *= factor,
             PlannedEvent::KillSidecar(s) => self.kill_process(now, s as u32),
-            PlannedEvent::StopSidecar(s, away) => {
+            PlannedEvent::StopSidecar(s, restart_delay) => {
                 if let Some(p) = self.sidecars[s].process {
                     self.processes[p as usize].stopping = true;
-                    self.events.schedule(now + MIN_STOP_TIME, SimEvent::StopCheck(p, away));
+                    self.events.schedule(now + MIN_STOP_TIME, SimEvent::StopCheck(p, restart_delay));
                 }
             }
             PlannedEvent::StartSidecar(s) if self.sidecars[s].process.is_none() => {
@@ -127,13 +127,15 @@
                 self.discovery.set_down(now, !up);
                 self.registry_outage(now, !up);
             }
-            PlannedEvent::RegistryReplica(place, silent, begin) => {
-                self.registry_fault(now, place, silent, begin)
+            PlannedEvent::RegistryReplica(position, pause, begin) => {
+                self.registry_fault(now, position, pause, begin)
             }
             PlannedEvent::Resets(share) => self.reset_share = share,
             PlannedEvent::CorruptResponses(share) => self.corrupt_share = share,
             PlannedEvent::LateConnects(share, late) => self.late_connects = (share, late),
-            PlannedEvent::RetrySurge(times, leave) => self.retry_surge = (times, leave),
+            PlannedEvent::RetrySurge(retry_factor, leave_share) => {
+                self.retry_surge = (retry_factor, leave_share)
+            }
             PlannedEvent::MalformedClients(s, every) => {
                 let before = std::mem::replace(&mut self.sidecars[s].malformed_interval, every);
                 // Only one recurring event for each sidecar at a time.
@@ -146,18 +148,20 @@
         Ok(())
     }
 
-    pub(super) fn stop_if_idle(&mut self, now: Micros, process: u32, away: Micros) {
+    pub(super) fn stop_if_idle(&mut self, now: Micros, process: u32, restart_delay: Micros) {
         let p = &self.processes[process as usize];
         let sidecar = p.sidecar;
         if self.sidecars[sidecar as usize].process != Some(process) {
             return;
         }
         if !p.open.is_empty() {
-            return self.events.schedule(now + MIN_STOP_TIME / 8, SimEvent::StopCheck(process, away));
+            return self
+                .events
+                .schedule(now + MIN_STOP_TIME / 8, SimEvent::StopCheck(process, restart_delay));
         }
         self.sidecars[sidecar as usize].process = None;
         self.end_process(process);
-        self.events.schedule(now + away, SimEvent::StartProcess(sidecar));
+        self.events.schedule(now + restart_delay, SimEvent::StartProcess(sidecar));
     }
 
     pub(super) fn kill_process(&mut self, now: Micros, sidecar: u32) {
--- a/crates/fleet/src/model/run/list.rs
+++ b/crates/fleet/src/model/run/list.rs
@@ -74,12 +74,12 @@
 
     /// Records which servers a process now knows to be draining or removed.
     pub(super) fn record_unavailable(&mut self, now: Micros, process: u32, list: &[EndpointEntry]) {
-        let gone = &mut self.processes[process as usize].unavailable;
+        let unavailable = &mut self.processes[process as usize].unavailable;
         for l in list {
             if l.status == EndpointStatus::Ready {
-                gone.remove(&(l.endpoint as u32));
+                unavailable.remove(&(l.endpoint as u32));
             } else {
-                gone.entry(l.endpoint as u32).or_insert(now);
+                unavailable.entry(l.endpoint as u32).or_insert(now);
             }
         }
     }
@@ -121,11 +121,11 @@
             process.idle.retain(|server, connections| {
                 let s = &mut self.servers[*server as usize];
                 connections.retain(|(since, incarnation)| {
-                    let stays = now - since < idle;
-                    if !stays && *incarnation == s.incarnation {
+                    let keep = now - since < idle;
+                    if !keep && *incarnation == s.incarnation {
                         s.connections = s.connections.saturating_sub(1);
                     }
-                    stays
+                    keep
                 });
                 !connections.is_empty()
             });
--- a/crates/fleet/src/model/run/mod.rs
+++ b/crates/fleet/src/model/run/mod.rs
@@ -59,13 +59,15 @@
     registry: Option<Box<registry::Registry>>,
     /// Servers that operators have cordoned.
     cordoned: BTreeSet<usize>,
-    /// For each server, the list version that contains its latest start; `usize::MAX` until there is one.
+    /// For each server, the list version that contains its latest start; `usize::MAX` until a start is listed.
     start_versions: Vec<usize>,
     /// For each server, the list version that announced its drain or removal; `None` while it is listed as ready.
     removal_versions: Vec<Option<usize>>,
+    /// Factors on the traffic: of all sidecars, and by zone.
     traffic_factors: (f64, Vec<f64>),
     reset_share: f64,
     corrupt_share: f64,
+    /// Share of new connections that are slow to establish, and their additional delay.
     late_connects: (f64, Micros),
     /// Factor on the clients' number of retries, and the additional share of clients that disconnect early.
     retry_surge: (f64, f64),
@@ -73,7 +75,9 @@
     tenant_usage: Vec<(Micros, f64)>,
     metrics: MetricsRecorder,
     violations: Violations,
+    /// Random stream for discovery's delays.
     list_rng: ChaCha8Rng,
+    /// Buffer for the actions of a policy, reused between events.
     actions: Vec<Action>,
 }
 
@@ -127,6 +131,7 @@
     ListPushed(u32),
     /// A process fetches the endpoint list from discovery.
     FetchList(u32),
+    /// A fetch of the endpoint list was answered (`true`) or failed.
     FetchEnded(u32, bool),
     /// A stopping process exits if it has no open requests; its successor starts after this delay.
     StopCheck(u32, Micros),
@@ -138,9 +143,11 @@
     IdleSweep,
 }
 
+/// What a client receives for a try.
 #[derive(Clone, Copy)]
 enum Response {
     Served,
+    /// Rejected, with the time after which the client should retry.
     Rejected(Micros),
     Failed,
     /// No sidecar process accepted the request, so it was never processed.
@@ -180,6 +187,7 @@
     Malformed,
 }
 
+/// A process of a sidecar.
 struct Process {
     sidecar: u32,
     decider: Option<Box<dyn Decider>>,
@@ -187,7 +195,9 @@
     registry_watch: Option<Box<registry::RegistryWatch>>,
     /// It accepts no new requests.
     stopping: bool,
+    /// It has subscribed to discovery's updates.
     watching: bool,
+    /// Its open tries.
     open: FxHashSet<u32>,
     /// Idle connections by server: idle since when, and to which incarnation of the server.
     idle: FxHashMap<u32, Vec<(Micros, u32)>>,
@@ -197,6 +207,7 @@
     cordoned: FxHashMap<u32, Micros>,
 }
 
+/// A client's request over all its tries.
 struct Request {
     class: u8,
     sidecar: u32,
@@ -215,6 +226,7 @@
     finished: bool,
 }
 
+/// One try of a client: the first, or a retry. The sidecar may make several attempts for it.
 struct Try {
     request: u32,
     process: u32,
@@ -227,6 +239,7 @@
     started: Option<Micros>,
 }
 
+/// A sidecar's attempt to have a server execute a try.
 struct Attempt {
     try_id: u32,
     number: u32,
@@ -351,7 +364,7 @@
             SimEvent::TryArrived(id) => self.try_arrived(now, id),
             SimEvent::ClientTimeout(id) => self.client_timeout(now, id),
             SimEvent::ResponseOverdue(id) => self.response_overdue(now, id),
-            SimEvent::ResponseArrived(id, answer) => self.response_arrived(now, id, answer),
+            SimEvent::ResponseArrived(id, response) => self.response_arrived(now, id, response),
             SimEvent::ConnectionEstablished(id, path) => self.connection_established(now, id, path),
             SimEvent::AttemptArrived(id) => self.attempt_arrived(now, id),
             SimEvent::CancelArrived(id) => {
@@ -378,8 +391,8 @@
                 }
             }
             SimEvent::StreamStarted(id) => self.stream_started(now, id),
-            SimEvent::StreamEnded(id, how) => self.stream_ended(now, id, how),
-            SimEvent::AttemptEnded(id, how) => self.attempt_ended(now, id, how),
+            SimEvent::StreamEnded(id, outcome) => self.stream_ended(now, id, outcome),
+            SimEvent::AttemptEnded(id, outcome) => self.attempt_ended(now, id, outcome),
             SimEvent::ProbeEnded(process, server, sent, outcome) => {
                 if !matches!(outcome, Outcome::ConnectFailed | Outcome::Rejected) {
                     let s = &mut self.servers[server as usize];
@@ -397,8 +410,8 @@
             SimEvent::Timer(process, token) => self.dispatch(now, process, Event::Timer(token)),
             SimEvent::Pause(server, begin) => self.pause(now, server, begin),
             SimEvent::Planned(i) => {
-                let what = self.world.plan[i as usize].what.clone();
-                self.apply_planned(now, what)?;
+                let event = self.world.plan[i as usize].what.clone();
+                self.apply_planned(now, event)?;
             }
             SimEvent::DiscoveryUpdate(change) => {
                 let version = self.discovery.record(change);
@@ -418,7 +431,7 @@
             SimEvent::ListPushed(sidecar) => self.list_pushed(now, sidecar),
             SimEvent::FetchList(process) => self.fetch_list(now, process),
             SimEvent::FetchEnded(process, succeeded) => self.fetch_ended(now, process, succeeded),
-            SimEvent::StopCheck(process, away) => self.stop_if_idle(now, process, away),
+            SimEvent::StopCheck(process, restart_delay) => self.stop_if_idle(now, process, restart_delay),
             SimEvent::StartProcess(sidecar) if self.sidecars[sidecar as usize].process.is_none() => {
                 self.start_process(now, sidecar, false)?
             }
--- a/crates/fleet/src/model/run/registry.rs
+++ b/crates/fleet/src/model/run/registry.rs
@@ -71,7 +71,7 @@
     at: Micros,
     /// When the server's state changed.
     since: Micros,
-    last_told: Micros,
+    last_notified_at: Micros,
 }
 
 /// The registry, its polls and writes, and when its changes were acknowledged.
@@ -145,7 +145,7 @@
 
     /// For each change that reached a sidecar, the time from its acknowledgement to the last sidecar's notification.
     pub(super) fn last_notified(&self) -> impl Iterator<Item = Micros> {
-        self.acknowledged.iter().filter(|a| a.last_told > 0).map(|a| a.last_told - a.at)
+        self.acknowledged.iter().filter(|a| a.last_notified_at > 0).map(|a| a.last_notified_at - a.at)
     }
 }
 
@@ -287,7 +287,7 @@
                     self.schedule_registry(now + after, RegistryEvent::WriteArrived(write));
                 }
             }
-            RegistryEvent::Committed(write) => self.committed(now, write),
+            RegistryEvent::Committed(write) => self.write_committed(now, write),
             RegistryEvent::Published(replica) => {
                 let Some(registry) = &mut self.registry else { return };
                 if registry.is_available(replica as usize) {
@@ -297,11 +297,11 @@
                 }
             }
             RegistryEvent::Renew(server) => self.renew(now, server),
-            RegistryEvent::LeaseCheck => self.lease_tick(now),
+            RegistryEvent::LeaseCheck => self.check_leases(now),
         }
     }
 
-    fn lease_tick(&mut self, now: Micros) {
+    fn check_leases(&mut self, now: Micros) {
         if now < self.world.length {
             self.schedule_registry(now + LEASE_CHECK_INTERVAL, RegistryEvent::LeaseCheck);
         }
@@ -312,24 +312,29 @@
         if std::mem::take(&mut registry.leases_stale) {
             registry.leases.start_leading(now, registry.list.entries().values());
         }
-        let due = registry.leases.take_expired(now, registry.list.active());
-        if !due.is_empty() {
+        let expired = registry.leases.take_expired(now, registry.list.active());
+        if !expired.is_empty() {
             let last_renewed = now - Micros::try_from(registry.spec.lease_ms * 1000).unwrap_or(0);
-            self.write_to_registry(now, Command::Expire { leases: due, at_ms: 0 }, last_renewed);
+            self.write_to_registry(now, Command::Expire { leases: expired, at_ms: 0 }, last_renewed);
         }
     }
 
-    fn committed(&mut self, now: Micros, write: u32) {
+    fn write_committed(&mut self, now: Micros, write: u32) {
         let Some(registry) = &mut self.registry else { return };
         let (command, since) = &registry.writes[write as usize];
         let (before, since) = (registry.list.version().index, *since);
         let ApplyOutcome::Applied { version, changed: true } = registry.list.apply(command) else {
             return;
         };
-        let (changed, left) = registry.list.changed_after(before);
-        changed.for_each(|kept| registry.leases.update(now, kept));
-        left.for_each(|name| registry.leases.remove(name));
-        registry.acknowledged.push(Acknowledged { index: version.index, at: now, since, last_told: 0 });
+        let (changed, removed) = registry.list.changed_after(before);
+        changed.for_each(|server| registry.leases.update(now, server));
+        removed.for_each(|name| registry.leases.remove(name));
+        registry.acknowledged.push(Acknowledged {
+            index: version.index,
+            at: now,
+            since,
+            last_notified_at: 0,
+        });
         if let Command::Register { servers, .. } = command {
             for server in servers.iter().filter_map(|s| server_number(&s.entry.name)) {
                 self.start_versions[server] = version.index as usize;
@@ -356,8 +361,8 @@
             return self.send_reply(now, poll, Err(None));
         }
         let version = registry.list.version();
-        let whole = registry.list.update(after.map(|a| a.index)).snapshot;
-        if whole {
+        let full = registry.list.update(after.map(|a| a.index)).snapshot;
+        if full {
             if let AdmissionDecision::RetryAfter(wait) = registry.replicas[replica].admission.admit(now) {
                 self.metrics.throttled_polls += 1;
                 return self.send_reply(now, poll, Err(Some(wait)));
@@ -365,8 +370,8 @@
         } else if after == Some(version) && registry.polls[poll as usize].wait > 0 {
             registry.polls[poll as usize].is_waiting = true;
             registry.replicas[replica].waiting.push(poll);
-            let over = now + registry.polls[poll as usize].wait;
-            return self.schedule_registry(over, RegistryEvent::PollExpired(poll));
+            let expires_at = now + registry.polls[poll as usize].wait;
+            return self.schedule_registry(expires_at, RegistryEvent::PollExpired(poll));
         }
         self.answer_poll(now, poll);
     }
@@ -377,11 +382,10 @@
         a.is_waiting = false;
         let mut update = registry.list.update(a.after.map(|v| v.index));
         update.waited_ms = ((now - a.arrived) / 1000) as u64;
-        // Without a leader the age of a replica's list grows. With one it is reported as 250 ms, within the time
-        // between heartbeats.
-        let lost =
+        // Without a leader the age of a replica's list grows.
+        let leaderless_for =
             if now < registry.leaderless_until { now - (registry.leaderless_until - SECOND) } else { 0 };
-        update.age_ms = 250 + (lost.max(0) / 1000) as u64;
+        update.age_ms = 250 + (leaderless_for.max(0) / 1000) as u64;
         self.send_reply(now, poll, Ok(Box::new(update)));
     }
 
@@ -393,12 +397,12 @@
         let lines = reply.as_ref().map_or(0, |u| u.endpoints.len());
         let cost = registry.spec.answer + (registry.spec.line * lines as f64) as Micros;
         replica.busy_until = replica.busy_until.max(now) + cost;
-        let (from, made) = (replica.zone, replica.busy_until);
+        let (from, ready_at) = (replica.zone, replica.busy_until);
         a.reply = reply;
         let sidecar = self.processes[a.process as usize].sidecar as usize;
         let zone = self.world.sidecars[sidecar].zone;
         if self.world.links.is_open(from, zone) {
-            let at = made + self.world.links.delay(from, zone, 1.0);
+            let at = ready_at + self.world.links.delay(from, zone, 1.0);
             let at = self.round_up(at);
             self.schedule_registry(at, RegistryEvent::PollAnswered(poll));
         }
@@ -406,21 +410,22 @@
 
     // ---- Faults ----
 
-    /// Kills or pauses (`silent`) a replica, or brings the one back that failed last. `place` counts from the leader,
+    /// Kills or pauses a replica, or brings the one back that failed last. `position` counts from the leader,
     /// which is 0.
-    pub(super) fn registry_fault(&mut self, now: Micros, place: usize, silent: bool, begin: bool) {
+    pub(super) fn registry_fault(&mut self, now: Micros, position: usize, pause: bool, begin: bool) {
         let Some(registry) = &mut self.registry else { return };
         let all = registry.replicas.len();
-        let which = if begin { (registry.leader + place) % all } else { registry.failed.pop().unwrap_or(0) };
+        let which =
+            if begin { (registry.leader + position) % all } else { registry.failed.pop().unwrap_or(0) };
         let r = &mut registry.replicas[which];
-        (r.up, r.paused) = if begin { (silent, silent) } else { (true, false) };
+        (r.up, r.paused) = if begin { (pause, pause) } else { (true, false) };
         let waiting = std::mem::take(&mut r.waiting);
         if begin {
             registry.failed.push(which);
             if which == registry.leader {
                 registry.lose_leader(now);
             }
-            if !silent {
+            if !pause {
                 // The connections of waiting polls are reset.
                 for poll in waiting {
                     self.send_reply(now, poll, Err(None));
@@ -430,12 +435,12 @@
     }
 
     /// Stops all replicas, or starts them again.
-    pub(super) fn registry_outage(&mut self, now: Micros, away: bool) {
+    pub(super) fn registry_outage(&mut self, now: Micros, down: bool) {
         let Some(registry) = &mut self.registry else { return };
         let waiting: Vec<u32> =
             registry.replicas.iter_mut().flat_map(|r| std::mem::take(&mut r.waiting)).collect();
-        registry.replicas.iter_mut().for_each(|r| r.up = !away);
-        if away {
+        registry.replicas.iter_mut().for_each(|r| r.up = !down);
+        if down {
             registry.leaderless_until = Micros::MAX / 4;
         } else {
             registry.lose_leader(now);
@@ -560,15 +565,15 @@
                 let first = registry.acknowledged.partition_point(|a| a.index <= before);
                 for a in &mut registry.acknowledged[first..] {
                     if a.index <= applied.version.index {
-                        a.last_told = a.last_told.max(now);
+                        a.last_notified_at = a.last_notified_at.max(now);
                         self.metrics.record_staleness(now, now - a.since);
                         self.metrics.record_notification(now - a.at);
                     }
                 }
             }
         }
-        let told = &mut self.sidecars[sidecar].known_version;
-        *told = (*told).max(applied.version.index as usize);
+        let known_version = &mut self.sidecars[sidecar].known_version;
+        *known_version = (*known_version).max(applied.version.index as usize);
         self.record_unavailable(now, process, &list);
         let update = match (cached, applied.full) {
             (true, _) => EndpointListUpdate::Cached(list),
--- a/crates/fleet/src/model/run/sidecars.rs
+++ b/crates/fleet/src/model/run/sidecars.rs
@@ -18,14 +18,14 @@
 
     /// Schedules the event of a message that a sidecar has processed.
     pub(super) fn schedule_processed(&mut self, at: Micros, message: Message) {
-        let what = match message {
+        let event = match message {
             Message::Try(id) => SimEvent::TryArrived(id),
             Message::Started(id) => SimEvent::StreamStarted(id),
             Message::Outcome(id, outcome) => SimEvent::AttemptEnded(id, outcome),
             Message::Malformed => return,
         };
         let at = self.round_up(at);
-        self.events.schedule(at, what);
+        self.events.schedule(at, event);
     }
 
     /// How long a sidecar takes to process a message, in or out, including the time in its processor's queue.
@@ -53,15 +53,15 @@
         sidecar: u32,
         first: bool,
     ) -> Result<(), SettingsError> {
-        let place = &mut self.sidecars[sidecar as usize];
-        place.starts += 1;
-        let seed = chance::mix(self.world.seed ^ u64::from(sidecar) << 24 ^ place.starts << 56) >> 1;
+        let state = &mut self.sidecars[sidecar as usize];
+        state.starts += 1;
+        let seed = chance::mix(self.world.seed ^ u64::from(sidecar) << 24 ^ state.starts << 56) >> 1;
         let id = self.processes.len() as u32;
         let (settings, world) = (self.settings[sidecar as usize].clone(), &self.world);
         let object = || world.settings_for(sidecar as usize);
         let decider = self.factory.start(u64::from(id), settings, &object, seed)?;
-        place.process = Some(id);
-        let version = place.known_version;
+        state.process = Some(id);
+        let version = state.known_version;
         self.processes.push(Process {
             sidecar,
             decider: Some(decider),
@@ -149,8 +149,8 @@
         p.decider = None;
         for (server, idle) in std::mem::take(&mut p.idle) {
             let s = &mut self.servers[server as usize];
-            let held = idle.iter().filter(|(_, i)| *i == s.incarnation).count();
-            s.connections = s.connections.saturating_sub(held as u32);
+            let open = idle.iter().filter(|(_, i)| *i == s.incarnation).count();
+            s.connections = s.connections.saturating_sub(open as u32);
         }
     }
 
@@ -196,9 +196,9 @@
             }
             Action::Cancel { request, attempt } => {
                 let id = self.tries[request as usize].attempts.get(attempt as usize).copied();
-                let ends =
+                let cancellable =
                     |id: &u32| self.attempts[*id as usize].open && !self.attempts[*id as usize].started;
-                if let Some(id) = id.filter(ends) {
+                if let Some(id) = id.filter(cancellable) {
                     // The attempt is cancelled now; the policy is notified at the next tick.
                     self.cancel_attempt(now, id);
                     self.events
@@ -218,8 +218,8 @@
                 let idle =
                     self.processes[process as usize].idle.remove(&(endpoint as u32)).unwrap_or_default();
                 let s = &mut self.servers[endpoint];
-                let held = idle.iter().filter(|(_, i)| *i == s.incarnation).count();
-                s.connections = s.connections.saturating_sub(held as u32);
+                let open = idle.iter().filter(|(_, i)| *i == s.incarnation).count();
+                s.connections = s.connections.saturating_sub(open as u32);
             }
             Action::HealthCheck(endpoint) => self.send_probe(now, process, endpoint),
             // Messages to peers, which the simulation doesn't support, and actions that no longer apply.
@@ -260,22 +260,22 @@
             .schedule(self.round_up(now + took), SimEvent::ProbeEnded(process, server as u32, now, outcome));
     }
 
-    pub(super) fn respond(&mut self, now: Micros, process: u32, id: u32, answer: Response) {
+    pub(super) fn respond(&mut self, now: Micros, process: u32, id: u32, response: Response) {
         self.events.add_to_digest(u64::from(id));
         self.tries[id as usize].finished = true;
         self.close_request(process, id);
         let path = self.world.links.client as Micros + 1;
         let sidecar = self.processes[process as usize].sidecar;
         let processing = self.processing_delay(now, sidecar);
-        self.events.schedule(now + path + processing, SimEvent::ResponseArrived(id, answer));
+        self.events.schedule(now + path + processing, SimEvent::ResponseArrived(id, response));
     }
 
     pub(super) fn sent_attempts(&self, id: u32) -> Vec<Sent> {
-        let of = |a: &u32| {
+        let to_sent = |a: &u32| {
             let a = &self.attempts[*a as usize];
             let spec = &self.servers[a.server as usize].spec;
             Sent { zone: spec.zone, cell: spec.cell, at: a.sent, open: a.open, may_have_run: a.may_have_run }
         };
-        self.tries[id as usize].attempts.iter().map(of).collect()
+        self.tries[id as usize].attempts.iter().map(to_sent).collect()
     }
 }
--- a/crates/fleet/src/model/server.rs
+++ b/crates/fleet/src/model/server.rs
@@ -13,7 +13,7 @@
     /// Running.
     Up,
     /// Unresponsive: nothing it is sent is answered.
-    Silent,
+    Unresponsive,
 }
 
 /// A queued or running request.
@@ -88,9 +88,9 @@
     /// It crashed from overload and stays down.
     pub crashed_by_overload: bool,
     /// Factor by which it is slower than normal.
-    pub slow: f64,
+    pub slowdown: f64,
     /// Share of requests that fail with an error.
-    pub errors: f64,
+    pub error_share: f64,
     /// The request class that it rejects.
     pub rejected_class: Option<u8>,
     /// Open connections, counted in the concurrent attempts that they can carry.
@@ -133,8 +133,8 @@
             started: None,
             draining: None,
             crashed_by_overload: false,
-            slow: 1.0,
-            errors: spec.error_rate,
+            slowdown: 1.0,
+            error_share: spec.error_rate,
             rejected_class: None,
             connections: 0,
             streaming: Vec::new(),
@@ -170,29 +170,31 @@
     /// The share of its capacity that it has reached in its slow start.
     pub fn warmth(&self, now: Micros) -> f64 {
         let Some(started) = self.started else { return 1.0 };
-        let whole = (self.spec.warm_up_time as f64).max(1.0);
-        let mut age = (now - started) as f64 / whole;
+        let warm_up_time = (self.spec.warm_up_time as f64).max(1.0);
+        let mut age = (now - started) as f64 / warm_up_time;
         if self.spec.warms_by_work {
             age = age.max(
-                2.0 * (self.done - self.done_before_start) / (whole * self.spec.cores * self.spec.speed),
+                2.0 * (self.done - self.done_before_start)
+                    / (warm_up_time * self.spec.cores * self.spec.speed),
             );
         }
         (self.spec.cold_from + (1.0 - self.spec.cold_from) * age).min(1.0)
     }
 
     /// Work that each core does in a microsecond.
-    fn core(&self, now: Micros) -> f64 {
-        let table = f64::from(self.connections) / f64::from(self.spec.connections.max(1) * self.spec.streams);
+    fn core_speed(&self, now: Micros) -> f64 {
+        let table_use =
+            f64::from(self.connections) / f64::from(self.spec.connections.max(1) * self.spec.streams);
         let load_per_core = self.in_flight() as f64 / self.spec.cores;
         let thrash = if load_per_core > self.spec.thrash_at { self.spec.thrash } else { 0.0 };
-        self.spec.speed * self.warmth(now) / self.slow
-            * (1.0 - self.spec.connection_overhead * table.min(1.0))
+        self.spec.speed * self.warmth(now) / self.slowdown
+            * (1.0 - self.spec.connection_overhead * table_use.min(1.0))
             * (1.0 - thrash)
     }
 
     /// Work that it does in a microsecond with all cores in use, ignoring pauses.
     pub fn capacity(&self, now: Micros) -> f64 {
-        self.core(now) * self.spec.cores
+        self.core_speed(now) * self.spec.cores
     }
 
     /// The nominal limit on the work that a server may be sent in the window while it is warming up. As the rule
@@ -230,7 +232,7 @@
         if self.paused > 0 || self.machine == Machine::Down {
             return 0.0;
         }
-        self.core(now) * (self.spec.cores / self.running.len().max(1) as f64).min(1.0)
+        self.core_speed(now) * (self.spec.cores / self.running.len().max(1) as f64).min(1.0)
     }
 
     /// Adds the work done since the last call to `attained` and `done`. Must be called before any change that affects
@@ -243,7 +245,7 @@
     }
 
     /// When the next request completes at the current rate, or when to recompute that while the server is warming up.
-    pub fn next_done(&self, now: Micros) -> Option<Micros> {
+    pub fn next_completion(&self, now: Micros) -> Option<Micros> {
         let least = self.running.iter().map(|j| j.work).min_by(f64::total_cmp)?;
         let rate = self.rate(now);
         if rate <= 0.0 {
@@ -284,7 +286,7 @@
         self.advance(now);
         let job = Job { attempt, work, due };
         if self.running.len() < self.spec.slots {
-            self.begin(job);
+            self.start_job(job);
         } else if self.waiting.len() < self.spec.queue {
             self.waiting.push_back(job);
         } else {
@@ -293,7 +295,7 @@
         Arrival::Accepted
     }
 
-    fn begin(&mut self, job: Job) {
+    fn start_job(&mut self, job: Job) {
         self.running.push(Job { work: self.attained + job.work, ..job });
     }
 
@@ -302,21 +304,21 @@
         self.advance(now);
         let (attained, first) = (self.attained + 1e-6, done.len());
         self.running.retain(|job| {
-            let over = job.work <= attained;
-            if over {
+            let completed = job.work <= attained;
+            if completed {
                 done.push(job.attempt);
             }
-            !over
+            !completed
         });
         done[first..].sort_unstable();
-        self.fill(now);
+        self.start_queued(now);
     }
 
-    fn fill(&mut self, now: Micros) {
+    fn start_queued(&mut self, now: Micros) {
         while self.running.len() < self.spec.slots {
             let Some(job) = self.waiting.pop_front() else { return };
             if !(self.spec.drops_expired && job.due <= now) {
-                self.begin(job);
+                self.start_job(job);
             }
         }
     }
@@ -330,7 +332,7 @@
             && let Some(at) = self.running.iter().position(|j| j.attempt == attempt)
         {
             self.running.swap_remove(at);
-            self.fill(now);
+            self.start_queued(now);
         }
     }
 
--- a/crates/fleet/src/model/server/tests.rs
+++ b/crates/fleet/src/model/server/tests.rs
@@ -32,9 +32,9 @@
         assert_eq!(send(&mut s, attempt, 1000.0, NO_LIMIT), Arrival::Accepted);
     }
     assert_eq!(send(&mut s, 3, 1000.0, NO_LIMIT), Arrival::Rejected);
-    assert_eq!(s.next_done(0), Some(2000));
+    assert_eq!(s.next_completion(0), Some(2000));
     assert_eq!(done_at(&mut s, 2000), [0, 1]);
-    assert_eq!((s.next_done(2000), s.queued()), (Some(3000), 0));
+    assert_eq!((s.next_completion(2000), s.queued()), (Some(3000), 0));
 }
 
 #[test]
@@ -44,9 +44,9 @@
     s.pause(500, true);
     s.pause(600, true);
     s.pause(700, false);
-    assert_eq!(s.next_done(700), None);
+    assert_eq!(s.next_completion(700), None);
     s.pause(900, false);
-    assert_eq!(s.next_done(900), Some(1400));
+    assert_eq!(s.next_completion(900), Some(1400));
 }
 
 #[test]
@@ -56,10 +56,10 @@
         |s: &mut Server| (0..400).map(|i| send(s, i, 10_000.0, overload_limit)).collect::<Vec<_>>();
     let mut warm = server(|s| s.queue = 1000);
     assert!(overload(&mut warm).iter().all(|a| *a == Arrival::Accepted));
-    let mut cold = server(|s| (s.queue, s.cold_from, s.warm_up_time) = (1000, 0.1, 10 * SECOND));
-    cold.start(0);
+    let mut restarted = server(|s| (s.queue, s.cold_from, s.warm_up_time) = (1000, 0.1, 10 * SECOND));
+    restarted.start(0);
     // 3 x 0.1 x 1 s of work.
-    let all = overload(&mut cold);
+    let all = overload(&mut restarted);
     let crashed_by_overload = all.iter().position(|a| matches!(a, Arrival::Overloaded(_)));
     // The nominal limit is 30 requests of mean work; with the tolerance of 2 √30 + 2 it is 42.95.
     assert_eq!(crashed_by_overload, Some(42));
@@ -75,9 +75,10 @@
     // Under 30, (16 + 3 x 4 + 3) x 10 ms.
     assert!((overload_limit.max_work(160_000.0) - 310_000.0).abs() < 0.1);
     for (work, accepted) in [(1_000.0, 429), (50_000.0, 8), (429_000.0, 1), (430_000.0, 0)] {
-        let mut cold = server(|s| (s.queue, s.cold_from, s.warm_up_time) = (1000, 0.1, 10 * SECOND));
-        cold.start(0);
-        let first = (0..1000).position(|i| send(&mut cold, i, work, overload_limit) != Arrival::Accepted);
+        let mut restarted = server(|s| (s.queue, s.cold_from, s.warm_up_time) = (1000, 0.1, 10 * SECOND));
+        restarted.start(0);
+        let first =
+            (0..1000).position(|i| send(&mut restarted, i, work, overload_limit) != Arrival::Accepted);
         assert_eq!(first, Some(accepted), "{work}");
     }
 }
--- a/crates/fleet/src/model/world.rs
+++ b/crates/fleet/src/model/world.rs
@@ -205,7 +205,7 @@
     /// A server's process starts, with a slow start.
     Start(usize),
     /// A server's machine stops responding.
-    Silent(usize),
+    Unresponsive(usize),
     /// A server pauses (`true`) or resumes.
     Pause(usize, bool),
     /// A server's slowdown factor is multiplied by this.
@@ -408,8 +408,8 @@
             ((conn.handshake_rtts.draw(rng).round(), conn.handshake_us.draw(rng)), conn.full_tax.draw(rng));
         let report = tier.report.as_ref().filter(|r| r.how != "none").map(|r| {
             let period = millis(r.period_ms.draw(rng) + r.delay_ms.draw(rng));
-            let told = |field: &str| r.fields.iter().any(|f| f == field);
-            let fields = [told("queue") || r.fields.is_empty(), told("inflight"), told("util")];
+            let reported = |field: &str| r.fields.iter().any(|f| f == field);
+            let fields = [reported("queue") || r.fields.is_empty(), reported("inflight"), reported("util")];
             ReportSpec { period, noise: r.noise.draw(rng), on_answers: r.how == "answers", fields }
         });
         let cell_size = tier.cell_size.draw(rng).max(1.0);
@@ -418,7 +418,7 @@
         let keys_per_core = site.fam.affinity_keys_per_core.draw(rng);
 
         let classes = Self::classes(scenario, site, rng);
-        let longest = classes.iter().map(|c| c.deadline).max().unwrap_or(SECOND);
+        let longest_deadline = classes.iter().map(|c| c.deadline).max().unwrap_or(SECOND);
         let servers = {
             let kinds: Vec<_> = tier
                 .kind
@@ -428,17 +428,18 @@
             let shares: f64 = kinds.iter().map(|k| k.1).sum();
             let skew = site.net.server_skew.draw(rng);
             let mut servers = Vec::with_capacity(scenario.servers);
-            let mut start = stream(seed, "servers", 0);
+            let mut server_rng = stream(seed, "servers", 0);
             for i in 0..scenario.servers {
-                let mut left = (i as f64 + 0.5) / scenario.servers as f64 * shares;
+                let mut remaining = (i as f64 + 0.5) / scenario.servers as f64 * shares;
                 let at = kinds.iter().position(|k| {
-                    left -= k.1;
-                    left <= 0.0
+                    remaining -= k.1;
+                    remaining <= 0.0
                 });
-                let (kind, _, drawn) = &kinds[at.unwrap_or(kinds.len() - 1)];
-                let speed = drawn.speed * chance::log_normal_factor(start.random(), kind.speed_cv.mid());
+                let (kind, _, parameters) = &kinds[at.unwrap_or(kinds.len() - 1)];
+                let speed =
+                    parameters.speed * chance::log_normal_factor(server_rng.random(), kind.speed_cv.mid());
                 let error = if matches!(tier.weights.as_str(), "rough" | "live") {
-                    chance::log_normal_factor(start.random(), 0.1)
+                    chance::log_normal_factor(server_rng.random(), 0.1)
                 } else {
                     1.0
                 };
@@ -449,30 +450,30 @@
                     weight: if tier.weights == "none" { 1.0 } else { kind.cores * speed * error },
                     cores: kind.cores,
                     speed,
-                    slots: (drawn.slots * kind.cores).ceil() as usize,
-                    queue: (drawn.queue * kind.cores) as usize,
-                    cold_from: kind.cold_from.draw(&mut start),
-                    warm_up_time: seconds(kind.cold_s.draw(&mut start)),
+                    slots: (parameters.slots * kind.cores).ceil() as usize,
+                    queue: (parameters.queue * kind.cores) as usize,
+                    cold_from: kind.cold_from.draw(&mut server_rng),
+                    warm_up_time: seconds(kind.cold_s.draw(&mut server_rng)),
                     warms_by_work: kind.warm_by == "work",
-                    pause_every: seconds(kind.pause_every_s.draw(&mut start)),
-                    pause: millis(kind.pause_ms.draw(&mut start)),
-                    pause_growth: drawn.pause_growth,
-                    error_rate: kind.error_rate.draw(&mut start),
-                    cancels_running: drawn.cancels_running,
+                    pause_every: seconds(kind.pause_every_s.draw(&mut server_rng)),
+                    pause: millis(kind.pause_ms.draw(&mut server_rng)),
+                    pause_growth: parameters.pause_growth,
+                    error_rate: kind.error_rate.draw(&mut server_rng),
+                    cancels_running: parameters.cancels_running,
                     drops_expired: kind.drops_expired,
-                    connections: (drawn.connections * kind.cores) as u32,
+                    connections: (parameters.connections * kind.cores) as u32,
                     streams: conn.streams,
                     connection_overhead,
                     thrash: kind.thrash,
-                    thrash_at: if kind.thrash > 0.0 { drawn.thrash_at } else { f64::INFINITY },
-                    latency_factor: 1.0 + skew * start.random::<f64>(),
+                    thrash_at: if kind.thrash > 0.0 { parameters.thrash_at } else { f64::INFINITY },
+                    latency_factor: 1.0 + skew * server_rng.random::<f64>(),
                     keys: (keys_per_core * kind.cores) as usize,
                     key_retention,
                     starts_later: false,
                 });
             }
             // Shuffled so that a server's zone does not depend on its kind.
-            servers.shuffle(&mut start);
+            servers.shuffle(&mut server_rng);
             for (i, server) in servers.iter_mut().enumerate() {
                 (server.zone, server.cell) = (i % zones, (i as f64 / cell_size) as u64);
             }
@@ -484,9 +485,11 @@
         let rate = scenario.load.draw(rng) * capacity / mean_work * SECOND as f64;
         let sidecars = Self::sidecars(scenario, site, rate, seed);
         let tenants = Self::tenants(site, capacity / mean_work * SECOND as f64, seed);
-        let wavy = site.load.shape.iter().any(|s| s == "wave") && rng.random_bool(0.5);
-        let wave =
-            (if wavy { site.load.swing.draw(rng) } else { 0.0 }, seconds(20.0 + 20.0 * rng.random::<f64>()));
+        let has_wave = site.load.shape.iter().any(|s| s == "wave") && rng.random_bool(0.5);
+        let wave = (
+            if has_wave { site.load.swing.draw(rng) } else { 0.0 },
+            seconds(20.0 + 20.0 * rng.random::<f64>()),
+        );
         let zipf = site.load.key_zipf.draw(rng);
         let key_popularity = (1..=site.load.keys.draw(rng).max(1.0) as u64)
             .scan(0.0, |sum, k| {
@@ -578,19 +581,19 @@
                 // The limit applies only with ticks, as in the operators' simulator; real sidecars are limited by
                 // their share of a core.
                 most_per_s: match site.allow.cpu_ms_per_s {
-                    most if scenario.ticked && most > 0.0 => most * 1000.0,
+                    limit if scenario.ticked && limit > 0.0 => limit * 1000.0,
                     _ => f64::INFINITY,
                 },
             }),
             max_open_requests: match site.allow.most_held {
                 0 => usize::MAX,
-                most => most as usize,
+                limit => limit as usize,
             },
             streams: conn.streams,
             probe_cap: tier.probe.cap_per_core.mid(),
             plan: Vec::new(),
         };
-        world.plan_faults(scenario, site, longest);
+        world.plan_faults(scenario, site, longest_deadline);
         world
     }
 
@@ -655,7 +658,7 @@
         shares.iter().enumerate().map(spec).collect()
     }
 
-    fn plan_faults(&mut self, scenario: &Scenario, site: &Site, longest: Micros) {
+    fn plan_faults(&mut self, scenario: &Scenario, site: &Site, longest_deadline: Micros) {
         let mut faults = scenario.fault.clone();
         let mut rng = stream(self.seed, "troubles", 0);
         let known: Vec<_> =
@@ -668,12 +671,12 @@
             faults.push(Fault { kind, at_s, for_s, part, size, extra, zone: None });
         }
         for (i, fault) in faults.iter().enumerate() {
-            self.plan_fault(fault, i as u64, longest);
+            self.plan_fault(fault, i as u64, longest_deadline);
         }
         self.plan.sort_by_key(|p| p.at);
     }
 
-    fn plan_fault(&mut self, fault: &Fault, number: u64, longest: Micros) {
+    fn plan_fault(&mut self, fault: &Fault, number: u64, longest_deadline: Micros) {
         let mut rng = stream(self.seed, "faults", number);
         let rng = &mut rng;
         let (at, len) = (seconds(fault.at_s), seconds(fault.for_s.draw(rng)));
@@ -686,8 +689,9 @@
             all.truncate((part * n as f64).round() as usize);
             all
         };
-        let first: Vec<usize> = (0..self.servers.len()).filter(|s| !self.servers[*s].starts_later).collect();
-        let servers: Vec<usize> = pick_targets(first.len()).into_iter().map(|i| first[i]).collect();
+        let initial: Vec<usize> =
+            (0..self.servers.len()).filter(|s| !self.servers[*s].starts_later).collect();
+        let servers: Vec<usize> = pick_targets(initial.len()).into_iter().map(|i| initial[i]).collect();
         let sidecars = pick_targets(self.sidecars.len());
         let step = |i: usize, n: usize| at + len * i as Micros / n.max(1) as Micros;
         use PlannedEvent as H;
@@ -703,9 +707,8 @@
                     }
                 }
             }
-            FaultKind::Vanish => {
-                plan.extend(servers.iter().flat_map(|s| [(at, H::Silent(*s)), (at + len, H::Start(*s))]))
-            }
+            FaultKind::Vanish => plan
+                .extend(servers.iter().flat_map(|s| [(at, H::Unresponsive(*s)), (at + len, H::Start(*s))])),
             FaultKind::Crash => {
                 plan.extend(servers.iter().flat_map(|s| [(at, H::Stop(*s)), (at + len, H::Start(*s))]))
             }
@@ -713,16 +716,16 @@
                 servers.iter().flat_map(|s| [(at, H::Slow(*s, size)), (at + len, H::Slow(*s, 1.0 / size))]),
             ),
             FaultKind::Errors => plan.extend(servers.iter().flat_map(|s| {
-                let usual = self.servers[*s].error_rate;
-                [(at, H::Errors(*s, size)), (at + len, H::Errors(*s, usual))]
+                let normal = self.servers[*s].error_rate;
+                [(at, H::Errors(*s, size)), (at + len, H::Errors(*s, normal))]
             })),
             FaultKind::RejectClass => plan.extend(servers.iter().flat_map(|s| {
                 let class = (extra as usize).min(self.classes.len() - 1) as u8;
                 [(at, H::RejectClass(*s, Some(class))), (at + len, H::RejectClass(*s, None))]
             })),
             FaultKind::ZoneLost => {
-                let lost = first.iter().filter(|s| self.servers[**s].zone == zone);
-                plan.extend(lost.flat_map(|s| [(at, H::Silent(*s)), (at + len, H::Start(*s))]));
+                let lost = initial.iter().filter(|s| self.servers[**s].zone == zone);
+                plan.extend(lost.flat_map(|s| [(at, H::Unresponsive(*s)), (at + len, H::Start(*s))]));
             }
             FaultKind::ZoneCut | FaultKind::ZoneCutOut => {
                 let both = fault.kind == FaultKind::ZoneCut;
@@ -751,21 +754,21 @@
                     plan.extend([
                         (t, H::Start(new)),
                         (t, H::Drain(s)),
-                        (t + 2 * self.drain_grace + longest, H::Stop(s)),
+                        (t + 2 * self.drain_grace + longest_deadline, H::Stop(s)),
                     ]);
                 }
             }
             FaultKind::Restart => {
                 let n = servers.len();
                 for (i, s) in servers.into_iter().enumerate() {
-                    let (t, end) = (step(i, n), step(i, n) + 2 * self.drain_grace + longest);
+                    let (t, end) = (step(i, n), step(i, n) + 2 * self.drain_grace + longest_deadline);
                     plan.extend([(t, H::Drain(s)), (end, H::Stop(s)), (end + SECOND, H::Start(s))]);
                 }
             }
             FaultKind::RestartByHand => {
                 let n = servers.len();
                 for (i, s) in servers.into_iter().enumerate() {
-                    let (t, end) = (step(i, n), step(i, n) + self.drain_grace + longest);
+                    let (t, end) = (step(i, n), step(i, n) + self.drain_grace + longest_deadline);
                     let back = end + seconds(extra);
                     let listed = back + seconds(self.discovery.add.high()) + 2 * self.discovery.period;
                     plan.extend([(t, H::Cordon(s, true)), (end, H::Stop(s))]);
@@ -794,11 +797,11 @@
                 plan.extend([(at, H::Discovery(false)), (at + len, H::Discovery(true))])
             }
             FaultKind::RegistryKilled | FaultKind::RegistryPaused => {
-                let silent = fault.kind == FaultKind::RegistryPaused;
-                let place = extra as usize;
+                let paused = fault.kind == FaultKind::RegistryPaused;
+                let position = extra as usize;
                 plan.extend([
-                    (at, H::RegistryReplica(place, silent, true)),
-                    (at + len, H::RegistryReplica(place, silent, false)),
+                    (at, H::RegistryReplica(position, paused, true)),
+                    (at + len, H::RegistryReplica(position, paused, false)),
                 ])
             }
             FaultKind::Resets => plan.extend([(at, H::Resets(size)), (at + len, H::Resets(0.0))]),
--- a/crates/fleet/src/scenario/mod.rs
+++ b/crates/fleet/src/scenario/mod.rs
@@ -76,8 +76,8 @@
     }
 }
 
-/// Parameters of the project's own registry. The default times are shorter than those of real processes, which take 5
-/// to 10 ms for a write and 2.2 to 2.5 s for a change of leader; the cost of a response is an assumption
+/// Parameters of the project's own registry. The default times tend to be shorter than those of real processes, which
+/// take 5 to 10 ms for a write and 2.2 to 2.5 s for a change of leader; the cost of a response is an assumption
 /// (`docs/roster.md`).
 #[derive(Clone, Debug, Deserialize)]
 #[serde(deny_unknown_fields, default)]
