--- a/crates/fleet/src/experiment/mod.rs
+++ b/crates/fleet/src/experiment/mod.rs
@@ -1,109 +1,110 @@
-//! Experiments: scenarios, variants and sweeps, played over seeds; their results as JSON lines; comparisons in pairs
-//! and a report.
+//! Experiments: scenarios, variants and parameter sweeps, run over a set of seeds; their results as JSON lines;
+//! paired comparisons and a report.
 
 mod compare;
 mod measure;
-mod play;
 mod report;
 mod results;
+mod run;
 
 pub use compare::{Comparison, compare};
 pub use measure::{measure, measures};
-pub(crate) use play::commit;
-pub use play::{PlayError, play};
 pub use report::{ReportError, report};
 pub use results::{Line, Results, ResultsError};
+pub(crate) use run::commit;
+pub use run::{ExperimentError, run_experiment};
 
 use crate::model::Policy;
-use crate::scenario::{RosterRoom, Scenario};
-use crate::site::{FileError, Range, Site, text_of};
+use crate::scenario::{RegistryOptions, Scenario};
+use crate::site::{FileError, Range, Site, read_text};
 use serde::{Deserialize, Serialize};
 use std::path::Path;
 
-/// An experiment as its file has it; unknown keys are refused.
+/// An experiment file; unknown keys are errors.
 #[derive(Clone, Debug, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Experiment {
     /// Its name.
     pub name: String,
-    /// Scenarios: names of those that come with the tool, or files beside this one.
+    /// Scenarios: names of built-in ones, or files relative to this one.
     pub scenarios: Vec<String>,
-    /// How many seeds, from 1; or the seeds themselves.
+    /// The number of seeds, from 1, or a list of seeds.
     pub seeds: Seeds,
-    /// What the report shows of each run.
-    #[serde(default = "usual")]
+    /// The measures that the report shows.
+    #[serde(default = "default_measures")]
     pub measures: Vec<String>,
-    /// What is compared.
+    /// The variants to compare.
     pub variant: Vec<Variant>,
-    /// Figures of the scenario that are varied, each value with each of the others.
+    /// Parameters of the scenario that are varied, in all combinations.
     #[serde(default)]
     pub sweep: Sweep,
 }
 
-/// How many seeds, from 1; or the seeds themselves.
+/// The number of seeds, from 1, or a list of seeds.
 #[derive(Clone, Debug, Deserialize)]
 #[serde(untagged, expecting = "a number of seeds, or a list of them")]
 pub enum Seeds {
-    /// So many, from 1.
+    /// The seeds from 1 up to this number.
     Count(u64),
-    /// These.
-    These(Vec<u64>),
+    /// These seeds.
+    List(Vec<u64>),
 }
 
 impl Seeds {
-    /// All of them.
+    /// All seeds.
     pub fn list(&self) -> Vec<u64> {
         match self {
             Self::Count(n) => (1..=*n).collect(),
-            Self::These(seeds) => seeds.clone(),
+            Self::List(seeds) => seeds.clone(),
         }
     }
 }
 
-/// What decides in the sidecars.
+/// A variant: the load-balancing policy and, optionally, the registry.
 #[derive(Clone, Debug, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Variant {
     /// Its name in results and reports.
     pub name: String,
-    /// A policy, or `adapter:PROGRAM` with a path from this file's folder.
+    /// A policy, or `adapter:PROGRAM` with a path relative to this file's folder.
     pub policy: String,
-    /// A roster in discovery's place; absent: the scenario's.
+    /// The project's own registry in place of discovery; the scenario's if absent.
     #[serde(default)]
-    pub roster: Option<RosterRoom>,
+    #[serde(rename = "roster")]
+    pub registry: Option<RegistryOptions>,
 }
 
-/// Figures that are varied; an empty list leaves the scenario's.
+/// Parameters that are varied; an empty list leaves the scenario's value.
 #[derive(Clone, Debug, Default, Deserialize)]
 #[serde(deny_unknown_fields, default)]
 pub struct Sweep {
-    /// Traffic as a share of what all servers can do.
+    /// Load as a share of the capacity of all servers.
     pub load: Vec<f64>,
-    /// Sidecars.
+    /// Number of sidecars.
     pub sidecars: Vec<usize>,
-    /// Servers.
+    /// Number of servers.
     pub servers: Vec<usize>,
 }
 
-/// One point of a sweep; absent figures are the scenario's own.
+/// One point of a sweep; absent parameters are the scenario's.
 #[derive(Clone, Copy, Debug, Default, Deserialize, Serialize, PartialEq)]
 pub struct Point {
-    /// Traffic as a share of what all servers can do.
+    /// Load as a share of the capacity of all servers.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub load: Option<f64>,
-    /// Sidecars.
+    /// Number of sidecars.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub sidecars: Option<usize>,
-    /// Servers.
+    /// Number of servers.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub servers: Option<usize>,
 }
 
 impl Point {
-    /// The scenario at this point.
-    pub fn of(&self, scenario: &Scenario) -> Scenario {
+    /// The scenario with this point's parameters.
+    pub fn apply_to(&self, scenario: &Scenario) -> Scenario {
         let mut scenario = scenario.clone();
-        scenario.load = self.load.map_or(scenario.load, |l| Range::of(l, l));
+        scenario.load = self.load.map_or(scenario.load, |l| Range::new(l, l));
         scenario.sidecars = self.sidecars.unwrap_or(scenario.sidecars);
         scenario.servers = self.servers.unwrap_or(scenario.servers);
         scenario
@@ -117,21 +118,21 @@
             self.sidecars.map(|x| format!("{x} sidecars")),
             self.servers.map(|x| format!("{x} servers")),
         ];
-        let said: Vec<_> = figures.into_iter().flatten().collect();
-        f.write_str(&said.join(", "))
+        let parts: Vec<_> = figures.into_iter().flatten().collect();
+        f.write_str(&parts.join(", "))
     }
 }
 
 impl Sweep {
-    /// Every value with each of the others.
+    /// All combinations of the values.
     pub fn points(&self) -> Vec<Point> {
-        fn each<T: Copy>(all: &[T]) -> Vec<Option<T>> {
+        fn values<T: Copy>(all: &[T]) -> Vec<Option<T>> {
             if all.is_empty() { vec![None] } else { all.iter().copied().map(Some).collect() }
         }
         let mut points = Vec::new();
-        for load in each(&self.load) {
-            for sidecars in each(&self.sidecars) {
-                points.extend(each(&self.servers).into_iter().map(|servers| Point {
+        for load in values(&self.load) {
+            for sidecars in values(&self.sidecars) {
+                points.extend(values(&self.servers).into_iter().map(|servers| Point {
                     load,
                     sidecars,
                     servers,
@@ -142,29 +143,30 @@
     }
 }
 
-fn usual() -> Vec<String> {
+fn default_measures() -> Vec<String> {
     ["g", "refused", "attempts", "p99_ms"].map(str::to_owned).to_vec()
 }
 
-/// An experiment with all that it names.
+/// An experiment with the scenarios and variants that it names.
 #[derive(Debug)]
 pub struct Loaded {
     /// The experiment.
     pub experiment: Experiment,
     /// Its scenarios and their sites.
     pub scenarios: Vec<(Scenario, Site)>,
-    /// Its variants by name: who decides, and the roster where it is the variant's own.
-    pub variants: Vec<(String, (Policy, Option<RosterRoom>))>,
+    /// Its variants by name: the policy, and the registry if the variant has its own.
+    pub variants: Vec<(String, (Policy, Option<RegistryOptions>))>,
 }
 
 impl Experiment {
-    /// Reads an experiment and what it names.
+    /// Reads an experiment and the scenarios that it names.
     pub fn load(path: &Path) -> Result<Loaded, FileError> {
-        let text = text_of(path)?;
+        let text = read_text(path)?;
         let experiment: Self = toml::from_str(&text)
-            .map_err(|source| FileError::Form { path: path.to_owned(), source: Box::new(source) })?;
+            .map_err(|source| FileError::Parse { path: path.to_owned(), source: Box::new(source) })?;
         let folder = path.parent().unwrap_or(Path::new("."));
-        let wrong = |key: String, what: String| FileError::Value { path: path.to_owned(), key, what };
+        let invalid =
+            |key: String, what: String| FileError::InvalidValue { path: path.to_owned(), key, what };
         let mut scenarios = Vec::new();
         for name in &experiment.scenarios {
             let known = Scenario::names().any(|n| n == name);
@@ -175,36 +177,35 @@
         for variant in &experiment.variant {
             let policy = match variant.policy.strip_prefix("adapter:") {
                 Some(program) => Some(Policy::Adapter(folder.join(program))),
-                None => Policy::of(&variant.policy),
+                None => Policy::from_name(&variant.policy),
             };
             let key = format!("variant {}: policy", variant.name);
-            let policy =
-                policy.ok_or_else(|| wrong(key, format!("there is no policy {}", variant.policy)))?;
-            variants.push((variant.name.clone(), (policy, variant.roster.clone())));
+            let policy = policy.ok_or_else(|| invalid(key, format!("unknown policy {}", variant.policy)))?;
+            variants.push((variant.name.clone(), (policy, variant.registry.clone())));
         }
         if scenarios.is_empty() || variants.is_empty() || experiment.seeds.list().is_empty() {
-            let what = "at least one of each is wanted".into();
-            return Err(wrong("scenarios, variant, seeds".into(), what));
+            let what = "at least one of each is required".into();
+            return Err(invalid("scenarios, variant, seeds".into(), what));
         }
-        for (key, fine) in [
+        for (key, valid) in [
             ("sweep.load", experiment.sweep.load.iter().all(|l| *l > 0.0 && *l < 100.0)),
             ("sweep.sidecars", experiment.sweep.sidecars.iter().all(|n| *n > 0)),
             ("sweep.servers", experiment.sweep.servers.iter().all(|n| *n > 0)),
         ] {
-            if !fine {
-                return Err(wrong(key.into(), "is out of range".into()));
+            if !valid {
+                return Err(invalid(key.into(), "is out of range".into()));
             }
         }
         for name in &experiment.measures {
             if !measures().any(|m| m == name) {
                 let all: Vec<_> = measures().collect();
-                return Err(wrong("measures".into(), format!("{name} is none of {}", all.join(", "))));
+                return Err(invalid("measures".into(), format!("{name} is none of {}", all.join(", "))));
             }
         }
         let mut names: Vec<_> = variants.iter().map(|v| &v.0).collect();
         names.sort();
         if names.windows(2).any(|w| w[0] == w[1]) {
-            return Err(wrong("variant".into(), "two have one name".into()));
+            return Err(invalid("variant".into(), "two variants have the same name".into()));
         }
         Ok(Loaded { experiment, scenarios, variants })
     }
@@ -215,11 +216,11 @@
     use super::*;
 
     #[test]
-    fn a_sweep_goes_through_each_value_with_each_of_the_others() {
+    fn sweep_covers_all_combinations() {
         let sweep = Sweep { load: vec![0.5, 0.9], sidecars: vec![3, 30], servers: vec![] };
-        let said: Vec<_> = sweep.points().iter().map(Point::to_string).collect();
+        let parts: Vec<_> = sweep.points().iter().map(Point::to_string).collect();
         assert_eq!(
-            said,
+            parts,
             [
                 "load 0.5, 3 sidecars",
                 "load 0.5, 30 sidecars",
--- a/crates/fleet/src/experiment/play.rs
+++ b/crates/fleet/src/experiment/run.rs
@@ -1,9 +1,9 @@
-//! Plays what of an experiment has no result yet, several runs at a time.
+//! Executes the runs of an experiment that have no result yet, several at a time.
 
 use super::results::{Line, Results, ResultsError};
 use super::{Loaded, Point};
 use crate::model::{Policy, Run, RunError, World};
-use crate::scenario::{RosterRoom, Scenario};
+use crate::scenario::{RegistryOptions, Scenario};
 use crate::site::Site;
 use indicatif::{ProgressBar, ProgressStyle};
 use rayon::prelude::*;
@@ -11,13 +11,13 @@
 use std::process::Command;
 use std::sync::{Mutex, PoisonError};
 
-/// Why an experiment ended early.
+/// Why an experiment was aborted.
 #[derive(Debug, thiserror::Error)]
-pub enum PlayError {
-    /// Its results can't be kept.
+pub enum ExperimentError {
+    /// Its results could not be read or written.
     #[error("{0}")]
     Results(#[from] ResultsError),
-    /// A run can't be played.
+    /// A run could not be executed.
     #[error("{0}")]
     Run(#[from] RunError),
 }
@@ -27,26 +27,29 @@
     site: &'a Site,
     variant: &'a str,
     policy: &'a Policy,
-    roster: &'a Option<RosterRoom>,
+    registry: &'a Option<RegistryOptions>,
     point: Point,
     seed: u64,
 }
 
-/// Plays all of it, on so many cores (0: all there are); gives how many runs were played now, and how many had
-/// results.
-pub fn play(loaded: &Loaded, file: &Path, cores: usize) -> Result<(usize, usize), PlayError> {
+/// Executes the runs that have no result yet, on this number of cores (0 for all). Returns how many runs were
+/// executed and how many already had results.
+pub fn run_experiment(loaded: &Loaded, file: &Path, cores: usize) -> Result<(usize, usize), ExperimentError> {
     let commit = commit();
     let results = Results::open(file, &commit)?;
     if results.torn {
-        tracing::warn!("{}: its last line was torn, and that run is played again", file.display());
+        tracing::warn!(
+            "{}: the last line was incomplete and has been removed; that run is executed again",
+            file.display()
+        );
     }
     let experiment = &loaded.experiment;
     let mut tasks = Vec::new();
     for (scenario, site) in &loaded.scenarios {
         for point in experiment.sweep.points() {
             for seed in experiment.seeds.list() {
-                for (variant, (policy, roster)) in &loaded.variants {
-                    tasks.push(Task { scenario, site, variant, policy, roster, point, seed });
+                for (variant, (policy, registry)) in &loaded.variants {
+                    tasks.push(Task { scenario, site, variant, policy, registry, point, seed });
                 }
             }
         }
@@ -62,33 +65,33 @@
     };
     let all = tasks.len();
     tasks.retain(|task| {
-        let wanted = line(task, Default::default());
-        !results.lines.iter().any(|had| had.is(&wanted))
+        let expected = line(task, Default::default());
+        !results.lines.iter().any(|stored| stored.is_same_run(&expected))
     });
     let bar = ProgressBar::new(tasks.len() as u64);
-    let style = ProgressStyle::with_template("{bar:40} {pos}/{len} runs, {elapsed} gone, {eta} to go");
+    let style = ProgressStyle::with_template("{bar:40} {pos}/{len} runs, {elapsed} elapsed, {eta} left");
     bar.set_style(style.unwrap_or_else(|_| ProgressStyle::default_bar()));
     let results = Mutex::new(results);
-    let played = || {
-        tasks.par_iter().try_for_each(|task| -> Result<(), PlayError> {
-            let mut scenario = task.point.of(task.scenario);
-            scenario.roster = task.roster.clone().or(scenario.roster);
+    let run_all = || {
+        tasks.par_iter().try_for_each(|task| -> Result<(), ExperimentError> {
+            let mut scenario = task.point.apply_to(task.scenario);
+            scenario.registry = task.registry.clone().or(scenario.registry);
             let world = World::draw(&scenario, task.site, task.seed);
-            let figures = Run::new(world, task.policy.clone())?.play()?;
+            let figures = Run::new(world, task.policy.clone())?.execute()?;
             results.lock().unwrap_or_else(PoisonError::into_inner).add(&line(task, figures))?;
             bar.inc(1);
             Ok(())
         })
     };
     match rayon::ThreadPoolBuilder::new().num_threads(cores).build() {
-        Ok(pool) => pool.install(played)?,
-        Err(_) => played()?,
+        Ok(pool) => pool.install(run_all)?,
+        Err(_) => run_all()?,
     }
     bar.finish();
     Ok((tasks.len(), all - tasks.len()))
 }
 
-/// The commit of this folder's repository, with `+` behind it where sources differ from it.
+/// The commit of the working directory's repository, followed by `+` if sources differ from it.
 pub(crate) fn commit() -> String {
     let git = |args: &[&str]| {
         let out = Command::new("git").args(args).output().ok().filter(|o| o.status.success())?;
--- a/crates/fleet/src/model/decider.rs
+++ b/crates/fleet/src/model/decider.rs
@@ -1,4 +1,4 @@
-//! Who decides in a sidecar: the module, or a baseline behind the same events and actions.
+//! The policy that decides in a sidecar: the balancer, or a baseline with the same events and actions.
 
 mod adapter;
 mod plain;
@@ -7,7 +7,7 @@
 use adapter::{Adapter, Instance};
 
 use super::link::Links;
-use super::server::{Fall, Machine, Server};
+use super::server::{Machine, OverloadLimit, Server};
 use crate::Micros;
 use lotusmoor_balancer::{Action, Balancer, EndpointId, Event, Outcome, Settings, SettingsError};
 use std::path::PathBuf;
@@ -15,26 +15,26 @@
 use std::sync::{Arc, Mutex};
 use std::time::{Duration, Instant};
 
-/// What sidecars are run by.
+/// The load-balancing policy of the sidecars.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Hash)]
 pub enum Policy {
-    /// The decision module.
+    /// The project's balancer.
     #[default]
     Module,
-    /// The same, which hears of no failure that would open a circuit.
+    /// The balancer without circuit breakers: failures that would open a circuit are hidden from it.
     NoBreakers,
-    /// Round robin over what the list has, and tries again elsewhere.
+    /// Round robin over the listed servers, with retries on other servers.
     RoundRobin,
-    /// Least in flight of what this sidecar itself sent.
+    /// The server with the fewest attempts in flight from this sidecar.
     LeastInFlight,
-    /// Sees the true state of all servers and links, at once.
+    /// An idealised policy that sees the current state of all servers and links.
     TrueState,
-    /// A program that speaks the simulator's wire: an earlier version of the project.
+    /// A program that speaks the operators' simulator protocol, such as an earlier version of the project.
     Adapter(PathBuf),
 }
 
 impl Policy {
-    /// Those that come with the tool.
+    /// The built-in policies.
     pub const ALL: [Self; 5] =
         [Self::Module, Self::NoBreakers, Self::RoundRobin, Self::LeastInFlight, Self::TrueState];
 
@@ -50,53 +50,55 @@
         }
     }
 
-    /// The policy of that name; `adapter:PROGRAM` is one that speaks the simulator's wire.
-    pub fn of(name: &str) -> Option<Self> {
+    /// The policy of that name; `adapter:PROGRAM` starts a program that speaks the simulator protocol.
+    pub fn from_name(name: &str) -> Option<Self> {
         match name.strip_prefix("adapter:") {
             Some(program) => Some(Self::Adapter(program.into())),
             None => Self::ALL.into_iter().find(|p| p.name() == name),
         }
     }
 
-    /// What starts the sidecars of one run.
-    pub(super) fn open(self) -> Result<Source, AdapterError> {
+    /// Creates the factory for the deciders of one run.
+    pub(super) fn factory(self) -> Result<DeciderFactory, AdapterError> {
         Ok(match self {
-            Self::Adapter(program) => Source::Adapter(Adapter::start(&program)?),
-            own => Source::Own(own),
+            Self::Adapter(program) => DeciderFactory::Adapter(Adapter::start(&program)?),
+            builtin => DeciderFactory::Builtin(builtin),
         })
     }
 }
 
-/// Starts the decisions of one run's sidecars.
-pub(super) enum Source {
-    Own(Policy),
+/// Creates the deciders of one run's sidecars.
+pub(super) enum DeciderFactory {
+    Builtin(Policy),
     Adapter(Arc<Mutex<Adapter>>),
-    Timed(Box<Source>, Spent),
+    Timed(Box<DeciderFactory>, DecisionTime),
 }
 
-/// Real time that decisions have taken.
+/// Wall-clock time that decisions have taken.
 #[derive(Clone, Default)]
-pub struct Spent(Arc<AtomicU64>);
+pub struct DecisionTime(Arc<AtomicU64>);
 
-impl Spent {
-    /// All of it so far.
+impl DecisionTime {
+    /// The total so far.
     pub fn get(&self) -> Duration {
         Duration::from_nanos(self.0.load(Ordering::Relaxed))
     }
 }
 
-struct Timed(Box<dyn Decider>, Spent);
+/// Adds the time of each decision to a total.
+struct TimedDecider(Box<dyn Decider>, DecisionTime);
 
-impl Decider for Timed {
-    fn handle(&mut self, now: Micros, event: Event, sight: &Sight, out: &mut Vec<Action>) {
-        let begun = Instant::now();
-        self.0.handle(now, event, sight, out);
-        self.1.0.fetch_add(begun.elapsed().as_nanos() as u64, Ordering::Relaxed);
+impl Decider for TimedDecider {
+    fn handle(&mut self, now: Micros, event: Event, view: &TrueView, out: &mut Vec<Action>) {
+        let started = Instant::now();
+        self.0.handle(now, event, view, out);
+        self.1.0.fetch_add(started.elapsed().as_nanos() as u64, Ordering::Relaxed);
     }
 }
 
-impl Source {
-    /// A sidecar's decisions, from the start. `number` is new with each; `object` is what the settings were read from.
+impl DeciderFactory {
+    /// Creates a decider for a new sidecar process. `number` is unique in the run; `object` returns the settings
+    /// object that `settings` was decoded from.
     pub fn start(
         &self,
         number: u64,
@@ -106,68 +108,75 @@
     ) -> Result<Box<dyn Decider>, SettingsError> {
         Ok(match self {
             Self::Adapter(adapter) => Box::new(Instance::start(adapter.clone(), number, &object(), seed)),
-            Self::Timed(source, spent) => {
-                Box::new(Timed(source.start(number, settings, object, seed)?, spent.clone()))
+            Self::Timed(factory, decision_time) => {
+                Box::new(TimedDecider(factory.start(number, settings, object, seed)?, decision_time.clone()))
             }
-            Self::Own(Policy::NoBreakers) => Box::new(NoBreakers(Balancer::new(settings, seed)?)),
-            Self::Own(Policy::RoundRobin) => Box::new(plain::Plain::new(settings, plain::Pick::Turn, seed)),
-            Self::Own(Policy::LeastInFlight) => {
-                Box::new(plain::Plain::new(settings, plain::Pick::LeastInFlight, seed))
+            Self::Builtin(Policy::NoBreakers) => Box::new(NoBreakers(Balancer::new(settings, seed)?)),
+            Self::Builtin(Policy::RoundRobin) => {
+                Box::new(plain::Baseline::new(settings, plain::Selection::RoundRobin, seed))
             }
-            Self::Own(Policy::TrueState) => {
-                Box::new(plain::Plain::new(settings, plain::Pick::TrueState, seed))
+            Self::Builtin(Policy::LeastInFlight) => {
+                Box::new(plain::Baseline::new(settings, plain::Selection::LeastInFlight, seed))
             }
-            Self::Own(_) => Box::new(Module(Balancer::new(settings, seed)?)),
+            Self::Builtin(Policy::TrueState) => {
+                Box::new(plain::Baseline::new(settings, plain::Selection::TrueState, seed))
+            }
+            Self::Builtin(_) => Box::new(Module(Balancer::new(settings, seed)?)),
         })
     }
 }
 
-/// The true state of things, seen from a sidecar. Only the baseline that is meant to see it looks.
-pub struct Sight<'a> {
+/// The current state of the simulation, seen from a sidecar. Only [`Policy::TrueState`] uses it.
+pub struct TrueView<'a> {
     /// All servers.
     pub servers: &'a [Server],
     /// All links.
     pub links: &'a Links,
     /// The sidecar's zone.
     pub zone: usize,
-    /// What cold servers bear.
-    pub fall: Fall,
+    /// The overload limit of servers that are warming up.
+    pub overload_limit: OverloadLimit,
 }
 
-impl Sight<'_> {
-    /// When a request with that much work would be done there; `None` where it would not, or must not be sent.
-    pub fn wait(&self, now: Micros, server: EndpointId, work: f64) -> Option<f64> {
+impl TrueView<'_> {
+    /// The expected time until a request with that much work would complete there; `None` if the server can't
+    /// complete it or must not be sent it.
+    pub fn expected_completion(&self, now: Micros, server: EndpointId, work: f64) -> Option<f64> {
         let s = &self.servers[server];
-        let fine = s.machine == Machine::Up && s.draining.is_none() && s.errors < 0.2;
-        if !fine || !self.links.both(self.zone, s.spec.zone) || s.room(now, self.fall) < work {
+        let usable = s.machine == Machine::Up && s.draining.is_none() && s.error_share < 0.2;
+        if !usable
+            || !self.links.bidirectional(self.zone, s.spec.zone)
+            || s.overload_headroom(now, self.overload_limit) < work
+        {
             return None;
         }
-        let path = 2.0 * self.links.mean(self.zone, s.spec.zone) * s.spec.stretch;
+        let path = 2.0 * self.links.mean_delay(self.zone, s.spec.zone) * s.spec.latency_factor;
         let core = s.capacity(now) / s.spec.cores;
         Some(path + (s.backlog() / s.spec.cores + work) / core)
     }
 }
 
-/// The decisions of one sidecar.
+/// The decision logic of one sidecar process.
 pub trait Decider: Send {
-    /// Takes one event that happens at `now` and appends what is to be done.
-    fn handle(&mut self, now: Micros, event: Event, sight: &Sight, out: &mut Vec<Action>);
+    /// Handles an event at time `now` and appends the resulting actions.
+    fn handle(&mut self, now: Micros, event: Event, view: &TrueView, out: &mut Vec<Action>);
 }
 
+/// The project's balancer.
 struct Module(Balancer);
 
 impl Decider for Module {
-    fn handle(&mut self, now: Micros, event: Event, _: &Sight, out: &mut Vec<Action>) {
+    fn handle(&mut self, now: Micros, event: Event, _: &TrueView, out: &mut Vec<Action>) {
         self.0.handle(now, event, out);
     }
 }
 
-/// The module with its ears shut to what would open a circuit: failures are told as ones that say nothing of the
-/// server. They keep what matters to the retry filter, whether the attempt may have run.
+/// The balancer without circuit breakers: failures are reported as outcomes that don't count against the server. They
+/// preserve whether the attempt may have been executed, which the retry filter needs.
 struct NoBreakers(Balancer);
 
 impl Decider for NoBreakers {
-    fn handle(&mut self, now: Micros, mut event: Event, _: &Sight, out: &mut Vec<Action>) {
+    fn handle(&mut self, now: Micros, mut event: Event, _: &TrueView, out: &mut Vec<Action>) {
         if let Event::AttemptEnded(end) = &mut event {
             end.outcome = match end.outcome {
                 Outcome::Error | Outcome::TimedOut | Outcome::Reset => Outcome::ReusedConnectionReset,
--- a/crates/fleet/src/model/decider/adapter.rs
+++ b/crates/fleet/src/model/decider/adapter.rs
@@ -1,7 +1,8 @@
-//! An earlier version of the project, or any program that speaks the simulator's wire: one process hosts the
-//! decisions of all sidecars of a run. Each event is a batch of its own, so that the order is the model's.
+//! Runs the policy in an external program that speaks the operators' simulator protocol, such as an earlier version
+//! of the project. One process hosts all sidecars of a run. Each event is sent as a batch of its own, so that the
+//! order of events is the simulation's.
 
-use super::{Decider, Sight};
+use super::{Decider, TrueView};
 use crate::Micros;
 use lotusmoor_balancer::{
     Action, EndpointEntry, EndpointListUpdate, EndpointStatus, Event, LoadReport, Outcome,
@@ -11,81 +12,81 @@
 use std::process::{Child, ChildStdin, ChildStdout, Command, Stdio};
 use std::sync::{Arc, Mutex, PoisonError};
 
-/// Why a program's decisions can't be had.
+/// Why an adapter program can't be used.
 #[derive(Debug, thiserror::Error)]
 pub enum AdapterError {
-    /// It can't be started.
+    /// The program could not be started.
     #[error("{program}: {source}")]
     Start {
         /// The program.
         program: String,
-        /// What the system says.
+        /// The system's error.
         source: std::io::Error,
     },
 }
 
-/// A running program that speaks the wire.
+/// A running program that speaks the protocol.
 pub struct Adapter {
     child: Child,
-    to: ChildStdin,
-    from: BufReader<ChildStdout>,
+    input: ChildStdin,
+    output: BufReader<ChildStdout>,
     batch: u64,
     now: Micros,
     line: String,
-    /// It has ended or spoken out of turn: nothing more is asked of it.
-    lost: bool,
+    /// The program has exited or its pipe has failed; nothing more is sent to it.
+    failed: bool,
 }
 
 impl Adapter {
-    /// Starts it.
+    /// Starts the program.
     pub fn start(program: &Path) -> Result<Arc<Mutex<Self>>, AdapterError> {
         let failed = |source| AdapterError::Start { program: program.display().to_string(), source };
         let mut child =
             Command::new(program).stdin(Stdio::piped()).stdout(Stdio::piped()).spawn().map_err(failed)?;
         let pipes = child.stdin.take().zip(child.stdout.take());
-        let (to, from) = pipes.ok_or_else(|| failed(std::io::ErrorKind::BrokenPipe.into()))?;
-        let (from, line) = (BufReader::new(from), String::new());
-        Ok(Arc::new(Mutex::new(Self { child, to, from, batch: 0, now: 0, line, lost: false })))
+        let (input, output) = pipes.ok_or_else(|| failed(std::io::ErrorKind::BrokenPipe.into()))?;
+        let (output, line) = (BufReader::new(output), String::new());
+        Ok(Arc::new(Mutex::new(Self { child, input, output, batch: 0, now: 0, line, failed: false })))
     }
 
-    /// Sends a batch of lines, and reads the actions that answer it.
-    fn ask(&mut self, now: Micros, lines: &str, out: &mut Vec<Action>) {
+    /// Sends a batch of lines and reads the actions in response.
+    fn exchange(&mut self, now: Micros, lines: &str, out: &mut Vec<Action>) {
         self.batch += 1;
         self.now = now;
-        let sent = write!(self.to, "mark WallUs={now} batch={}\n{lines}go\n", self.batch);
-        if self.lost || sent.and_then(|()| self.to.flush()).is_err() {
-            return self.lose();
+        let sent = write!(self.input, "mark WallUs={now} batch={}\n{lines}go\n", self.batch);
+        if self.failed || sent.and_then(|()| self.input.flush()).is_err() {
+            return self.mark_failed();
         }
         loop {
             self.line.clear();
-            match self.from.read_line(&mut self.line) {
+            match self.output.read_line(&mut self.line) {
                 Ok(n) if n > 0 => {}
-                _ => return self.lose(),
+                _ => return self.mark_failed(),
             }
             let line = self.line.trim_end();
             if line.starts_with("next") {
                 return;
             }
-            out.extend(action(line));
+            out.extend(parse_action(line));
         }
     }
 
-    fn lose(&mut self) {
-        if !std::mem::replace(&mut self.lost, true) {
-            tracing::error!("the program on the wire has ended; requests that it had get no answer");
+    fn mark_failed(&mut self) {
+        if !std::mem::replace(&mut self.failed, true) {
+            tracing::error!("the adapter program has exited; its open requests get no response");
         }
     }
 }
 
 impl Drop for Adapter {
     fn drop(&mut self) {
-        // It ends with its input; if it does not, it is ended.
+        // The program exits when its input closes; it is killed in case it doesn't.
         let _ = self.child.kill();
         let _ = self.child.wait();
     }
 }
 
-/// One sidecar's decisions there.
+/// One sidecar process hosted by the program.
 pub struct Instance {
     adapter: Arc<Mutex<Adapter>>,
     number: u64,
@@ -93,26 +94,26 @@
     zones: Vec<String>,
     kinds: Vec<String>,
     tenants: Vec<String>,
-    text: String,
+    pending: String,
 }
 
 impl Instance {
-    /// Starts one with that settings object; `number` must be new to the program.
+    /// Starts a sidecar with that settings object; `number` must be unused in the program.
     pub fn start(adapter: Arc<Mutex<Adapter>>, number: u64, settings: &serde_json::Value, seed: u64) -> Self {
         let names = |key: &str, of: &dyn Fn(&serde_json::Value) -> Option<String>| {
             settings[key].as_array().map(|all| all.iter().filter_map(of).collect()).unwrap_or_default()
         };
-        let plain = |v: &serde_json::Value| v.as_str().map(str::to_owned);
-        let (zones, kinds) = (names("Zones", &plain), names("Kinds", &plain));
-        let [classes, tenants] = ["Lanes", "Tenants"].map(|key| names(key, &|v| plain(&v["Name"])));
-        let text = format!("start I={number} RandomSeed={seed} Conf={settings}\n");
-        Self { adapter, number, classes, zones, kinds, tenants, text }
+        let text_value = |v: &serde_json::Value| v.as_str().map(str::to_owned);
+        let (zones, kinds) = (names("Zones", &text_value), names("Kinds", &text_value));
+        let [classes, tenants] = ["Lanes", "Tenants"].map(|key| names(key, &|v| text_value(&v["Name"])));
+        let pending = format!("start I={number} RandomSeed={seed} Conf={settings}\n");
+        Self { adapter, number, classes, zones, kinds, tenants, pending }
     }
 
-    fn entries(&mut self, kind: u8, list: &[EndpointEntry]) {
+    fn write_list(&mut self, kind: u8, list: &[EndpointEntry]) {
         use std::fmt::Write;
-        // Lists are numbered from 0 and may be used again at once.
-        let _ = writeln!(self.text, "catalog RosterId=0 Hosts={}", list.len());
+        // List numbers may be reused immediately, so all lists use 0.
+        let _ = writeln!(self.pending, "catalog RosterId=0 Hosts={}", list.len());
         for l in list {
             let status = match l.status {
                 EndpointStatus::Ready => 1,
@@ -122,28 +123,28 @@
             let zone = l.zone.and_then(|z| self.zones.get(z)).map_or("-", String::as_str);
             let kind = l.machine_type.and_then(|k| self.kinds.get(k)).map_or("-", String::as_str);
             let _ = write!(
-                self.text,
+                self.pending,
                 "m Endpoint=10.0.0.1:{} Campus={zone} Model={kind} Group={} Status={status} Size={}",
                 l.endpoint, l.cell, l.size
             );
             let _ = match l.started_at {
-                Some(at) => writeln!(self.text, " ReadyAtUs={}", at.max(1)),
-                None => writeln!(self.text),
+                Some(at) => writeln!(self.pending, " ReadyAtUs={}", at.max(1)),
+                None => writeln!(self.pending),
             };
         }
-        let _ = writeln!(self.text, "endpoints I={} Epoch=1 Kind={kind} RosterId=0", self.number);
+        let _ = writeln!(self.pending, "endpoints I={} Epoch=1 Kind={kind} RosterId=0", self.number);
     }
 
-    fn write(&mut self, event: &Event) {
+    fn write_event(&mut self, event: &Event) {
         use std::fmt::Write;
         let i = self.number;
         let _ = match event {
             Event::EndpointList(EndpointListUpdate::Failed) => {
-                writeln!(self.text, "endpoints I={i} Epoch=1 Kind=0")
+                writeln!(self.pending, "endpoints I={i} Epoch=1 Kind=0")
             }
-            Event::EndpointList(EndpointListUpdate::Delta(list)) => return self.entries(1, list),
-            Event::EndpointList(EndpointListUpdate::Cached(list)) => return self.entries(2, list),
-            Event::EndpointList(EndpointListUpdate::Full(list)) => return self.entries(3, list),
+            Event::EndpointList(EndpointListUpdate::Delta(list)) => return self.write_list(1, list),
+            Event::EndpointList(EndpointListUpdate::Cached(list)) => return self.write_list(2, list),
+            Event::EndpointList(EndpointListUpdate::Full(list)) => return self.write_list(3, list),
             Event::RequestReceived(new) => {
                 let class = self.classes.get(new.class).map_or("-", String::as_str);
                 let flags = u8::from(new.expected_work.is_some()) + if new.is_client_retry { 2 } else { 0 };
@@ -153,62 +154,66 @@
                 let tenant = tenant.map(|t| format!(" Project={t}")).unwrap_or_default();
                 let (id, due) = (new.id, new.deadline);
                 writeln!(
-                    self.text,
+                    self.pending,
                     "demand I={i} Ticket={id} Profile={class}{tenant} PartitionKey={key} DueUs={due}{hint} Flags={flags}"
                 )
             }
             Event::StreamStarted { request, attempt } => {
-                writeln!(self.text, "under_way I={i} Ticket={request} Go={attempt}")
+                writeln!(self.pending, "under_way I={i} Ticket={request} Go={attempt}")
             }
             Event::AttemptEnded(end) => {
-                let (how, load, settled) =
-                    (word(end.outcome), pairs(&end.load_report), u8::from(end.request_completed));
+                let (outcome, load, settled) = (
+                    outcome_name(end.outcome),
+                    load_field(&end.load_report),
+                    u8::from(end.request_completed),
+                );
                 writeln!(
-                    self.text,
-                    "returned I={i} Ticket={} Disposition={how} Endpoint=10.0.0.1:{} TookUs={} Go={} Settled={settled}{load}",
+                    self.pending,
+                    "returned I={i} Ticket={} Disposition={outcome} Endpoint=10.0.0.1:{} TookUs={} Go={} Settled={settled}{load}",
                     end.request, end.endpoint, end.duration, end.attempt
                 )
             }
             Event::HealthCheckEnded { endpoint, outcome, duration: took, load_report: load } => {
-                let (how, load) = (word(*outcome), pairs(load));
+                let (outcome, load) = (outcome_name(*outcome), load_field(load));
                 writeln!(
-                    self.text,
-                    "health_result I={i} Endpoint=10.0.0.1:{endpoint} Disposition={how} TookUs={took}{load}"
+                    self.pending,
+                    "health_result I={i} Endpoint=10.0.0.1:{endpoint} Disposition={outcome} TookUs={took}{load}"
                 )
             }
-            Event::RequestAbandoned(id) => writeln!(self.text, "withdrawn I={i} Ticket={id}"),
-            Event::Timer(token) => writeln!(self.text, "alarm I={i} Ctx={token}"),
-            // No words of the simulator's: programs built by `experiments/versions` know them, others pass over them.
-            Event::Cordoned(server) => writeln!(self.text, "cordon I={i} Endpoint=10.0.0.1:{server}"),
-            Event::Uncordoned(server) => writeln!(self.text, "uncordon I={i} Endpoint=10.0.0.1:{server}"),
-            // The model has no more of these for a policy.
+            Event::RequestAbandoned(id) => writeln!(self.pending, "withdrawn I={i} Ticket={id}"),
+            Event::Timer(token) => writeln!(self.pending, "alarm I={i} Ctx={token}"),
+            // Not part of the simulator protocol: programs built by `experiments/versions` understand these lines,
+            // others ignore them.
+            Event::Cordoned(server) => writeln!(self.pending, "cordon I={i} Endpoint=10.0.0.1:{server}"),
+            Event::Uncordoned(server) => writeln!(self.pending, "uncordon I={i} Endpoint=10.0.0.1:{server}"),
+            // The simulation sends a policy no other events.
             _ => Ok(()),
         };
     }
 }
 
 impl Decider for Instance {
-    fn handle(&mut self, now: Micros, event: Event, _: &Sight, out: &mut Vec<Action>) {
-        self.write(&event);
+    fn handle(&mut self, now: Micros, event: Event, _: &TrueView, out: &mut Vec<Action>) {
+        self.write_event(&event);
         let mut adapter = self.adapter.lock().unwrap_or_else(PoisonError::into_inner);
-        adapter.ask(now, &self.text, out);
-        self.text.clear();
+        adapter.exchange(now, &self.pending, out);
+        self.pending.clear();
     }
 }
 
 impl Drop for Instance {
     fn drop(&mut self) {
         let mut adapter = self.adapter.lock().unwrap_or_else(PoisonError::into_inner);
-        if !adapter.lost {
+        if !adapter.failed {
             let text = format!("kill I={}\n", self.number);
             let now = adapter.now;
-            adapter.ask(now, &text, &mut Vec::new());
+            adapter.exchange(now, &text, &mut Vec::new());
         }
     }
 }
 
-/// An outcome in the wire's words, which has one for both kinds of reset.
-fn word(outcome: Outcome) -> &'static str {
+/// The protocol's name of an outcome; both kinds of reset share one.
+fn outcome_name(outcome: Outcome) -> &'static str {
     match outcome {
         Outcome::Ok => "OK",
         Outcome::Error | Outcome::BadRequest => "INTERNAL",
@@ -221,15 +226,15 @@
     }
 }
 
-/// A load report as a field of a line.
-fn pairs(load: &LoadReport) -> String {
+/// A load report as a field of a protocol line; empty if nothing is reported.
+fn load_field(load: &LoadReport) -> String {
     let all = [("waiting", load.waiting), ("active", load.active), ("cpu", load.cpu)];
-    let told: Vec<_> = all.iter().filter_map(|(name, v)| Some(format!("{name}:{}", (*v)?))).collect();
-    if told.is_empty() { String::new() } else { format!(" Load={}", told.join(",")) }
+    let fields: Vec<_> = all.iter().filter_map(|(name, v)| Some(format!("{name}:{}", (*v)?))).collect();
+    if fields.is_empty() { String::new() } else { format!(" Load={}", fields.join(",")) }
 }
 
-/// The action that a line asks for; none for what the model has no use for.
-fn action(line: &str) -> Option<Action> {
+/// Parses an action line; `None` for lines that the simulation ignores.
+fn parse_action(line: &str) -> Option<Action> {
     let (name, rest) = line.split_once(' ')?;
     let field = |key: &str| rest.split(' ').find_map(|part| part.strip_prefix(key)?.strip_prefix('='));
     let number = |key: &str| field(key).and_then(|v| v.parse::<i64>().ok());
@@ -259,15 +264,18 @@
     use super::*;
 
     #[test]
-    fn actions_are_read_as_the_wire_has_them() {
-        let send = action("hand_off I=3 Ticket=7 Endpoint=10.0.0.1:12 TimeoutUs=80000");
+    fn parses_action_lines() {
+        let send = parse_action("hand_off I=3 Ticket=7 Endpoint=10.0.0.1:12 TimeoutUs=80000");
         assert_eq!(
             send,
             Some(Action::Send { request: 7, endpoint: 12, timeout: 80_000, idempotency_window: None })
         );
-        assert_eq!(action("not_now I=3 Ticket=7"), Some(Action::Reject { request: 7, retry_after: 0 }));
-        assert_eq!(action("defer I=3 FromNowUs=5 Ctx=9"), Some(Action::SetTimer { after: 5, token: 9 }));
-        assert_eq!(action("say_log I=5 Text=two servers known"), None);
-        assert_eq!(action("hand_off I=3 Ticket=x"), None);
+        assert_eq!(parse_action("not_now I=3 Ticket=7"), Some(Action::Reject { request: 7, retry_after: 0 }));
+        assert_eq!(
+            parse_action("defer I=3 FromNowUs=5 Ctx=9"),
+            Some(Action::SetTimer { after: 5, token: 9 })
+        );
+        assert_eq!(parse_action("say_log I=5 Text=two servers known"), None);
+        assert_eq!(parse_action("hand_off I=3 Ticket=x"), None);
     }
 }
--- a/crates/fleet/src/model/rules.rs
+++ b/crates/fleet/src/model/rules.rs
@@ -1,69 +1,72 @@
-//! The rules that every decider must keep, checked on each action. What breaks one is counted by its name; a model
-//! in which a rule could be broken unseen would prove nothing.
+//! The rules that every policy must keep. The simulation checks them on each action and counts violations by rule, so
+//! that no result rests on undetected violations.
 
 use crate::Micros;
 use lotusmoor_balancer::{DedupScope, Idempotency};
 use std::collections::BTreeMap;
 
-/// An attempt as the rules see it.
+/// An attempt as far as the rules need it.
 #[derive(Clone, Copy, Debug)]
 pub struct Sent {
     /// Zone of its server.
     pub zone: usize,
     /// Cell of its server.
     pub cell: u64,
-    /// When.
+    /// When it was sent.
     pub at: Micros,
-    /// Whether it is still out.
+    /// Whether it is still in flight.
     pub open: bool,
-    /// Whether it may have run.
+    /// Whether its server may have executed it.
     pub may_have_run: bool,
 }
 
-/// What a send is checked against.
+/// The inputs for the check of a send.
 pub struct SendCheck<'a> {
-    /// What a repeat would do.
-    pub effect: Idempotency,
-    /// Earlier attempts of the try.
+    /// Idempotency of the request's class.
+    pub idempotency: Idempotency,
+    /// Earlier attempts of the same try.
     pub earlier: &'a [Sent],
-    /// The attempt.
+    /// The attempt to send.
     pub to: Sent,
-    /// Whether the request has its final answer already.
-    pub over: bool,
-    /// Whether the sidecar's lists ever had that server.
+    /// Whether the request already has its final response.
+    pub finished: bool,
+    /// Whether the server was ever listed.
     pub listed: bool,
-    /// When the sidecar was told that it drains or is gone.
-    pub told_gone: Option<Micros>,
-    /// How long sends may go on after that.
-    pub grace: Micros,
-    /// Attempts that are allowed.
-    pub most: u32,
-    /// Whether two may be out at once.
-    pub copies: bool,
+    /// When the sidecar learned, or is presumed to have learned, that the server is draining or removed.
+    pub unavailable_since: Option<Micros>,
+    /// How long sends are still allowed after that.
+    pub drain_grace: Micros,
+    /// Maximum number of attempts.
+    pub max_attempts: u32,
+    /// Whether two attempts may be in flight at once.
+    pub may_hedge: bool,
 }
 
-/// The rule that a send breaks.
-pub fn of_send(c: &SendCheck) -> Option<&'static str> {
+/// The rule that a send violates.
+pub fn check_send(c: &SendCheck) -> Option<&'static str> {
     let now = c.to.at;
     let ran = || c.earlier.iter().filter(|a| a.open || a.may_have_run);
-    let repeat = match c.effect {
+    let repeat = match c.idempotency {
         Idempotency::Idempotent => false,
         Idempotency::NonIdempotent => ran().next().is_some(),
         Idempotency::WithKey { scope, ttl } => ran().any(|a| {
-            let alike = match scope {
+            let same_scope = match scope {
                 DedupScope::All => true,
                 DedupScope::Zone => a.zone == c.to.zone,
                 DedupScope::Cell => a.cell == c.to.cell,
             };
-            !alike || now - a.at >= ttl
+            !same_scope || now - a.at >= ttl
         }),
     };
     [
-        (c.over, "a send for a request that is over"),
+        (c.finished, "a send for a request that is over"),
         (!c.listed, "a send to a server that was never listed"),
-        (c.told_gone.is_some_and(|at| now > at + c.grace), "a send to a server that drains or is gone"),
-        (c.earlier.len() as u32 >= c.most, "more attempts than allowed"),
-        (!c.copies && c.earlier.iter().any(|a| a.open), "a second attempt while one is out"),
+        (
+            c.unavailable_since.is_some_and(|at| now > at + c.drain_grace),
+            "a send to a server that drains or is gone",
+        ),
+        (c.earlier.len() as u32 >= c.max_attempts, "more attempts than allowed"),
+        (!c.may_hedge && c.earlier.iter().any(|a| a.open), "a second attempt while one is out"),
         (repeat, "a repeat of what may have run"),
     ]
     .into_iter()
@@ -71,30 +74,30 @@
     .map(|(_, rule)| rule)
 }
 
-/// Whether a refusal, which says that a repeat is harmless, is true.
-pub fn of_refusal(now: Micros, effect: Idempotency, earlier: &[Sent]) -> Option<&'static str> {
+/// The rule that a rejection violates: it tells the client that a retry is safe, which must be true.
+pub fn check_rejection(now: Micros, idempotency: Idempotency, earlier: &[Sent]) -> Option<&'static str> {
     let first = earlier.iter().filter(|a| a.open || a.may_have_run).map(|a| a.at).min();
-    let harmless = match (first, effect) {
+    let safe_to_retry = match (first, idempotency) {
         (None, _) | (_, Idempotency::Idempotent) => true,
         (Some(at), Idempotency::WithKey { scope: DedupScope::All, ttl }) => now - at < ttl,
         _ => false,
     };
-    (!harmless).then_some("a refusal of what may have run")
+    (!safe_to_retry).then_some("a refusal of what may have run")
 }
 
-/// Whether the fall of a cold server is a break, by the share of what it was sent that came from sidecars that had been
-/// told of its start.
-pub fn of_fall(informed: f64) -> Option<&'static str> {
+/// The rule that the overload of a server that is warming up violates. `informed` is the share of its recent work
+/// that came from sidecars that knew about its restart; up to two thirds is no violation.
+pub fn check_cold_overload(informed: f64) -> Option<&'static str> {
     (informed > 2.0 / 3.0).then_some("a cold server pushed over")
 }
 
-/// Broken rules by name.
+/// Number of violations of each rule.
 #[derive(Default)]
-pub struct Broken(pub BTreeMap<&'static str, u64>);
+pub struct Violations(pub BTreeMap<&'static str, u64>);
 
-impl Broken {
-    /// Counts one, if there is one.
-    pub fn note(&mut self, rule: Option<&'static str>) {
+impl Violations {
+    /// Counts a violation, if there is one.
+    pub fn record(&mut self, rule: Option<&'static str>) {
         if let Some(rule) = rule {
             *self.0.entry(rule).or_default() += 1;
         }
--- a/crates/fleet/src/model/server.rs
+++ b/crates/fleet/src/model/server.rs
@@ -1,147 +1,148 @@
-//! A server: slots that share its cores, a waiting room, cold starts, pauses, and a table of connections. It knows
-//! attempts by number and nothing of sidecars.
+//! A server: request slots that share its cores (processor sharing), a queue, slow start after a restart, pauses, and
+//! a connection table. It identifies attempts by number and knows nothing about sidecars.
 
 use super::world::ServerSpec;
 use crate::{Micros, SECOND};
 use std::collections::VecDeque;
 
-/// Whether it can be reached.
+/// Whether the server can be reached.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Machine {
-    /// Not yet, or no longer: connections are refused.
+    /// Not started yet, or stopped: connections are refused.
     Down,
-    /// It runs.
+    /// Running.
     Up,
-    /// It says nothing at all.
-    Silent,
+    /// Unresponsive: nothing it is sent is answered.
+    Unresponsive,
 }
 
-/// A request in hand.
+/// A queued or running request.
 #[derive(Clone, Copy, Debug)]
 struct Job {
     attempt: u32,
-    /// Work left when it waits; once begun, the running figure at which it is done.
+    /// Remaining work while it is queued; once it runs, the value of `Server::attained` at which it completes.
     work: f64,
     due: Micros,
 }
 
-/// What becomes of a request that arrives.
+/// The result of a request's arrival.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum Arrival {
-    /// Taken.
-    Taken,
-    /// Turned away unseen.
-    TurnedAway,
-    /// It was one too many for a cold server, which falls over; with the share of what it was sent that came from
-    /// sidecars that knew of its start.
-    Tipped(f64),
+    /// Queued or started.
+    Accepted,
+    /// Rejected without being executed.
+    Rejected,
+    /// The request overloaded a server that is still warming up, and the server crashes. Holds the share of its
+    /// recent work that came from sidecars that knew about its restart.
+    Overloaded(f64),
 }
 
-/// A request that comes to a server.
+/// A request that arrives at a server.
 #[derive(Clone, Copy, Debug)]
 pub struct Arriving {
     /// Its attempt.
     pub attempt: u32,
     /// Its work, in microseconds of the standard core.
     pub work: f64,
-    /// When its sidecar stops waiting.
+    /// When its sidecar's timeout expires.
     pub due: Micros,
-    /// Whether its sidecar was told of this start of the server.
+    /// Whether its sidecar knew about this start of the server.
     pub informed: bool,
 }
 
-/// What a server that starts is allowed before it falls over.
+/// How much work a server that is warming up accepts before it crashes.
 #[derive(Clone, Copy, Debug)]
-pub struct Fall {
-    /// Multiple of what it can do.
+pub struct OverloadLimit {
+    /// Multiple of its current capacity.
     pub multiple: f64,
     /// Over any window of this length.
     pub window: Micros,
     /// Mean work of a request, in microseconds of the standard core.
-    pub mean: f64,
+    pub mean_work: f64,
 }
 
-impl Fall {
-    /// Work beyond which a server that is allowed `allowed` falls: of N requests of mean work, two times the root of N
-    /// and two more are its slack for chance, three times and three under 30, as the operators' page has it.
-    pub fn most(&self, allowed: f64) -> f64 {
-        const FEW: f64 = 30.0;
-        let n = allowed / self.mean;
-        let chance = if n < FEW { 3.0 * n.sqrt() + 3.0 } else { 2.0 * n.sqrt() + 2.0 };
-        (n + chance) * self.mean
+impl OverloadLimit {
+    /// The work beyond which a server crashes whose nominal limit is `allowed`. With N = `allowed` in requests of
+    /// mean work, the tolerance for random bursts is 2 √N + 2 requests, or 3 √N + 3 if N is under 30, as the
+    /// operators' simulator defines it.
+    pub fn max_work(&self, allowed: f64) -> f64 {
+        const SMALL_SAMPLE: f64 = 30.0;
+        let n = allowed / self.mean_work;
+        let tolerance = if n < SMALL_SAMPLE { 3.0 * n.sqrt() + 3.0 } else { 2.0 * n.sqrt() + 2.0 };
+        (n + tolerance) * self.mean_work
     }
 }
 
 /// A server's state.
 pub struct Server {
-    /// What it is.
+    /// Its fixed properties.
     pub spec: ServerSpec,
-    /// Whether it can be reached.
+    /// Whether the server can be reached.
     pub machine: Machine,
-    /// Counts its starts; what went to an earlier one is void.
+    /// Number of its starts. Requests and connections to an earlier incarnation are reset.
     pub incarnation: u32,
-    /// When its process started; `None` is long ago.
+    /// When its process started; `None` for one that was running before the simulation.
     pub started: Option<Micros>,
-    /// When it began to drain.
+    /// When it started draining.
     pub draining: Option<Micros>,
-    /// It fell over and stays down.
-    pub tipped: bool,
-    /// How many times slower it is than it should be.
-    pub slow: f64,
-    /// Share of requests that it answers with an error.
-    pub errors: f64,
-    /// The class that it turns away.
-    pub turns_away: Option<u8>,
-    /// Connections that it holds, as the attempts that they can carry.
+    /// It crashed from overload and stays down.
+    pub crashed_by_overload: bool,
+    /// Factor by which it is slower than normal.
+    pub slowdown: f64,
+    /// Share of requests that fail with an error.
+    pub error_share: f64,
+    /// The request class that it rejects.
+    pub rejected_class: Option<u8>,
+    /// Open connections, counted in the concurrent attempts that they can carry.
     pub connections: u32,
-    /// Attempts whose answers it streams.
+    /// Attempts whose responses it is streaming.
     pub streaming: Vec<u32>,
-    /// Probes that it has in hand.
+    /// Health checks in flight.
     pub probes: u32,
-    /// Requests in hand when the list last looked.
-    pub seen: f64,
-    /// Work that is on its way to it.
-    pub coming: f64,
-    /// Marks the completion that is still meant.
+    /// Queued and running requests for each core at discovery's last round.
+    pub published_load: f64,
+    /// Work of requests in transit to it.
+    pub in_transit: f64,
+    /// Generation of the scheduled completion event; events with an older stamp are ignored.
     pub stamp: u32,
-    /// Work done in all.
+    /// Total work done.
     pub done: f64,
-    /// Its last load report (waiting, in hand, use of the cores), and when it was read.
+    /// Its last load report (queued, queued and running, core utilization), and when it was taken.
     pub report: ([f64; 3], Micros),
-    /// Work done before its last start.
-    done_cold: f64,
+    /// Total work done at the time of its last start.
+    done_before_start: f64,
     paused: u32,
     running: Vec<Job>,
     waiting: VecDeque<Job>,
-    /// Work done for each running request since the start of time.
+    /// Cumulative work that processor sharing has given each running request since the simulation started.
     attained: f64,
     updated: Micros,
-    /// What a cold one was sent of late.
-    sent: VecDeque<(Micros, f64, bool)>,
-    sent_sum: f64,
+    /// While warming up, the arrivals within the window: time, work, and whether the sidecar knew about the restart.
+    recent_arrivals: VecDeque<(Micros, f64, bool)>,
+    recent_work: f64,
     keys: VecDeque<(u64, Micros)>,
 }
 
 impl Server {
-    /// One that has run for long, or one that is still to start.
+    /// A server that has long been running, or one that is yet to start.
     pub fn new(spec: ServerSpec) -> Self {
-        let machine = if spec.later { Machine::Down } else { Machine::Up };
+        let machine = if spec.starts_later { Machine::Down } else { Machine::Up };
         Self {
             machine,
             incarnation: 0,
             started: None,
             draining: None,
-            tipped: false,
-            slow: 1.0,
-            errors: spec.error_rate,
-            turns_away: None,
+            crashed_by_overload: false,
+            slowdown: 1.0,
+            error_share: spec.error_rate,
+            rejected_class: None,
             connections: 0,
             streaming: Vec::new(),
             probes: 0,
-            seen: 0.0,
-            coming: 0.0,
+            published_load: 0.0,
+            in_transit: 0.0,
             stamp: 0,
-            done_cold: 0.0,
+            done_before_start: 0.0,
             done: 0.0,
             report: ([0.0; 3], -SECOND),
             paused: 0,
@@ -149,78 +150,93 @@
             waiting: VecDeque::new(),
             attained: 0.0,
             updated: 0,
-            sent: VecDeque::new(),
-            sent_sum: 0.0,
+            recent_arrivals: VecDeque::new(),
+            recent_work: 0.0,
             keys: VecDeque::new(),
             spec,
         }
     }
 
-    /// Requests in hand.
-    pub fn held(&self) -> usize {
+    /// Queued and running requests.
+    pub fn in_flight(&self) -> usize {
         self.running.len() + self.waiting.len()
     }
 
-    /// Requests that wait.
+    /// Queued requests.
     pub fn queued(&self) -> usize {
         self.waiting.len()
     }
 
-    /// Share of its capacity that it has by its age.
+    /// The share of its capacity that it has reached in its slow start.
     pub fn warmth(&self, now: Micros) -> f64 {
         let Some(started) = self.started else { return 1.0 };
-        let whole = (self.spec.cold as f64).max(1.0);
-        let mut age = (now - started) as f64 / whole;
+        let warm_up_time = (self.spec.warm_up_time as f64).max(1.0);
+        let mut age = (now - started) as f64 / warm_up_time;
         if self.spec.warms_by_work {
-            age = age.max(2.0 * (self.done - self.done_cold) / (whole * self.spec.cores * self.spec.speed));
+            age = age.max(
+                2.0 * (self.done - self.done_before_start)
+                    / (warm_up_time * self.spec.cores * self.spec.speed),
+            );
         }
         (self.spec.cold_from + (1.0 - self.spec.cold_from) * age).min(1.0)
     }
 
     /// Work that each core does in a microsecond.
-    fn core(&self, now: Micros) -> f64 {
-        let table = f64::from(self.connections) / f64::from(self.spec.connections.max(1) * self.spec.streams);
-        let crowd = self.held() as f64 / self.spec.cores;
-        let thrash = if crowd > self.spec.thrash_at { self.spec.thrash } else { 0.0 };
-        self.spec.speed * self.warmth(now) / self.slow
-            * (1.0 - self.spec.full_tax * table.min(1.0))
+    fn core_speed(&self, now: Micros) -> f64 {
+        let table_use =
+            f64::from(self.connections) / f64::from(self.spec.connections.max(1) * self.spec.streams);
+        let load_per_core = self.in_flight() as f64 / self.spec.cores;
+        let thrash = if load_per_core > self.spec.thrash_at { self.spec.thrash } else { 0.0 };
+        self.spec.speed * self.warmth(now) / self.slowdown
+            * (1.0 - self.spec.connection_overhead * table_use.min(1.0))
             * (1.0 - thrash)
     }
 
-    /// Work that it does in a microsecond with all cores in use, pauses left out.
+    /// Work that it does in a microsecond with all cores in use, ignoring pauses.
     pub fn capacity(&self, now: Micros) -> f64 {
-        self.core(now) * self.spec.cores
+        self.core_speed(now) * self.spec.cores
     }
 
-    /// Work that a cold one bears in the window: by its age alone, as the rule has it; that it is slow or in a pause
-    /// besides is told to nobody.
-    fn bears(&self, now: Micros, fall: Fall) -> f64 {
-        fall.multiple * self.spec.cores * self.spec.speed * self.warmth(now) * fall.window as f64
+    /// The nominal limit on the work that a server may be sent in the window while it is warming up. As the rule
+    /// defines it, the limit depends on the time since the start only: sidecars can't know whether the server is slow
+    /// or paused as well.
+    fn overload_budget(&self, now: Micros, overload_limit: OverloadLimit) -> f64 {
+        overload_limit.multiple
+            * self.spec.cores
+            * self.spec.speed
+            * self.warmth(now)
+            * overload_limit.window as f64
     }
 
-    /// Work that it may still be sent, while it is cold, at half of what it bears.
-    pub fn room(&self, now: Micros, fall: Fall) -> f64 {
+    /// The work that it may still be sent while it is warming up, up to half of the nominal limit.
+    pub fn overload_headroom(&self, now: Micros, overload_limit: OverloadLimit) -> f64 {
         if self.warmth(now) >= 1.0 {
             return f64::INFINITY;
         }
-        let recent = self.sent.iter().filter(|s| s.0 > now - fall.window).map(|s| s.1).sum::<f64>();
-        0.5 * self.bears(now, fall) - recent - self.coming
+        let recent = self
+            .recent_arrivals
+            .iter()
+            .filter(|s| s.0 > now - overload_limit.window)
+            .map(|s| s.1)
+            .sum::<f64>();
+        0.5 * self.overload_budget(now, overload_limit) - recent - self.in_transit
     }
 
-    /// Work that is left in hand, or on its way.
+    /// Remaining work of running, queued and in-transit requests.
     pub fn backlog(&self) -> f64 {
         let running: f64 = self.running.iter().map(|j| (j.work - self.attained).max(0.0)).sum();
-        self.coming + running + self.waiting.iter().map(|j| j.work).sum::<f64>()
+        self.in_transit + running + self.waiting.iter().map(|j| j.work).sum::<f64>()
     }
 
     fn rate(&self, now: Micros) -> f64 {
         if self.paused > 0 || self.machine == Machine::Down {
             return 0.0;
         }
-        self.core(now) * (self.spec.cores / self.running.len().max(1) as f64).min(1.0)
+        self.core_speed(now) * (self.spec.cores / self.running.len().max(1) as f64).min(1.0)
     }
 
-    /// Brings the running figure up to now. Call it before anything that changes the rate.
+    /// Adds the work done since the last call to `attained` and `done`. Must be called before any change that affects
+    /// the rate.
     pub fn advance(&mut self, now: Micros) {
         let gained = self.rate(self.updated) * (now - self.updated) as f64;
         self.done += gained * self.running.len() as f64;
@@ -228,8 +244,8 @@
         self.updated = now;
     }
 
-    /// When the next request is done, as things stand; or when to look again, as a cold server warms.
-    pub fn next_done(&self, now: Micros) -> Option<Micros> {
+    /// When the next request completes at the current rate, or when to recompute that while the server is warming up.
+    pub fn next_completion(&self, now: Micros) -> Option<Micros> {
         let least = self.running.iter().map(|j| j.work).min_by(f64::total_cmp)?;
         let rate = self.rate(now);
         if rate <= 0.0 {
@@ -239,66 +255,75 @@
         Some(now + if self.warmth(now) < 1.0 { after.min(SECOND / 5) } else { after })
     }
 
-    /// A request's last byte has come. A server that drains turns away what comes more than `grace` later.
-    pub fn arrive(&mut self, now: Micros, new: Arriving, fall: Fall, grace: Micros) -> Arrival {
+    /// Handles a fully received request. A draining server rejects requests that arrive more than `grace` after the
+    /// drain.
+    pub fn arrive(
+        &mut self,
+        now: Micros,
+        new: Arriving,
+        overload_limit: OverloadLimit,
+        grace: Micros,
+    ) -> Arrival {
         let Arriving { attempt, work, due, informed } = new;
         if self.warmth(now) < 1.0 {
-            self.sent.push_back((now, work, informed));
-            self.sent_sum += work;
-            while let Some((_, old, _)) = self.sent.front().copied().filter(|s| s.0 <= now - fall.window) {
-                self.sent_sum -= old;
-                self.sent.pop_front();
+            self.recent_arrivals.push_back((now, work, informed));
+            self.recent_work += work;
+            while let Some((_, old, _)) =
+                self.recent_arrivals.front().copied().filter(|s| s.0 <= now - overload_limit.window)
+            {
+                self.recent_work -= old;
+                self.recent_arrivals.pop_front();
             }
-            if self.sent_sum > fall.most(self.bears(now, fall)) {
-                self.tipped = true;
-                let knew: f64 = self.sent.iter().filter(|s| s.2).map(|s| s.1).sum();
-                return Arrival::Tipped(knew / self.sent_sum);
+            if self.recent_work > overload_limit.max_work(self.overload_budget(now, overload_limit)) {
+                self.crashed_by_overload = true;
+                let informed_work: f64 = self.recent_arrivals.iter().filter(|s| s.2).map(|s| s.1).sum();
+                return Arrival::Overloaded(informed_work / self.recent_work);
             }
         }
         if self.draining.is_some_and(|since| now > since + grace) {
-            return Arrival::TurnedAway;
+            return Arrival::Rejected;
         }
         self.advance(now);
         let job = Job { attempt, work, due };
         if self.running.len() < self.spec.slots {
-            self.begin(job);
+            self.start_job(job);
         } else if self.waiting.len() < self.spec.queue {
             self.waiting.push_back(job);
         } else {
-            return Arrival::TurnedAway;
+            return Arrival::Rejected;
         }
-        Arrival::Taken
+        Arrival::Accepted
     }
 
-    fn begin(&mut self, job: Job) {
+    fn start_job(&mut self, job: Job) {
         self.running.push(Job { work: self.attained + job.work, ..job });
     }
 
-    /// Takes what is done by now out of work, and lets the next begin; gives the attempts that are done.
+    /// Removes completed requests, appends their attempts to `done`, and starts queued requests in the free slots.
     pub fn finish(&mut self, now: Micros, done: &mut Vec<u32>) {
         self.advance(now);
         let (attained, first) = (self.attained + 1e-6, done.len());
         self.running.retain(|job| {
-            let over = job.work <= attained;
-            if over {
+            let completed = job.work <= attained;
+            if completed {
                 done.push(job.attempt);
             }
-            !over
+            !completed
         });
         done[first..].sort_unstable();
-        self.fill(now);
+        self.start_queued(now);
     }
 
-    fn fill(&mut self, now: Micros) {
+    fn start_queued(&mut self, now: Micros) {
         while self.running.len() < self.spec.slots {
             let Some(job) = self.waiting.pop_front() else { return };
             if !(self.spec.drops_expired && job.due <= now) {
-                self.begin(job);
+                self.start_job(job);
             }
         }
     }
 
-    /// Its sidecar has given up an attempt; whether that ends it depends on the machine.
+    /// Handles a cancelled attempt. A queued one is removed; a running one only if the machine ends running work.
     pub fn cancel(&mut self, now: Micros, attempt: u32) {
         self.advance(now);
         if let Some(at) = self.waiting.iter().position(|j| j.attempt == attempt) {
@@ -307,40 +332,42 @@
             && let Some(at) = self.running.iter().position(|j| j.attempt == attempt)
         {
             self.running.swap_remove(at);
-            self.fill(now);
+            self.start_queued(now);
         }
     }
 
-    /// All that is in hand is lost; gives the attempts.
-    pub fn lose_all(&mut self, now: Micros) -> Vec<u32> {
+    /// Drops all requests, connections and remembered keys; returns the affected attempts.
+    pub fn reset_all(&mut self, now: Micros) -> Vec<u32> {
         self.advance(now);
         let running = self.running.drain(..).map(|j| j.attempt);
-        let held = running.chain(self.waiting.drain(..).map(|j| j.attempt));
-        let mut lost: Vec<u32> = held.chain(self.streaming.drain(..)).collect();
+        let in_flight = running.chain(self.waiting.drain(..).map(|j| j.attempt));
+        let mut lost: Vec<u32> = in_flight.chain(self.streaming.drain(..)).collect();
         lost.sort_unstable();
         (self.connections, self.probes, self.stamp) = (0, 0, self.stamp + 1);
         self.keys.clear();
         lost
     }
 
-    /// Its process starts, cold.
+    /// Starts its process, with a slow start.
     pub fn start(&mut self, now: Micros) {
         self.updated = now;
-        (self.machine, self.started, self.draining, self.tipped) = (Machine::Up, Some(now), None, false);
+        (self.machine, self.started, self.draining, self.crashed_by_overload) =
+            (Machine::Up, Some(now), None, false);
         self.incarnation += 1;
-        self.done_cold = self.done;
-        self.sent.clear();
-        (self.sent_sum, self.paused) = (0.0, 0);
+        self.done_before_start = self.done;
+        self.recent_arrivals.clear();
+        (self.recent_work, self.paused) = (0.0, 0);
     }
 
-    /// A pause begins or ends; they may overlap.
+    /// Begins or ends a pause; pauses may overlap.
     pub fn pause(&mut self, now: Micros, begin: bool) {
         self.advance(now);
         self.paused = if begin { self.paused + 1 } else { self.paused.saturating_sub(1) };
     }
 
-    /// Something beside the requests takes so much work of its cores; where some stand idle, nobody feels it.
-    pub fn steal(&mut self, now: Micros, work: f64) {
+    /// Takes work away from the running requests for something else, such as a health check. With idle cores this has
+    /// no effect.
+    pub fn consume_capacity(&mut self, now: Micros, work: f64) {
         self.advance(now);
         let n = self.running.len() as f64;
         if n >= self.spec.cores {
@@ -349,16 +376,17 @@
         }
     }
 
-    /// Share of its cores in use.
-    pub fn use_now(&self) -> f64 {
+    /// Share of the cores in use.
+    pub fn utilization(&self) -> f64 {
         (self.running.len() as f64 / self.spec.cores).min(1.0)
     }
 
-    /// Whether it knows a key already; from now on it does.
-    pub fn knows(&mut self, now: Micros, key: u64) -> bool {
+    /// Whether the key is remembered and not expired; remembers it from now on, evicting the oldest.
+    pub fn touch_key(&mut self, now: Micros, key: u64) -> bool {
         let known = self.keys.iter().position(|(k, _)| *k == key);
-        let fresh =
-            known.and_then(|at| self.keys.remove(at)).is_some_and(|(_, at)| now - at < self.spec.key_time);
+        let fresh = known
+            .and_then(|at| self.keys.remove(at))
+            .is_some_and(|(_, at)| now - at < self.spec.key_retention);
         self.keys.push_back((key, now));
         while self.keys.len() > self.spec.keys {
             self.keys.pop_front();
--- a/crates/fleet/src/model/world.rs
+++ b/crates/fleet/src/model/world.rs
@@ -1,8 +1,8 @@
-//! A world: one draw from a site and a scenario. Everything in it is fixed before the first event, and equal for
-//! all policies under one seed.
+//! A world: the input of one run, drawn from a site and a scenario. Everything in it is fixed before the first event,
+//! and the same for all policies under one seed.
 
 use super::link::Links;
-use super::server::Fall;
+use super::server::OverloadLimit;
 use crate::chance::{self, stream};
 use crate::scenario::{Fault, FaultKind, Scenario};
 use crate::site::{Conn, Kind, Range, Site};
@@ -11,65 +11,65 @@
 use rand::seq::SliceRandom;
 use serde_json::json;
 
-/// A server as it is; what it does stands in `server`.
+/// The fixed properties of a server; `server` simulates its behaviour.
 #[derive(Clone, Debug)]
 pub struct ServerSpec {
-    /// Its zone, by number.
+    /// Index of its zone.
     pub zone: usize,
-    /// Its kind, by number.
+    /// Index of its kind of machine.
     pub kind: usize,
     /// Its cell.
     pub cell: u64,
-    /// Weight that the list tells.
+    /// Weight in the endpoint list.
     pub weight: f64,
     /// Cores.
     pub cores: f64,
     /// Work that a core does in a microsecond, in microseconds of the standard core.
     pub speed: f64,
-    /// Requests in work.
+    /// Requests that it executes at a time.
     pub slots: usize,
-    /// Requests that wait.
+    /// Requests that it queues.
     pub queue: usize,
-    /// Share of its capacity at its start ...
+    /// Share of its capacity when its process has just started.
     pub cold_from: f64,
-    /// ... and the time until it is warm.
-    pub cold: Micros,
-    /// It warms by its work as well: twice as fast as by time where it has as much as it can do.
+    /// Time from the start of its process until it has its full capacity.
+    pub warm_up_time: Micros,
+    /// The slow start also advances with the work done: under full load twice as fast as with time alone.
     pub warms_by_work: bool,
     /// Time between two pauses; 0 for none.
     pub pause_every: Micros,
     /// Length of a pause.
     pub pause: Micros,
-    /// Growth of a pause with the machine's use.
-    pub pause_grow: f64,
+    /// Relative growth of a pause at full utilization.
+    pub pause_growth: f64,
     /// Share of requests answered with an error.
     pub error_rate: f64,
-    /// Whether a cancel ends what runs.
+    /// Whether a cancellation ends a running request.
     pub cancels_running: bool,
-    /// Whether what is overdue is dropped before it is begun.
+    /// Whether queued requests whose sidecar has timed out are dropped.
     pub drops_expired: bool,
-    /// Connections that it holds ...
+    /// Size of its connection table.
     pub connections: u32,
-    /// ... each for so many attempts.
+    /// Concurrent attempts on one connection.
     pub streams: u32,
-    /// Share of its capacity that a full table of them takes.
-    pub full_tax: f64,
-    /// Share of its capacity lost beyond so many requests a core.
+    /// Share of its capacity that a full connection table takes.
+    pub connection_overhead: f64,
+    /// Share of its capacity lost while it is thrashing.
     pub thrash: f64,
-    /// Requests in hand for each core from which on it is.
+    /// Queued and running requests for each core above which it is thrashing.
     pub thrash_at: f64,
-    /// How much longer its links are than others', as a factor.
-    pub stretch: f64,
-    /// Keys that it remembers.
+    /// Factor on the delay of messages to and from it.
+    pub latency_factor: f64,
+    /// Number of keys that it remembers.
     pub keys: usize,
-    /// For how long.
-    pub key_time: Micros,
-    /// It starts later, as another's successor.
-    pub later: bool,
+    /// How long it remembers a key.
+    pub key_retention: Micros,
+    /// It starts during the run, as the replacement of another server.
+    pub starts_later: bool,
 }
 
 impl ServerSpec {
-    /// One core of speed 1 with no faults, for tests and small worlds.
+    /// One core of speed 1 without faults, for tests and small worlds.
     pub fn plain(zone: usize) -> Self {
         Self {
             zone,
@@ -81,23 +81,23 @@
             slots: 16,
             queue: 100,
             cold_from: 0.2,
-            cold: 10 * SECOND,
+            warm_up_time: 10 * SECOND,
             warms_by_work: false,
             pause_every: 0,
             pause: 0,
-            pause_grow: 0.0,
+            pause_growth: 0.0,
             error_rate: 0.0,
             cancels_running: true,
             drops_expired: true,
             connections: 1000,
             streams: 1,
-            full_tax: 0.0,
+            connection_overhead: 0.0,
             thrash: 0.0,
             thrash_at: f64::INFINITY,
-            stretch: 1.0,
+            latency_factor: 1.0,
             keys: 0,
-            key_time: 0,
-            later: false,
+            key_retention: 0,
+            starts_later: false,
         }
     }
 }
@@ -105,9 +105,9 @@
 /// A sidecar with its clients.
 #[derive(Clone, Debug)]
 pub struct SidecarSpec {
-    /// Its zone, by number.
+    /// Index of its zone.
     pub zone: usize,
-    /// First tries a second, on the mean.
+    /// Mean number of requests a second, retries not counted.
     pub rate: f64,
 }
 
@@ -120,24 +120,24 @@
     pub share: f64,
     /// Mean work, in microseconds of the standard core.
     pub work: f64,
-    /// Whether work is spread like a log-normal figure instead of an exponential one.
+    /// Whether the work has a log-normal distribution instead of an exponential one.
     pub lognormal: bool,
-    /// Variation of the work.
+    /// Coefficient of variation of the work, if it is log-normal.
     pub cv: f64,
-    /// Variation between attempts at one request.
+    /// Coefficient of variation of the work between attempts at one request.
     pub noise: f64,
-    /// Answers within this earn the worth.
-    pub aim: Micros,
-    /// A client waits so long over all tries.
+    /// Latency objective: responses within this time earn the full worth.
+    pub latency_objective: Micros,
+    /// Deadline of a request over all its tries.
     pub deadline: Micros,
     /// Worth of a request.
     pub worth: f64,
-    /// Share of it that a late answer earns.
+    /// Share of the worth that a late response earns.
     pub late_worth: f64,
-    /// How long an answer streams after its first byte; 0 for whole answers.
+    /// How long a response streams after its first byte; 0 for responses that are not streamed.
     pub stream: Micros,
-    /// Whether clients may repeat what may have run: 0 never, else for so long.
-    pub repeat_for: Micros,
+    /// How long after the first attempt clients may retry a request that may have been executed; 0 for never.
+    pub retry_window: Micros,
 }
 
 /// A tenant.
@@ -145,195 +145,198 @@
 pub struct TenantSpec {
     /// Its name.
     pub name: String,
-    /// Its share of what the servers can do.
+    /// Its share of the servers' capacity.
     pub share: f64,
-    /// Its part of the traffic.
+    /// Its share of the traffic.
     pub traffic: f64,
-    /// Requests a second within its share, over all sidecars.
+    /// Requests a second, over all sidecars, that are within its share of the capacity.
     pub quota_per_s: f64,
 }
 
 /// A sidecar's processor.
 #[derive(Clone, Copy, Debug)]
 pub struct ProcessorSpec {
-    /// What each message takes of it, in or out, as real time.
+    /// Time that it takes for each message, in or out, in microseconds.
     pub message: f64,
-    /// Use in a second, past which requests are late; infinite for no such limit.
+    /// Processor time in a second above which responses count as late, in microseconds; infinite for no limit.
     pub most_per_s: f64,
 }
 
 /// Load reports.
 #[derive(Clone, Debug)]
 pub struct ReportSpec {
-    /// Between two readings, with the age at which one is told.
+    /// Interval between load readings plus the delay until a reading is reported.
     pub period: Micros,
-    /// Their error.
+    /// Coefficient of variation of the reported values' error.
     pub noise: f64,
-    /// Whether answers carry them, or probes alone.
+    /// Whether responses carry load reports, or health checks alone.
     pub on_answers: bool,
-    /// Whether they tell what waits, what is in hand, and the use of the cores.
-    pub tells: [bool; 3],
+    /// Which values are reported: queued requests, queued and running requests, core utilization.
+    pub fields: [bool; 3],
 }
 
-/// Prices, in points of the result.
+/// Prices, subtracted from the score.
 #[derive(Clone, Copy, Debug)]
 pub struct PriceSpec {
-    /// Across zones, waste, late failures, probes, handshakes, connections, lines of lists.
+    /// For cross-zone attempts, wasted work, late failures, health checks, handshakes, connections, list entries.
     pub each: [f64; 7],
 }
 
-/// Weights of the result.
+/// Weights of the score's components.
 #[derive(Clone, Copy, Debug)]
 pub struct GoalSpec {
-    /// The whole day.
-    pub whole: f64,
+    /// The whole run.
+    pub whole_run: f64,
     /// The worst 10 s.
     pub worst_window: f64,
     /// The worst class.
     pub worst_class: f64,
-    /// The worst tenant, within its share.
+    /// The worst tenant, for requests within its quota.
     pub worst_tenant: f64,
 }
 
-/// Something that happens at an instant.
+/// A fault or an operation that is planned for an instant.
 #[derive(Clone, Debug, PartialEq)]
-pub enum Happening {
-    /// A server drains.
+pub enum PlannedEvent {
+    /// A server starts draining.
     Drain(usize),
-    /// A server's process ends; connections are reset.
-    End(usize),
-    /// A server's process starts, cold.
+    /// A server's process stops; its connections are reset.
+    Stop(usize),
+    /// A server's process starts, with a slow start.
     Start(usize),
-    /// A server's machine goes silent.
-    Silent(usize),
-    /// A server stands still, or goes on.
+    /// A server's machine stops responding.
+    Unresponsive(usize),
+    /// A server pauses (`true`) or resumes.
     Pause(usize, bool),
-    /// A server's slowness is multiplied by this.
+    /// A server's slowdown factor is multiplied by this.
     Slow(usize, f64),
-    /// A server answers such a share with errors.
+    /// A server answers this share of requests with errors.
     Errors(usize, f64),
-    /// A server turns a class away, or none.
-    TurnAway(usize, Option<u8>),
-    /// Operators take a server out at every sidecar, or give it back.
+    /// A server rejects a class, or none.
+    RejectClass(usize, Option<u8>),
+    /// Operators cordon (`true`) or uncordon a server on every sidecar.
     Cordon(usize, bool),
-    /// A zone is cut off; whether in both directions, and whether it begins.
+    /// A zone is partitioned from the others: the zone, whether in both directions, and whether the partition begins
+    /// or ends.
     Cut(usize, bool, bool),
-    /// Traffic of a zone's sidecars, or of all, is multiplied by this.
+    /// Traffic of the sidecars of a zone, or of all sidecars, is multiplied by this.
     Traffic(Option<usize>, f64),
     /// A sidecar's process is killed.
     KillSidecar(usize),
-    /// A sidecar is told to stop: it takes nothing new, ends what it has, and starts again so long after its end.
+    /// A sidecar is stopped gracefully: it accepts no new requests, completes the open ones, exits, and starts again
+    /// after this delay.
     StopSidecar(usize, Micros),
     /// A sidecar's process starts.
     StartSidecar(usize),
-    /// A new process takes over while the old one ends what it has.
+    /// A sidecar's new process takes over while the old one completes its open requests.
     UpgradeSidecar(usize),
-    /// Discovery is away, or back.
+    /// Discovery comes back (`true`) or goes down.
     Discovery(bool),
-    /// The replica of the roster at that place after its leader is away, silently or not; whether it begins.
-    Roster(usize, bool, bool),
-    /// Such a share of answers is lost.
+    /// A registry replica fails or comes back: its position after the leader, whether it is paused instead of killed,
+    /// and whether the fault begins.
+    RegistryReplica(usize, bool, bool),
+    /// This share of responses is lost to connection resets.
     Resets(f64),
-    /// Such a share of answers can't be read.
-    Spoilt(f64),
-    /// Such a share of new connections comes up so much later.
+    /// This share of responses is corrupt.
+    CorruptResponses(f64),
+    /// This share of new connections takes this much longer to establish.
     LateConnects(f64, Micros),
-    /// A sidecar gets a message that is no request so often; 0 for no more.
-    BadClients(usize, Micros),
-    /// Clients try so many times as often, and such a share leaves early.
-    Eager(f64, f64),
+    /// A sidecar receives a malformed message at this interval; 0 ends them.
+    MalformedClients(usize, Micros),
+    /// Clients' number of retries is multiplied by this, and this additional share of clients disconnects early.
+    RetrySurge(f64, f64),
 }
 
-/// When something happens.
+/// An entry of the plan.
 #[derive(Clone, Debug)]
 pub struct Planned {
-    /// The instant.
+    /// When it happens.
     pub at: Micros,
-    /// What.
-    pub what: Happening,
+    /// What happens.
+    pub what: PlannedEvent,
 }
 
-/// Conduct of the clients.
+/// Behaviour of the clients.
 #[derive(Clone, Debug)]
 pub struct ClientSpec {
-    /// Retries, a part being a chance.
+    /// Mean number of retries; a fraction is the probability of one more.
     pub retries: f64,
-    /// Part of the deadline after which a try is given up.
+    /// Timeout of a try, as a share of the deadline.
     pub try_share: f64,
-    /// Whether waits double.
+    /// Whether the backoff doubles with each retry.
     pub doubling: bool,
-    /// Share that heeds a time to come back.
-    pub honour: f64,
-    /// First wait.
+    /// Share of clients that honour `Retry-After`.
+    pub honours_retry_after: f64,
+    /// Initial backoff.
     pub backoff: f64,
-    /// Longest time to come back that is heeded.
-    pub max_hold_off: Micros,
-    /// Share that leaves early.
-    pub impatient: f64,
+    /// Longest `Retry-After` that is honoured.
+    pub max_retry_after: Micros,
+    /// Share of clients that disconnect early.
+    pub leaves_early: f64,
 }
 
-/// Conduct of discovery.
+/// Behaviour of discovery.
 #[derive(Clone, Debug)]
 pub struct DiscoverySpec {
-    /// Sidecars must ask for changes themselves.
+    /// Sidecars must fetch the list; changes are not pushed.
     pub on_request: bool,
-    /// From a process's end or drain to the list.
+    /// Delay from a process's end or drain to the list.
     pub notice: Range,
-    /// From a machine's silence to the list.
+    /// Delay from a machine's failure to the list.
     pub silent_notice: Range,
-    /// From a start to the list.
+    /// Delay from a start to the list.
     pub add: Range,
-    /// Between two versions.
+    /// Interval between two published versions.
     pub period: Micros,
-    /// From a version to the sidecars, at most.
+    /// Maximum delay from a published version to a sidecar.
     pub spread: Micros,
-    /// Time that a call takes discovery.
+    /// Time that discovery takes for a fetch.
     pub call: Micros,
-    /// A call that waits longer fails.
+    /// A fetch that waits longer fails.
     pub call_timeout: Micros,
-    /// First wait before the next call.
+    /// Delay before a failed fetch is retried.
     pub retry: Micros,
 }
 
-/// A roster, with what its log and its answers cost.
+/// The project's own registry, with the cost of its commits and responses.
 #[derive(Clone, Debug)]
-pub struct RosterSpec {
+pub struct RegistrySpec {
     /// Replicas.
     pub replicas: usize,
-    /// From a write to its being at a majority.
+    /// Commit latency of a write.
     pub commit_ms: Range,
-    /// From the loss of a leader to the next one's first write.
+    /// Failover time, from the loss of a leader to the next one's first write.
     pub failover_s: Range,
-    /// Leases of servers.
+    /// Lease duration of servers.
     pub lease_ms: u64,
-    /// Whole lists that a replica tells in a second.
-    pub whole_lists_per_s: f64,
-    /// Time that an answer takes its replica ...
+    /// Full lists that a replica sends in a second.
+    pub full_lists_per_s: f64,
+    /// Time that a replica takes for a response.
     pub answer: Micros,
-    /// ... and each line of it.
+    /// Additional time for each entry of a response, in microseconds.
     pub line: f64,
-    /// Sidecars keep the last list over a restart.
+    /// Sidecars save their last list over a restart.
     pub file: bool,
 }
 
-/// One day, drawn.
+/// The input of one run.
 #[derive(Clone, Debug)]
 pub struct World {
-    /// What it is drawn from.
+    /// The seed that it is drawn from.
     pub seed: u64,
-    /// How long clients ask.
+    /// How long clients send requests.
     pub length: Micros,
-    /// Sidecars handle what has come at multiples of this; 0 for at once.
+    /// Sidecars handle events at multiples of this; 0 for immediately.
     pub tick: Micros,
-    /// What a sidecar adds to a request each way.
+    /// Latency that a sidecar adds to a request in each direction.
     pub sidecar_time: Micros,
-    /// The settings object of a sidecar, without its own place in it.
+    /// The settings object of the sidecars, without the fields that depend on the sidecar: index and zone.
     pub settings: serde_json::Value,
     /// Names of the zones.
     pub zones: Vec<String>,
     /// Names of the kinds of machine.
     pub kinds: Vec<String>,
-    /// Servers, those that come later at the end.
+    /// Servers; those that start during the run are at the end.
     pub servers: Vec<ServerSpec>,
     /// Sidecars.
     pub sidecars: Vec<SidecarSpec>,
@@ -345,94 +348,98 @@
     pub clients: ClientSpec,
     /// Discovery.
     pub discovery: DiscoverySpec,
-    /// A roster in discovery's place.
-    pub roster: Option<RosterSpec>,
-    /// Popularity of the keys, added up.
-    pub keys: Vec<f64>,
-    /// Height and length of the wave in the traffic.
+    /// The project's own registry in place of discovery.
+    pub registry: Option<RegistrySpec>,
+    /// Cumulative popularity weights of the partition keys.
+    pub key_popularity: Vec<f64>,
+    /// Amplitude and period of a sine wave in the traffic.
     pub wave: (f64, Micros),
-    /// Share of the work that a known key saves.
+    /// Share of the work saved at a server that remembers the key.
     pub key_gain: f64,
-    /// Round trips before the first request on a connection, what one costs the server, when idle ones close, and
-    /// when one that is not made has failed.
+    /// Round trips before the first request on a new connection, and the work that the handshake costs the server.
     pub handshake: (f64, f64),
-    /// Idle connections close after this.
-    pub idle: Micros,
-    /// Connections not made within this have failed.
+    /// Idle timeout of connections.
+    pub idle_timeout: Micros,
+    /// Connect timeout.
     pub dial_timeout: Micros,
     /// Load reports.
     pub report: Option<ReportSpec>,
-    /// Requests come with a rough figure of their work.
-    pub hints: bool,
-    /// What a probe costs, whether it waits like a request, and when one that is not answered has failed.
+    /// Requests carry an estimate of their work.
+    pub work_estimates: bool,
+    /// Health checks: the work of one, whether it queues like a request, and its timeout.
     pub probe: (f64, bool, Micros),
-    /// Drains are heeded within this.
-    pub grace: Micros,
-    /// What a cold server bears before it falls over.
-    pub fall: Fall,
-    /// Weights of the result.
+    /// How long sends to a draining server are allowed.
+    pub drain_grace: Micros,
+    /// How much work a server that is warming up accepts before it crashes.
+    pub overload_limit: OverloadLimit,
+    /// Weights of the score's components.
     pub goal: GoalSpec,
     /// Prices.
     pub prices: PriceSpec,
-    /// Tenants; none at most sites.
+    /// Tenants; most sites have none.
     pub tenants: Vec<TenantSpec>,
-    /// Worth of a request beyond its tenant's share, as a part of its class's worth.
+    /// Worth of a request beyond its tenant's quota, as a share of its class's worth.
     pub over_share_worth: f64,
-    /// A request's worth goes by its work.
+    /// A request's worth is proportional to its work.
     pub worth_by_work: bool,
-    /// Listed weights are sizes over the load of a while ago.
+    /// Listed weights are sizes divided by the load at the last discovery round.
     pub live_weights: bool,
-    /// Sidecars' processors; `None`: never short.
+    /// The sidecars' processors; `None` for unlimited capacity.
     pub processor: Option<ProcessorSpec>,
-    /// Requests that a sidecar may have open.
-    pub seats: usize,
-    /// Attempts that a connection carries at a time.
+    /// Maximum number of open requests of a sidecar.
+    pub max_open_requests: usize,
+    /// Concurrent attempts on one connection.
     pub streams: u32,
-    /// Probes that a server answers at a time, for each core.
+    /// Health checks that a server handles at a time, for each core.
     pub probe_cap: f64,
-    /// What happens, in order.
+    /// Planned faults and operations, in order of time.
     pub plan: Vec<Planned>,
 }
 
 impl World {
-    /// Draws one.
+    /// Draws a world.
     pub fn draw(scenario: &Scenario, site: &Site, seed: u64) -> Self {
         let mut rng = stream(seed, "world", 0);
         let rng = &mut rng;
         let tier = &site.tier[0];
         let zones = site.net.zones.len();
         let conn = &tier.conn;
-        let (handshake, full_tax) =
+        let (handshake, connection_overhead) =
             ((conn.handshake_rtts.draw(rng).round(), conn.handshake_us.draw(rng)), conn.full_tax.draw(rng));
         let report = tier.report.as_ref().filter(|r| r.how != "none").map(|r| {
             let period = millis(r.period_ms.draw(rng) + r.delay_ms.draw(rng));
-            let told = |field: &str| r.fields.iter().any(|f| f == field);
-            let tells = [told("queue") || r.fields.is_empty(), told("inflight"), told("util")];
-            ReportSpec { period, noise: r.noise.draw(rng), on_answers: r.how == "answers", tells }
+            let reported = |field: &str| r.fields.iter().any(|f| f == field);
+            let fields = [reported("queue") || r.fields.is_empty(), reported("inflight"), reported("util")];
+            ReportSpec { period, noise: r.noise.draw(rng), on_answers: r.how == "answers", fields }
         });
         let cell_size = tier.cell_size.draw(rng).max(1.0);
-        let (key_gain, key_time) = (site.fam.affinity_gain.draw(rng), seconds(site.fam.affinity_s.draw(rng)));
+        let (key_gain, key_retention) =
+            (site.fam.affinity_gain.draw(rng), seconds(site.fam.affinity_s.draw(rng)));
         let keys_per_core = site.fam.affinity_keys_per_core.draw(rng);
 
         let classes = Self::classes(scenario, site, rng);
-        let longest = classes.iter().map(|c| c.deadline).max().unwrap_or(SECOND);
+        let longest_deadline = classes.iter().map(|c| c.deadline).max().unwrap_or(SECOND);
         let servers = {
-            let kinds: Vec<_> =
-                tier.kind.iter().map(|k| (k, k.share.draw(rng), Drawn::of(k, conn, rng))).collect();
+            let kinds: Vec<_> = tier
+                .kind
+                .iter()
+                .map(|k| (k, k.share.draw(rng), KindParameters::draw(k, conn, rng)))
+                .collect();
             let shares: f64 = kinds.iter().map(|k| k.1).sum();
             let skew = site.net.server_skew.draw(rng);
             let mut servers = Vec::with_capacity(scenario.servers);
-            let mut start = stream(seed, "servers", 0);
+            let mut server_rng = stream(seed, "servers", 0);
             for i in 0..scenario.servers {
-                let mut left = (i as f64 + 0.5) / scenario.servers as f64 * shares;
+                let mut remaining = (i as f64 + 0.5) / scenario.servers as f64 * shares;
                 let at = kinds.iter().position(|k| {
-                    left -= k.1;
-                    left <= 0.0
+                    remaining -= k.1;
+                    remaining <= 0.0
                 });
-                let (kind, _, drawn) = &kinds[at.unwrap_or(kinds.len() - 1)];
-                let speed = drawn.speed * chance::factor(start.random(), kind.speed_cv.mid());
-                let rough = if matches!(tier.weights.as_str(), "rough" | "live") {
-                    chance::factor(start.random(), 0.1)
+                let (kind, _, parameters) = &kinds[at.unwrap_or(kinds.len() - 1)];
+                let speed =
+                    parameters.speed * chance::log_normal_factor(server_rng.random(), kind.speed_cv.mid());
+                let error = if matches!(tier.weights.as_str(), "rough" | "live") {
+                    chance::log_normal_factor(server_rng.random(), 0.1)
                 } else {
                     1.0
                 };
@@ -440,33 +447,33 @@
                     zone: 0,
                     kind: at.unwrap_or(kinds.len() - 1),
                     cell: 0,
-                    weight: if tier.weights == "none" { 1.0 } else { kind.cores * speed * rough },
+                    weight: if tier.weights == "none" { 1.0 } else { kind.cores * speed * error },
                     cores: kind.cores,
                     speed,
-                    slots: (drawn.slots * kind.cores).ceil() as usize,
-                    queue: (drawn.queue * kind.cores) as usize,
-                    cold_from: kind.cold_from.draw(&mut start),
-                    cold: seconds(kind.cold_s.draw(&mut start)),
+                    slots: (parameters.slots * kind.cores).ceil() as usize,
+                    queue: (parameters.queue * kind.cores) as usize,
+                    cold_from: kind.cold_from.draw(&mut server_rng),
+                    warm_up_time: seconds(kind.cold_s.draw(&mut server_rng)),
                     warms_by_work: kind.warm_by == "work",
-                    pause_every: seconds(kind.pause_every_s.draw(&mut start)),
-                    pause: millis(kind.pause_ms.draw(&mut start)),
-                    pause_grow: drawn.pause_grow,
-                    error_rate: kind.error_rate.draw(&mut start),
-                    cancels_running: drawn.cancels_running,
+                    pause_every: seconds(kind.pause_every_s.draw(&mut server_rng)),
+                    pause: millis(kind.pause_ms.draw(&mut server_rng)),
+                    pause_growth: parameters.pause_growth,
+                    error_rate: kind.error_rate.draw(&mut server_rng),
+                    cancels_running: parameters.cancels_running,
                     drops_expired: kind.drops_expired,
-                    connections: (drawn.connections * kind.cores) as u32,
+                    connections: (parameters.connections * kind.cores) as u32,
                     streams: conn.streams,
-                    full_tax,
+                    connection_overhead,
                     thrash: kind.thrash,
-                    thrash_at: if kind.thrash > 0.0 { drawn.thrash_at } else { f64::INFINITY },
-                    stretch: 1.0 + skew * start.random::<f64>(),
+                    thrash_at: if kind.thrash > 0.0 { parameters.thrash_at } else { f64::INFINITY },
+                    latency_factor: 1.0 + skew * server_rng.random::<f64>(),
                     keys: (keys_per_core * kind.cores) as usize,
-                    key_time,
-                    later: false,
+                    key_retention,
+                    starts_later: false,
                 });
             }
-            // Kinds and zones must not go together.
-            servers.shuffle(&mut start);
+            // Shuffled so that a server's zone does not depend on its kind.
+            servers.shuffle(&mut server_rng);
             for (i, server) in servers.iter_mut().enumerate() {
                 (server.zone, server.cell) = (i % zones, (i as f64 / cell_size) as u64);
             }
@@ -478,11 +485,13 @@
         let rate = scenario.load.draw(rng) * capacity / mean_work * SECOND as f64;
         let sidecars = Self::sidecars(scenario, site, rate, seed);
         let tenants = Self::tenants(site, capacity / mean_work * SECOND as f64, seed);
-        let wavy = site.load.shape.iter().any(|s| s == "wave") && rng.random_bool(0.5);
-        let wave =
-            (if wavy { site.load.swing.draw(rng) } else { 0.0 }, seconds(20.0 + 20.0 * rng.random::<f64>()));
+        let has_wave = site.load.shape.iter().any(|s| s == "wave") && rng.random_bool(0.5);
+        let wave = (
+            if has_wave { site.load.swing.draw(rng) } else { 0.0 },
+            seconds(20.0 + 20.0 * rng.random::<f64>()),
+        );
         let zipf = site.load.key_zipf.draw(rng);
-        let keys = (1..=site.load.keys.draw(rng).max(1.0) as u64)
+        let key_popularity = (1..=site.load.keys.draw(rng).max(1.0) as u64)
             .scan(0.0, |sum, k| {
                 *sum += (k as f64).powf(-zipf);
                 Some(*sum)
@@ -499,7 +508,7 @@
             length: seconds(scenario.length_s),
             tick: if scenario.ticked { millis(site.day.tick_ms) } else { 0 },
             sidecar_time: scenario.sidecar_us,
-            settings: settings_of(site, &classes, &tenants, scenario),
+            settings: sidecar_settings(site, &classes, &tenants, scenario),
             zones: net.zones.clone(),
             kinds: tier.kind.iter().map(|k| k.name.clone()).collect(),
             servers,
@@ -510,10 +519,10 @@
                 retries: clients.retries.draw(rng),
                 try_share: clients.try_share.draw(rng),
                 doubling: clients.backoff == "exp",
-                honour: clients.honour.draw(rng),
+                honours_retry_after: clients.honour.draw(rng),
                 backoff: clients.backoff_ms.draw(rng) * 1000.0 * scenario.pace,
-                max_hold_off: millis(clients.max_retry_after_ms),
-                impatient: clients.impatient.draw(rng),
+                max_retry_after: millis(clients.max_retry_after_ms),
+                leaves_early: clients.impatient.draw(rng),
             },
             discovery: DiscoverySpec {
                 on_request: d.mode != "push",
@@ -526,33 +535,33 @@
                 call_timeout: seconds(scenario.discovery.call_timeout_s),
                 retry: millis(scenario.discovery.retry_ms).max(1000),
             },
-            roster: scenario.roster.as_ref().map(|r| RosterSpec {
+            registry: scenario.registry.as_ref().map(|r| RegistrySpec {
                 replicas: r.replicas,
                 commit_ms: r.commit_ms,
                 failover_s: r.failover_s,
                 lease_ms: (r.lease_s * 1000.0) as u64,
-                whole_lists_per_s: r.whole_lists_per_s,
+                full_lists_per_s: r.whole_lists_per_s,
                 answer: r.answer_us as Micros,
                 line: r.line_us,
                 file: r.file,
             }),
-            keys,
+            key_popularity,
             wave,
             key_gain,
             handshake,
-            idle: seconds(conn.idle_s),
+            idle_timeout: seconds(conn.idle_s),
             dial_timeout: millis(conn.connect_timeout_ms),
             report,
-            hints: !matches!(site.load.hints.as_str(), "" | "none"),
+            work_estimates: !matches!(site.load.hints.as_str(), "" | "none"),
             probe: (tier.probe.work_us.draw(rng), tier.probe.deep, millis(tier.probe.timeout_ms)),
-            grace: millis(site.rules.drain_grace_ms),
-            fall: Fall {
+            drain_grace: millis(site.rules.drain_grace_ms),
+            overload_limit: OverloadLimit {
                 multiple: site.rules.fall_multiple,
                 window: millis(site.rules.fall_ms),
-                mean: mean_work,
+                mean_work,
             },
             goal: GoalSpec {
-                whole: site.goal.whole,
+                whole_run: site.goal.whole,
                 worst_window: site.goal.worst_window,
                 worst_class: site.goal.worst_class,
                 worst_tenant: site.goal.worst_tenant,
@@ -569,21 +578,22 @@
             live_weights: tier.weights == "live",
             processor: (scenario.message_us > 0.0).then(|| ProcessorSpec {
                 message: scenario.message_us / scenario.sidecar_cores,
-                // The operators' simulator has it, where all is in rounds; real sidecars have their share of a core.
+                // The limit applies only with ticks, as in the operators' simulator; real sidecars are limited by
+                // their share of a core.
                 most_per_s: match site.allow.cpu_ms_per_s {
-                    most if scenario.ticked && most > 0.0 => most * 1000.0,
+                    limit if scenario.ticked && limit > 0.0 => limit * 1000.0,
                     _ => f64::INFINITY,
                 },
             }),
-            seats: match site.allow.most_held {
+            max_open_requests: match site.allow.most_held {
                 0 => usize::MAX,
-                most => most as usize,
+                limit => limit as usize,
             },
             streams: conn.streams,
             probe_cap: tier.probe.cap_per_core.mid(),
             plan: Vec::new(),
         };
-        world.plan_faults(scenario, site, longest);
+        world.plan_faults(scenario, site, longest_deadline);
         world
     }
 
@@ -598,13 +608,14 @@
                 lognormal: !c.dist.is_empty() && c.dist[rng.random_range(0..c.dist.len())] == "lognormal",
                 cv: c.cv.draw(rng),
                 noise: c.attempt_noise.draw(rng),
-                aim: millis(c.aim_ms * scenario.pace),
+                latency_objective: millis(c.aim_ms * scenario.pace),
                 deadline: millis(c.deadline_ms * scenario.pace),
                 worth: c.worth,
                 late_worth: c.late_worth,
-                // Drawn apart, so that classes of whole answers are what they were.
+                // The middle of the range instead of a draw, so that classes without streaming keep their random
+                // sequences.
                 stream: millis(c.stream_ms.mid() * scenario.pace),
-                repeat_for: match (c.effect.as_str(), c.group.as_deref()) {
+                retry_window: match (c.effect.as_str(), c.group.as_deref()) {
                     ("safe", _) => Micros::MAX / 4,
                     ("keyed", None | Some("all")) => millis(c.window_ms * scenario.pace),
                     _ => 0,
@@ -616,7 +627,7 @@
         classes
     }
 
-    /// Those of a site, with their parts of what its servers can do, in requests a second.
+    /// The site's tenants. `served` is the servers' capacity in requests a second, from which their quotas follow.
     fn tenants(site: &Site, served: f64, seed: u64) -> Vec<TenantSpec> {
         let mut rng = stream(seed, "tenants", 0);
         let draw = |t: &crate::site::Tenant| {
@@ -638,50 +649,52 @@
         let mut rng = stream(seed, "sidecars", 0);
         let zones = site.net.zones.len();
         let (skew, cv) = (site.load.zone_skew.draw(&mut rng), site.load.stream_cv.draw(&mut rng));
-        let by_zone: Vec<f64> = (0..zones).map(|_| chance::factor(rng.random(), skew)).collect();
-        let shares: Vec<f64> =
-            (0..scenario.sidecars).map(|i| by_zone[i % zones] * chance::factor(rng.random(), cv)).collect();
+        let by_zone: Vec<f64> = (0..zones).map(|_| chance::log_normal_factor(rng.random(), skew)).collect();
+        let shares: Vec<f64> = (0..scenario.sidecars)
+            .map(|i| by_zone[i % zones] * chance::log_normal_factor(rng.random(), cv))
+            .collect();
         let sum: f64 = shares.iter().sum();
         let spec = |(i, share): (usize, &f64)| SidecarSpec { zone: i % zones, rate: rate * share / sum };
         shares.iter().enumerate().map(spec).collect()
     }
 
-    fn plan_faults(&mut self, scenario: &Scenario, site: &Site, longest: Micros) {
+    fn plan_faults(&mut self, scenario: &Scenario, site: &Site, longest_deadline: Micros) {
         let mut faults = scenario.fault.clone();
         let mut rng = stream(self.seed, "troubles", 0);
         let known: Vec<_> =
-            site.trouble.iter().filter_map(|t| Some((t, FaultKind::of_trouble(&t.name)?))).collect();
+            site.trouble.iter().filter_map(|t| Some((t, FaultKind::from_trouble(&t.name)?))).collect();
         for _ in 0..if known.is_empty() { 0 } else { scenario.site_troubles } {
             let (trouble, kind) = known[rng.random_range(0..known.len())];
             let at_s = scenario.length_s * (0.1 + 0.5 * rng.random::<f64>());
-            let size = if trouble.size == Range::default() { Range::of(1.0, 1.0) } else { trouble.size };
+            let size = if trouble.size == Range::default() { Range::new(1.0, 1.0) } else { trouble.size };
             let (for_s, part, extra) = (trouble.len_s, trouble.part, trouble.extra);
             faults.push(Fault { kind, at_s, for_s, part, size, extra, zone: None });
         }
         for (i, fault) in faults.iter().enumerate() {
-            self.plan_fault(fault, i as u64, longest);
+            self.plan_fault(fault, i as u64, longest_deadline);
         }
         self.plan.sort_by_key(|p| p.at);
     }
 
-    fn plan_fault(&mut self, fault: &Fault, number: u64, longest: Micros) {
+    fn plan_fault(&mut self, fault: &Fault, number: u64, longest_deadline: Micros) {
         let mut rng = stream(self.seed, "faults", number);
         let rng = &mut rng;
         let (at, len) = (seconds(fault.at_s), seconds(fault.for_s.draw(rng)));
         let (part, size, extra) = (fault.part.draw(rng), fault.size.draw(rng), fault.extra.draw(rng));
         let zone = rng.random_range(0..self.zones.len());
         let zone = fault.zone.map_or(zone, |z| z % self.zones.len());
-        let mut struck = |n: usize| {
+        let mut pick_targets = |n: usize| {
             let mut all: Vec<usize> = (0..n).collect();
             all.shuffle(rng);
             all.truncate((part * n as f64).round() as usize);
             all
         };
-        let first: Vec<usize> = (0..self.servers.len()).filter(|s| !self.servers[*s].later).collect();
-        let servers: Vec<usize> = struck(first.len()).into_iter().map(|i| first[i]).collect();
-        let sidecars = struck(self.sidecars.len());
+        let initial: Vec<usize> =
+            (0..self.servers.len()).filter(|s| !self.servers[*s].starts_later).collect();
+        let servers: Vec<usize> = pick_targets(initial.len()).into_iter().map(|i| initial[i]).collect();
+        let sidecars = pick_targets(self.sidecars.len());
         let step = |i: usize, n: usize| at + len * i as Micros / n.max(1) as Micros;
-        use Happening as H;
+        use PlannedEvent as H;
         let mut plan = Vec::new();
         match fault.kind {
             FaultKind::Pauses => {
@@ -694,33 +707,32 @@
                     }
                 }
             }
-            FaultKind::Vanish => {
-                plan.extend(servers.iter().flat_map(|s| [(at, H::Silent(*s)), (at + len, H::Start(*s))]))
-            }
+            FaultKind::Vanish => plan
+                .extend(servers.iter().flat_map(|s| [(at, H::Unresponsive(*s)), (at + len, H::Start(*s))])),
             FaultKind::Crash => {
-                plan.extend(servers.iter().flat_map(|s| [(at, H::End(*s)), (at + len, H::Start(*s))]))
+                plan.extend(servers.iter().flat_map(|s| [(at, H::Stop(*s)), (at + len, H::Start(*s))]))
             }
             FaultKind::Slow => plan.extend(
                 servers.iter().flat_map(|s| [(at, H::Slow(*s, size)), (at + len, H::Slow(*s, 1.0 / size))]),
             ),
             FaultKind::Errors => plan.extend(servers.iter().flat_map(|s| {
-                let usual = self.servers[*s].error_rate;
-                [(at, H::Errors(*s, size)), (at + len, H::Errors(*s, usual))]
+                let normal = self.servers[*s].error_rate;
+                [(at, H::Errors(*s, size)), (at + len, H::Errors(*s, normal))]
             })),
-            FaultKind::TurnAwayClass => plan.extend(servers.iter().flat_map(|s| {
+            FaultKind::RejectClass => plan.extend(servers.iter().flat_map(|s| {
                 let class = (extra as usize).min(self.classes.len() - 1) as u8;
-                [(at, H::TurnAway(*s, Some(class))), (at + len, H::TurnAway(*s, None))]
+                [(at, H::RejectClass(*s, Some(class))), (at + len, H::RejectClass(*s, None))]
             })),
             FaultKind::ZoneLost => {
-                let lost = first.iter().filter(|s| self.servers[**s].zone == zone);
-                plan.extend(lost.flat_map(|s| [(at, H::Silent(*s)), (at + len, H::Start(*s))]));
+                let lost = initial.iter().filter(|s| self.servers[**s].zone == zone);
+                plan.extend(lost.flat_map(|s| [(at, H::Unresponsive(*s)), (at + len, H::Start(*s))]));
             }
             FaultKind::ZoneCut | FaultKind::ZoneCutOut => {
                 let both = fault.kind == FaultKind::ZoneCut;
                 plan.extend([(at, H::Cut(zone, both, true)), (at + len, H::Cut(zone, both, false))]);
             }
             FaultKind::Burst => {
-                // Up and down in steps of a tenth.
+                // Ramps up and down in ten geometric steps.
                 let (rise, root) = (seconds(extra).min(len / 2), size.powf(0.1));
                 for k in 0..10 {
                     plan.push((at + rise * k / 10, H::Traffic(None, root)));
@@ -737,29 +749,29 @@
                 let n = servers.len();
                 for (i, s) in servers.into_iter().enumerate() {
                     let new = self.servers.len();
-                    self.servers.push(ServerSpec { later: true, ..self.servers[s].clone() });
+                    self.servers.push(ServerSpec { starts_later: true, ..self.servers[s].clone() });
                     let t = step(i, n);
                     plan.extend([
                         (t, H::Start(new)),
                         (t, H::Drain(s)),
-                        (t + 2 * self.grace + longest, H::End(s)),
+                        (t + 2 * self.drain_grace + longest_deadline, H::Stop(s)),
                     ]);
                 }
             }
             FaultKind::Restart => {
                 let n = servers.len();
                 for (i, s) in servers.into_iter().enumerate() {
-                    let (t, end) = (step(i, n), step(i, n) + 2 * self.grace + longest);
-                    plan.extend([(t, H::Drain(s)), (end, H::End(s)), (end + SECOND, H::Start(s))]);
+                    let (t, end) = (step(i, n), step(i, n) + 2 * self.drain_grace + longest_deadline);
+                    plan.extend([(t, H::Drain(s)), (end, H::Stop(s)), (end + SECOND, H::Start(s))]);
                 }
             }
             FaultKind::RestartByHand => {
                 let n = servers.len();
                 for (i, s) in servers.into_iter().enumerate() {
-                    let (t, end) = (step(i, n), step(i, n) + self.grace + longest);
+                    let (t, end) = (step(i, n), step(i, n) + self.drain_grace + longest_deadline);
                     let back = end + seconds(extra);
                     let listed = back + seconds(self.discovery.add.high()) + 2 * self.discovery.period;
-                    plan.extend([(t, H::Cordon(s, true)), (end, H::End(s))]);
+                    plan.extend([(t, H::Cordon(s, true)), (end, H::Stop(s))]);
                     plan.extend([(back, H::Start(s)), (listed, H::Cordon(s, false))]);
                 }
             }
@@ -784,29 +796,33 @@
             FaultKind::DiscoveryDown => {
                 plan.extend([(at, H::Discovery(false)), (at + len, H::Discovery(true))])
             }
-            FaultKind::RosterKilled | FaultKind::RosterHeld => {
-                let silent = fault.kind == FaultKind::RosterHeld;
-                let place = extra as usize;
+            FaultKind::RegistryKilled | FaultKind::RegistryPaused => {
+                let paused = fault.kind == FaultKind::RegistryPaused;
+                let position = extra as usize;
                 plan.extend([
-                    (at, H::Roster(place, silent, true)),
-                    (at + len, H::Roster(place, silent, false)),
+                    (at, H::RegistryReplica(position, paused, true)),
+                    (at + len, H::RegistryReplica(position, paused, false)),
                 ])
             }
             FaultKind::Resets => plan.extend([(at, H::Resets(size)), (at + len, H::Resets(0.0))]),
-            FaultKind::Spoilt => plan.extend([(at, H::Spoilt(size)), (at + len, H::Spoilt(0.0))]),
+            FaultKind::CorruptResponses => {
+                plan.extend([(at, H::CorruptResponses(size)), (at + len, H::CorruptResponses(0.0))])
+            }
             FaultKind::LateConnects => plan
                 .extend([(at, H::LateConnects(size, seconds(extra))), (at + len, H::LateConnects(0.0, 0))]),
-            FaultKind::BadClients => {
+            FaultKind::MalformedClients => {
                 let every = (SECOND as f64 / size).max(1.0) as Micros;
-                let each = |s| [(at, H::BadClients(s, every)), (at + len, H::BadClients(s, 0))];
+                let each = |s| [(at, H::MalformedClients(s, every)), (at + len, H::MalformedClients(s, 0))];
                 plan.extend(sidecars.into_iter().flat_map(each));
             }
-            FaultKind::Eager => plan.extend([(at, H::Eager(size, extra)), (at + len, H::Eager(1.0, 0.0))]),
+            FaultKind::RetrySurge => {
+                plan.extend([(at, H::RetrySurge(size, extra)), (at + len, H::RetrySurge(1.0, 0.0))])
+            }
         }
         self.plan.extend(plan.into_iter().map(|(at, what)| Planned { at, what }));
     }
 
-    /// The settings object of one sidecar, as the platform writes it.
+    /// The settings object of one sidecar, in the platform's format.
     pub fn settings_for(&self, sidecar: usize) -> serde_json::Value {
         let mut settings = self.settings.clone();
         settings["Index"] = json!(sidecar);
@@ -814,30 +830,30 @@
         settings
     }
 
-    /// First tries a second, on the mean.
+    /// Mean number of requests a second, retries not counted.
     pub fn rate(&self) -> f64 {
         self.sidecars.iter().map(|s| s.rate).sum()
     }
 }
 
-/// What is drawn once for a kind.
-struct Drawn {
+/// Parameters that are drawn once for a kind of machine.
+struct KindParameters {
     speed: f64,
     slots: f64,
     queue: f64,
-    pause_grow: f64,
+    pause_growth: f64,
     connections: f64,
     thrash_at: f64,
     cancels_running: bool,
 }
 
-impl Drawn {
-    fn of(kind: &Kind, conn: &Conn, rng: &mut impl RngExt) -> Self {
+impl KindParameters {
+    fn draw(kind: &Kind, conn: &Conn, rng: &mut impl RngExt) -> Self {
         Self {
             speed: kind.speed.draw(rng),
             slots: kind.slots_per_core.draw(rng),
             queue: kind.queue_per_core.draw(rng),
-            pause_grow: kind.pause_grow.draw(rng),
+            pause_growth: kind.pause_grow.draw(rng),
             connections: conn.cap_per_core.draw(rng),
             thrash_at: kind.thrash_at.draw(rng),
             cancels_running: !kind.cancel.is_empty()
@@ -846,8 +862,8 @@
     }
 }
 
-/// The settings object, as the simulator's wire and the sidecar's configuration have it.
-fn settings_of(
+/// The settings object, in the format of the simulator protocol and the sidecar's configuration.
+fn sidecar_settings(
     site: &Site,
     classes: &[ClassSpec],
     tenants: &[TenantSpec],
@@ -873,12 +889,12 @@
         .iter()
         .zip(classes)
         .map(|(c, drawn)| {
-            let effect = match c.effect.as_str() {
+            let idempotency = match c.effect.as_str() {
                 "safe" => "pure",
                 "keyed" => "token",
                 _ => "side_effect",
             };
-            json!({"Name": c.name, "AimUs": drawn.aim, "DeadlineUs": drawn.deadline, "Effect": effect,
+            json!({"Name": c.name, "AimUs": drawn.latency_objective, "DeadlineUs": drawn.deadline, "Effect": idempotency,
                 "DedupScope": c.group.as_deref().unwrap_or("all"), "KeyTtlUs": millis(c.window_ms * scenario.pace),
                 "LateShare": c.late_worth, "Worth": c.worth, "Streaming": drawn.stream > 0})
         })
@@ -911,7 +927,7 @@
             "DrainGraceUs": millis(site.rules.drain_grace_ms), "OverloadFactor": site.rules.fall_multiple,
             "TipAfterUs": millis(site.rules.fall_ms), "WarmWithinUs": seconds(warm_within)},
         "Tenants": tenants,
-        // What is handled at once needs hardly any allowance for rounds.
+        // Without ticks, events are handled immediately and deadlines need almost no margin for them.
         "TickUs": if scenario.ticked { millis(site.day.tick_ms) } else { 1000 },
         "WeightSource": match tier.weights.as_str() { "none" => "silent", "live" => "live", _ => "rough" },
         "Zone": site.net.zones[0],
@@ -924,14 +940,14 @@
     use super::*;
 
     fn world(text: &str, seed: u64) -> World {
-        let (scenario, site) = Scenario::parse(std::path::Path::new("t"), text).expect("it is read");
+        let (scenario, site) = Scenario::parse(std::path::Path::new("t"), text).expect("valid scenario");
         World::draw(&scenario, &site, seed)
     }
 
     const SMALL: &str = "name = \"t\"\nlength_s = 20\nsidecars = 9\nservers = 30\nload = 0.5\n";
 
     #[test]
-    fn a_world_follows_its_seed_and_spreads_servers_over_zones() {
+    fn world_depends_on_its_seed_and_spreads_servers_over_zones() {
         let (a, b, c) = (world(SMALL, 1), world(SMALL, 1), world(SMALL, 2));
         assert_eq!(format!("{a:?}"), format!("{b:?}"));
         assert_ne!(format!("{:?}", a.servers), format!("{:?}", c.servers));
@@ -941,20 +957,20 @@
     }
 
     #[test]
-    fn the_settings_are_read_by_the_decision_module() {
+    fn settings_are_accepted_by_the_balancer() {
         let world = world(SMALL, 3);
         let decoded =
-            lotusmoor_balancer::settings::decode(&world.settings_for(4).to_string()).expect("it is read");
+            lotusmoor_balancer::settings::decode(&world.settings_for(4).to_string()).expect("valid scenario");
         assert_eq!((decoded.settings.index, decoded.settings.instances), (4, 9));
         assert_eq!(decoded.settings.check(), Ok(()));
     }
 
     #[test]
-    fn replaced_servers_have_successors_that_start_when_they_drain() {
+    fn replacements_start_when_the_replaced_servers_drain() {
         let text = format!("{SMALL}[[fault]]\nkind = \"replace\"\nat_s = 5\nfor_s = 4\npart = 0.2\n");
         let world = world(&text, 1);
-        assert_eq!(world.servers.iter().filter(|s| s.later).count(), 6);
-        let starts = world.plan.iter().filter(|p| matches!(p.what, Happening::Start(s) if s >= 30));
+        assert_eq!(world.servers.iter().filter(|s| s.starts_later).count(), 6);
+        let starts = world.plan.iter().filter(|p| matches!(p.what, PlannedEvent::Start(s) if s >= 30));
         assert!(starts.clone().all(|p| (5 * SECOND..9 * SECOND).contains(&p.at)));
         assert_eq!(starts.count(), 6);
     }
--- a/crates/fleet/src/site/range.rs
+++ b/crates/fleet/src/site/range.rs
@@ -1,11 +1,12 @@
-//! A figure that is drawn: one number, or the two ends between which it lies.
+//! A parameter that is drawn: a fixed number, or a range with uniform distribution.
 
 use rand::RngExt;
 use serde::Deserialize;
 
-/// Two ends, in either order; for some figures the first is the milder one.
+/// A range between two ends in either order. Site files may give the milder value first, so the first can be the
+/// greater one.
 #[derive(Clone, Copy, Debug, Default, Deserialize, PartialEq)]
-#[serde(from = "Written")]
+#[serde(from = "SerializedRange")]
 pub struct Range {
     from: f64,
     to: f64,
@@ -13,29 +14,29 @@
 
 #[derive(Deserialize)]
 #[serde(untagged, expecting = "a number or a pair of numbers")]
-enum Written {
+enum SerializedRange {
     One(f64),
     Two([f64; 2]),
 }
 
-impl From<Written> for Range {
-    fn from(written: Written) -> Self {
-        match written {
-            Written::One(x) => Self::of(x, x),
-            Written::Two([from, to]) => Self::of(from, to),
+impl From<SerializedRange> for Range {
+    fn from(serialized: SerializedRange) -> Self {
+        match serialized {
+            SerializedRange::One(x) => Self::new(x, x),
+            SerializedRange::Two([from, to]) => Self::new(from, to),
         }
     }
 }
 
 impl From<f64> for Range {
     fn from(x: f64) -> Self {
-        Self::of(x, x)
+        Self::new(x, x)
     }
 }
 
 impl Range {
-    /// Between these.
-    pub const fn of(from: f64, to: f64) -> Self {
+    /// The range between these ends.
+    pub const fn new(from: f64, to: f64) -> Self {
         Self { from, to }
     }
 
@@ -49,12 +50,12 @@
         self.from.max(self.to)
     }
 
-    /// In the middle.
+    /// The middle of the range.
     pub fn mid(self) -> f64 {
         (self.from + self.to) / 2.0
     }
 
-    /// A figure between the ends.
+    /// Draws a value, uniformly between the ends.
     pub fn draw(self, rng: &mut impl RngExt) -> f64 {
         self.from + (self.to - self.from) * rng.random::<f64>()
     }
