--- a/crates/fleet/src/load/mod.rs
+++ b/crates/fleet/src/load/mod.rs
@@ -2,7 +2,7 @@
 //! stand-in server in the same run. Blocking threads, as timers of a runtime are no finer than a millisecond.
 
 mod open_loop;
-pub mod roster;
+pub mod registry;
 mod usage;
 
 pub use open_loop::{Answered, Route, Shot, open_loop};
@@ -30,7 +30,7 @@
 }
 
 /// A sidecar in front of one stand-in server, and the way past it.
-pub struct Bench {
+pub struct SidecarBench {
     sidecar: Process,
     server: Process,
     /// Where the sidecar listens.
@@ -42,7 +42,7 @@
     _reaper: ProcessGuard,
 }
 
-impl Bench {
+impl SidecarBench {
     /// Starts both, each on a core of its own where there are as many; the rest is for the generator, which has
     /// this thread's cores and those of the threads that it starts.
     pub fn start(work_us: u64) -> io::Result<Self> {
@@ -99,7 +99,8 @@
     /// Requests served, and others.
     pub served: u64,
     /// Refused, failed or lost.
-    pub others: u64,
+    #[serde(rename = "others")]
+    pub not_served: u64,
     /// Median.
     pub p50_us: u64,
     /// 99th percentile.
@@ -109,15 +110,15 @@
 }
 
 impl Latency {
-    fn of(latencies: &Histogram<u64>, others: u64) -> Self {
+    fn of(latencies: &Histogram<u64>, not_served: u64) -> Self {
         let at = |q| latencies.value_at_quantile(q);
-        Self { served: latencies.len(), others, p50_us: at(0.5), p99_us: at(0.99), p999_us: at(0.999) }
+        Self { served: latencies.len(), not_served, p50_us: at(0.5), p99_us: at(0.99), p999_us: at(0.999) }
     }
 }
 
 /// What a sidecar adds.
 #[derive(Clone, Debug, Serialize)]
-pub struct Added {
+pub struct Overhead {
     /// Requests a second, half of them each way.
     pub rate: f64,
     /// Past the sidecar.
@@ -129,32 +130,39 @@
 }
 
 /// Latency through the sidecar and past it, in turn in one run, from the instant at which each request is due.
-pub fn added(bench: &Bench, rate: f64, length: Duration, seed: u64) -> io::Result<Added> {
+pub fn measure_overhead(
+    bench: &SidecarBench,
+    rate: f64,
+    length: Duration,
+    seed: u64,
+) -> io::Result<Overhead> {
     let before = bench.sidecar_cpu();
     let routes = [Route { to: bench.direct }, Route { to: bench.through }];
     let answered = open_loop(&routes, rate, length, seed)?;
     let used = bench.sidecar_cpu().zip(before).map_or(Duration::ZERO, |(after, before)| after - before);
     let [direct, through] = &answered[..] else { return Err(io::ErrorKind::InvalidData.into()) };
     let cpu_us = used.as_secs_f64() * 1e6 / through.latencies.len().max(1) as f64;
-    let of = |a: &Answered| Latency::of(&a.latencies, a.others);
-    Ok(Added { rate, direct: of(direct), through: of(through), cpu_us })
+    let of = |a: &Answered| Latency::of(&a.latencies, a.not_served);
+    Ok(Overhead { rate, direct: of(direct), through: of(through), cpu_us })
 }
 
 /// The highest rate that was served, and the one at which it was not.
 #[derive(Clone, Debug, Serialize)]
 pub struct Saturation {
     /// Requests a second of the last step that was served.
-    pub served: f64,
+    #[serde(rename = "served")]
+    pub served_rate: f64,
     /// Those of the first that was not.
-    pub failed: f64,
+    #[serde(rename = "failed")]
+    pub failed_rate: f64,
     /// Its 99th percentile at the last step that was served.
     pub p99_us: u64,
 }
 
 /// Raises the rate by quarters until less than 99% come back or one in a hundred takes over 100 ms, then once more
 /// from the last that was served by steps of 5%.
-pub fn saturation(to: SocketAddr, step: Duration, seed: u64) -> io::Result<Saturation> {
-    let mut last = Saturation { served: 0.0, failed: f64::INFINITY, p99_us: 0 };
+pub fn find_saturation(to: SocketAddr, step: Duration, seed: u64) -> io::Result<Saturation> {
+    let mut last = Saturation { served_rate: 0.0, failed_rate: f64::INFINITY, p99_us: 0 };
     let mut rate = 1000.0;
     for factor in [1.25, 1.05] {
         // The generator itself gives out somewhere below this.
@@ -162,26 +170,26 @@
             let answered = open_loop(&[Route { to }], rate, step, seed)?;
             let a = &answered[0];
             let p99_us = a.latencies.value_at_quantile(0.99);
-            if a.others * 100 > a.latencies.len() || p99_us >= 100_000 {
+            if a.not_served * 100 > a.latencies.len() || p99_us >= 100_000 {
                 tracing::debug!(
                     "{rate:.0} a second: {} served, {} not, p99 {p99_us} us",
                     a.latencies.len(),
-                    a.others
+                    a.not_served
                 );
-                last.failed = rate;
+                last.failed_rate = rate;
                 break;
             }
-            last = Saturation { served: rate, p99_us, ..last };
+            last = Saturation { served_rate: rate, p99_us, ..last };
             rate *= factor;
         }
-        rate = last.served.max(100.0) * 1.05;
+        rate = last.served_rate.max(100.0) * 1.05;
     }
     Ok(last)
 }
 
 /// Memory that idle connections take, in bytes each.
 #[derive(Clone, Debug, Serialize)]
-pub struct PerConnection {
+pub struct ConnectionMemory {
     /// Connections that were held.
     pub connections: usize,
     /// At the sidecar.
@@ -191,7 +199,7 @@
 }
 
 /// Holds so many idle connections to each, one request having been served on each of them.
-pub fn per_connection(bench: &Bench, connections: usize) -> io::Result<PerConnection> {
+pub fn measure_connection_memory(bench: &SidecarBench, connections: usize) -> io::Result<ConnectionMemory> {
     let grown = |process: &Process, at: SocketAddr, path: &str| -> io::Result<f64> {
         let before = resident_kb(process.id());
         let mut held = Vec::new();
@@ -206,7 +214,7 @@
         let kb = after.zip(before).map_or(0, |(after, before)| after.saturating_sub(before));
         Ok(kb as f64 * 1024.0 / connections as f64)
     };
-    Ok(PerConnection {
+    Ok(ConnectionMemory {
         connections,
         sidecar_bytes: grown(&bench.sidecar, bench.through, "/up")?,
         server_bytes: grown(&bench.server, bench.direct, "/alive")?,
--- a/crates/fleet/src/load/open_loop.rs
+++ b/crates/fleet/src/load/open_loop.rs
@@ -30,7 +30,7 @@
     /// Latencies of those served, in microseconds from when they were due.
     pub latencies: Histogram<u64>,
     /// Refused, failed or lost.
-    pub others: u64,
+    pub not_served: u64,
 }
 
 /// Threads, which bound how many requests are out at a time: as many as wait at the least served rate worth measuring.
@@ -62,7 +62,7 @@
     let next = AtomicUsize::new(0);
     let empty = || -> io::Result<Answered> {
         let latencies = Histogram::new_with_bounds(1, 60_000_000, 3).map_err(io::Error::other)?;
-        Ok(Answered { latencies, others: 0 })
+        Ok(Answered { latencies, not_served: 0 })
     };
     let begun = Instant::now() + Duration::from_millis(20);
     let work = || -> io::Result<Vec<Answered>> {
@@ -83,9 +83,9 @@
                 }
                 Ok((connection, _)) => {
                     connections[shot.route] = connection;
-                    answered[shot.route].others += 1;
+                    answered[shot.route].not_served += 1;
                 }
-                Err(_) => answered[shot.route].others += 1,
+                Err(_) => answered[shot.route].not_served += 1,
             }
         }
     };
@@ -100,7 +100,7 @@
     for part in all {
         for (sum, part) in sums.iter_mut().zip(part?) {
             sum.latencies.add(&part.latencies).map_err(io::Error::other)?;
-            sum.others += part.others;
+            sum.not_served += part.not_served;
         }
     }
     Ok(sums)
@@ -194,7 +194,7 @@
         });
         let answered = open_loop(&[Route { to }], 100.0, Duration::from_millis(800), 1).expect("it runs");
         let all = &answered[0].latencies;
-        assert_eq!(answered[0].others, 0);
+        assert_eq!(answered[0].not_served, 0);
         // Due from 0 to 0.8 s, answered from 1 s on: none under 0.15 s, the median about 0.6 s.
         assert!(all.min() > 150_000 && all.value_at_quantile(0.5) > 400_000, "{} {}", all.min(), all.max());
     }
--- a/crates/fleet/src/load/roster.rs
+++ b/crates/fleet/src/load/registry.rs
@@ -10,7 +10,7 @@
 
 /// How soon changes were told.
 #[derive(Clone, Debug, Serialize)]
-pub struct Told {
+pub struct Propagation {
     /// What went on meanwhile.
     pub fault: &'static str,
     /// Changes that were acknowledged.
@@ -18,14 +18,16 @@
     /// From a call to its acknowledgement, in milliseconds: median, 99th percentile, most.
     pub acknowledged_ms: [f64; 3],
     /// From the acknowledgement to the last sidecar that was told.
-    pub last_told_ms: [f64; 3],
+    #[serde(rename = "last_told_ms")]
+    pub propagation_ms: [f64; 3],
     /// Longest time in which nothing was acknowledged.
-    pub no_writes_ms: f64,
+    #[serde(rename = "no_writes_ms")]
+    pub write_outage_ms: f64,
 }
 
 /// What a list costs a sidecar that does not change, in a minute.
 #[derive(Clone, Debug, Serialize)]
-pub struct Idle {
+pub struct IdleCost {
     /// Bytes that it exchanges with the replicas.
     pub bytes: f64,
     /// Processor time that it takes, all that it does included.
@@ -42,20 +44,20 @@
     /// The leader is killed, and started again.
     LeaderKilled,
     /// A replica that does not lead stands still for 10 s.
-    ReplicaHeld,
+    FollowerPaused,
     /// Nothing comes from one replica to any sidecar, for 10 s.
     CutOneWay,
 }
 
 impl Fault {
     /// All of them.
-    pub const ALL: [Self; 4] = [Self::None, Self::LeaderKilled, Self::ReplicaHeld, Self::CutOneWay];
+    pub const ALL: [Self; 4] = [Self::None, Self::LeaderKilled, Self::FollowerPaused, Self::CutOneWay];
 
     fn name(self) -> &'static str {
         match self {
             Self::None => "none",
             Self::LeaderKilled => "leader killed",
-            Self::ReplicaHeld => "replica held 10 s",
+            Self::FollowerPaused => "replica held 10 s",
             Self::CutOneWay => "replica cut one way 10 s",
         }
     }
@@ -71,14 +73,14 @@
 
 /// Makes changes one after the other, each so long after all sidecars have been told of the last; without a pause
 /// a change finds them between two watches.
-pub fn told(
+pub fn measure_propagation(
     cluster: &mut Cluster,
     fault: Fault,
     changes: usize,
     pause: Option<Duration>,
-) -> Result<Told, ClusterError> {
-    let (mut acknowledged, mut last_told) = (Vec::new(), Vec::new());
-    let mut no_writes = Duration::ZERO;
+) -> Result<Propagation, ClusterError> {
+    let (mut acknowledged, mut propagation) = (Vec::new(), Vec::new());
+    let mut write_outage = Duration::ZERO;
     let began = Instant::now();
     let mut last_write = Instant::now();
     let mut at = 0;
@@ -90,7 +92,7 @@
             match fault {
                 Fault::None => {}
                 Fault::LeaderKilled => cluster.registry.kill(leader)?,
-                Fault::ReplicaHeld => cluster.registry.pause(other)?,
+                Fault::FollowerPaused => cluster.registry.pause(other)?,
                 Fault::CutOneWay => {
                     let cut = Link { cut_down: true, ..Link::default() };
                     (0..cluster.sidecar_count())
@@ -101,7 +103,7 @@
         let called = Instant::now();
         let index = put(cluster, i, &mut at)?;
         acknowledged.push(called.elapsed());
-        no_writes = no_writes.max(last_write.elapsed());
+        write_outage = write_outage.max(last_write.elapsed());
         let written = Instant::now();
         let wait = |s: usize| -> Option<Duration> {
             while cluster.list_version(s).is_none_or(|v| v < index) {
@@ -118,7 +120,7 @@
             all.into_iter().map(|t| t.join().unwrap_or(None)).collect()
         });
         match told.into_iter().collect::<Option<Vec<_>>>() {
-            Some(all) => last_told.extend(all.into_iter().max()),
+            Some(all) => propagation.extend(all.into_iter().max()),
             None => return Err(cluster.failed("a sidecar was never told of a change".into())),
         }
         std::thread::sleep(pause);
@@ -129,7 +131,7 @@
     match fault {
         Fault::None => {}
         Fault::LeaderKilled => cluster.registry.start_replica(leader)?,
-        Fault::ReplicaHeld => {
+        Fault::FollowerPaused => {
             std::thread::sleep(left);
             cluster.registry.resume(other)?;
         }
@@ -144,12 +146,12 @@
         views.iter().all(|v| v.is_some() && *v == views[0])
     };
     cluster.wait("all replicas are well", all_well)?;
-    Ok(Told {
+    Ok(Propagation {
         fault: fault.name(),
         changes,
         acknowledged_ms: quantiles(acknowledged),
-        last_told_ms: quantiles(last_told),
-        no_writes_ms: no_writes.as_secs_f64() * 1000.0,
+        propagation_ms: quantiles(propagation),
+        write_outage_ms: write_outage.as_secs_f64() * 1000.0,
     })
 }
 
@@ -179,7 +181,7 @@
 }
 
 /// What it costs that nothing changes, over so long.
-pub fn idle(cluster: &Cluster, over: Duration) -> io::Result<Idle> {
+pub fn measure_idle(cluster: &Cluster, over: Duration) -> io::Result<IdleCost> {
     let sidecars = cluster.sidecar_count();
     let gone = || io::Error::other("a process is gone");
     let look = || -> io::Result<(u64, Duration, Duration)> {
@@ -194,7 +196,7 @@
     let after = look()?;
     let each = 60.0 / over.as_secs_f64() / sidecars as f64;
     let ms = |a: Duration, b: Duration| (a - b).as_secs_f64() * 1000.0 * each;
-    Ok(Idle {
+    Ok(IdleCost {
         bytes: (after.0 - before.0) as f64 * each,
         sidecar_cpu_ms: ms(after.1, before.1),
         replicas_cpu_ms: ms(after.2, before.2),
--- a/crates/fleet/src/scale/module.rs
+++ b/crates/fleet/src/scale/decision_cost.rs
@@ -111,7 +111,7 @@
 
 /// Runs requests through a module with so many servers listed, for so long by the real clock, at that rate by the
 /// simulated one.
-pub fn run(listed: usize, rate: f64, length: Duration, seed: u64) -> io::Result<Cost> {
+pub fn measure(listed: usize, rate: f64, length: Duration, seed: u64) -> io::Result<Cost> {
     let text = load::settings().to_string();
     let settings = decode(&text).map_err(io::Error::other)?.settings;
     let module = Balancer::new(settings, seed).map_err(io::Error::other)?;
--- a/crates/fleet/src/scale/deployment.rs
+++ b/crates/fleet/src/scale/deployment.rs
@@ -1,10 +1,10 @@
 //! All processes of one step: replicas, servers behind the real sidecars, those, and the hollow ones.
 
 use super::allow_files;
-use super::draw::{Draw, service};
-use super::hollow::{Ask, Assignment, Hollow, Lease, Standing, Taken};
+use super::hollow::{Activity, Assignment, ControlRequest, HollowSidecar, LeasedServer, Status};
 use super::lines::Mode;
 use super::plan::{Plan, Sizes};
+use super::topology::{Topology, service};
 use crate::harness::backend::Conduct;
 use crate::harness::process_guard::ProcessGuard;
 use crate::harness::registry_replicas::{RegistryReplicas, call};
@@ -24,13 +24,13 @@
 /// Replicas.
 pub const REPLICAS: usize = 3;
 /// Servers that really answer; the list's entries share their addresses.
-const LEDGERS: usize = 4;
+const BACKENDS: usize = 4;
 /// Servers in one registration call.
 const BATCH: usize = 1000;
 /// Sockets of a hollow process that share a source address.
 const PER_SOURCE: usize = 5000;
 /// Anything that is waited for at the start comes within this.
-pub const START: Duration = Duration::from_secs(120);
+pub const START_TIMEOUT: Duration = Duration::from_secs(120);
 
 /// A real sidecar.
 pub struct Sidecar {
@@ -58,17 +58,17 @@
 /// All processes of a step. They end when this is dropped.
 pub struct Deployment {
     /// What was drawn.
-    pub draw: Draw,
+    pub topology: Topology,
     /// What readers are told.
     pub mode: Mode,
     /// Replicas.
-    pub rosters: RegistryReplicas,
+    pub registry: RegistryReplicas,
     /// Where requests go that pass the real sidecars by.
-    pub ledgers: Vec<SocketAddr>,
+    pub backends: Vec<SocketAddr>,
     /// Real sidecars.
     pub sidecars: Vec<Sidecar>,
     hollows: Vec<Hollows>,
-    ledger_processes: Vec<Process>,
+    backend_processes: Vec<Process>,
     /// The ways of a region's hollow ones to the replicas, where it can be cut.
     relays: BTreeMap<usize, Vec<FaultProxy>>,
     zones: Vec<String>,
@@ -116,27 +116,27 @@
             plan.whole_lists_per_s
         );
         std::fs::write(&config, text)?;
-        let mut rosters = RegistryReplicas::new(
+        let mut registry = RegistryReplicas::new(
             programs.clone(),
             folder.path(),
             runtime.handle().clone(),
             reaper.clone(),
             Timeline::default(),
         );
-        rosters.start(REPLICAS, &["--config", &config.to_string_lossy()])?;
+        registry.start(REPLICAS, &["--config", &config.to_string_lossy()])?;
         let mut relays = BTreeMap::new();
         for region in cut {
-            let ways = (0..REPLICAS).map(|at| FaultProxy::start(runtime.handle(), rosters.address(at)));
+            let ways = (0..REPLICAS).map(|at| FaultProxy::start(runtime.handle(), registry.address(at)));
             relays.insert(*region, ways.collect::<io::Result<_>>()?);
         }
         let mut deployment = Self {
-            draw: Draw::new(plan, sizes),
+            topology: Topology::new(plan, sizes),
             mode,
-            rosters,
-            ledgers: Vec::new(),
+            registry,
+            backends: Vec::new(),
             sidecars: Vec::new(),
             hollows: Vec::new(),
-            ledger_processes: Vec::new(),
+            backend_processes: Vec::new(),
             relays,
             zones: plan.zones.clone(),
             regions: plan.regions.clone(),
@@ -147,7 +147,7 @@
             _runtime: runtime,
             reaper,
         };
-        deployment.start_ledgers()?;
+        deployment.start_backends()?;
         deployment.list()?;
         for number in 0..plan.sidecars {
             deployment.start_sidecar(number, plan)?;
@@ -155,45 +155,53 @@
         Ok(deployment)
     }
 
-    fn start_ledgers(&mut self) -> io::Result<()> {
+    fn start_backends(&mut self) -> io::Result<()> {
         let conduct = serde_json::to_string(&Conduct { work_us: 0, ..Conduct::default() })?;
-        for number in 0..LEDGERS {
+        for number in 0..BACKENDS {
             let (name, at) = (format!("ledger-{number}"), unused_address());
             let mut command = Command::new(&self.programs.lotusmoor);
             command.args(["--log", "error", "fleet", "stand-in", "ledger", "--name", &name]);
             command.args(["--listen", &at.to_string(), "--conduct", &conduct]);
             let log = self.folder.path().join(format!("{name}.log"));
-            self.ledger_processes.push(Process::start(command, &name, &log, Some(&self.reaper))?);
-            self.ledgers.push(at);
+            self.backend_processes.push(Process::start(command, &name, &log, Some(&self.reaper))?);
+            self.backends.push(at);
         }
-        within(START, "the servers answer", || self.ledgers.iter().all(|at| TcpStream::connect(at).is_ok()))
+        within(START_TIMEOUT, "the servers answer", || {
+            self.backends.iter().all(|at| TcpStream::connect(at).is_ok())
+        })
     }
 
     /// What a server registers with; `since_ms` tells one registration from the next.
     pub fn registration(&self, server: usize, since_ms: usize) -> serde_json::Value {
         let zone = server % self.zones.len();
-        let mut body = json!({"address": self.ledgers[server % LEDGERS], "zone": self.zones[zone],
+        let mut body = json!({"address": self.backends[server % BACKENDS], "zone": self.zones[zone],
             "region": self.regions[zone % self.regions.len()], "type": "m", "group": 1, "since_ms": since_ms,
             "lease_ms": if server < self.leases { self.lease_ms } else { 0 }});
         // A replica that knows of no services would turn the whole registration down.
         if self.mode == Mode::Services {
-            body["service"] = json!(service(self.draw.server[server]));
+            body["service"] = json!(service(self.topology.service_of_server[server]));
         }
         body
     }
 
     fn list(&self) -> io::Result<()> {
-        let all: Vec<usize> = (0..self.draw.server.len()).collect();
+        let all: Vec<usize> = (0..self.topology.service_of_server.len()).collect();
         for batch in all.chunks(BATCH) {
             let servers: Vec<_> = batch
                 .iter()
                 .map(|server| {
                     let mut body = self.registration(*server, 0);
-                    body["name"] = json!(name(*server));
+                    body["name"] = json!(server_name(*server));
                     body
                 })
                 .collect();
-            self.write("POST", "/v1/servers", &json!({ "servers": servers }).to_string(), &mut 0, START)?;
+            self.write(
+                "POST",
+                "/v1/servers",
+                &json!({ "servers": servers }).to_string(),
+                &mut 0,
+                START_TIMEOUT,
+            )?;
         }
         Ok(())
     }
@@ -209,7 +217,7 @@
     ) -> io::Result<u64> {
         let began = Instant::now();
         loop {
-            let answer = call(self.rosters.address(*at), method, path, body, Duration::from_secs(3));
+            let answer = call(self.registry.address(*at), method, path, body, Duration::from_secs(3));
             let said = match answer {
                 Ok(answer) if answer.status == 200 => return Ok(answer.body["index"].as_u64().unwrap_or(0)),
                 Ok(answer) => format!("{} {}", answer.status, answer.body),
@@ -232,13 +240,13 @@
         settings["Zone"] = json!(self.zones[number % self.zones.len()]);
         settings["Zones"] = json!(self.zones);
         let seed = crate::chance::mix(plan.seed ^ (1 << 40) ^ number as u64);
-        let replicas: Vec<SocketAddr> = (0..REPLICAS).map(|at| self.rosters.address(at)).collect();
+        let replicas: Vec<SocketAddr> = (0..REPLICAS).map(|at| self.registry.address(at)).collect();
         let mut config = json!({"name": format!("n{number}"), "listen": address, "discovery": unused_address(),
             "seed": format!("{seed:016x}"), "limits": {"cores": 1.0, "memory_mb": 192, "sockets": 4096},
             "known": {"index": 0, "snapshot": true, "endpoints": []}, "settings": settings,
             "roster": {"addresses": replicas, "file": file}, "management": management});
         if self.mode == Mode::Services {
-            config["roster"]["services"] = json!(names(&self.draw.sidecars[number]));
+            config["roster"]["services"] = json!(names(&self.topology.sidecar_calls[number]));
         }
         let path = self.folder.path().join(format!("sidecar-{number}.json"));
         std::fs::write(&path, config.to_string())?;
@@ -251,8 +259,8 @@
     }
 
     /// Starts the hollow ones; none of them need have a list yet when this returns.
-    pub fn start_hollows(&mut self, plan: &Plan) -> io::Result<()> {
-        let count = self.draw.hollow.len();
+    pub fn start_hollow_sidecars(&mut self, plan: &Plan) -> io::Result<()> {
+        let count = self.topology.hollow_calls.len();
         let zones = self.zones.len();
         for zone in 0..zones {
             // Readers of a zone follow each other.
@@ -272,13 +280,17 @@
         let region = zone % self.regions.len();
         let replicas = match self.relays.get(&region) {
             Some(ways) => ways.iter().map(|way| way.address).collect(),
-            None => (0..REPLICAS).map(|at| self.rosters.address(at)).collect(),
+            None => (0..REPLICAS).map(|at| self.registry.address(at)).collect(),
         };
-        let hollow = |reader: usize| Hollow {
+        let hollow = |reader: usize| HollowSidecar {
             seed: crate::chance::mix(seed ^ reader as u64),
-            services: if self.mode == Mode::Services { names(&self.draw.hollow[reader]) } else { Vec::new() },
-            lease: (reader < self.leases).then(|| Lease {
-                name: name(reader),
+            services: if self.mode == Mode::Services {
+                names(&self.topology.hollow_calls[reader])
+            } else {
+                Vec::new()
+            },
+            lease: (reader < self.leases).then(|| LeasedServer {
+                name: server_name(reader),
                 lease_ms: self.lease_ms,
                 body: self.registration(reader, 0).to_string(),
             }),
@@ -310,7 +322,7 @@
         Process::start(command, "hollow sidecars", log, Some(&self.reaper))
     }
 
-    fn ask<V: DeserializeOwned>(&self, hollows: &Hollows, what: Ask) -> io::Result<V> {
+    fn ask<V: DeserializeOwned>(&self, hollows: &Hollows, what: ControlRequest) -> io::Result<V> {
         let mut stream = TcpStream::connect(hollows.control)?;
         stream.set_read_timeout(Some(Duration::from_secs(30)))?;
         let mut text = serde_json::to_string(&what)?;
@@ -322,41 +334,43 @@
     }
 
     /// How all hollow readers stand.
-    pub fn standing(&self) -> io::Result<Standing> {
-        let first = Standing { heard_since: i64::MAX, least: u64::MAX, ..Standing::default() };
+    pub fn hollow_status(&self) -> io::Result<Status> {
+        let first = Status { oldest_outcome: i64::MAX, lowest_index: u64::MAX, ..Status::default() };
         self.hollows.iter().try_fold(first, |all, hollows| {
-            let one: Standing = self.ask(hollows, Ask::Standing)?;
-            Ok(Standing {
-                readers: all.readers + one.readers,
-                listed: all.listed + one.listed,
-                away: all.away + one.away,
-                heard_since: all.heard_since.min(one.heard_since),
-                least: all.least.min(one.least),
-                waiting: all.waiting + one.waiting,
+            let one: Status = self.ask(hollows, ControlRequest::Status)?;
+            Ok(Status {
+                sidecars: all.sidecars + one.sidecars,
+                with_list: all.with_list + one.with_list,
+                failing: all.failing + one.failing,
+                oldest_outcome: all.oldest_outcome.min(one.oldest_outcome),
+                lowest_index: all.lowest_index.min(one.lowest_index),
+                polling: all.polling + one.polling,
             })
         })
     }
 
     /// What happened at all hollow readers since this was asked last; readers by their numbers in the draw.
-    pub fn take(&self) -> io::Result<Vec<Taken>> {
-        let numbered = |hollows: &Hollows| -> io::Result<Taken> {
-            let mut taken: Taken = self.ask(hollows, Ask::Take)?;
-            taken.told.iter_mut().for_each(|told| told.0 += hollows.first as u32);
-            Ok(taken)
+    pub fn take_activity(&self) -> io::Result<Vec<Activity>> {
+        let numbered = |hollows: &Hollows| -> io::Result<Activity> {
+            let mut activity: Activity = self.ask(hollows, ControlRequest::TakeActivity)?;
+            activity.applied.iter_mut().for_each(|applied| applied.0 += hollows.first as u32);
+            Ok(activity)
         };
         self.hollows.iter().map(numbered).collect()
     }
 
     /// The list of one hollow reader.
-    pub fn known(&self, reader: usize) -> io::Result<Option<EndpointList>> {
+    pub fn hollow_list(&self, reader: usize) -> io::Result<Option<EndpointList>> {
         let of = self.hollows.iter().find(|h| (h.first..h.first + h.count).contains(&reader));
         let of = of.ok_or(io::ErrorKind::NotFound)?;
-        self.ask(of, Ask::Known(reader - of.first))
+        self.ask(of, ControlRequest::List(reader - of.first))
     }
 
     /// All connections of hollow readers are reset.
     pub fn reset(&self) -> io::Result<()> {
-        self.hollows.iter().try_for_each(|h| self.ask::<Option<()>>(h, Ask::Reset).map(|_| ()))
+        self.hollows
+            .iter()
+            .try_for_each(|h| self.ask::<Option<()>>(h, ControlRequest::ResetConnections).map(|_| ()))
     }
 
     fn of_zone(&self, zone: usize) -> impl Iterator<Item = &Hollows> {
@@ -406,17 +420,17 @@
         let sidecars = self.sidecars.iter_mut().map(|s| &mut s.process);
         let hollows =
             self.hollows.iter_mut().map(|h| h.process.get_mut().unwrap_or_else(PoisonError::into_inner));
-        let mut all = sidecars.chain(hollows).chain(&mut self.ledger_processes);
+        let mut all = sidecars.chain(hollows).chain(&mut self.backend_processes);
         let ended = all.find_map(|p| {
             p.exit_status().map(|status| format!("{} ended: {status}\n{}", p.name, p.log_text()))
         });
-        let replica = (0..REPLICAS).any(|at| self.rosters.has_exited(at));
-        ended.or_else(|| replica.then(|| format!("a replica ended by itself\n{}", self.rosters.logs())))
+        let replica = (0..REPLICAS).any(|at| self.registry.has_exited(at));
+        ended.or_else(|| replica.then(|| format!("a replica ended by itself\n{}", self.registry.logs())))
     }
 
     /// A figure of a replica's metrics.
     pub fn metric(&self, replica: usize, name: &str) -> Option<f64> {
-        let mut stream = TcpStream::connect(self.rosters.address(replica)).ok()?;
+        let mut stream = TcpStream::connect(self.registry.address(replica)).ok()?;
         stream.set_read_timeout(Some(Duration::from_secs(5))).ok()?;
         stream.write_all(b"GET /metrics HTTP/1.1\r\nHost: x\r\nConnection: close\r\n\r\n").ok()?;
         let mut text = String::new();
@@ -439,7 +453,7 @@
 }
 
 /// The name of a server.
-pub fn name(server: usize) -> String {
+pub fn server_name(server: usize) -> String {
     format!("server-{server:05}")
 }
 
--- a/crates/fleet/src/scale/hollow.rs
+++ b/crates/fleet/src/scale/hollow.rs
@@ -31,23 +31,23 @@
     /// Where it is asked.
     pub control: SocketAddr,
     /// Its sidecars.
-    pub sidecars: Vec<Hollow>,
+    pub sidecars: Vec<HollowSidecar>,
 }
 
 /// One hollow sidecar.
 #[derive(Clone, Debug, Deserialize, Serialize)]
-pub struct Hollow {
+pub struct HollowSidecar {
     /// What its pauses are drawn from.
     pub seed: u64,
     /// The services that it asks for; none for the whole list.
     pub services: Vec<String>,
     /// The server whose lease it holds.
-    pub lease: Option<Lease>,
+    pub lease: Option<LeasedServer>,
 }
 
 /// A server that a hollow sidecar stands in front of.
 #[derive(Clone, Debug, Deserialize, Serialize)]
-pub struct Lease {
+pub struct LeasedServer {
     /// Its name.
     pub name: String,
     /// Length of the lease in milliseconds.
@@ -56,55 +56,72 @@
     pub body: String,
 }
 
-/// What the run asks of a process.
+/// A request over the control connection of a process.
 #[derive(Clone, Copy, Debug, Deserialize, Serialize)]
-pub enum Ask {
-    /// How all stand.
-    Standing,
-    /// What happened since this was asked last.
-    Take,
-    /// All connections are reset.
-    Reset,
-    /// The list of one reader.
-    Known(usize),
+pub enum ControlRequest {
+    /// Returns the [`Status`] of the process.
+    #[serde(rename = "Standing")]
+    Status,
+    /// Returns the [`Activity`] since the previous such request.
+    #[serde(rename = "Take")]
+    TakeActivity,
+    /// Resets all connections to the replicas.
+    #[serde(rename = "Reset")]
+    ResetConnections,
+    /// Returns the endpoint list of one sidecar, by its number in the process.
+    #[serde(rename = "Known")]
+    List(usize),
 }
 
-/// How the readers of a process stand.
+/// The state of a process's hollow sidecars, summed up.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Deserialize, Serialize)]
-pub struct Standing {
-    /// Readers.
-    pub readers: usize,
-    /// Those that have a list.
-    pub listed: usize,
-    /// Those whose last call failed.
-    pub away: usize,
-    /// The instant since which each of them had an answer or a failure.
-    pub heard_since: i64,
-    /// The lowest index that one of them has.
-    pub least: u64,
-    /// Watches that wait for an answer.
-    pub waiting: usize,
+pub struct Status {
+    /// The number of sidecars.
+    #[serde(rename = "readers")]
+    pub sidecars: usize,
+    /// Sidecars that have a list.
+    #[serde(rename = "listed")]
+    pub with_list: usize,
+    /// Sidecars whose last poll failed.
+    #[serde(rename = "away")]
+    pub failing: usize,
+    /// The time of the last response or failure of the sidecar for which that is longest ago.
+    #[serde(rename = "heard_since")]
+    pub oldest_outcome: i64,
+    /// The lowest list index of a sidecar.
+    #[serde(rename = "least")]
+    pub lowest_index: u64,
+    /// Sidecars with a poll in flight.
+    #[serde(rename = "waiting")]
+    pub polling: usize,
 }
 
-/// What happened. Instants are on [`monotonic`]'s clock; counts go on from the start of the process.
+/// What the hollow sidecars of a process did. Times are those of [`monotonic`]. Lists of events begin at the previous
+/// [`ControlRequest::TakeActivity`], and so does `regressions`; the other counts begin at the start of the process.
 #[derive(Clone, Debug, Default, Deserialize, Serialize)]
-pub struct Taken {
-    /// Lists put into use since this was taken last: reader, index, instant.
-    pub told: Vec<(u32, u64, i64)>,
-    /// Readers that came back since then: from when they were away, until when.
-    pub back: Vec<(i64, i64)>,
-    /// Answers by replica.
-    pub answers: Vec<u64>,
-    /// Of those, whole lists.
-    pub whole: Vec<u64>,
-    /// Bytes read and written by replica.
+pub struct Activity {
+    /// The lists that were applied: number of the sidecar, list index, and time.
+    #[serde(rename = "told")]
+    pub applied: Vec<(u32, u64, i64)>,
+    /// The outages that ended: from the first failed poll to the next response.
+    #[serde(rename = "back")]
+    pub recoveries: Vec<(i64, i64)>,
+    /// Responses to polls, by replica.
+    #[serde(rename = "answers")]
+    pub responses: Vec<u64>,
+    /// Responses that were a full snapshot of the list, by replica.
+    #[serde(rename = "whole")]
+    pub snapshots: Vec<u64>,
+    /// Bytes read and written, by replica.
     pub bytes: Vec<u64>,
-    /// Calls that failed.
-    pub failed: u64,
-    /// Renewals that were answered.
+    /// Failed polls.
+    #[serde(rename = "failed")]
+    pub failed_polls: u64,
+    /// Acknowledged lease renewals.
     pub renewals: u64,
-    /// Lists put into use that were older than the one before. That never may be.
-    pub went_back: u64,
+    /// Applied lists that were older than the one before, which must never happen.
+    #[serde(rename = "went_back")]
+    pub regressions: u64,
 }
 
 /// Answers are read up to this.
@@ -116,36 +133,36 @@
 
 #[derive(Default)]
 struct Counts {
-    answers: AtomicU64,
-    whole: AtomicU64,
+    responses: AtomicU64,
+    snapshots: AtomicU64,
     bytes: AtomicU64,
 }
 
 #[derive(Default)]
-struct Seen {
+struct SidecarState {
     version: Version,
-    listed: bool,
-    away_since: Option<i64>,
-    heard: i64,
-    waiting: bool,
-    told: Vec<(u64, i64)>,
-    back: Vec<(i64, i64)>,
-    went_back: u64,
+    has_list: bool,
+    failing_since: Option<i64>,
+    last_outcome: i64,
+    polling: bool,
+    applied: Vec<(u64, i64)>,
+    recoveries: Vec<(i64, i64)>,
+    regressions: u64,
 }
 
-struct Reader {
+struct Sidecar {
     watcher: Mutex<RegistryWatcher>,
-    seen: Mutex<Seen>,
+    state: Mutex<SidecarState>,
 }
 
 /// What all readers of a process share.
 struct Shared {
     replicas: Vec<SocketAddr>,
     counts: Vec<Counts>,
-    failed: AtomicU64,
+    failed_polls: AtomicU64,
     renewals: AtomicU64,
     resets: watch::Sender<u64>,
-    readers: Vec<Reader>,
+    sidecars: Vec<Sidecar>,
     began: Instant,
 }
 
@@ -165,19 +182,23 @@
 async fn play(assignment: Assignment) -> io::Result<()> {
     let Assignment { replicas, sources, control, sidecars } = assignment;
     let now = monotonic();
-    let reader = |hollow: &Hollow| {
+    let reader = |hollow: &HollowSidecar| {
         let settings = Settings { services: hollow.services.clone(), ..Settings::new(replicas.len()) };
-        Reader {
+        Sidecar {
             watcher: Mutex::new(RegistryWatcher::new(settings, hollow.seed)),
-            seen: Mutex::new(Seen { away_since: Some(now), heard: now, ..Seen::default() }),
+            state: Mutex::new(SidecarState {
+                failing_since: Some(now),
+                last_outcome: now,
+                ..SidecarState::default()
+            }),
         }
     };
     let shared = Arc::new(Shared {
         counts: replicas.iter().map(|_| Counts::default()).collect(),
-        failed: AtomicU64::new(0),
+        failed_polls: AtomicU64::new(0),
         renewals: AtomicU64::new(0),
         resets: watch::Sender::new(0),
-        readers: sidecars.iter().map(reader).collect(),
+        sidecars: sidecars.iter().map(reader).collect(),
         began: Instant::now(),
         replicas,
     });
@@ -218,7 +239,7 @@
             }
             self.note(number, &event);
             let next = {
-                let mut watcher = lock(&self.readers[number].watcher);
+                let mut watcher = lock(&self.sidecars[number].watcher);
                 watcher.handle(self.now(), event, &mut actions);
                 for action in actions.drain(..) {
                     match action {
@@ -236,7 +257,7 @@
                 }
                 watcher.next_timer()
             };
-            lock(&self.readers[number].seen).waiting = !calls.is_empty();
+            lock(&self.sidecars[number].state).polling = !calls.is_empty();
             let timer = async {
                 match next {
                     Some(at) => {
@@ -261,27 +282,27 @@
 
     fn note(&self, number: usize, event: &Event) {
         let (failed, now) = (matches!(event, Event::PollFailed { .. }), monotonic());
-        let mut seen = lock(&self.readers[number].seen);
+        let mut state = lock(&self.sidecars[number].state);
         if failed {
-            self.failed.fetch_add(1, Ordering::Relaxed);
-            seen.heard = now;
-            seen.away_since.get_or_insert(now);
+            self.failed_polls.fetch_add(1, Ordering::Relaxed);
+            state.last_outcome = now;
+            state.failing_since.get_or_insert(now);
         } else if matches!(event, Event::Response { .. }) {
-            seen.heard = now;
-            seen.listed = true;
-            if let Some(since) = seen.away_since.take() {
-                seen.back.push((since, now));
+            state.last_outcome = now;
+            state.has_list = true;
+            if let Some(since) = state.failing_since.take() {
+                state.recoveries.push((since, now));
             }
         }
     }
 
     fn told(&self, number: usize, version: Version) {
-        let mut seen = lock(&self.readers[number].seen);
-        if version < seen.version {
-            seen.went_back += 1;
+        let mut state = lock(&self.sidecars[number].state);
+        if version < state.version {
+            state.regressions += 1;
         }
-        seen.version = version;
-        seen.told.push((version.index, monotonic()));
+        state.version = version;
+        state.applied.push((version.index, monotonic()));
     }
 
     async fn call(&self, poll: u64, replica: usize, link: Link, source: Ipv4Addr, path: String) -> Event {
@@ -291,8 +312,8 @@
         match self.exchange(replica, &link, source, request.as_bytes()).await {
             Ok(Answer { status: 200, body, .. }) => match ListUpdate::from_json(&body) {
                 Ok(update) => {
-                    counts.answers.fetch_add(1, Ordering::Relaxed);
-                    counts.whole.fetch_add(u64::from(update.snapshot), Ordering::Relaxed);
+                    counts.responses.fetch_add(1, Ordering::Relaxed);
+                    counts.snapshots.fetch_add(u64::from(update.snapshot), Ordering::Relaxed);
                     Event::Response { poll, update }
                 }
                 Err(e) => failed(e.into(), None),
@@ -345,7 +366,7 @@
     }
 
     /// Holds the lease of a server, for good: renews it three times a lease, and registers it where it is not known.
-    async fn hold(self: Arc<Self>, lease: Lease, source: Ipv4Addr) {
+    async fn hold(self: Arc<Self>, lease: LeasedServer, source: Ipv4Addr) {
         let links: Vec<Link> = self.replicas.iter().map(|_| Link::default()).collect();
         let every = Duration::from_millis((lease.lease_ms / 3).max(50));
         let renew =
@@ -392,15 +413,15 @@
         let mut lines = BufReader::new(from).lines();
         while let Some(line) = lines.next_line().await? {
             let mut said = match serde_json::from_str(&line)? {
-                Ask::Standing => serde_json::to_string(&self.standing())?,
-                Ask::Take => serde_json::to_string(&self.take())?,
-                Ask::Reset => {
+                ControlRequest::Status => serde_json::to_string(&self.status())?,
+                ControlRequest::TakeActivity => serde_json::to_string(&self.take_activity())?,
+                ControlRequest::ResetConnections => {
                     self.resets.send_modify(|n| *n += 1);
                     "null".to_owned()
                 }
-                Ask::Known(number) => {
+                ControlRequest::List(number) => {
                     let known: Option<EndpointList> =
-                        self.readers.get(number).and_then(|r| lock(&r.watcher).list().cloned());
+                        self.sidecars.get(number).and_then(|r| lock(&r.watcher).list().cloned());
                     serde_json::to_string(&known)?
                 }
             };
@@ -410,40 +431,40 @@
         Ok(())
     }
 
-    fn standing(&self) -> Standing {
-        let first = Standing { heard_since: i64::MAX, least: u64::MAX, ..Standing::default() };
-        self.readers.iter().fold(first, |s, reader| {
-            let seen = lock(&reader.seen);
-            Standing {
-                readers: s.readers + 1,
-                listed: s.listed + usize::from(seen.listed),
-                away: s.away + usize::from(seen.away_since.is_some()),
-                heard_since: s.heard_since.min(seen.heard),
-                least: s.least.min(seen.version.index),
-                waiting: s.waiting + usize::from(seen.waiting),
+    fn status(&self) -> Status {
+        let first = Status { oldest_outcome: i64::MAX, lowest_index: u64::MAX, ..Status::default() };
+        self.sidecars.iter().fold(first, |s, reader| {
+            let state = lock(&reader.state);
+            Status {
+                sidecars: s.sidecars + 1,
+                with_list: s.with_list + usize::from(state.has_list),
+                failing: s.failing + usize::from(state.failing_since.is_some()),
+                oldest_outcome: s.oldest_outcome.min(state.last_outcome),
+                lowest_index: s.lowest_index.min(state.version.index),
+                polling: s.polling + usize::from(state.polling),
             }
         })
     }
 
-    fn take(&self) -> Taken {
+    fn take_activity(&self) -> Activity {
         let by = |count: fn(&Counts) -> &AtomicU64| {
             self.counts.iter().map(|c| count(c).load(Ordering::Relaxed)).collect::<Vec<u64>>()
         };
-        let mut taken = Taken {
-            answers: by(|c| &c.answers),
-            whole: by(|c| &c.whole),
+        let mut activity = Activity {
+            responses: by(|c| &c.responses),
+            snapshots: by(|c| &c.snapshots),
             bytes: by(|c| &c.bytes),
-            failed: self.failed.load(Ordering::Relaxed),
+            failed_polls: self.failed_polls.load(Ordering::Relaxed),
             renewals: self.renewals.load(Ordering::Relaxed),
-            ..Taken::default()
+            ..Activity::default()
         };
-        for (number, reader) in (0u32..).zip(&self.readers) {
-            let mut seen = lock(&reader.seen);
-            taken.told.extend(seen.told.drain(..).map(|(index, at)| (number, index, at)));
-            taken.back.append(&mut seen.back);
-            taken.went_back += std::mem::take(&mut seen.went_back);
+        for (number, reader) in (0u32..).zip(&self.sidecars) {
+            let mut state = lock(&reader.state);
+            activity.applied.extend(state.applied.drain(..).map(|(index, at)| (number, index, at)));
+            activity.recoveries.append(&mut state.recoveries);
+            activity.regressions += std::mem::take(&mut state.regressions);
         }
-        taken
+        activity
     }
 }
 
--- a/crates/fleet/src/scale/lines.rs
+++ b/crates/fleet/src/scale/lines.rs
@@ -66,7 +66,7 @@
 
 /// The sizes of a step.
 #[derive(Clone, Copy, Debug, Deserialize, Serialize, PartialEq)]
-pub struct At {
+pub struct StepSizes {
     /// Hollow readers.
     pub hollow: u32,
     /// Servers on the list.
@@ -87,7 +87,7 @@
     /// The step of the sweep, from 1.
     pub step: u32,
     /// Its sizes.
-    pub at: At,
+    pub at: StepSizes,
     /// Who was measured.
     pub role: Role,
     /// What happened meanwhile, in sweep `events`.
--- a/crates/fleet/src/scale/mod.rs
+++ b/crates/fleet/src/scale/mod.rs
@@ -5,21 +5,21 @@
 //! and timers, and carries no request. What each part costs is measured at each step of a sweep, or through each of some
 //! events; a sidecar and the decision module are measured alone as well.
 
+pub mod decision_cost;
 pub mod deployment;
-mod draw;
 pub mod hollow;
 pub mod lines;
-pub mod module;
 mod plan;
+mod propagation;
 mod run;
 pub mod sidecar;
-mod told;
+mod topology;
 mod usage;
 
-pub use draw::Draw;
 pub use lines::{Line, Lines, Mode};
-pub use plan::{EventPart, Over, Plan, Sizes, Struck, Sweep};
-pub use run::{Step, play};
+pub use plan::{EventSpec, KilledReplica, Plan, Sizes, Sweep, SweepVariable};
+pub use run::{StepResult, run_plan};
+pub use topology::Topology;
 
 use rustix::time::{ClockId, clock_gettime};
 
--- a/crates/fleet/src/scale/plan.rs
+++ b/crates/fleet/src/scale/plan.rs
@@ -8,7 +8,7 @@
 /// What a sweep varies.
 #[derive(Clone, Copy, Debug, PartialEq, Deserialize)]
 #[serde(rename_all = "lowercase")]
-pub enum Over {
+pub enum SweepVariable {
     /// Hollow sidecars.
     Hollow,
     /// Servers listed.
@@ -17,12 +17,12 @@
     Changes,
 }
 
-impl From<Over> for lines::Sweep {
-    fn from(over: Over) -> Self {
+impl From<SweepVariable> for lines::Sweep {
+    fn from(over: SweepVariable) -> Self {
         match over {
-            Over::Hollow => Self::Hollow,
-            Over::Listed => Self::Listed,
-            Over::Changes => Self::Changes,
+            SweepVariable::Hollow => Self::Hollow,
+            SweepVariable::Listed => Self::Listed,
+            SweepVariable::Changes => Self::Changes,
         }
     }
 }
@@ -32,7 +32,7 @@
 #[serde(deny_unknown_fields)]
 pub struct Sweep {
     /// Which.
-    pub over: Over,
+    pub over: SweepVariable,
     /// Its values in order.
     pub steps: Vec<f64>,
 }
@@ -40,7 +40,7 @@
 /// Which replica is killed.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Deserialize)]
 #[serde(rename_all = "lowercase")]
-pub enum Struck {
+pub enum KilledReplica {
     /// The one that leads.
     #[default]
     Leader,
@@ -51,14 +51,14 @@
 /// Something that happens a second into its step.
 #[derive(Clone, Debug, Deserialize)]
 #[serde(tag = "kind", rename_all = "snake_case", deny_unknown_fields)]
-pub enum EventPart {
+pub enum EventSpec {
     /// Nothing.
     Steady {},
     /// A replica is killed; it starts again after the step.
     ReplicaKilled {
         /// Which.
         #[serde(default)]
-        which: Struck,
+        which: KilledReplica,
     },
     /// The hollow ones of a zone stand still, or are killed and started anew.
     ZoneAway {
@@ -83,7 +83,7 @@
     },
 }
 
-impl EventPart {
+impl EventSpec {
     /// As files have it.
     pub fn name(&self) -> &'static str {
         match self {
@@ -153,7 +153,7 @@
     pub sweep: Option<Sweep>,
     /// What happens, in order.
     #[serde(default)]
-    pub event: Vec<EventPart>,
+    pub event: Vec<EventSpec>,
 }
 
 fn one() -> u64 {
@@ -219,9 +219,9 @@
         let steps = |sweep: &Sweep| {
             let whole = |s: &f64, most: usize| s.fract() == 0.0 && (1.0..=most as f64).contains(s);
             let fine = |s: &f64| match sweep.over {
-                Over::Hollow => whole(s, MOST_HOLLOW),
-                Over::Listed => whole(s, MOST_LISTED),
-                Over::Changes => (0.0..=100.0).contains(s),
+                SweepVariable::Hollow => whole(s, MOST_HOLLOW),
+                SweepVariable::Listed => whole(s, MOST_LISTED),
+                SweepVariable::Changes => (0.0..=100.0).contains(s),
             };
             !sweep.steps.is_empty() && sweep.steps.iter().all(fine)
         };
@@ -278,13 +278,13 @@
         for (i, event) in self.event.iter().enumerate() {
             let known = |name: &Option<String>, all: &[String]| name.as_ref().is_none_or(|n| all.contains(n));
             let (key, fine, what) = match event {
-                EventPart::ZoneAway { zone, .. } if !known(zone, &self.zones) => {
+                EventSpec::ZoneAway { zone, .. } if !known(zone, &self.zones) => {
                     ("zone", false, "is none of zones")
                 }
-                EventPart::RegionCut { region, .. } if !known(region, &self.regions) => {
+                EventSpec::RegionCut { region, .. } if !known(region, &self.regions) => {
                     ("region", false, "is none of regions")
                 }
-                EventPart::ZoneAway { for_s, .. } | EventPart::RegionCut { for_s, .. } => (
+                EventSpec::ZoneAway { for_s, .. } | EventSpec::RegionCut { for_s, .. } => (
                     "for_s",
                     *for_s > 0.0 && for_s + 1.0 < self.seconds,
                     "must be above 0, and a second shorter than seconds",
@@ -300,11 +300,17 @@
     }
 
     /// Takes some figures from elsewhere; to be checked after.
-    pub fn set(&mut self, hollow: Option<usize>, seconds: Option<f64>, seed: Option<u64>, modes: &[String]) {
+    pub fn apply_overrides(
+        &mut self,
+        hollow: Option<usize>,
+        seconds: Option<f64>,
+        seed: Option<u64>,
+        modes: &[String],
+    ) {
         if let Some(hollow) = hollow {
             self.hollow = hollow;
             self.leases = self.leases.min(hollow);
-            if let Some(sweep) = self.sweep.as_mut().filter(|s| s.over == Over::Hollow) {
+            if let Some(sweep) = self.sweep.as_mut().filter(|s| s.over == SweepVariable::Hollow) {
                 sweep.steps = vec![hollow as f64];
             }
         }
@@ -321,9 +327,9 @@
         let own = Sizes { hollow: self.hollow, listed: self.listed, changes_per_s: self.changes_per_s };
         let Some(sweep) = &self.sweep else { return vec![own] };
         let with = |s: &f64| match sweep.over {
-            Over::Hollow => Sizes { hollow: *s as usize, ..own },
-            Over::Listed => Sizes { listed: *s as usize, ..own },
-            Over::Changes => Sizes { changes_per_s: *s, ..own },
+            SweepVariable::Hollow => Sizes { hollow: *s as usize, ..own },
+            SweepVariable::Listed => Sizes { listed: *s as usize, ..own },
+            SweepVariable::Changes => Sizes { changes_per_s: *s, ..own },
         };
         sweep.steps.iter().map(with).collect()
     }
--- a/crates/fleet/src/scale/told.rs
+++ b/crates/fleet/src/scale/propagation.rs
@@ -1,7 +1,7 @@
 //! When whom was told of which change: what the writer of changes and the readers each noted, put together.
 
-use super::draw::Draw;
 use super::lines::Mode;
+use super::topology::Topology;
 use hdrhistogram::Histogram;
 use std::collections::BTreeMap;
 use std::io;
@@ -37,14 +37,14 @@
 /// had. `told` has what each reader put into use and when, in order.
 pub fn join(
     changes: &[Change],
-    draw: &Draw,
+    topology: &Topology,
     mode: Mode,
     told: &BTreeMap<usize, Vec<(u64, i64)>>,
 ) -> io::Result<(Histogram<u64>, u64)> {
     let (mut all, mut untold) = (latencies()?, 0);
-    for (reader, calls) in draw.hollow.iter().enumerate() {
+    for (reader, calls) in topology.hollow_calls.iter().enumerate() {
         let lists = told.get(&reader).map_or(&[][..], Vec::as_slice);
-        for change in changes.iter().filter(|c| draw.concerns(mode, calls, c.server)) {
+        for change in changes.iter().filter(|c| topology.concerns(mode, calls, c.server)) {
             match lists.get(lists.partition_point(|(index, _)| *index < change.index)) {
                 // A watch may be answered before the writer is.
                 Some((_, at)) => all.saturating_record(u64::try_from(at - change.at).unwrap_or(0).max(1)),
--- a/crates/fleet/src/scale/run.rs
+++ b/crates/fleet/src/scale/run.rs
@@ -1,12 +1,12 @@
 //! Plays a plan: step after step, or event after event, and measures.
 
-use super::deployment::{Deployment, REPLICAS, START, name, within};
-use super::draw::Draw;
-use super::hollow::Taken;
-use super::lines::{At, Line, Lines, Mode, Role, Sweep};
+use super::deployment::{Deployment, REPLICAS, START_TIMEOUT, server_name, within};
+use super::hollow::Activity;
+use super::lines::{Line, Lines, Mode, Role, StepSizes, Sweep};
 use super::monotonic;
-use super::plan::{EventPart, Plan, Sizes, Struck};
-use super::told::{Change, join, latencies, milliseconds};
+use super::plan::{EventSpec, KilledReplica, Plan, Sizes};
+use super::propagation::{Change, join, latencies, milliseconds};
+use super::topology::Topology;
 use crate::harness::Link;
 use crate::load::{Route, open_loop, resident_kb, used_cpu};
 use hdrhistogram::Histogram;
@@ -19,7 +19,7 @@
 
 /// What came of a step.
 #[derive(Clone, Debug)]
-pub struct Step {
+pub struct StepResult {
     /// What readers were told.
     pub mode: Mode,
     /// Its sizes.
@@ -31,13 +31,13 @@
     /// Changes that were acknowledged.
     pub changes: usize,
     /// Readers that had not been told of a change that concerns them at the end, summed over changes.
-    pub untold: u64,
+    pub undelivered: u64,
     /// Readers whose last call had failed at the end.
-    pub away: usize,
+    pub failing: usize,
     /// Lists that were older than the one before. That never may be.
-    pub went_back: u64,
+    pub regressions: u64,
     /// Readers that came back from a failure.
-    pub back: usize,
+    pub recovered: usize,
 }
 
 /// After a step all readers come back within this, or count as away.
@@ -50,9 +50,14 @@
 const IN_FORCE: Duration = Duration::from_secs(20);
 
 /// Plays a plan. Lines go to the new file `out` as they come; `commit` names the text that runs.
-pub fn play(plan: &Plan, out: Option<&Path>, commit: &str, bar: &ProgressBar) -> io::Result<Vec<Step>> {
+pub fn run_plan(
+    plan: &Plan,
+    out: Option<&Path>,
+    commit: &str,
+    bar: &ProgressBar,
+) -> io::Result<Vec<StepResult>> {
     for sizes in plan.sizes() {
-        plan.modes.iter().try_for_each(|mode| room(&Draw::new(plan, &sizes), *mode, &sizes))?;
+        plan.modes.iter().try_for_each(|mode| room(&Topology::new(plan, &sizes), *mode, &sizes))?;
     }
     let mut out = match out {
         Some(path) => Some(Lines::create(path).map_err(io::Error::other)?),
@@ -62,16 +67,16 @@
     if let Ok(style) = ProgressStyle::with_template("{elapsed} {bar:30} {pos}/{len} {msg}") {
         bar.set_style(style);
     }
-    let mut steps: Vec<Step> = Vec::new();
+    let mut steps: Vec<StepResult> = Vec::new();
     for (number, sizes) in plan.sizes().iter().enumerate() {
         for mode in &plan.modes {
             let said = format!("{}: {} hollow, {} listed", mode.name(), sizes.hollow, sizes.listed);
             bar.set_message(format!("{said}, starting"));
             let mut play = Play::start(plan, *sizes, *mode, commit)?;
-            let events: Vec<Option<&EventPart>> =
+            let events: Vec<Option<&EventSpec>> =
                 if plan.event.is_empty() { vec![None] } else { plan.event.iter().map(Some).collect() };
             for (place, event) in events.into_iter().enumerate() {
-                bar.set_message(format!("{said}, {}", event.map_or("steady", EventPart::name)));
+                bar.set_message(format!("{said}, {}", event.map_or("steady", EventSpec::name)));
                 let step = play.step(if event.is_some() { place } else { number } as u32 + 1, event)?;
                 if let Some(out) = &mut out {
                     step.lines.iter().try_for_each(|line| out.add(line)).map_err(io::Error::other)?;
@@ -86,13 +91,13 @@
 }
 
 /// Refuses what would take more than half of the machine's memory.
-fn room(draw: &Draw, mode: Mode, sizes: &Sizes) -> io::Result<()> {
+fn room(topology: &Topology, mode: Mode, sizes: &Sizes) -> io::Result<()> {
     let text = std::fs::read_to_string("/proc/meminfo")?;
     let kb = text
         .lines()
         .find_map(|l| l.strip_prefix("MemTotal:")?.trim().strip_suffix(" kB")?.trim().parse::<u64>().ok());
     let half = kb.ok_or(io::ErrorKind::InvalidData)? * 1024 / 2;
-    let wanted = draw.bytes(mode);
+    let wanted = topology.bytes(mode);
     if wanted > half {
         return Err(io::Error::other(format!(
             "{} hollow readers of {} listed servers, mode {}, would hold some {:.1} GB, and half of this machine's memory is {:.1} GB",
@@ -113,7 +118,7 @@
     whole_lists: Vec<Option<f64>>,
     sidecars: Vec<Option<Duration>>,
     hollows: Vec<Option<Duration>>,
-    taken: Vec<Taken>,
+    taken: Vec<Activity>,
 }
 
 struct Play<'p> {
@@ -152,21 +157,21 @@
 
 impl<'p> Play<'p> {
     fn start(plan: &'p Plan, sizes: Sizes, mode: Mode, commit: &'p str) -> io::Result<Self> {
-        let cut = |event: &EventPart| match event {
-            EventPart::RegionCut { region, .. } => place(region.as_ref(), &plan.regions),
+        let cut = |event: &EventSpec| match event {
+            EventSpec::RegionCut { region, .. } => place(region.as_ref(), &plan.regions),
             _ => None,
         };
         let cut: Vec<usize> = plan.event.iter().filter_map(cut).collect();
         let mut deployment = Deployment::start(plan, &sizes, mode, &cut)?;
-        deployment.start_hollows(plan)?;
+        deployment.start_hollow_sidecars(plan)?;
         let ready = |d: &Deployment| {
-            let all = d.standing().is_ok_and(|s| s.listed == sizes.hollow && s.away == 0);
+            let all = d.hollow_status().is_ok_and(|s| s.with_list == sizes.hollow && s.failing == 0);
             all && d.sidecars.iter().all(|s| s.index().is_some_and(|index| index > 0))
         };
-        let up = within(START, "all sidecars have a list", || ready(&deployment));
+        let up = within(START_TIMEOUT, "all sidecars have a list", || ready(&deployment));
         up.map_err(|e| match deployment.ended() {
             Some(ended) => io::Error::other(ended),
-            None => io::Error::other(format!("{e}: {:?}", deployment.standing())),
+            None => io::Error::other(format!("{e}: {:?}", deployment.hollow_status())),
         })?;
         Ok(Self { plan, sizes, mode, commit, deployment, turn: 0, told: BTreeMap::new(), went_back: 0 })
     }
@@ -176,27 +181,27 @@
         let cpu = |ids: Vec<u32>| ids.into_iter().map(used_cpu).collect();
         let look = Look {
             at: Instant::now(),
-            replicas: (0..REPLICAS).map(|at| d.rosters.pid(at).and_then(used_cpu)).collect(),
+            replicas: (0..REPLICAS).map(|at| d.registry.pid(at).and_then(used_cpu)).collect(),
             whole_lists: (0..REPLICAS).map(|at| d.metric(at, "roster_whole_lists_total")).collect(),
             sidecars: cpu(d.sidecar_pids()),
             hollows: cpu(d.hollow_pids()),
-            taken: d.take()?,
+            taken: d.take_activity()?,
         };
         self.note(&look.taken);
         Ok(look)
     }
 
-    fn note(&mut self, taken: &[Taken]) {
-        self.went_back += taken.iter().map(|t| t.went_back).sum::<u64>();
-        for (reader, index, at) in taken.iter().flat_map(|t| &t.told) {
+    fn note(&mut self, taken: &[Activity]) {
+        self.went_back += taken.iter().map(|t| t.regressions).sum::<u64>();
+        for (reader, index, at) in taken.iter().flat_map(|t| &t.applied) {
             self.told.entry(*reader as usize).or_default().push((*index, *at));
         }
     }
 
-    fn step(&mut self, number: u32, event: Option<&EventPart>) -> io::Result<Step> {
+    fn step(&mut self, number: u32, event: Option<&EventSpec>) -> io::Result<StepResult> {
         self.told.clear();
         let leader = (0..200).find_map(|_| {
-            let found = self.deployment.rosters.leader();
+            let found = self.deployment.registry.leader();
             if found.is_none() {
                 std::thread::sleep(Duration::from_millis(50));
             }
@@ -209,31 +214,32 @@
         let after = self.look()?;
         let watches: Vec<Option<f64>> =
             (0..REPLICAS).map(|at| self.deployment.metric(at, "roster_watchers")).collect();
-        let mut back: Vec<(i64, i64)> = after.taken.iter().flat_map(|t| t.back.iter().copied()).collect();
-        if let Some(EventPart::ReplicaKilled { which }) = event {
-            self.deployment.rosters.start_replica(struck(*which, leader))?;
+        let mut back: Vec<(i64, i64)> =
+            after.taken.iter().flat_map(|t| t.recoveries.iter().copied()).collect();
+        if let Some(EventSpec::ReplicaKilled { which }) = event {
+            self.deployment.registry.start_replica(struck(*which, leader))?;
         }
         // Until all are back and have been told.
         let began = Instant::now();
         let (told, untold, away) = loop {
-            let taken = self.deployment.take()?;
+            let taken = self.deployment.take_activity()?;
             self.note(&taken);
-            back.extend(taken.iter().flat_map(|t| t.back.iter().copied()));
-            let (told, untold) = join(&seen.changes, &self.deployment.draw, self.mode, &self.told)?;
-            let standing = self.deployment.standing()?;
-            let settled = untold == 0 && standing.away == 0 && standing.heard_since >= seen.mended;
+            back.extend(taken.iter().flat_map(|t| t.recoveries.iter().copied()));
+            let (told, untold) = join(&seen.changes, &self.deployment.topology, self.mode, &self.told)?;
+            let status = self.deployment.hollow_status()?;
+            let settled = untold == 0 && status.failing == 0 && status.oldest_outcome >= seen.mended;
             if settled || began.elapsed() > SETTLE {
-                break (told, untold, standing.away);
+                break (told, untold, status.failing);
             }
             std::thread::sleep(Duration::from_millis(100));
         };
-        if let Some(EventPart::ReplicaKilled { .. }) = event {
+        if let Some(EventSpec::ReplicaKilled { .. }) = event {
             let same = || {
-                let all: Vec<_> = (0..REPLICAS).map(|at| self.deployment.rosters.status(at)).collect();
+                let all: Vec<_> = (0..REPLICAS).map(|at| self.deployment.registry.status(at)).collect();
                 let index = |at: usize| all[at].as_ref().map(|s| s["index"].clone());
                 index(0).is_some() && (1..REPLICAS).all(|at| index(at) == index(0))
             };
-            within(START, "all replicas are well", same)?;
+            within(START_TIMEOUT, "all replicas are well", same)?;
         }
         if let Some(ended) = self.deployment.ended() {
             return Err(io::Error::other(ended));
@@ -241,7 +247,7 @@
         back.retain(|(_, until)| *until >= seen.mended);
         let mut fleet = BTreeMap::new();
         milliseconds("told", &told, &mut fleet);
-        if event.is_some_and(|e| !matches!(e, EventPart::Steady {})) {
+        if event.is_some_and(|e| !matches!(e, EventSpec::Steady {})) {
             let last = back.iter().map(|(_, until)| until - seen.mended).max().unwrap_or(0);
             fleet.insert("back_ms".into(), last as f64 / 1000.0);
         }
@@ -250,28 +256,28 @@
         let window = Window { leader, before, after, watches, seen };
         let lines = self.lines(number, event, &window, fleet);
         let seen = window.seen;
-        Ok(Step {
+        Ok(StepResult {
             mode: self.mode,
             sizes: self.sizes,
-            event: event.map(EventPart::name),
+            event: event.map(EventSpec::name),
             lines,
             changes: seen.changes.len(),
-            untold,
-            away,
-            went_back: std::mem::take(&mut self.went_back),
-            back: back.len(),
+            undelivered: untold,
+            failing: away,
+            regressions: std::mem::take(&mut self.went_back),
+            recovered: back.len(),
         })
     }
 
     /// Load, changes and the event, for as long as a step is measured.
-    fn window(&mut self, event: Option<&EventPart>, leader: usize) -> io::Result<Seen> {
+    fn window(&mut self, event: Option<&EventSpec>, leader: usize) -> io::Result<Seen> {
         let (plan, d, mode) = (self.plan, &self.deployment, self.mode);
         let length = Duration::from_secs_f64(plan.seconds);
         // One past each sidecar for each way through one, in turn.
         let routes: Vec<Route> = d
             .sidecars
             .iter()
-            .zip(d.ledgers.iter().cycle())
+            .zip(d.backends.iter().cycle())
             .flat_map(|(sidecar, ledger)| [Route { to: *ledger }, Route { to: sidecar.address }])
             .collect();
         let first = self.turn;
@@ -307,7 +313,7 @@
         for (at, one) in answered?.into_iter().enumerate() {
             let sum = if at % 2 == 0 { &mut seen.direct } else { &mut seen.through };
             sum.add(&one.latencies).map_err(io::Error::other)?;
-            seen.not_served += if at % 2 == 0 { 0 } else { one.others };
+            seen.not_served += if at % 2 == 0 { 0 } else { one.not_served };
         }
         for one in in_force {
             seen.in_force.add(&one?).map_err(io::Error::other)?;
@@ -318,7 +324,7 @@
     fn lines(
         &self,
         number: u32,
-        event: Option<&EventPart>,
+        event: Option<&EventSpec>,
         window: &Window,
         mut fleet: BTreeMap<String, f64>,
     ) -> Vec<Line> {
@@ -332,11 +338,11 @@
         };
         // A process that was started anew counts from its own start.
         let grown = |a: u64, b: u64| if b >= a { b - a } else { b } as f64;
-        let by = |of: fn(&Taken) -> &Vec<u64>, at: usize| -> f64 {
+        let by = |of: fn(&Activity) -> &Vec<u64>, at: usize| -> f64 {
             let pairs = before.taken.iter().zip(&after.taken);
             pairs.map(|(a, b)| grown(of(a)[at], of(b)[at])).sum()
         };
-        let all = |of: fn(&Taken) -> &Vec<u64>| (0..REPLICAS).map(|at| by(of, at)).sum::<f64>();
+        let all = |of: fn(&Activity) -> &Vec<u64>| (0..REPLICAS).map(|at| by(of, at)).sum::<f64>();
         let renewals: f64 =
             before.taken.iter().zip(&after.taken).map(|(a, b)| grown(a.renewals, b.renewals)).sum();
         let (writes, renewals) = (rate(seen.changes.len() as f64), rate(renewals));
@@ -345,9 +351,9 @@
             let mut m = BTreeMap::new();
             let mut put = |name: &str, value: Option<f64>| m.extend(value.map(|v| (name.to_owned(), v)));
             put("cpu_us_per_s", cpu(&before.replicas[at], &after.replicas[at]));
-            put("rss_bytes", d.rosters.pid(at).and_then(resident_kb).map(|kb| kb as f64 * 1024.0));
+            put("rss_bytes", d.registry.pid(at).and_then(resident_kb).map(|kb| kb as f64 * 1024.0));
             put("wire_bytes_per_s", Some(rate(by(|t| &t.bytes, at))));
-            put("answers_per_s", Some(rate(by(|t| &t.answers, at))));
+            put("answers_per_s", Some(rate(by(|t| &t.responses, at))));
             let whole = before.whole_lists[at].zip(after.whole_lists[at]).filter(|(a, b)| b >= a);
             put("whole_lists_per_s", whole.map(|(a, b)| rate(b - a)));
             put("watches", watches[at]);
@@ -368,8 +374,8 @@
         };
         let entries = |calls: &Vec<Vec<usize>>| {
             let one = |c: &Vec<usize>| match self.mode {
-                Mode::Whole => d.draw.server.len(),
-                Mode::Services => c.iter().map(|s| d.draw.services[*s]).sum(),
+                Mode::Whole => d.topology.service_of_server.len(),
+                Mode::Services => c.iter().map(|s| d.topology.servers_per_service[*s]).sum(),
             };
             calls.iter().map(one).sum::<usize>() as f64 / calls.len().max(1) as f64
         };
@@ -377,9 +383,9 @@
         hollow.extend(sum(&before.hollows, &after.hollows).map(|v| ("cpu_us_per_s".to_owned(), v / readers)));
         hollow.extend(rss(d.hollow_pids()).map(|v| ("rss_bytes".to_owned(), v / readers)));
         hollow.insert("wire_bytes_per_s".into(), rate(all(|t| &t.bytes)) / readers);
-        hollow.insert("answers_per_s".into(), rate(all(|t| &t.answers)) / readers);
-        hollow.insert("whole_lists_per_s".into(), rate(all(|t| &t.whole)) / readers);
-        hollow.insert("entries".into(), entries(&d.draw.hollow));
+        hollow.insert("answers_per_s".into(), rate(all(|t| &t.responses)) / readers);
+        hollow.insert("whole_lists_per_s".into(), rate(all(|t| &t.snapshots)) / readers);
+        hollow.insert("entries".into(), entries(&d.topology.hollow_calls));
 
         let sidecars = d.sidecars.len() as f64;
         let mut sidecar = BTreeMap::new();
@@ -387,7 +393,7 @@
             sum(&before.sidecars, &after.sidecars).map(|v| ("cpu_us_per_s".to_owned(), v / sidecars)),
         );
         sidecar.extend(rss(d.sidecar_pids()).map(|v| ("rss_bytes".to_owned(), v / sidecars)));
-        sidecar.insert("entries".into(), entries(&d.draw.sidecars));
+        sidecar.insert("entries".into(), entries(&d.topology.sidecar_calls));
         milliseconds("in_force", &seen.in_force, &mut sidecar);
         if !seen.direct.is_empty() && !seen.through.is_empty() {
             for (key, q) in [("added_us_p50", 0.5), ("added_us_p99", 0.99)] {
@@ -398,15 +404,15 @@
         }
         sidecar.insert("not_served".into(), seen.not_served as f64);
 
-        fleet.insert("answers_per_s".into(), rate(all(|t| &t.answers)));
-        fleet.insert("whole_lists_per_s".into(), rate(all(|t| &t.whole)));
+        fleet.insert("answers_per_s".into(), rate(all(|t| &t.responses)));
+        fleet.insert("whole_lists_per_s".into(), rate(all(|t| &t.snapshots)));
         fleet.insert("wire_bytes_per_s".into(), rate(all(|t| &t.bytes)));
         fleet.insert("writes_per_s".into(), writes);
         fleet.insert("renewals_per_s".into(), renewals);
         fleet.insert("watches".into(), watches.iter().flatten().sum());
 
         let services = if self.mode == Mode::Services { plan.calls } else { 0 };
-        let at = At {
+        let at = StepSizes {
             hollow: self.sizes.hollow as u32,
             listed: self.sizes.listed as u32,
             changes_per_s: self.sizes.changes_per_s,
@@ -447,10 +453,10 @@
     name.map_or(Some(0), |name| all.iter().position(|n| n == name))
 }
 
-fn struck(which: Struck, leader: usize) -> usize {
+fn struck(which: KilledReplica, leader: usize) -> usize {
     match which {
-        Struck::Leader => leader,
-        Struck::Follower => (leader + 1) % REPLICAS,
+        KilledReplica::Leader => leader,
+        KilledReplica::Follower => (leader + 1) % REPLICAS,
     }
 }
 
@@ -458,7 +464,7 @@
 fn happen(
     d: &Deployment,
     plan: &Plan,
-    event: Option<&EventPart>,
+    event: Option<&EventSpec>,
     leader: usize,
     length: Duration,
 ) -> io::Result<i64> {
@@ -466,10 +472,10 @@
     std::thread::sleep(LEAD.min(length));
     let mut mended = monotonic();
     match event {
-        None | Some(EventPart::Steady {}) => {}
-        Some(EventPart::ReplicaKilled { which }) => d.rosters.kill(struck(*which, leader))?,
-        Some(EventPart::WatchesLost {}) => d.reset()?,
-        Some(EventPart::ZoneAway { zone, for_s, killed }) => {
+        None | Some(EventSpec::Steady {}) => {}
+        Some(EventSpec::ReplicaKilled { which }) => d.registry.kill(struck(*which, leader))?,
+        Some(EventSpec::WatchesLost {}) => d.reset()?,
+        Some(EventSpec::ZoneAway { zone, for_s, killed }) => {
             let zone = place(zone.as_ref(), &plan.zones).unwrap_or(0);
             let away = Duration::from_secs_f64(*for_s);
             if *killed {
@@ -484,7 +490,7 @@
                 d.let_zone_go_on(zone)?;
             }
         }
-        Some(EventPart::RegionCut { region, for_s }) => {
+        Some(EventSpec::RegionCut { region, for_s }) => {
             let ways = d.ways(place(region.as_ref(), &plan.regions).unwrap_or(0));
             ways.iter().for_each(|way| way.set_link(Link::cut()));
             std::thread::sleep(Duration::from_secs_f64(*for_s));
@@ -513,15 +519,15 @@
         if began.elapsed() > length {
             return (changes, i);
         }
-        let server = d.draw.turns[(first + i) % d.draw.turns.len()];
+        let server = d.topology.change_order[(first + i) % d.topology.change_order.len()];
         let body = d.registration(server, first + i + 1).to_string();
-        let path = format!("/v1/servers/{}", name(server));
+        let path = format!("/v1/servers/{}", server_name(server));
         match d.write("PUT", &path, &body, &mut at, WRITE) {
             Ok(index) => {
                 let change = Change { index, server, at: monotonic() };
                 changes.push(change);
-                for (sender, calls) in news.iter().zip(&d.draw.sidecars) {
-                    if d.draw.concerns(mode, calls, server) {
+                for (sender, calls) in news.iter().zip(&d.topology.sidecar_calls) {
+                    if d.topology.concerns(mode, calls, server) {
                         // Whoever asks sidecars has ended only where that failed, which is told there.
                         let _ = sender.send((change.index, change.at));
                     }
--- a/crates/fleet/src/scale/sidecar.rs
+++ b/crates/fleet/src/scale/sidecar.rs
@@ -1,8 +1,8 @@
 //! What the length of the list and the rate of its changes cost a real sidecar, and the decision module in it: three
 //! real replicas, one sidecar that rides them, and one stand-in server at whose address all listed servers are.
 
-use super::lines::{At, Line, Lines, LinesError, Mode, Role, Sweep};
-use super::module;
+use super::decision_cost;
+use super::lines::{Line, Lines, LinesError, Mode, Role, StepSizes, Sweep};
 use super::usage::{Cpu, written};
 use crate::experiment::commit;
 use crate::harness::backend::Conduct;
@@ -90,7 +90,7 @@
         sweep,
         mode: plan.mode,
         step: step as u32 + 1,
-        at: At { hollow: 0, listed, changes_per_s, services: plan.services() },
+        at: StepSizes { hollow: 0, listed, changes_per_s, services: plan.services() },
         role,
         event: None,
         seconds: plan.length.as_secs_f64(),
@@ -148,7 +148,7 @@
 }
 
 fn module_step(plan: &Plan, line: &mut Line) -> io::Result<()> {
-    let cost = module::run(line.at.listed as usize, plan.rate, plan.length, plan.seed)?;
+    let cost = decision_cost::measure(line.at.listed as usize, plan.rate, plan.length, plan.seed)?;
     line.set("decision_ns", cost.decision.mean());
     line.set("decision_ns_p99", cost.decision.value_at_quantile(0.99) as f64);
     line.set("end_ns", cost.end_ns);
@@ -362,7 +362,7 @@
         line.set("added_us_p50", added(0.5));
         line.set("added_us_p99", added(0.99));
         line.set("served", through.latencies.len() as f64);
-        line.set("not_served", through.others as f64);
+        line.set("not_served", through.not_served as f64);
         Ok(())
     }
 
--- a/crates/fleet/src/scale/draw.rs
+++ b/crates/fleet/src/scale/topology.rs
@@ -8,61 +8,61 @@
 
 /// What was drawn for one step.
 #[derive(Clone, Debug, PartialEq)]
-pub struct Draw {
+pub struct Topology {
     /// The service of each server, as its place among `services`.
-    pub server: Vec<usize>,
+    pub service_of_server: Vec<usize>,
     /// How many servers each service has; at least one.
-    pub services: Vec<usize>,
+    pub servers_per_service: Vec<usize>,
     /// The services that each hollow sidecar calls, in order of their places.
-    pub hollow: Vec<Vec<usize>>,
+    pub hollow_calls: Vec<Vec<usize>>,
     /// Those of the real ones.
-    pub sidecars: Vec<Vec<usize>>,
+    pub sidecar_calls: Vec<Vec<usize>>,
     /// Servers in the order in which they change.
-    pub turns: Vec<usize>,
+    pub change_order: Vec<usize>,
 }
 
 /// Bytes that an entry of the list is reckoned to take in a reader.
 const ENTRY: u64 = 1000;
 
-impl Draw {
+impl Topology {
     /// Draws for one step.
     pub fn new(plan: &Plan, sizes: &Sizes) -> Self {
         let count = plan.services.min(sizes.listed);
         let weights: Vec<f64> = (1..=count).map(|rank| (rank as f64).powf(-plan.skew)).collect();
         let mut rng = stream(plan.seed, "scale servers", 0);
         let sums = sums(weights.into_iter());
-        let mut services = vec![0; count];
+        let mut servers_per_service = vec![0; count];
         // None is left empty; what is beyond goes by the weights.
-        let server: Vec<usize> =
+        let service_of_server: Vec<usize> =
             (0..sizes.listed).map(|i| if i < count { i } else { pick(&sums, rng.random()) }).collect();
-        server.iter().for_each(|s| services[*s] += 1);
-        let by = self::sums(services.iter().map(|n| if plan.by_size { *n as f64 } else { 1.0 }));
+        service_of_server.iter().for_each(|s| servers_per_service[*s] += 1);
+        let by = self::sums(servers_per_service.iter().map(|n| if plan.by_size { *n as f64 } else { 1.0 }));
         let calls = |purpose: &str, of: usize| -> Vec<Vec<usize>> {
             (0..of)
                 .map(|i| called(&by, plan.calls.min(count), &mut stream(plan.seed, purpose, i as u64)))
                 .collect()
         };
-        let (hollow, sidecars) =
+        let (hollow_calls, sidecar_calls) =
             (calls("scale hollow", sizes.hollow), calls("scale sidecars", plan.sidecars));
-        let mut turns: Vec<usize> = (0..sizes.listed).collect();
-        turns.shuffle(&mut stream(plan.seed, "scale changes", 0));
-        Self { server, services, hollow, sidecars, turns }
+        let mut change_order: Vec<usize> = (0..sizes.listed).collect();
+        change_order.shuffle(&mut stream(plan.seed, "scale changes", 0));
+        Self { service_of_server, servers_per_service, hollow_calls, sidecar_calls, change_order }
     }
 
     /// Bytes that all hollow readers' lists are reckoned to take.
     pub fn bytes(&self, mode: Mode) -> u64 {
         let entries = |calls: &Vec<usize>| -> u64 {
             match mode {
-                Mode::Whole => self.server.len() as u64,
-                Mode::Services => calls.iter().map(|s| self.services[*s] as u64).sum(),
+                Mode::Whole => self.service_of_server.len() as u64,
+                Mode::Services => calls.iter().map(|s| self.servers_per_service[*s] as u64).sum(),
             }
         };
-        self.hollow.iter().map(entries).sum::<u64>() * ENTRY
+        self.hollow_calls.iter().map(entries).sum::<u64>() * ENTRY
     }
 
     /// Whether a reader of these services is concerned by a change of that server.
     pub fn concerns(&self, mode: Mode, calls: &[usize], server: usize) -> bool {
-        mode == Mode::Whole || calls.binary_search(&self.server[server]).is_ok()
+        mode == Mode::Whole || calls.binary_search(&self.service_of_server[server]).is_ok()
     }
 }
 
--- a/crates/fleet/tests/scale.rs
+++ b/crates/fleet/tests/scale.rs
@@ -1,7 +1,7 @@
 //! Results of scale runs on disk, and the driver that times the decision module alone.
 
-use lotusmoor_fleet::scale::lines::{At, Line, Lines, LinesError, Mode, Role, Sweep};
-use lotusmoor_fleet::scale::module;
+use lotusmoor_fleet::scale::decision_cost;
+use lotusmoor_fleet::scale::lines::{Line, Lines, LinesError, Mode, Role, StepSizes, Sweep};
 use std::io::Write;
 use std::time::Duration;
 
@@ -10,7 +10,7 @@
         sweep: Sweep::SidecarListed,
         mode: Mode::Whole,
         step,
-        at: At { hollow: 0, listed: 100, changes_per_s: 1.0, services: 0 },
+        at: StepSizes { hollow: 0, listed: 100, changes_per_s: 1.0, services: 0 },
         role: Role::Sidecar,
         event: None,
         seconds: 1.0,
@@ -59,7 +59,7 @@
 #[test]
 fn each_request_gets_its_attempt_from_the_module_at_once() {
     for listed in [1, 7, 50, 300] {
-        let cost = module::run(listed, 200.0, Duration::from_millis(20), 1).expect("it runs");
+        let cost = decision_cost::measure(listed, 200.0, Duration::from_millis(20), 1).expect("it runs");
         assert!(cost.requests >= 400, "{listed} listed: {}", cost.requests);
         assert_eq!((cost.sent, cost.answered), (cost.requests, cost.requests), "{listed} listed");
         assert_eq!(cost.decision.len(), cost.requests - 200, "{listed} listed");
@@ -69,7 +69,7 @@
 
 #[test]
 fn the_driver_ends_also_where_no_server_is_listed() {
-    let cost = module::run(0, 200.0, Duration::from_millis(20), 1).expect("it runs");
+    let cost = decision_cost::measure(0, 200.0, Duration::from_millis(20), 1).expect("it runs");
     assert!(cost.requests >= 400);
     assert_eq!((cost.sent, cost.answered), (0, 0));
 }
--- a/crates/fleet/tests/scale_plan.rs
+++ b/crates/fleet/tests/scale_plan.rs
@@ -1,6 +1,6 @@
 //! Plans of runs at scale: what can't be meant is refused by file and key, and by line where the text is at fault.
 
-use lotusmoor_fleet::scale::{Mode, Over, Plan};
+use lotusmoor_fleet::scale::{Mode, Plan, SweepVariable};
 use std::path::Path;
 
 const SMALL: &str = r#"name = "small"
@@ -29,7 +29,7 @@
 fn a_plan_is_read_with_what_it_leaves_out() {
     let plan = Plan::parse(Path::new("small.toml"), &format!("{SMALL}{SWEEP}")).expect("it is read");
     assert_eq!((plan.modes.as_slice(), plan.seed, plan.leases), (&[Mode::Whole][..], 1, 0));
-    assert_eq!(plan.sweep.as_ref().map(|s| s.over), Some(Over::Hollow));
+    assert_eq!(plan.sweep.as_ref().map(|s| s.over), Some(SweepVariable::Hollow));
     assert_eq!(plan.sizes().iter().map(|s| s.hollow).collect::<Vec<_>>(), [10, 20]);
     let events = Plan::parse(Path::new("small.toml"), &format!("{SMALL}{AWAY}")).expect("it is read");
     assert_eq!(events.event.iter().map(|e| e.name()).collect::<Vec<_>>(), ["zone_away"]);
--- a/crates/fleet/tests/stored_forms.rs
+++ b/crates/fleet/tests/stored_forms.rs
@@ -11,8 +11,10 @@
 use lotusmoor_fleet::harness::backend::{BackendEvent, Conduct, EndedRequest, ReceivedRequest};
 use lotusmoor_fleet::harness::discovery::{DeliveredVersion, ServerEntry};
 use lotusmoor_fleet::model::Figures;
-use lotusmoor_fleet::scale::hollow::{Ask, Assignment, Hollow, Lease, Standing, Taken};
-use lotusmoor_fleet::scale::lines::{At, Line as ScaleLine, Lines, Mode, Role, Sweep};
+use lotusmoor_fleet::scale::hollow::{
+    Activity, Assignment, ControlRequest, HollowSidecar, LeasedServer, Status,
+};
+use lotusmoor_fleet::scale::lines::{Line as ScaleLine, Lines, Mode, Role, StepSizes, Sweep};
 use lotusmoor_fleet::soak::{Fault, FaultWindow, LinkKind, Plan};
 use lotusmoor_fleet::sweep::Case;
 use serde::Serialize;
@@ -143,7 +145,7 @@
         sweep: Sweep::ModuleListed,
         mode: Mode::Whole,
         step: 1,
-        at: At { hollow: 0, listed: 100, changes_per_s: 0.0, services: 0 },
+        at: StepSizes { hollow: 0, listed: 100, changes_per_s: 0.0, services: 0 },
         role: Role::Module,
         event: None,
         seconds: 3.0,
@@ -166,7 +168,7 @@
     let event = lines.iter().find(|line| line.sweep == Sweep::Events && line.role == Role::Leader);
     let event = event.expect("a line of an event");
     assert_eq!(event.event.as_deref(), Some("steady"));
-    assert_eq!(event.at, At { hollow: 20_000, listed: 21_000, changes_per_s: 1.0, services: 3 });
+    assert_eq!(event.at, StepSizes { hollow: 20_000, listed: 21_000, changes_per_s: 1.0, services: 3 });
     assert_eq!(event.measured["watches"], 6117.0);
 }
 
@@ -552,7 +554,7 @@
 }
 
 fn hollow_assignment() -> Assignment {
-    let lease = Lease {
+    let lease = LeasedServer {
         name: "ledger-1".to_owned(),
         lease_ms: 6_000,
         body: r#"{"address":"127.0.0.1:80"}"#.to_owned(),
@@ -562,34 +564,39 @@
         sources: vec![[127, 0, 0, 2].into()],
         control: address("127.0.0.1:7100"),
         sidecars: vec![
-            Hollow { seed: 5, services: vec!["ledger".to_owned()], lease: Some(lease) },
-            Hollow { seed: 6, services: Vec::new(), lease: None },
+            HollowSidecar { seed: 5, services: vec!["ledger".to_owned()], lease: Some(lease) },
+            HollowSidecar { seed: 6, services: Vec::new(), lease: None },
         ],
     }
 }
 
-fn hollow_standing() -> Standing {
-    Standing { readers: 1, listed: 2, away: 3, heard_since: 4, least: 5, waiting: 6 }
+fn hollow_standing() -> Status {
+    Status { sidecars: 1, with_list: 2, failing: 3, oldest_outcome: 4, lowest_index: 5, polling: 6 }
 }
 
-fn hollow_taken() -> Taken {
-    Taken {
-        told: vec![(1, 2, 3)],
-        back: vec![(4, 5)],
-        answers: vec![6, 7],
-        whole: vec![8, 9],
+fn hollow_taken() -> Activity {
+    Activity {
+        applied: vec![(1, 2, 3)],
+        recoveries: vec![(4, 5)],
+        responses: vec![6, 7],
+        snapshots: vec![8, 9],
         bytes: vec![10, 11],
-        failed: 12,
+        failed_polls: 12,
         renewals: 13,
-        went_back: 14,
+        regressions: 14,
     }
 }
 
 #[test]
 fn what_hollow_sidecars_are_told_and_tell_is_read_and_written_again_as_the_same_text() {
     assert_eq!(json(&read_lines::<Assignment>(HOLLOW_ASSIGNMENT)), json(&[hollow_assignment()]));
-    let calls = json(&[Ask::Standing, Ask::Take, Ask::Reset, Ask::Known(3)]);
-    assert_eq!(json(&read_lines::<Ask>(HOLLOW_CALLS)), calls);
-    assert_eq!(read_lines::<Standing>(HOLLOW_STANDING), [hollow_standing()]);
-    assert_eq!(json(&read_lines::<Taken>(HOLLOW_TAKEN)), json(&[hollow_taken()]));
+    let calls = json(&[
+        ControlRequest::Status,
+        ControlRequest::TakeActivity,
+        ControlRequest::ResetConnections,
+        ControlRequest::List(3),
+    ]);
+    assert_eq!(json(&read_lines::<ControlRequest>(HOLLOW_CALLS)), calls);
+    assert_eq!(read_lines::<Status>(HOLLOW_STANDING), [hollow_standing()]);
+    assert_eq!(json(&read_lines::<Activity>(HOLLOW_TAKEN)), json(&[hollow_taken()]));
 }
--- a/crates/lotusmoor/src/fleet.rs
+++ b/crates/lotusmoor/src/fleet.rs
@@ -297,8 +297,8 @@
         Command::Capacity(arguments) => crate::capacity::run(&arguments),
         Command::StandIn(part) => stand_in(part).map_err(said),
         Command::Roster { sidecars, changes, idle_s } => {
-            let mut cluster = load::roster::start(sidecars, 1).map_err(said)?;
-            let idle = load::roster::idle(&cluster, Duration::from_secs(idle_s)).map_err(said)?;
+            let mut cluster = load::registry::start(sidecars, 1).map_err(said)?;
+            let idle = load::registry::measure_idle(&cluster, Duration::from_secs(idle_s)).map_err(said)?;
             println!(
                 "a list that does not change, for each of {sidecars} sidecars in a minute: {:.0} bytes, {:.1} ms of its \
                  processor, {:.1} ms of the replicas'",
@@ -308,17 +308,18 @@
                 "fault                     changes  acknowledged ms p50 p99 most   last told ms p50 p99 most   no writes ms"
             );
             let pause = Some(Duration::from_millis(150));
-            let plays = load::roster::Fault::ALL.map(|f| (f, pause));
-            for (fault, pause) in [(load::roster::Fault::None, None)].into_iter().chain(plays) {
-                let t = load::roster::told(&mut cluster, fault, changes, pause).map_err(said)?;
+            let plays = load::registry::Fault::ALL.map(|f| (f, pause));
+            for (fault, pause) in [(load::registry::Fault::None, None)].into_iter().chain(plays) {
+                let t =
+                    load::registry::measure_propagation(&mut cluster, fault, changes, pause).map_err(said)?;
                 let three = |q: [f64; 3]| format!("{:8.1}{:8.1}{:8.1}", q[0], q[1], q[2]);
                 println!(
                     "{:25} {:7}     {}     {} {:10.0}",
                     if pause.is_none() { "none, without a pause" } else { t.fault },
                     t.changes,
                     three(t.acknowledged_ms),
-                    three(t.last_told_ms),
-                    t.no_writes_ms
+                    three(t.propagation_ms),
+                    t.write_outage_ms
                 );
             }
             Ok(())
@@ -337,14 +338,14 @@
 
 fn load(rate: f64, length: Duration, plays: u64, work_us: u64, connections: usize) -> std::io::Result<()> {
     for play in 1..=plays {
-        let bench = load::Bench::start(work_us)?;
+        let bench = load::SidecarBench::start(work_us)?;
         // First, as memory that was once used is used again.
-        let held = load::per_connection(&bench, connections)?;
-        let added = load::added(&bench, rate, length, play)?;
+        let held = load::measure_connection_memory(&bench, connections)?;
+        let added = load::measure_overhead(&bench, rate, length, play)?;
         let line = |name: &str, l: &load::Latency| {
             println!(
                 "  {name:<8} p50 {:>6} us  p99 {:>6} us  p99.9 {:>6} us  served {}  others {}",
-                l.p50_us, l.p99_us, l.p999_us, l.served, l.others
+                l.p50_us, l.p99_us, l.p999_us, l.served, l.not_served
             );
         };
         println!("play {play}, {rate} requests a second:");
@@ -359,13 +360,15 @@
             added.cpu_us
         );
         let step = Duration::from_secs(1);
-        let (direct, through) =
-            (load::saturation(bench.direct, step, play)?, load::saturation(bench.through, step, play)?);
+        let (direct, through) = (
+            load::find_saturation(bench.direct, step, play)?,
+            load::find_saturation(bench.through, step, play)?,
+        );
         println!(
             "  saturation: direct {:.0} a second, sidecar on one core {:.0}, ratio {:.2}",
-            direct.served,
-            through.served,
-            through.served / direct.served.max(1.0)
+            direct.served_rate,
+            through.served_rate,
+            through.served_rate / direct.served_rate.max(1.0)
         );
         println!(
             "  memory of an idle connection: sidecar {:.0} bytes, server {:.0}, ratio {:.1}",
--- a/crates/lotusmoor/src/scale.rs
+++ b/crates/lotusmoor/src/scale.rs
@@ -3,7 +3,7 @@
 use crate::Failure;
 use indicatif::ProgressBar;
 use lotusmoor_fleet::scale::lines::Role;
-use lotusmoor_fleet::scale::{Plan, Step, play};
+use lotusmoor_fleet::scale::{Plan, StepResult, run_plan};
 use std::path::{Path, PathBuf};
 
 #[derive(clap::Args)]
@@ -33,17 +33,17 @@
 pub fn run(arguments: Arguments) -> Result<(), Failure> {
     let Arguments { plan: path, out, hollow, seconds, seed, modes, commit } = arguments;
     let mut plan = Plan::load(&path)?;
-    plan.set(hollow, seconds, seed, &modes);
+    plan.apply_overrides(hollow, seconds, seed, &modes);
     plan.check(Path::new("arguments"))?;
     let commit = commit.unwrap_or_else(of_git);
     let bar = ProgressBar::new(0);
     bar.enable_steady_tick(std::time::Duration::from_millis(500));
-    let steps = play(&plan, Some(&out), &commit, &bar).map_err(|e| Failure::Said(e.to_string()))?;
+    let steps = run_plan(&plan, Some(&out), &commit, &bar).map_err(|e| Failure::Said(e.to_string()))?;
     for step in &steps {
         show(step);
     }
     println!("{} steps: {}", steps.len(), out.display());
-    match steps.iter().map(|s| s.went_back).sum::<u64>() {
+    match steps.iter().map(|s| s.regressions).sum::<u64>() {
         0 => Ok(()),
         n => Err(Failure::Said(format!("{n} times a reader's list went back"))),
     }
@@ -58,7 +58,7 @@
     said.unwrap_or_else(|| "unknown".to_owned())
 }
 
-fn show(step: &Step) {
+fn show(step: &StepResult) {
     let of = |role: Role, key: &str| {
         let line = step.lines.iter().find(|l| l.role == role);
         line.and_then(|l| l.measured.get(key)).map_or_else(|| "-".to_owned(), |v| format!("{v:.1}"))
@@ -82,7 +82,7 @@
         of(Role::Sidecar, "added_us_p50"),
         of(Role::Sidecar, "added_us_p99"),
         of(Role::Fleet, "back_ms"),
-        step.untold,
-        step.away
+        step.undelivered,
+        step.failing
     );
 }
--- a/crates/lotusmoor/tests/scale.rs
+++ b/crates/lotusmoor/tests/scale.rs
@@ -3,9 +3,9 @@
 
 use indicatif::ProgressBar;
 use lotusmoor_fleet::harness::{process_guard, until};
-use lotusmoor_fleet::scale::deployment::{Deployment, REPLICAS, START, name};
+use lotusmoor_fleet::scale::deployment::{Deployment, REPLICAS, START_TIMEOUT, server_name};
 use lotusmoor_fleet::scale::lines::{Line, Lines, Role, Sweep};
-use lotusmoor_fleet::scale::{Mode, Plan, play};
+use lotusmoor_fleet::scale::{Mode, Plan, run_plan};
 use serde_json::Value;
 use std::path::{Path, PathBuf};
 use std::process::{Command, Stdio};
@@ -122,14 +122,14 @@
 fn all_readers_are_told_of_all_changes_through_each_event() {
     let folder = tempfile::tempdir().expect("a folder");
     let (plan, out) = (small(), folder.path().join("small.jsonl"));
-    let steps = play(&plan, Some(&out), "abc1234", &ProgressBar::hidden()).expect("it is played");
+    let steps = run_plan(&plan, Some(&out), "abc1234", &ProgressBar::hidden()).expect("it is played");
     let events = ["steady", "replica_killed", "watches_lost", "zone_away"];
     let is: Vec<_> = steps.iter().map(|s| (s.mode, s.event.unwrap_or_default())).collect();
     let of = |mode| events.map(|event| (mode, event));
     assert_eq!(is, [of(Mode::Whole), of(Mode::Services)].concat());
     for step in &steps {
         let said = format!("{} {:?}: {step:?}", step.mode.name(), step.event);
-        assert_eq!((step.untold, step.away, step.went_back), (0, 0, 0), "{said}");
+        assert_eq!((step.undelivered, step.failing, step.regressions), (0, 0, 0), "{said}");
         assert!(step.changes > 0, "{said}");
         match step.event {
             // Without a leader, the writer may not come to all of them.
@@ -137,7 +137,7 @@
             _ => assert_eq!(step.changes, 6, "{said}"),
         }
         if step.event == Some("watches_lost") {
-            assert!(step.back >= plan.hollow, "{said}");
+            assert!(step.recovered >= plan.hollow, "{said}");
         }
     }
     let lines = Lines::read(&out).expect("it is read");
@@ -185,13 +185,14 @@
     let plan = small();
     let sizes = plan.sizes()[0];
     let mut deployment = Deployment::start(&plan, &sizes, mode, &[]).expect("it starts");
-    deployment.start_hollows(&plan).expect("they start");
-    let up = || deployment.standing().is_ok_and(|s| s.listed == sizes.hollow && s.away == 0);
-    assert!(until(up), "{:?}", deployment.standing());
-    let calls = &deployment.draw.sidecars[0];
-    let reader = deployment.draw.hollow.iter().position(|c| c == calls).expect("one calls the same");
+    deployment.start_hollow_sidecars(&plan).expect("they start");
+    let up = || deployment.hollow_status().is_ok_and(|s| s.with_list == sizes.hollow && s.failing == 0);
+    assert!(until(up), "{:?}", deployment.hollow_status());
+    let calls = &deployment.topology.sidecar_calls[0];
+    let reader =
+        deployment.topology.hollow_calls.iter().position(|c| c == calls).expect("one calls the same");
     let own = &deployment.sidecars[0];
-    let known = || serde_json::to_value(deployment.known(reader).ok()??).ok();
+    let known = || serde_json::to_value(deployment.hollow_list(reader).ok()??).ok();
     let index = |list: &Option<Value>| list.as_ref().and_then(|l| l["version"]["index"].as_u64());
     // Both have that index, or a later one, and the same list.
     let both = |wanted: u64| {
@@ -205,38 +206,38 @@
     };
     let first = both(1);
     assert!(until(|| own.index() == index(&first)), "{:?} of {first:?}", own.index());
-    deployment.take().expect("it is taken");
+    deployment.take_activity().expect("it is taken");
     // Servers without a lease: a hollow holder registers its own anew when it is taken off.
-    let free = |s: &usize| *s >= plan.leases && deployment.draw.concerns(mode, calls, *s);
-    let concerned: Vec<usize> = deployment.draw.turns.iter().copied().filter(free).collect();
-    let leader = || deployment.rosters.leader();
+    let free = |s: &usize| *s >= plan.leases && deployment.topology.concerns(mode, calls, *s);
+    let concerned: Vec<usize> = deployment.topology.change_order.iter().copied().filter(free).collect();
+    let leader = || deployment.registry.leader();
     assert!(until(|| leader().is_some()));
     let killed = leader().expect("somebody leads");
     let (mut at, mut versions) = (0, Vec::new());
     for (turn, server) in concerned.iter().cycle().take(9).enumerate() {
         match turn {
-            3 => deployment.rosters.kill(killed).expect("it is killed"),
-            6 => deployment.rosters.start_replica(killed).expect("it starts"),
+            3 => deployment.registry.kill(killed).expect("it is killed"),
+            6 => deployment.registry.start_replica(killed).expect("it starts"),
             _ => {}
         }
-        let path = format!("/v1/servers/{}", name(*server));
+        let path = format!("/v1/servers/{}", server_name(*server));
         let (method, body) = match turn % 3 {
             2 => ("DELETE", String::new()),
             _ => ("PUT", deployment.registration(*server, turn + 1).to_string()),
         };
-        let wanted = deployment.write(method, &path, &body, &mut at, START).expect("it is taken");
+        let wanted = deployment.write(method, &path, &body, &mut at, START_TIMEOUT).expect("it is taken");
         let list = both(wanted);
         // One that was taken off is not listed, or not as active.
-        let status = list.as_ref().and_then(|l| l["entries"][name(*server)]["status"].as_str());
+        let status = list.as_ref().and_then(|l| l["entries"][server_name(*server)]["status"].as_str());
         assert_eq!(status == Some("active"), method == "PUT", "{path}: {status:?}");
         versions.extend(index(&list));
     }
     // Each version that the sidecar had was told to the hollow one, once and in order.
-    let taken = deployment.take().expect("it is taken");
-    let told = taken.iter().flat_map(|t| &t.told).filter(|(r, ..)| *r as usize == reader);
+    let taken = deployment.take_activity().expect("it is taken");
+    let told = taken.iter().flat_map(|t| &t.applied).filter(|(r, ..)| *r as usize == reader);
     assert_eq!(told.map(|(_, index, _)| *index).collect::<Vec<_>>(), versions);
     assert!(versions.is_sorted() && versions.len() == 9 && (0..REPLICAS).contains(&killed), "{versions:?}");
-    assert_eq!(taken.iter().map(|t| t.went_back).sum::<u64>(), 0);
+    assert_eq!(taken.iter().map(|t| t.regressions).sum::<u64>(), 0);
 }
 
 #[test]
