--- a/crates/fleet/src/scale/decision_cost.rs
+++ b/crates/fleet/src/scale/decision_cost.rs
@@ -1,5 +1,5 @@
-//! What the length of the list costs the decision module, by itself: one thread, a simulated clock, servers that answer
-//! all alike. Only the calls into the module are timed.
+//! The cost of the decision module alone, by the length of the endpoint list: one thread, a simulated clock, and servers
+//! that all respond alike. Only the calls into the module are timed.
 
 use crate::load;
 use crate::{Micros, SECOND};
@@ -14,43 +14,44 @@
 use std::io;
 use std::time::{Duration, Instant};
 
-/// Simulated time that a server takes for a request.
-const WORK: Micros = 5_000;
-/// Requests before the first that is timed.
-const FIRST: u64 = 200;
-/// Most requests of a run.
-const MOST: u64 = 1_000_000;
-/// After the last request its answer is waited for, no longer than its client would.
-const WAIT: Micros = 3 * SECOND;
-/// A change of the list comes after so many requests.
-const CHANGE_AFTER: u64 = 50;
+/// Simulated service time of a request.
+const SERVICE_TIME: Micros = 5_000;
+/// Warm-up requests, which are not timed.
+const WARMUP_REQUESTS: u64 = 200;
+/// Maximum number of requests of a run.
+const MAX_REQUESTS: u64 = 1_000_000;
+/// Deadline of a request. The run ends when it has passed since the last request.
+const REQUEST_TIMEOUT: Micros = 3 * SECOND;
+/// Number of requests from one change of the list to the next.
+const REQUESTS_PER_CHANGE: u64 = 50;
 
-/// What was asked of the module, and how long it took over it.
+/// The calls into the module, and how long they took.
 pub struct Cost {
-    /// Requests that it was told of.
+    /// Requests that the module received.
     pub requests: u64,
-    /// Those that it sent to a server as it was told of them.
+    /// Requests that it sent to a server in the same call.
     pub sent: u64,
-    /// Attempts that it sent, and that were answered.
+    /// Attempts that it sent and that a server answered.
     pub answered: u64,
-    /// From a request to its attempt: nanoseconds of each call that was timed.
+    /// Time of the calls for a new request, in nanoseconds, without the warm-up requests.
     pub decision: Histogram<u64>,
-    /// Mean time in which it takes the end of an attempt, in nanoseconds.
+    /// Mean time of a call for the end of an attempt, in nanoseconds.
     pub end_ns: f64,
-    /// Mean time in which it takes a whole list.
+    /// Mean time of a call for a full list, in nanoseconds.
     pub list_ns: f64,
-    /// Mean time in which it takes one change.
+    /// Mean time of a call for a change of one server, in nanoseconds.
     pub change_ns: f64,
 }
 
+/// A scheduled event of the simulation.
 #[derive(PartialEq, Eq, PartialOrd, Ord)]
-enum Due {
+enum Scheduled {
     Request,
-    End { request: RequestId, endpoint: usize },
+    AttemptEnd { request: RequestId, endpoint: usize },
     Timer(u64),
 }
 
-/// Mean of some calls.
+/// The sum and number of some durations.
 #[derive(Default)]
 struct Mean(u64, u64);
 
@@ -68,26 +69,30 @@
 struct Driver {
     module: Balancer,
     now: Micros,
-    due: BinaryHeap<Reverse<(Micros, Due)>>,
+    schedule: BinaryHeap<Reverse<(Micros, Scheduled)>>,
     actions: Vec<Action>,
     cost: Cost,
 }
 
 impl Driver {
-    /// Tells the module of an event now, and plans what it asks for; nanoseconds that it took.
-    fn tell(&mut self, event: Event) -> u64 {
-        let asked = if let Event::RequestReceived(new) = &event { Some(new.id) } else { None };
-        let begun = Instant::now();
+    /// Passes an event to the module and schedules the results of its actions. Returns the time of the call in
+    /// nanoseconds.
+    fn handle(&mut self, event: Event) -> u64 {
+        let new_request = if let Event::RequestReceived(new) = &event { Some(new.id) } else { None };
+        let started = Instant::now();
         self.module.handle(self.now, event, &mut self.actions);
-        let ns = begun.elapsed().as_nanos() as u64;
+        let ns = started.elapsed().as_nanos() as u64;
         for action in self.actions.drain(..) {
             match action {
                 Action::Send { request, endpoint, .. } => {
-                    self.cost.sent += u64::from(asked == Some(request));
-                    self.due.push(Reverse((self.now + WORK, Due::End { request, endpoint })));
+                    self.cost.sent += u64::from(new_request == Some(request));
+                    self.schedule.push(Reverse((
+                        self.now + SERVICE_TIME,
+                        Scheduled::AttemptEnd { request, endpoint },
+                    )));
                 }
                 Action::SetTimer { after, token } => {
-                    self.due.push(Reverse((self.now + after, Due::Timer(token))));
+                    self.schedule.push(Reverse((self.now + after, Scheduled::Timer(token))));
                 }
                 _ => {}
             }
@@ -96,8 +101,8 @@
     }
 }
 
-/// A warm server.
-fn listing(endpoint: usize, size: f64) -> EndpointEntry {
+/// A server that is ready and past its slow start.
+fn entry(endpoint: usize, size: f64) -> EndpointEntry {
     EndpointEntry {
         endpoint,
         zone: Some(0),
@@ -109,72 +114,80 @@
     }
 }
 
-/// Runs requests through a module with so many servers listed, for so long by the real clock, at that rate by the
-/// simulated one.
-pub fn measure(listed: usize, rate: f64, length: Duration, seed: u64) -> io::Result<Cost> {
-    let text = load::settings().to_string();
-    let settings = decode(&text).map_err(io::Error::other)?.settings;
+/// Measures a module with `listed` servers on its list, for `duration` of real time. Requests arrive at `rate` per second
+/// of simulated time.
+pub fn measure(listed: usize, rate: f64, duration: Duration, seed: u64) -> io::Result<Cost> {
+    let settings = load::settings().to_string();
+    let settings = decode(&settings).map_err(io::Error::other)?.settings;
     let module = Balancer::new(settings, seed).map_err(io::Error::other)?;
     let decision = Histogram::new_with_bounds(1, 60 * 1_000_000_000, 3).map_err(io::Error::other)?;
     let cost =
         Cost { requests: 0, sent: 0, answered: 0, decision, end_ns: 0.0, list_ns: 0.0, change_ns: 0.0 };
-    let mut driver = Driver { module, now: SECOND, due: BinaryHeap::new(), actions: Vec::new(), cost };
-    let (mut lists, mut changes, mut ends) = (Mean::default(), Mean::default(), Mean::default());
+    let mut driver = Driver { module, now: SECOND, schedule: BinaryHeap::new(), actions: Vec::new(), cost };
+    let (mut full_lists, mut changes, mut attempt_ends) = (Mean::default(), Mean::default(), Mean::default());
     for _ in 0..3 {
-        let all: Vec<EndpointEntry> = (0..listed).map(|i| listing(i, 1.0)).collect();
-        lists.add(driver.tell(Event::EndpointList(EndpointListUpdate::Full(all))));
+        let entries: Vec<EndpointEntry> = (0..listed).map(|i| entry(i, 1.0)).collect();
+        full_lists.add(driver.handle(Event::EndpointList(EndpointListUpdate::Full(entries))));
     }
     let spacing = ((SECOND as f64 / rate) as Micros).max(1);
-    let (mut next, end) = (0, Instant::now() + length);
-    driver.due.push(Reverse((driver.now, Due::Request)));
-    let mut last = driver.now;
-    while let Some(Reverse((at, due))) = driver.due.pop().filter(|d| d.0.0 <= last + WAIT) {
+    let (mut change, end) = (0, Instant::now() + duration);
+    driver.schedule.push(Reverse((driver.now, Scheduled::Request)));
+    let mut last_request = driver.now;
+    while let Some(Reverse((at, event))) =
+        driver.schedule.pop().filter(|scheduled| scheduled.0.0 <= last_request + REQUEST_TIMEOUT)
+    {
         driver.now = driver.now.max(at);
-        match due {
-            Due::Request => {
-                last = driver.now;
+        match event {
+            Scheduled::Request => {
+                last_request = driver.now;
                 driver.cost.requests += 1;
                 let id = driver.cost.requests;
-                let ns = driver.tell(Event::RequestReceived(NewRequest {
+                let ns = driver.handle(Event::RequestReceived(NewRequest {
                     id,
                     class: 0,
                     tenant: None,
                     partition_key: None,
-                    deadline: driver.now + WAIT,
+                    deadline: driver.now + REQUEST_TIMEOUT,
                     expected_work: None,
                     is_client_retry: false,
                     body_incomplete: false,
                 }));
-                if id > FIRST {
+                if id > WARMUP_REQUESTS {
                     driver.cost.decision.saturating_record(ns);
                 }
-                if listed > 0 && id.is_multiple_of(CHANGE_AFTER) {
-                    // Of its size: one that starts anew is cold, and a short list would soon be cold all of it.
-                    let size = if (next / listed).is_multiple_of(2) { 1.1 } else { 1.0 };
-                    let changed = vec![listing(next % listed, size)];
-                    changes.add(driver.tell(Event::EndpointList(EndpointListUpdate::Delta(changed))));
-                    next += 1;
+                if listed > 0 && id.is_multiple_of(REQUESTS_PER_CHANGE) {
+                    // Changes the size: a restarted server would be in slow start, and on a short list soon all
+                    // servers would be.
+                    let size = if (change / listed).is_multiple_of(2) { 1.1 } else { 1.0 };
+                    let changed = vec![entry(change % listed, size)];
+                    changes.add(driver.handle(Event::EndpointList(EndpointListUpdate::Delta(changed))));
+                    change += 1;
                 }
-                // All are timed at the least that there may be a 99th percentile.
-                if id < 2 * FIRST || (Instant::now() < end && id < MOST) {
-                    driver.due.push(Reverse((driver.now + spacing, Due::Request)));
+                // At least as many requests are timed as are not, so that there is a 99th percentile.
+                if id < 2 * WARMUP_REQUESTS || (Instant::now() < end && id < MAX_REQUESTS) {
+                    driver.schedule.push(Reverse((driver.now + spacing, Scheduled::Request)));
                 }
             }
-            Due::End { request, endpoint } => {
+            Scheduled::AttemptEnd { request, endpoint } => {
                 driver.cost.answered += 1;
-                ends.add(driver.tell(Event::AttemptEnded(AttemptEnd {
+                attempt_ends.add(driver.handle(Event::AttemptEnded(AttemptEnd {
                     request,
                     attempt: 0,
                     endpoint,
                     outcome: Outcome::Ok,
-                    duration: WORK,
+                    duration: SERVICE_TIME,
                     request_completed: true,
                     body_consumed: false,
                     load_report: LoadReport::default(),
                 })));
             }
-            Due::Timer(token) => drop(driver.tell(Event::Timer(token))),
+            Scheduled::Timer(token) => drop(driver.handle(Event::Timer(token))),
         }
     }
-    Ok(Cost { end_ns: ends.get(), list_ns: lists.get(), change_ns: changes.get(), ..driver.cost })
+    Ok(Cost {
+        end_ns: attempt_ends.get(),
+        list_ns: full_lists.get(),
+        change_ns: changes.get(),
+        ..driver.cost
+    })
 }
--- a/crates/fleet/src/scale/deployment.rs
+++ b/crates/fleet/src/scale/deployment.rs
@@ -1,10 +1,10 @@
 //! All processes of one step: replicas, servers behind the real sidecars, those, and the hollow ones.
 
-use super::allow_files;
 use super::hollow::{Activity, Assignment, ControlRequest, HollowSidecar, LeasedServer, Status};
 use super::lines::Mode;
 use super::plan::{Plan, Sizes};
-use super::topology::{Topology, service};
+use super::raise_file_limit;
+use super::topology::{Topology, service_name};
 use crate::harness::backend::Conduct;
 use crate::harness::process_guard::ProcessGuard;
 use crate::harness::registry_replicas::{RegistryReplicas, call};
@@ -104,7 +104,7 @@
     pub fn start(plan: &Plan, sizes: &Sizes, mode: Mode, cut: &[usize]) -> io::Result<Self> {
         // Two replicas must bear all readers, and each of those may be moving from one connection to the next.
         let each = (sizes.hollow + plan.sidecars) as u64 * 3 / 4 + 600;
-        allow_files(each)?;
+        raise_file_limit(each)?;
         let programs = Programs::find()?;
         let reaper = ProcessGuard::start(&programs.lotusmoor)?;
         let folder = tempfile::tempdir()?;
@@ -179,7 +179,7 @@
             "lease_ms": if server < self.leases { self.lease_ms } else { 0 }});
         // A replica that knows of no services would turn the whole registration down.
         if self.mode == Mode::Services {
-            body["service"] = json!(service(self.topology.service_of_server[server]));
+            body["service"] = json!(service_name(self.topology.service_of_server[server]));
         }
         body
     }
@@ -458,5 +458,5 @@
 }
 
 fn names(services: &[usize]) -> Vec<String> {
-    services.iter().map(|s| service(*s)).collect()
+    services.iter().map(|s| service_name(*s)).collect()
 }
--- a/crates/fleet/src/scale/hollow.rs
+++ b/crates/fleet/src/scale/hollow.rs
@@ -1,7 +1,7 @@
 //! Hollow sidecars, many in a process of their own: each has the reader that real sidecars have, on sockets of its own,
 //! and some hold the lease of a server. The run asks them over a control connection, a line of JSON each way.
 
-use super::{allow_files, monotonic};
+use super::{monotonic, raise_file_limit};
 use lotusmoor_registry_client::{
     Action, EndpointList, Event, ListUpdate, Micros, PollError, RegistryWatcher, Settings, Version,
 };
@@ -174,7 +174,7 @@
 pub fn serve(assignment: &Path) -> io::Result<()> {
     let assignment: Assignment = serde_json::from_slice(&std::fs::read(assignment)?)?;
     // A reader has two connections for a moment, where it moves from one replica to the next or hedges.
-    allow_files(2 * assignment.sidecars.len() as u64 + 100)?;
+    raise_file_limit(2 * assignment.sidecars.len() as u64 + 100)?;
     let runtime = tokio::runtime::Builder::new_multi_thread().worker_threads(2).enable_all().build()?;
     runtime.block_on(play(assignment))
 }
--- a/crates/fleet/src/scale/lines.rs
+++ b/crates/fleet/src/scale/lines.rs
@@ -1,4 +1,4 @@
-//! Results of scale runs: a line of JSON for each role of each step.
+//! Result files of scale runs: JSON Lines, one line for each role of each step.
 
 use serde::{Deserialize, Serialize};
 use std::collections::BTreeMap;
@@ -10,34 +10,34 @@
 #[derive(Clone, Copy, Debug, Deserialize, Serialize, PartialEq, Eq, PartialOrd, Ord, Hash)]
 #[serde(rename_all = "snake_case")]
 pub enum Sweep {
-    /// Hollow readers.
+    /// The number of hollow sidecars.
     Hollow,
-    /// Listed servers, for a fleet.
+    /// The number of listed servers, in a fleet.
     Listed,
-    /// Changes a second, for a fleet.
+    /// Changes per second, in a fleet.
     Changes,
-    /// A step for each event.
+    /// One step for each event.
     Events,
-    /// Listed servers, for one real sidecar.
+    /// The number of listed servers, for a single real sidecar.
     SidecarListed,
-    /// Changes a second, for one real sidecar.
+    /// Changes per second, for a single real sidecar.
     SidecarChanges,
-    /// Listed servers, for the decision module alone.
+    /// The number of listed servers, for the decision module alone.
     ModuleListed,
 }
 
-/// What readers of the list are told.
+/// The part of the endpoint list that sidecars watch.
 #[derive(Clone, Copy, Debug, Deserialize, Serialize, PartialEq, Eq, PartialOrd, Ord, Hash)]
 #[serde(rename_all = "snake_case")]
 pub enum Mode {
-    /// The whole list.
+    /// The full list.
     Whole,
-    /// The servers of the services that they ask for.
+    /// The servers of the services that they call.
     Services,
 }
 
 impl Mode {
-    /// As files have it.
+    /// The name in files and on the command line.
     pub fn name(self) -> &'static str {
         match self {
             Self::Whole => "whole",
@@ -46,68 +46,68 @@
     }
 }
 
-/// Who was measured.
+/// The component that was measured.
 #[derive(Clone, Copy, Debug, Deserialize, Serialize, PartialEq, Eq, PartialOrd, Ord, Hash)]
 #[serde(rename_all = "snake_case")]
 pub enum Role {
-    /// The replica that leads.
+    /// The leader of the registry.
     Leader,
-    /// Mean of the replicas that do not.
+    /// The mean of the followers.
     Follower,
-    /// Mean of the hollow readers.
+    /// The mean of the hollow sidecars.
     Hollow,
-    /// Mean of the real sidecars.
+    /// The mean of the real sidecars.
     Sidecar,
     /// The decision module alone.
     Module,
-    /// What concerns all of them.
+    /// The fleet as a whole.
     Fleet,
 }
 
 /// The sizes of a step.
 #[derive(Clone, Copy, Debug, Deserialize, Serialize, PartialEq)]
 pub struct StepSizes {
-    /// Hollow readers.
+    /// The number of hollow sidecars.
     pub hollow: u32,
-    /// Servers on the list.
+    /// The number of servers on the list.
     pub listed: u32,
-    /// Changes of the list, a second.
+    /// Changes of the list per second.
     pub changes_per_s: f64,
-    /// Services that a reader calls; 0 for all.
+    /// The number of services that a sidecar calls; 0 if it watches the full list.
     pub services: u32,
 }
 
-/// What was measured of one role in one step.
+/// The measurements of one role in one step.
 #[derive(Clone, Debug, Deserialize, Serialize, PartialEq)]
 pub struct Line {
     /// What varies.
     pub sweep: Sweep,
-    /// What readers are told.
+    /// The part of the list that sidecars watched.
     pub mode: Mode,
-    /// The step of the sweep, from 1.
+    /// The step of the sweep, counted from 1.
     pub step: u32,
-    /// Its sizes.
+    /// The sizes of the step.
     pub at: StepSizes,
-    /// Who was measured.
+    /// The component that was measured.
     pub role: Role,
-    /// What happened meanwhile, in sweep `events`.
+    /// The event during the step, in sweep `events`.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub event: Option<String>,
-    /// For how long each figure was taken.
+    /// How long each figure was measured.
     pub seconds: f64,
-    /// Figures, with their unit in the name; absent where not measured.
+    /// Figures by name, with the unit in the name. Figures that were not measured are absent.
     pub measured: BTreeMap<String, f64>,
-    /// Why the step ended before all was measured.
+    /// Why the step failed before everything was measured.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub failed: Option<String>,
-    /// What the run was drawn from.
+    /// The random seed of the run.
     pub seed: u64,
-    /// The text that was run: the commit, with `+` behind it where files differed from it.
+    /// The source version: the commit, with a `+` appended if files differed from it.
     pub commit: String,
 }
 
 impl Line {
-    /// Adds a figure. One that is no number was not measured.
+    /// Adds a figure. A value that is not finite counts as not measured.
     pub fn set(&mut self, name: &str, value: f64) {
         if value.is_finite() {
             self.measured.insert(name.to_owned(), value);
@@ -115,44 +115,44 @@
     }
 }
 
-/// Why a file of lines can't be used.
+/// An error of a result file.
 #[derive(Debug, thiserror::Error)]
 pub enum LinesError {
-    /// It can't be read or written.
+    /// The file cannot be read or written.
     #[error("{}: {source}", path.display())]
     Io {
         /// The file.
         path: PathBuf,
-        /// What the system says.
+        /// The error of the system.
         source: io::Error,
     },
-    /// A whole line is no result.
+    /// A complete line is not a valid result.
     #[error("{}: line {line}: {source}", path.display())]
     Line {
         /// The file.
         path: PathBuf,
-        /// From 1.
+        /// The number of the line, counted from 1.
         line: usize,
-        /// What is wrong.
+        /// The error of the parser.
         source: serde_json::Error,
     },
 }
 
-/// A new file that lines are added to as they come.
+/// A new result file, to which lines are appended during a run.
 pub struct Lines {
     path: PathBuf,
     file: File,
 }
 
 impl Lines {
-    /// Makes the file. One that is there already is left as it is, and refused.
+    /// Creates the file. Fails if it exists already, and leaves it as it is.
     pub fn create(path: &Path) -> Result<Self, LinesError> {
         let opened = OpenOptions::new().write(true).create_new(true).open(path);
         let file = opened.map_err(|source| LinesError::Io { path: path.to_owned(), source })?;
         Ok(Self { path: path.to_owned(), file })
     }
 
-    /// Adds a line, by one write: an interrupt tears the last one at most.
+    /// Appends a line by a single write, so that an interrupted run truncates the last line at most.
     pub fn add(&mut self, line: &Line) -> Result<(), LinesError> {
         let text = serde_json::to_vec(line).map_err(io::Error::from);
         let written = text.and_then(|mut text| {
@@ -162,18 +162,18 @@
         written.map_err(|source| LinesError::Io { path: self.path.clone(), source })
     }
 
-    /// Reads a file. A last line that does not end is left out, as an interrupt tore it.
+    /// Reads a file. A last line without an end is skipped, as an interrupted run truncated it.
     pub fn read(path: &Path) -> Result<Vec<Line>, LinesError> {
         let text = std::fs::read(path).map_err(|source| LinesError::Io { path: path.to_owned(), source })?;
-        let whole = text.iter().rposition(|b| *b == b'\n').map_or(0, |end| end + 1);
-        let lines = text[..whole].split(|b| *b == b'\n').enumerate().filter(|(_, text)| !text.is_empty());
-        let of = |(i, text): (usize, &[u8])| {
+        let end = text.iter().rposition(|b| *b == b'\n').map_or(0, |last| last + 1);
+        let lines = text[..end].split(|b| *b == b'\n').enumerate().filter(|(_, text)| !text.is_empty());
+        let parse = |(i, text): (usize, &[u8])| {
             serde_json::from_slice(text).map_err(|source| LinesError::Line {
                 path: path.to_owned(),
                 line: i + 1,
                 source,
             })
         };
-        lines.map(of).collect()
+        lines.map(parse).collect()
     }
 }
--- a/crates/fleet/src/scale/mod.rs
+++ b/crates/fleet/src/scale/mod.rs
@@ -1,9 +1,11 @@
-//! What sizes cost: of the list, of the fleet, and of the rate of changes.
+//! Scale runs: what each component costs by the length of the endpoint list, the size of the fleet, and the rate of
+//! changes.
 //!
-//! How far a fleet goes on one machine is played with three real replicas, ten real sidecars under a steady load, and
-//! thousands of hollow sidecars beside them. A hollow one has the real reader of the list with its connection, versions
-//! and timers, and carries no request. What each part costs is measured at each step of a sweep, or through each of some
-//! events; a sidecar and the decision module are measured alone as well.
+//! To run as large a fleet as one machine can hold, a scale run has three real registry replicas, some real sidecars
+//! under a steady load (ten in the recorded runs), and thousands of hollow sidecars. A hollow sidecar is a sidecar
+//! without the data path: it has the real registry watcher with its connection, versions and timers, but forwards no
+//! requests. The cost of each component is measured at each step of a sweep, or during each of a series of events. A
+//! real sidecar and the decision module are also measured alone.
 
 pub mod decision_cost;
 pub mod deployment;
@@ -23,25 +25,24 @@
 
 use rustix::time::{ClockId, clock_gettime};
 
-/// Microseconds on the clock that all processes of this machine share and that nobody sets.
+/// Microseconds of `CLOCK_MONOTONIC`, which all processes of the machine share and which is never set.
 pub fn monotonic() -> i64 {
     let now = clock_gettime(ClockId::Monotonic);
     now.tv_sec * 1_000_000 + now.tv_nsec / 1000
 }
 
-/// Raises this process's soft limit of open files, which its children start with; says what is missing where the
-/// machine does not give as many.
-pub fn allow_files(wanted: u64) -> std::io::Result<()> {
+/// Raises this process's soft limit of open files, which its children inherit. Fails if the hard limit is too low.
+pub fn raise_file_limit(wanted: u64) -> std::io::Result<()> {
     use rustix::process::{Resource, Rlimit, getrlimit, setrlimit};
     let limit = getrlimit(Resource::Nofile);
-    let enough = |of: Option<u64>| of.is_none_or(|n| n >= wanted);
+    let enough = |limit: Option<u64>| limit.is_none_or(|n| n >= wanted);
     if enough(limit.current) {
         return Ok(());
     }
     if !enough(limit.maximum) {
-        let most = limit.maximum.unwrap_or(0);
-        let said = format!("{wanted} open files are needed in a process, and the system allows {most}");
-        return Err(std::io::Error::other(said));
+        let maximum = limit.maximum.unwrap_or(0);
+        let message = format!("a process needs {wanted} open files, but the hard limit is {maximum}");
+        return Err(std::io::Error::other(message));
     }
     Ok(setrlimit(Resource::Nofile, Rlimit { current: Some(wanted), maximum: limit.maximum })?)
 }
--- a/crates/fleet/src/scale/plan.rs
+++ b/crates/fleet/src/scale/plan.rs
@@ -1,19 +1,19 @@
-//! What a run at scale is to be, as its file has it.
+//! The plan file of a scale run.
 
 use super::lines::{self, Mode};
 use crate::site::{FileError, text_of};
 use serde::Deserialize;
 use std::path::Path;
 
-/// What a sweep varies.
+/// The variable of a sweep.
 #[derive(Clone, Copy, Debug, PartialEq, Deserialize)]
 #[serde(rename_all = "lowercase")]
 pub enum SweepVariable {
-    /// Hollow sidecars.
+    /// The number of hollow sidecars.
     Hollow,
-    /// Servers listed.
+    /// The number of listed servers.
     Listed,
-    /// Changes a second.
+    /// Changes per second.
     Changes,
 }
 
@@ -27,64 +27,64 @@
     }
 }
 
-/// One size goes through steps, the others stay.
+/// A sweep: one variable takes a series of values, the others are constant.
 #[derive(Clone, Debug, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Sweep {
-    /// Which.
+    /// The variable.
     pub over: SweepVariable,
-    /// Its values in order.
+    /// Its values, in order.
     pub steps: Vec<f64>,
 }
 
-/// Which replica is killed.
+/// The replica that is killed.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Deserialize)]
 #[serde(rename_all = "lowercase")]
 pub enum KilledReplica {
-    /// The one that leads.
+    /// The leader.
     #[default]
     Leader,
-    /// One that does not.
+    /// A follower.
     Follower,
 }
 
-/// Something that happens a second into its step.
+/// An event, which begins one second after the start of its step.
 #[derive(Clone, Debug, Deserialize)]
 #[serde(tag = "kind", rename_all = "snake_case", deny_unknown_fields)]
 pub enum EventSpec {
-    /// Nothing.
+    /// No event.
     Steady {},
-    /// A replica is killed; it starts again after the step.
+    /// A replica is killed, and restarted after the step.
     ReplicaKilled {
-        /// Which.
+        /// The replica.
         #[serde(default)]
         which: KilledReplica,
     },
-    /// The hollow ones of a zone stand still, or are killed and started anew.
+    /// The hollow sidecars of a zone are paused, or killed and restarted.
     ZoneAway {
-        /// The zone; absent: the first.
+        /// The zone; the first if absent.
         zone: Option<String>,
-        /// For so long.
-        #[serde(default = "while_away")]
+        /// The duration in seconds.
+        #[serde(default = "default_outage_s")]
         for_s: f64,
-        /// They are killed.
+        /// Whether they are killed rather than paused.
         #[serde(default)]
         killed: bool,
     },
-    /// All connections of hollow ones to the replicas are reset at once.
+    /// All connections of the hollow sidecars to the replicas are reset at once.
     WatchesLost {},
-    /// Nothing passes between the hollow ones of a region and the replicas.
+    /// The hollow sidecars of a region are cut off from the replicas.
     RegionCut {
-        /// The region; absent: the first.
+        /// The region; the first if absent.
         region: Option<String>,
-        /// For so long.
-        #[serde(default = "while_away")]
+        /// The duration in seconds.
+        #[serde(default = "default_outage_s")]
         for_s: f64,
     },
 }
 
 impl EventSpec {
-    /// As files have it.
+    /// The name in files.
     pub fn name(&self) -> &'static str {
         match self {
             Self::Steady {} => "steady",
@@ -96,110 +96,111 @@
     }
 }
 
-fn while_away() -> f64 {
+fn default_outage_s() -> f64 {
     4.0
 }
 
-/// A run at scale; unknown keys are refused.
+/// The plan of a scale run. Unknown keys are rejected.
 #[derive(Clone, Debug, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Plan {
-    /// Its name.
+    /// The name of the plan.
     pub name: String,
-    /// What is drawn is drawn from this.
-    #[serde(default = "one")]
+    /// The random seed.
+    #[serde(default = "default_seed")]
     pub seed: u64,
-    /// What readers are told; with several, each step is played in each of them in turn.
+    /// The parts of the list that sidecars watch. With several, each step runs in each mode in turn.
     pub modes: Vec<Mode>,
-    /// Hollow sidecars.
+    /// The number of hollow sidecars.
     pub hollow: usize,
-    /// How many of them hold the lease of a server.
+    /// The number of hollow sidecars that hold the lease of a server.
     #[serde(default)]
     pub leases: usize,
-    /// Length of a lease; it is renewed three times as often.
-    #[serde(default = "lease")]
+    /// The duration of a lease, which is renewed three times in that time.
+    #[serde(default = "default_lease_ms")]
     pub lease_ms: u64,
-    /// Servers listed.
+    /// The number of listed servers.
     pub listed: usize,
-    /// Services that they are servers of; no more than there are servers.
+    /// The number of services of these servers; at most one for each server.
     pub services: usize,
-    /// Sizes of services go by one over the power of their rank; 0: all alike.
-    #[serde(default = "skew")]
+    /// The Zipf exponent of the sizes of the services: the size is proportional to `1 / rank^skew`. 0 means equal sizes.
+    #[serde(default = "default_skew")]
     pub skew: f64,
-    /// Services that a sidecar calls.
+    /// The number of services that a sidecar calls.
     pub calls: usize,
-    /// Those are drawn by their sizes, or all alike.
+    /// Whether the called services are drawn with weights by their sizes, rather than uniformly.
     #[serde(default)]
     pub by_size: bool,
-    /// Zones, dealt out in turn.
+    /// Zones, to which the servers and the real sidecars are assigned in turn and the hollow sidecars in equal parts.
     pub zones: Vec<String>,
-    /// Regions, over which the zones are dealt out in turn.
+    /// Regions, to which the zones are assigned in turn.
     pub regions: Vec<String>,
-    /// Real sidecars.
+    /// The number of real sidecars.
     pub sidecars: usize,
-    /// Requests a second to all real sidecars together; as many go past them to the same servers.
+    /// Requests per second through all real sidecars together. As many go directly to the same servers.
     pub rate: f64,
-    /// Changes of the list in a second.
+    /// Changes of the list per second.
     pub changes_per_s: f64,
-    /// How long a step is measured.
+    /// How long each step is measured.
     pub seconds: f64,
-    /// Hollow ones in a process.
-    #[serde(default = "per_process")]
+    /// The number of hollow sidecars per process.
+    #[serde(default = "default_per_process")]
     pub per_process: usize,
-    /// Whole lists a second that a replica tells.
-    #[serde(default = "whole_lists")]
+    /// The limit of full lists per second that a replica sends.
+    #[serde(default = "default_whole_lists_per_s")]
     pub whole_lists_per_s: f64,
-    /// What varies; absent where there are events.
+    /// The sweep; absent if there are events.
     pub sweep: Option<Sweep>,
-    /// What happens, in order.
+    /// The events, in order, with one step each.
     #[serde(default)]
     pub event: Vec<EventSpec>,
 }
 
-fn one() -> u64 {
+fn default_seed() -> u64 {
     1
 }
 
-fn lease() -> u64 {
+fn default_lease_ms() -> u64 {
     6000
 }
 
-fn skew() -> f64 {
+fn default_skew() -> f64 {
     1.0
 }
 
-fn per_process() -> usize {
+fn default_per_process() -> usize {
     2500
 }
 
-fn whole_lists() -> f64 {
+fn default_whole_lists_per_s() -> f64 {
     500.0
 }
 
 /// The sizes of one step.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Sizes {
-    /// Hollow sidecars.
+    /// The number of hollow sidecars.
     pub hollow: usize,
-    /// Servers listed.
+    /// The number of listed servers.
     pub listed: usize,
-    /// Changes in a second.
+    /// Changes of the list per second.
     pub changes_per_s: f64,
 }
 
-/// More files than a process of these could need open are not asked for.
-const MOST_HOLLOW: usize = 30_000;
-const MOST_LISTED: usize = 100_000;
-/// Hollow processes.
-const MOST_PROCESSES: usize = 200;
+/// Maximum number of hollow sidecars. It bounds the open files that a process may need.
+const MAX_HOLLOW: usize = 30_000;
+/// Maximum number of listed servers.
+const MAX_LISTED: usize = 100_000;
+/// Maximum number of processes of hollow sidecars.
+const MAX_PROCESSES: usize = 200;
 
 impl Plan {
-    /// Reads a file.
+    /// Reads and validates a plan file.
     pub fn load(path: &Path) -> Result<Self, FileError> {
         Self::parse(path, &text_of(path)?)
     }
 
-    /// Reads the text of one; `path` is for messages.
+    /// Parses and validates the text of a plan file; `path` is for error messages.
     pub fn parse(path: &Path, text: &str) -> Result<Self, FileError> {
         let plan: Self = toml::from_str(text)
             .map_err(|source| FileError::Form { path: path.to_owned(), source: Box::new(source) })?;
@@ -207,29 +208,33 @@
         Ok(plan)
     }
 
-    /// Whether all of it can be meant; `path` is for the message.
+    /// Validates the values; `path` is for error messages.
     pub fn check(&self, path: &Path) -> Result<(), FileError> {
-        let names = |all: &[String]| {
-            let plain =
+        let unique_names = |all: &[String]| {
+            let valid =
                 |n: &String| !n.is_empty() && n.len() <= 64 && n.bytes().all(|b| b.is_ascii_graphic());
-            let once = |(i, n): (usize, &String)| !all[..i].contains(n);
-            !all.is_empty() && all.iter().all(plain) && all.iter().enumerate().all(once)
+            let unique = |(i, n): (usize, &String)| !all[..i].contains(n);
+            !all.is_empty() && all.iter().all(valid) && all.iter().enumerate().all(unique)
         };
         let processes = self.hollow.div_ceil(self.per_process.max(1)) + self.zones.len();
-        let steps = |sweep: &Sweep| {
-            let whole = |s: &f64, most: usize| s.fract() == 0.0 && (1.0..=most as f64).contains(s);
-            let fine = |s: &f64| match sweep.over {
-                SweepVariable::Hollow => whole(s, MOST_HOLLOW),
-                SweepVariable::Listed => whole(s, MOST_LISTED),
+        let valid_steps = |sweep: &Sweep| {
+            let count = |s: &f64, max: usize| s.fract() == 0.0 && (1.0..=max as f64).contains(s);
+            let valid = |s: &f64| match sweep.over {
+                SweepVariable::Hollow => count(s, MAX_HOLLOW),
+                SweepVariable::Listed => count(s, MAX_LISTED),
                 SweepVariable::Changes => (0.0..=100.0).contains(s),
             };
-            !sweep.steps.is_empty() && sweep.steps.iter().all(fine)
+            !sweep.steps.is_empty() && sweep.steps.iter().all(valid)
         };
-        let once = self.modes.iter().enumerate().all(|(i, m)| !self.modes[..i].contains(m));
-        for (key, fine, what) in [
-            ("modes", !self.modes.is_empty() && once, "must name whole, services or both"),
-            ("hollow", (1..=MOST_HOLLOW).contains(&self.hollow), "must lie in 1 to 30000"),
-            ("listed", (1..=MOST_LISTED).contains(&self.listed), "must lie in 1 to 100000"),
+        let unique_modes = self.modes.iter().enumerate().all(|(i, m)| !self.modes[..i].contains(m));
+        for (key, valid, what) in [
+            (
+                "modes",
+                !self.modes.is_empty() && unique_modes,
+                "must be whole, services or both, each at most once",
+            ),
+            ("hollow", (1..=MAX_HOLLOW).contains(&self.hollow), "must lie in 1 to 30000"),
+            ("listed", (1..=MAX_LISTED).contains(&self.listed), "must lie in 1 to 100000"),
             (
                 "leases",
                 self.leases <= self.hollow && self.leases <= self.listed,
@@ -243,20 +248,20 @@
                 (1..=256).contains(&self.calls) && self.calls <= self.services,
                 "must lie in 1 to 256 and not be above services",
             ),
-            ("zones", names(&self.zones), "must be words that differ"),
+            ("zones", unique_names(&self.zones), "must be unique names of 1 to 64 visible ASCII characters"),
             (
                 "regions",
-                names(&self.regions) && self.regions.len() <= self.zones.len(),
-                "must be words that differ, no more than zones",
+                unique_names(&self.regions) && self.regions.len() <= self.zones.len(),
+                "must be unique names of 1 to 64 visible ASCII characters, no more than zones",
             ),
             ("sidecars", (1..=50).contains(&self.sidecars), "must lie in 1 to 50"),
-            ("rate", self.rate > 0.0 && self.rate <= 20_000.0, "must lie above 0 and up to 20000"),
+            ("rate", self.rate > 0.0 && self.rate <= 20_000.0, "must be above 0 and at most 20000"),
             ("changes_per_s", (0.0..=100.0).contains(&self.changes_per_s), "must lie in 0 to 100"),
             ("seconds", self.seconds >= 1.0 && self.seconds <= 600.0, "must lie in 1 to 600"),
             (
                 "per_process",
-                self.per_process > 0 && processes <= MOST_PROCESSES,
-                "must be above 0 and make up to 200 processes",
+                self.per_process > 0 && processes <= MAX_PROCESSES,
+                "must be above 0 and large enough for at most 200 processes",
             ),
             (
                 "whole_lists_per_s",
@@ -265,33 +270,38 @@
             ),
             (
                 "sweep.steps",
-                self.sweep.as_ref().is_none_or(steps),
-                "must be sizes that could stand in the sweep's place",
+                self.sweep.as_ref().is_none_or(valid_steps),
+                "must be valid values of the key that the sweep varies",
+            ),
+            (
+                "sweep",
+                self.sweep.is_some() == self.event.is_empty(),
+                "either a sweep or events must be given, not both",
             ),
-            ("sweep", self.sweep.is_some() == self.event.is_empty(), "either a sweep or events are wanted"),
         ] {
-            if !fine {
+            if !valid {
                 let (path, key, what) = (path.to_owned(), key.to_owned(), what.to_owned());
                 return Err(FileError::Value { path, key, what });
             }
         }
         for (i, event) in self.event.iter().enumerate() {
-            let known = |name: &Option<String>, all: &[String]| name.as_ref().is_none_or(|n| all.contains(n));
-            let (key, fine, what) = match event {
-                EventSpec::ZoneAway { zone, .. } if !known(zone, &self.zones) => {
+            let exists =
+                |name: &Option<String>, all: &[String]| name.as_ref().is_none_or(|n| all.contains(n));
+            let (key, valid, what) = match event {
+                EventSpec::ZoneAway { zone, .. } if !exists(zone, &self.zones) => {
                     ("zone", false, "is none of zones")
                 }
-                EventSpec::RegionCut { region, .. } if !known(region, &self.regions) => {
+                EventSpec::RegionCut { region, .. } if !exists(region, &self.regions) => {
                     ("region", false, "is none of regions")
                 }
                 EventSpec::ZoneAway { for_s, .. } | EventSpec::RegionCut { for_s, .. } => (
                     "for_s",
                     *for_s > 0.0 && for_s + 1.0 < self.seconds,
-                    "must be above 0, and a second shorter than seconds",
+                    "must be above 0, and more than a second below seconds",
                 ),
                 _ => continue,
             };
-            if !fine {
+            if !valid {
                 let key = format!("event {i} ({}): {key}", event.name());
                 return Err(FileError::Value { path: path.to_owned(), key, what: what.to_owned() });
             }
@@ -299,7 +309,7 @@
         Ok(())
     }
 
-    /// Takes some figures from elsewhere; to be checked after.
+    /// Replaces some values by those given; [`Plan::check`] is to be called afterwards.
     pub fn apply_overrides(
         &mut self,
         hollow: Option<usize>,
@@ -322,14 +332,14 @@
         }
     }
 
-    /// The sizes of each step; one for all events.
+    /// The sizes of each step of the sweep, or the constant sizes if there are events.
     pub fn sizes(&self) -> Vec<Sizes> {
-        let own = Sizes { hollow: self.hollow, listed: self.listed, changes_per_s: self.changes_per_s };
-        let Some(sweep) = &self.sweep else { return vec![own] };
+        let base = Sizes { hollow: self.hollow, listed: self.listed, changes_per_s: self.changes_per_s };
+        let Some(sweep) = &self.sweep else { return vec![base] };
         let with = |s: &f64| match sweep.over {
-            SweepVariable::Hollow => Sizes { hollow: *s as usize, ..own },
-            SweepVariable::Listed => Sizes { listed: *s as usize, ..own },
-            SweepVariable::Changes => Sizes { changes_per_s: *s, ..own },
+            SweepVariable::Hollow => Sizes { hollow: *s as usize, ..base },
+            SweepVariable::Listed => Sizes { listed: *s as usize, ..base },
+            SweepVariable::Changes => Sizes { changes_per_s: *s, ..base },
         };
         sweep.steps.iter().map(with).collect()
     }
--- a/crates/fleet/src/scale/run.rs
+++ b/crates/fleet/src/scale/run.rs
@@ -5,7 +5,7 @@
 use super::lines::{Line, Lines, Mode, Role, StepSizes, Sweep};
 use super::monotonic;
 use super::plan::{EventSpec, KilledReplica, Plan, Sizes};
-use super::propagation::{Change, join, latencies, milliseconds};
+use super::propagation::{Change, insert_quantiles, latency_histogram, propagation_latencies};
 use super::topology::Topology;
 use crate::harness::Link;
 use crate::load::{Route, open_loop, resident_kb, used_cpu};
@@ -97,7 +97,7 @@
         .lines()
         .find_map(|l| l.strip_prefix("MemTotal:")?.trim().strip_suffix(" kB")?.trim().parse::<u64>().ok());
     let half = kb.ok_or(io::ErrorKind::InvalidData)? * 1024 / 2;
-    let wanted = topology.bytes(mode);
+    let wanted = topology.list_bytes(mode);
     if wanted > half {
         return Err(io::Error::other(format!(
             "{} hollow readers of {} listed servers, mode {}, would hold some {:.1} GB, and half of this machine's memory is {:.1} GB",
@@ -225,7 +225,8 @@
             let taken = self.deployment.take_activity()?;
             self.note(&taken);
             back.extend(taken.iter().flat_map(|t| t.recoveries.iter().copied()));
-            let (told, untold) = join(&seen.changes, &self.deployment.topology, self.mode, &self.told)?;
+            let (told, untold) =
+                propagation_latencies(&seen.changes, &self.deployment.topology, self.mode, &self.told)?;
             let status = self.deployment.hollow_status()?;
             let settled = untold == 0 && status.failing == 0 && status.oldest_outcome >= seen.mended;
             if settled || began.elapsed() > SETTLE {
@@ -246,7 +247,7 @@
         }
         back.retain(|(_, until)| *until >= seen.mended);
         let mut fleet = BTreeMap::new();
-        milliseconds("told", &told, &mut fleet);
+        insert_quantiles("told", &told, &mut fleet);
         if event.is_some_and(|e| !matches!(e, EventSpec::Steady {})) {
             let last = back.iter().map(|(_, until)| until - seen.mended).max().unwrap_or(0);
             fleet.insert("back_ms".into(), last as f64 / 1000.0);
@@ -304,9 +305,9 @@
         self.turn += tried;
         let mut seen = Seen {
             changes,
-            in_force: latencies()?,
-            direct: latencies()?,
-            through: latencies()?,
+            in_force: latency_histogram()?,
+            direct: latency_histogram()?,
+            through: latency_histogram()?,
             not_served: 0,
             mended: mended?,
         };
@@ -394,7 +395,7 @@
         );
         sidecar.extend(rss(d.sidecar_pids()).map(|v| ("rss_bytes".to_owned(), v / sidecars)));
         sidecar.insert("entries".into(), entries(&d.topology.sidecar_calls));
-        milliseconds("in_force", &seen.in_force, &mut sidecar);
+        insert_quantiles("in_force", &seen.in_force, &mut sidecar);
         if !seen.direct.is_empty() && !seen.through.is_empty() {
             for (key, q) in [("added_us_p50", 0.5), ("added_us_p99", 0.99)] {
                 let added =
@@ -541,7 +542,7 @@
 
 /// Asks a sidecar for the index of its list until it has each change; gives how long after its acknowledgement that was.
 fn in_force(index: impl Fn() -> Option<u64>, news: &Receiver<(u64, i64)>) -> io::Result<Histogram<u64>> {
-    let mut all = latencies()?;
+    let mut all = latency_histogram()?;
     for (wanted, at) in news {
         let began = Instant::now();
         let had = loop {
--- a/crates/fleet/src/scale/sidecar.rs
+++ b/crates/fleet/src/scale/sidecar.rs
@@ -3,7 +3,7 @@
 
 use super::decision_cost;
 use super::lines::{Line, Lines, LinesError, Mode, Role, StepSizes, Sweep};
-use super::usage::{Cpu, written};
+use super::usage::{CpuMeter, written_bytes};
 use crate::experiment::commit;
 use crate::harness::backend::Conduct;
 use crate::harness::process_guard::ProcessGuard;
@@ -328,17 +328,17 @@
     /// What steady changes cost, for as long as the plan says. Nobody looks at the sidecar's list meanwhile.
     fn steady(&self, plan: &Plan, rate: f64, line: &mut Line) -> io::Result<()> {
         let id = self.sidecar.id();
-        let (wire, file, begun) = (self.wire_bytes(), written(id)?, Instant::now());
+        let (wire, file, begun) = (self.wire_bytes(), written_bytes(id)?, Instant::now());
         let (cpu, made) = std::thread::scope(|scope| {
             let changes = scope.spawn(|| self.change(plan, rate, self.listed, |_, _| {}));
-            let cpu = Cpu::over(id, plan.length);
+            let cpu = CpuMeter::measure(id, plan.length);
             (cpu, changes.join().unwrap_or_else(|_| Err(io::Error::other("the changing thread failed"))))
         });
         let each = 1.0 / begun.elapsed().as_secs_f64();
         let (cpu, made) = (cpu?, made?);
         line.set("cpu_us_per_s", cpu.as_secs_f64() * 1e6 / plan.length.as_secs_f64());
         line.set("wire_bytes_per_s", (self.wire_bytes() - wire) as f64 * each);
-        line.set("file_bytes_per_s", written(id)?.saturating_sub(file) as f64 * each);
+        line.set("file_bytes_per_s", written_bytes(id)?.saturating_sub(file) as f64 * each);
         line.set("writes_per_s", f64::from(made) * each);
         Ok(())
     }
@@ -350,7 +350,7 @@
         for (name, kb) in [("rss_bytes", load::resident_kb(id)), ("rss_bytes_max", load::peak_kb(id))] {
             line.set(name, kb.map_or(f64::NAN, |kb| kb as f64 * 1024.0));
         }
-        let idle = Cpu::over(id, plan.length)?;
+        let idle = CpuMeter::measure(id, plan.length)?;
         line.set("idle_cpu_us_per_s", idle.as_secs_f64() * 1e6 / plan.length.as_secs_f64());
         self.steady(plan, STEADY, line)?;
         let routes = [Route { to: self.direct }, Route { to: self.through }];
