--- a/crates/fleet/src/scale/decision_cost.rs
+++ b/crates/fleet/src/scale/decision_cost.rs
@@ -1,5 +1,5 @@
-//! The cost of the decision module alone, by the length of the endpoint list: one thread, a simulated clock, and servers
-//! that all respond alike. Only the calls into the module are timed.
+//! The cost of the decision module alone, by the length of the endpoint list: one thread, a simulated clock, and
+//! servers that all respond alike. Only the calls into the module are timed.
 
 use crate::load;
 use crate::{Micros, SECOND};
@@ -114,8 +114,8 @@
     }
 }
 
-/// Measures a module with `listed` servers on its list, for `duration` of real time. Requests arrive at `rate` per second
-/// of simulated time.
+/// Measures a module with `listed` servers on its list, for `duration` of real time. Requests arrive at `rate` per
+/// second of simulated time.
 pub fn measure(listed: usize, rate: f64, duration: Duration, seed: u64) -> io::Result<Cost> {
     let settings = load::settings().to_string();
     let settings = decode(&settings).map_err(io::Error::other)?.settings;
--- a/crates/fleet/src/scale/hollow.rs
+++ b/crates/fleet/src/scale/hollow.rs
@@ -1,5 +1,6 @@
-//! Hollow sidecars, many in a process of their own: each has the reader that real sidecars have, on sockets of its own,
-//! and some hold the lease of a server. The run asks them over a control connection, a line of JSON each way.
+//! Hollow sidecars, many in one process. Each has the registry watcher that real sidecars have, on sockets of its own,
+//! and some renew the lease of a server. The scale run controls a process over a connection, with one line of JSON for
+//! each request and each response.
 
 use super::{monotonic, raise_file_limit};
 use lotusmoor_registry_client::{
@@ -21,38 +22,38 @@
 use tokio::sync::watch;
 use tokio::time::{Instant, sleep, sleep_until, timeout};
 
-/// What a process of hollow sidecars is.
+/// The configuration of a process of hollow sidecars.
 #[derive(Clone, Debug, Deserialize, Serialize)]
 pub struct Assignment {
-    /// Replicas of the roster, as these readers reach them.
+    /// The addresses at which these sidecars reach the replicas of the registry, possibly those of fault proxies.
     pub replicas: Vec<SocketAddr>,
-    /// Addresses that its sockets are bound to, in turn.
+    /// The source addresses of the connections, assigned to the sidecars in turn.
     pub sources: Vec<Ipv4Addr>,
-    /// Where it is asked.
+    /// The address for control connections.
     pub control: SocketAddr,
-    /// Its sidecars.
+    /// The sidecars of the process.
     pub sidecars: Vec<HollowSidecar>,
 }
 
 /// One hollow sidecar.
 #[derive(Clone, Debug, Deserialize, Serialize)]
 pub struct HollowSidecar {
-    /// What its pauses are drawn from.
+    /// The random seed of its watcher.
     pub seed: u64,
-    /// The services that it asks for; none for the whole list.
+    /// The services that it watches; empty for the full list.
     pub services: Vec<String>,
-    /// The server whose lease it holds.
+    /// The server whose lease it renews, if any.
     pub lease: Option<LeasedServer>,
 }
 
-/// A server that a hollow sidecar stands in front of.
+/// A server that a hollow sidecar registers, and whose lease it renews.
 #[derive(Clone, Debug, Deserialize, Serialize)]
 pub struct LeasedServer {
-    /// Its name.
+    /// The name of the server.
     pub name: String,
-    /// Length of the lease in milliseconds.
+    /// The duration of the lease in milliseconds.
     pub lease_ms: u64,
-    /// What it registers with, as JSON.
+    /// The body of its registration, as JSON.
     pub body: String,
 }
 
@@ -82,7 +83,7 @@
     /// Sidecars that have a list.
     #[serde(rename = "listed")]
     pub with_list: usize,
-    /// Sidecars whose last poll failed.
+    /// Sidecars whose last poll failed, or that had no response yet.
     #[serde(rename = "away")]
     pub failing: usize,
     /// The time of the last response or failure of the sidecar for which that is longest ago.
@@ -103,7 +104,7 @@
     /// The lists that were applied: number of the sidecar, list index, and time.
     #[serde(rename = "told")]
     pub applied: Vec<(u32, u64, i64)>,
-    /// The outages that ended: from the first failed poll to the next response.
+    /// The outages that ended: from the first failed poll, or the start of the process, to the next response.
     #[serde(rename = "back")]
     pub recoveries: Vec<(i64, i64)>,
     /// Responses to polls, by replica.
@@ -124,13 +125,14 @@
     pub regressions: u64,
 }
 
-/// Answers are read up to this.
-const LONGEST: usize = 64 << 20;
-/// A connection comes up in so long, as in real sidecars.
-const DIAL_TIME: Duration = Duration::from_secs(1);
-/// A renewal is answered in so long.
-const RENEWAL_TIME: Duration = Duration::from_secs(2);
+/// The maximum size of a response.
+const MAX_RESPONSE_BYTES: usize = 64 << 20;
+/// Connect timeout, as in real sidecars.
+const DIAL_TIMEOUT: Duration = Duration::from_secs(1);
+/// Timeout of a lease renewal.
+const RENEWAL_TIMEOUT: Duration = Duration::from_secs(2);
 
+/// Counters of one replica.
 #[derive(Default)]
 struct Counts {
     responses: AtomicU64,
@@ -138,6 +140,7 @@
     bytes: AtomicU64,
 }
 
+/// What is recorded of one sidecar, for [`Status`] and [`Activity`].
 #[derive(Default)]
 struct SidecarState {
     version: Version,
@@ -155,34 +158,35 @@
     state: Mutex<SidecarState>,
 }
 
-/// What all readers of a process share.
+/// The state that all sidecars of the process share.
 struct Shared {
     replicas: Vec<SocketAddr>,
     counts: Vec<Counts>,
     failed_polls: AtomicU64,
     renewals: AtomicU64,
+    /// The number of resets of all connections so far.
     resets: watch::Sender<u64>,
     sidecars: Vec<Sidecar>,
-    began: Instant,
+    started: Instant,
 }
 
-fn lock<V>(of: &Mutex<V>) -> MutexGuard<'_, V> {
-    of.lock().unwrap_or_else(PoisonError::into_inner)
+fn lock<V>(mutex: &Mutex<V>) -> MutexGuard<'_, V> {
+    mutex.lock().unwrap_or_else(PoisonError::into_inner)
 }
 
-/// Plays hollow sidecars until it is killed.
+/// Runs the hollow sidecars of an assignment until the process is killed.
 pub fn serve(assignment: &Path) -> io::Result<()> {
     let assignment: Assignment = serde_json::from_slice(&std::fs::read(assignment)?)?;
-    // A reader has two connections for a moment, where it moves from one replica to the next or hedges.
+    // A sidecar has two connections for a moment when it changes the replica or sends a hedged request.
     raise_file_limit(2 * assignment.sidecars.len() as u64 + 100)?;
     let runtime = tokio::runtime::Builder::new_multi_thread().worker_threads(2).enable_all().build()?;
-    runtime.block_on(play(assignment))
+    runtime.block_on(run(assignment))
 }
 
-async fn play(assignment: Assignment) -> io::Result<()> {
+async fn run(assignment: Assignment) -> io::Result<()> {
     let Assignment { replicas, sources, control, sidecars } = assignment;
     let now = monotonic();
-    let reader = |hollow: &HollowSidecar| {
+    let sidecar = |hollow: &HollowSidecar| {
         let settings = Settings { services: hollow.services.clone(), ..Settings::new(replicas.len()) };
         Sidecar {
             watcher: Mutex::new(RegistryWatcher::new(settings, hollow.seed)),
@@ -198,46 +202,48 @@
         failed_polls: AtomicU64::new(0),
         renewals: AtomicU64::new(0),
         resets: watch::Sender::new(0),
-        sidecars: sidecars.iter().map(reader).collect(),
-        began: Instant::now(),
+        sidecars: sidecars.iter().map(sidecar).collect(),
+        started: Instant::now(),
         replicas,
     });
     let listener = TcpListener::bind(control).await?;
     for (number, hollow) in sidecars.into_iter().enumerate() {
         let source = sources.get(number % sources.len().max(1)).copied().unwrap_or(Ipv4Addr::LOCALHOST);
-        tokio::spawn(Arc::clone(&shared).read(number, source));
+        tokio::spawn(Arc::clone(&shared).watch(number, source));
         if let Some(lease) = hollow.lease {
-            tokio::spawn(Arc::clone(&shared).hold(lease, source));
+            tokio::spawn(Arc::clone(&shared).keep_lease(lease, source));
         }
     }
     loop {
         let (stream, _) = listener.accept().await?;
         let shared = Arc::clone(&shared);
         tokio::spawn(async move {
-            // The run has gone away or asks anew.
-            let _ = shared.answer(stream).await;
+            // An error ends the control connection only; the scale run opens a new one for each request.
+            let _ = shared.serve_control(stream).await;
         });
     }
 }
 
-type Call = Pin<Box<dyn Future<Output = Event> + Send>>;
+/// A poll in flight, which ends with the event for the watcher.
+type PollFuture = Pin<Box<dyn Future<Output = Event> + Send>>;
 
 impl Shared {
     fn now(&self) -> Micros {
-        Micros::try_from(self.began.elapsed().as_micros()).unwrap_or(Micros::MAX)
+        Micros::try_from(self.started.elapsed().as_micros()).unwrap_or(Micros::MAX)
     }
 
-    /// One reader, for good: carries out what its watcher wants, as a real sidecar does.
-    async fn read(self: Arc<Self>, number: usize, source: Ipv4Addr) {
-        let links: Vec<Link> = self.replicas.iter().map(|_| Link::default()).collect();
-        let mut calls: Vec<(u64, Call)> = Vec::new();
+    /// Runs the watcher of one sidecar forever: carries out its actions, as a real sidecar does.
+    async fn watch(self: Arc<Self>, number: usize, source: Ipv4Addr) {
+        let connections: Vec<CachedConnection> =
+            self.replicas.iter().map(|_| CachedConnection::default()).collect();
+        let mut polls: Vec<(u64, PollFuture)> = Vec::new();
         let mut event = Event::Start(None);
         let mut actions = Vec::new();
         loop {
             if let Event::Response { poll, .. } | Event::PollFailed { poll, .. } = &event {
-                calls.retain(|(number, _)| number != poll);
+                polls.retain(|(sent, _)| sent != poll);
             }
-            self.note(number, &event);
+            self.record_event(number, &event);
             let next = {
                 let mut watcher = lock(&self.sidecars[number].watcher);
                 watcher.handle(self.now(), event, &mut actions);
@@ -245,42 +251,44 @@
                     match action {
                         Action::Poll { poll, replica, after, wait } => {
                             let path = watcher.poll_path(after, wait);
-                            let (shared, link) = (Arc::clone(&self), Arc::clone(&links[replica]));
-                            let call = async move { shared.call(poll, replica, link, source, path).await };
-                            calls.push((poll, Box::pin(call)));
+                            let (shared, cached) = (Arc::clone(&self), Arc::clone(&connections[replica]));
+                            let future =
+                                async move { shared.poll(poll, replica, cached, source, path).await };
+                            polls.push((poll, Box::pin(future)));
                         }
-                        Action::CancelPoll(poll) => calls.retain(|(number, _)| *number != poll),
-                        Action::Apply(applied) => self.told(number, applied.version),
-                        // It has no file; its failures are counted.
+                        Action::CancelPoll(poll) => polls.retain(|(sent, _)| *sent != poll),
+                        Action::Apply(applied) => self.record_applied(number, applied.version),
+                        // A hollow sidecar has no list file, and failures are counted in `record_event`.
                         Action::Save | Action::Report(_) => {}
                     }
                 }
                 watcher.next_timer()
             };
-            lock(&self.sidecars[number].state).polling = !calls.is_empty();
+            lock(&self.sidecars[number].state).polling = !polls.is_empty();
             let timer = async {
                 match next {
                     Some(at) => {
-                        sleep_until(self.began + Duration::from_micros(at.max(0).unsigned_abs())).await
+                        sleep_until(self.started + Duration::from_micros(at.max(0).unsigned_abs())).await
                     }
                     None => std::future::pending().await,
                 }
             };
-            let answered = poll_fn(|context| {
-                let mut ready = calls.iter_mut().filter_map(|(_, call)| match call.as_mut().poll(context) {
-                    Poll::Ready(event) => Some(event),
-                    Poll::Pending => None,
-                });
+            let completed = poll_fn(|context| {
+                let mut ready =
+                    polls.iter_mut().filter_map(|(_, future)| match future.as_mut().poll(context) {
+                        Poll::Ready(event) => Some(event),
+                        Poll::Pending => None,
+                    });
                 ready.next().map_or(Poll::Pending, Poll::Ready)
             });
             event = tokio::select! {
-                event = answered => event,
+                event = completed => event,
                 () = timer => Event::Timer,
             };
         }
     }
 
-    fn note(&self, number: usize, event: &Event) {
+    fn record_event(&self, number: usize, event: &Event) {
         let (failed, now) = (matches!(event, Event::PollFailed { .. }), monotonic());
         let mut state = lock(&self.sidecars[number].state);
         if failed {
@@ -296,7 +304,7 @@
         }
     }
 
-    fn told(&self, number: usize, version: Version) {
+    fn record_applied(&self, number: usize, version: Version) {
         let mut state = lock(&self.sidecars[number].state);
         if version < state.version {
             state.regressions += 1;
@@ -305,12 +313,19 @@
         state.applied.push((version.index, monotonic()));
     }
 
-    async fn call(&self, poll: u64, replica: usize, link: Link, source: Ipv4Addr, path: String) -> Event {
+    async fn poll(
+        &self,
+        poll: u64,
+        replica: usize,
+        cached: CachedConnection,
+        source: Ipv4Addr,
+        path: String,
+    ) -> Event {
         let failed = |error, retry_after| Event::PollFailed { poll, retry_after, error };
         let counts = &self.counts[replica];
         let request = format!("GET {path} HTTP/1.1\r\nHost: {}\r\n\r\n", self.replicas[replica]);
-        match self.exchange(replica, &link, source, request.as_bytes()).await {
-            Ok(Answer { status: 200, body, .. }) => match ListUpdate::from_json(&body) {
+        match self.exchange(replica, &cached, source, request.as_bytes()).await {
+            Ok(Response { status: 200, body, .. }) => match ListUpdate::from_json(&body) {
                 Ok(update) => {
                     counts.responses.fetch_add(1, Ordering::Relaxed);
                     counts.snapshots.fetch_add(u64::from(update.snapshot), Ordering::Relaxed);
@@ -318,57 +333,59 @@
                 }
                 Err(e) => failed(e.into(), None),
             },
-            Ok(answer) => {
-                let retry_after = answer.retry_after.filter(|s| s.is_finite() && *s >= 0.0);
+            Ok(response) => {
+                let retry_after = response.retry_after.filter(|s| s.is_finite() && *s >= 0.0);
                 let retry_after = retry_after.map(|s| (s.min(60.0) * 1e6) as Micros);
-                failed(PollError::Status(answer.status), retry_after)
+                failed(PollError::Status(response.status), retry_after)
             }
             Err(error) => failed(PollError::connection(error), None),
         }
     }
 
-    /// One call over a kept connection, or a new one; a reset of all ends it.
+    /// One request over the cached connection or a new one. It fails if all connections are reset meanwhile.
     async fn exchange(
         &self,
-        roster: usize,
-        link: &Link,
+        replica: usize,
+        cached: &CachedConnection,
         source: Ipv4Addr,
         request: &[u8],
-    ) -> io::Result<Answer> {
+    ) -> io::Result<Response> {
         let mut resets = self.resets.subscribe();
         let generation = *resets.borrow_and_update();
-        let kept = lock(link).take();
-        let mut stream = match kept {
-            Some((stream, of)) if of == generation && alive(&stream) => stream,
-            kept => {
-                // Whatever a reset has met is reset.
-                if let Some((stream, of)) = kept
-                    && of != generation
+        let idle = lock(cached).take();
+        let mut stream = match idle {
+            Some((stream, opened_in)) if opened_in == generation && is_alive(&stream) => stream,
+            idle => {
+                // A connection from before a reset is closed by RST.
+                if let Some((stream, opened_in)) = idle
+                    && opened_in != generation
                 {
                     let _ = SockRef::from(&stream).set_linger(Some(Duration::ZERO));
                 }
-                let dialled = timeout(DIAL_TIME, dial(source, self.replicas[roster])).await;
-                dialled.map_err(|_| io::Error::from(io::ErrorKind::TimedOut))??
+                let connected = timeout(DIAL_TIMEOUT, connect(source, self.replicas[replica])).await;
+                connected.map_err(|_| io::Error::from(io::ErrorKind::TimedOut))??
             }
         };
-        let over = tokio::select! {
-            answer = ask(&mut stream, request, &self.counts[roster].bytes) => answer,
+        let result = tokio::select! {
+            response = send_request(&mut stream, request, &self.counts[replica].bytes) => response,
             _ = resets.changed() => Err(io::ErrorKind::ConnectionReset.into()),
         };
-        match &over {
-            Ok(answer) if answer.status == 200 => *lock(link) = Some((stream, generation)),
+        match &result {
+            Ok(response) if response.status == 200 => *lock(cached) = Some((stream, generation)),
             Err(error) if error.kind() == io::ErrorKind::ConnectionReset => {
                 let _ = SockRef::from(&stream).set_linger(Some(Duration::ZERO));
             }
             _ => {}
         }
-        over
+        result
     }
 
-    /// Holds the lease of a server, for good: renews it three times a lease, and registers it where it is not known.
-    async fn hold(self: Arc<Self>, lease: LeasedServer, source: Ipv4Addr) {
-        let links: Vec<Link> = self.replicas.iter().map(|_| Link::default()).collect();
-        let every = Duration::from_millis((lease.lease_ms / 3).max(50));
+    /// Keeps the lease of a server forever: renews it three times per lease duration, and registers the server if the
+    /// registry does not know it.
+    async fn keep_lease(self: Arc<Self>, lease: LeasedServer, source: Ipv4Addr) {
+        let connections: Vec<CachedConnection> =
+            self.replicas.iter().map(|_| CachedConnection::default()).collect();
+        let interval = Duration::from_millis((lease.lease_ms / 3).max(50));
         let renew =
             format!("POST /v1/servers/{}/renew HTTP/1.1\r\nHost: x\r\nContent-Length: 0\r\n\r\n", lease.name);
         let register = format!(
@@ -377,42 +394,45 @@
             lease.body.len(),
             lease.body
         );
-        // All at their own instants.
+        // The renewals of different servers are spread over the interval.
         let mut rng =
             crate::chance::mix(lease.name.bytes().fold(0, |h, b| crate::chance::mix(h ^ u64::from(b))));
-        sleep(every.mul_f64(crate::chance::unit(rng))).await;
-        let (mut at, mut listed) = (0, true);
+        sleep(interval.mul_f64(crate::chance::unit(rng))).await;
+        let (mut replica, mut registered) = (0, true);
         loop {
-            let request = if listed { &renew } else { &register };
-            let called =
-                timeout(RENEWAL_TIME, self.exchange(at, &links[at], source, request.as_bytes())).await;
-            let pause = match called {
-                Ok(Ok(Answer { status: 200, .. })) => {
-                    if listed {
+            let request = if registered { &renew } else { &register };
+            let result = timeout(
+                RENEWAL_TIMEOUT,
+                self.exchange(replica, &connections[replica], source, request.as_bytes()),
+            )
+            .await;
+            let pause = match result {
+                Ok(Ok(Response { status: 200, .. })) => {
+                    if registered {
                         self.renewals.fetch_add(1, Ordering::Relaxed);
                     }
-                    listed = true;
-                    every
+                    registered = true;
+                    interval
                 }
-                Ok(Ok(Answer { status: 404, .. })) => {
-                    listed = false;
+                Ok(Ok(Response { status: 404, .. })) => {
+                    registered = false;
                     Duration::ZERO
                 }
                 _ => {
-                    at = (at + 1) % self.replicas.len();
+                    replica = (replica + 1) % self.replicas.len();
                     rng = crate::chance::mix(rng);
-                    every.mul_f64(0.25 * (0.5 + 0.5 * crate::chance::unit(rng)))
+                    interval.mul_f64(0.25 * (0.5 + 0.5 * crate::chance::unit(rng)))
                 }
             };
             sleep(pause).await;
         }
     }
 
-    async fn answer(&self, stream: TcpStream) -> io::Result<()> {
-        let (from, mut to) = stream.into_split();
-        let mut lines = BufReader::new(from).lines();
+    async fn serve_control(&self, stream: TcpStream) -> io::Result<()> {
+        let (reader, mut writer) = stream.into_split();
+        let mut lines = BufReader::new(reader).lines();
         while let Some(line) = lines.next_line().await? {
-            let mut said = match serde_json::from_str(&line)? {
+            let mut response = match serde_json::from_str(&line)? {
                 ControlRequest::Status => serde_json::to_string(&self.status())?,
                 ControlRequest::TakeActivity => serde_json::to_string(&self.take_activity())?,
                 ControlRequest::ResetConnections => {
@@ -420,46 +440,46 @@
                     "null".to_owned()
                 }
                 ControlRequest::List(number) => {
-                    let known: Option<EndpointList> =
-                        self.sidecars.get(number).and_then(|r| lock(&r.watcher).list().cloned());
-                    serde_json::to_string(&known)?
+                    let list: Option<EndpointList> =
+                        self.sidecars.get(number).and_then(|s| lock(&s.watcher).list().cloned());
+                    serde_json::to_string(&list)?
                 }
             };
-            said.push('\n');
-            to.write_all(said.as_bytes()).await?;
+            response.push('\n');
+            writer.write_all(response.as_bytes()).await?;
         }
         Ok(())
     }
 
     fn status(&self) -> Status {
-        let first = Status { oldest_outcome: i64::MAX, lowest_index: u64::MAX, ..Status::default() };
-        self.sidecars.iter().fold(first, |s, reader| {
-            let state = lock(&reader.state);
+        let empty = Status { oldest_outcome: i64::MAX, lowest_index: u64::MAX, ..Status::default() };
+        self.sidecars.iter().fold(empty, |sum, sidecar| {
+            let state = lock(&sidecar.state);
             Status {
-                sidecars: s.sidecars + 1,
-                with_list: s.with_list + usize::from(state.has_list),
-                failing: s.failing + usize::from(state.failing_since.is_some()),
-                oldest_outcome: s.oldest_outcome.min(state.last_outcome),
-                lowest_index: s.lowest_index.min(state.version.index),
-                polling: s.polling + usize::from(state.polling),
+                sidecars: sum.sidecars + 1,
+                with_list: sum.with_list + usize::from(state.has_list),
+                failing: sum.failing + usize::from(state.failing_since.is_some()),
+                oldest_outcome: sum.oldest_outcome.min(state.last_outcome),
+                lowest_index: sum.lowest_index.min(state.version.index),
+                polling: sum.polling + usize::from(state.polling),
             }
         })
     }
 
     fn take_activity(&self) -> Activity {
-        let by = |count: fn(&Counts) -> &AtomicU64| {
+        let per_replica = |count: fn(&Counts) -> &AtomicU64| {
             self.counts.iter().map(|c| count(c).load(Ordering::Relaxed)).collect::<Vec<u64>>()
         };
         let mut activity = Activity {
-            responses: by(|c| &c.responses),
-            snapshots: by(|c| &c.snapshots),
-            bytes: by(|c| &c.bytes),
+            responses: per_replica(|c| &c.responses),
+            snapshots: per_replica(|c| &c.snapshots),
+            bytes: per_replica(|c| &c.bytes),
             failed_polls: self.failed_polls.load(Ordering::Relaxed),
             renewals: self.renewals.load(Ordering::Relaxed),
             ..Activity::default()
         };
-        for (number, reader) in (0u32..).zip(&self.sidecars) {
-            let mut state = lock(&reader.state);
+        for (number, sidecar) in (0u32..).zip(&self.sidecars) {
+            let mut state = lock(&sidecar.state);
             activity.applied.extend(state.applied.drain(..).map(|(index, at)| (number, index, at)));
             activity.recoveries.append(&mut state.recoveries);
             activity.regressions += std::mem::take(&mut state.regressions);
@@ -468,15 +488,15 @@
     }
 }
 
-/// A connection that is kept for the next call to the same replica, and how many resets there had been when it came up.
-type Link = Arc<Mutex<Option<(TcpStream, u64)>>>;
+/// The idle connection to a replica, if any, with the number of resets of all connections at the time it was opened.
+type CachedConnection = Arc<Mutex<Option<(TcpStream, u64)>>>;
 
-/// Whether a kept connection has not ended meanwhile; nothing else may come on it.
-fn alive(stream: &TcpStream) -> bool {
+/// Whether an idle connection is still open. Unexpected data counts as closed, too.
+fn is_alive(stream: &TcpStream) -> bool {
     matches!(stream.try_read(&mut [0]), Err(error) if error.kind() == io::ErrorKind::WouldBlock)
 }
 
-async fn dial(source: Ipv4Addr, to: SocketAddr) -> io::Result<TcpStream> {
+async fn connect(source: Ipv4Addr, to: SocketAddr) -> io::Result<TcpStream> {
     let socket = TcpSocket::new_v4()?;
     socket.bind(SocketAddr::from((source, 0)))?;
     let stream = socket.connect(to).await?;
@@ -484,56 +504,58 @@
     Ok(stream)
 }
 
-struct Answer {
+struct Response {
     status: u16,
     retry_after: Option<f64>,
     body: Vec<u8>,
 }
 
-async fn ask(stream: &mut TcpStream, request: &[u8], bytes: &AtomicU64) -> io::Result<Answer> {
+async fn send_request(stream: &mut TcpStream, request: &[u8], bytes: &AtomicU64) -> io::Result<Response> {
     stream.write_all(request).await?;
     bytes.fetch_add(request.len() as u64, Ordering::Relaxed);
-    let mut held = Vec::new();
-    let (mut answer, head, length) = loop {
-        if let Some(found) = head(&held)? {
+    let mut received = Vec::new();
+    let (mut response, head_length, body_length) = loop {
+        if let Some(found) = parse_head(&received)? {
             break found;
         }
-        let read = stream.read_buf(&mut held).await?;
+        let read = stream.read_buf(&mut received).await?;
         bytes.fetch_add(read as u64, Ordering::Relaxed);
-        if read == 0 || held.len() > LONGEST {
+        if read == 0 || received.len() > MAX_RESPONSE_BYTES {
             return Err(io::ErrorKind::UnexpectedEof.into());
         }
     };
-    if length > LONGEST {
-        return Err(io::Error::new(io::ErrorKind::InvalidData, "the answer is too long"));
+    if body_length > MAX_RESPONSE_BYTES {
+        return Err(io::Error::new(io::ErrorKind::InvalidData, "the response is too long"));
     }
-    held.reserve((head + length).saturating_sub(held.len()));
-    while held.len() < head + length {
-        let read = stream.read_buf(&mut held).await?;
+    received.reserve((head_length + body_length).saturating_sub(received.len()));
+    while received.len() < head_length + body_length {
+        let read = stream.read_buf(&mut received).await?;
         bytes.fetch_add(read as u64, Ordering::Relaxed);
         if read == 0 {
             return Err(io::ErrorKind::UnexpectedEof.into());
         }
     }
-    held.drain(..head);
-    answer.body = held;
-    Ok(answer)
+    received.drain(..head_length);
+    response.body = received;
+    Ok(response)
 }
 
-/// Status and `Retry-After`, length of the head, and that of the body, once the head is whole.
-fn head(held: &[u8]) -> io::Result<Option<(Answer, usize, usize)>> {
-    let wrong = |what: String| io::Error::new(io::ErrorKind::InvalidData, what);
-    let mut slots = [httparse::EMPTY_HEADER; 32];
-    let mut head = httparse::Response::new(&mut slots);
-    let httparse::Status::Complete(end) = head.parse(held).map_err(|e| wrong(e.to_string()))? else {
+/// The response without its body, the length of the head, and the length of the body; `None` while the head is
+/// incomplete.
+fn parse_head(received: &[u8]) -> io::Result<Option<(Response, usize, usize)>> {
+    let invalid = |message: String| io::Error::new(io::ErrorKind::InvalidData, message);
+    let mut headers = [httparse::EMPTY_HEADER; 32];
+    let mut head = httparse::Response::new(&mut headers);
+    let httparse::Status::Complete(end) = head.parse(received).map_err(|e| invalid(e.to_string()))? else {
         return Ok(None);
     };
     let value = |name: &str| {
         let found = head.headers.iter().find(|h| h.name.eq_ignore_ascii_case(name))?;
         std::str::from_utf8(found.value).ok().map(str::trim)
     };
-    let length = value("content-length").ok_or_else(|| wrong("the answer has no length".into()))?;
-    let length = length.parse().map_err(|_| wrong("the length is no number".into()))?;
+    let length =
+        value("content-length").ok_or_else(|| invalid("the response has no content length".into()))?;
+    let length = length.parse().map_err(|_| invalid("the length is no number".into()))?;
     let retry_after = value("retry-after").and_then(|v| v.parse().ok());
-    Ok(Some((Answer { status: head.code.unwrap_or(0), retry_after, body: Vec::new() }, end, length)))
+    Ok(Some((Response { status: head.code.unwrap_or(0), retry_after, body: Vec::new() }, end, length)))
 }
--- a/crates/fleet/src/scale/plan.rs
+++ b/crates/fleet/src/scale/plan.rs
@@ -123,7 +123,7 @@
     pub listed: usize,
     /// The number of services of these servers; at most one for each server.
     pub services: usize,
-    /// The Zipf exponent of the sizes of the services: the size is proportional to `1 / rank^skew`. 0 means equal sizes.
+    /// The Zipf exponent of the sizes of the services: a size is proportional to `1 / rank^skew`. 0 means equal sizes.
     #[serde(default = "default_skew")]
     pub skew: f64,
     /// The number of services that a sidecar calls.
--- a/crates/fleet/src/scale/propagation.rs
+++ b/crates/fleet/src/scale/propagation.rs
@@ -33,9 +33,9 @@
     figures.insert(format!("{name}_ms_max"), ms(latencies.max()));
 }
 
-/// For each change and each hollow sidecar that it concerns, the time from the acknowledgement until the sidecar applied
-/// it or a later one; and the number of changes that were not delivered, summed over the sidecars. `applied` has the
-/// index and the time of each list that each sidecar applied, in order.
+/// For each change and each hollow sidecar that it concerns, the time from the acknowledgement until the sidecar
+/// applied it or a later one; and the number of changes that were not delivered, summed over the sidecars. `applied`
+/// has the index and the time of each list that each sidecar applied, in order.
 pub fn propagation_latencies(
     changes: &[Change],
     topology: &Topology,
--- a/crates/fleet/src/scale/run.rs
+++ b/crates/fleet/src/scale/run.rs
@@ -1,6 +1,6 @@
 //! Plays a plan: step after step, or event after event, and measures.
 
-use super::deployment::{Deployment, REPLICAS, START_TIMEOUT, server_name, within};
+use super::deployment::{Deployment, REPLICAS, START_TIMEOUT, server_name, wait_until};
 use super::hollow::Activity;
 use super::lines::{Line, Lines, Mode, Role, StepSizes, Sweep};
 use super::monotonic;
@@ -168,8 +168,8 @@
             let all = d.hollow_status().is_ok_and(|s| s.with_list == sizes.hollow && s.failing == 0);
             all && d.sidecars.iter().all(|s| s.index().is_some_and(|index| index > 0))
         };
-        let up = within(START_TIMEOUT, "all sidecars have a list", || ready(&deployment));
-        up.map_err(|e| match deployment.ended() {
+        let up = wait_until(START_TIMEOUT, "all sidecars have a list", || ready(&deployment));
+        up.map_err(|e| match deployment.unexpected_exit() {
             Some(ended) => io::Error::other(ended),
             None => io::Error::other(format!("{e}: {:?}", deployment.hollow_status())),
         })?;
@@ -240,9 +240,9 @@
                 let index = |at: usize| all[at].as_ref().map(|s| s["index"].clone());
                 index(0).is_some() && (1..REPLICAS).all(|at| index(at) == index(0))
             };
-            within(START_TIMEOUT, "all replicas are well", same)?;
+            wait_until(START_TIMEOUT, "all replicas are well", same)?;
         }
-        if let Some(ended) = self.deployment.ended() {
+        if let Some(ended) = self.deployment.unexpected_exit() {
             return Err(io::Error::other(ended));
         }
         back.retain(|(_, until)| *until >= seen.mended);
@@ -475,7 +475,7 @@
     match event {
         None | Some(EventSpec::Steady {}) => {}
         Some(EventSpec::ReplicaKilled { which }) => d.registry.kill(struck(*which, leader))?,
-        Some(EventSpec::WatchesLost {}) => d.reset()?,
+        Some(EventSpec::WatchesLost {}) => d.reset_connections()?,
         Some(EventSpec::ZoneAway { zone, for_s, killed }) => {
             let zone = place(zone.as_ref(), &plan.zones).unwrap_or(0);
             let away = Duration::from_secs_f64(*for_s);
@@ -485,14 +485,14 @@
                 mended = monotonic();
                 d.start_zone(zone)?;
             } else {
-                d.hold_zone(zone)?;
+                d.pause_zone(zone)?;
                 std::thread::sleep(away);
                 mended = monotonic();
-                d.let_zone_go_on(zone)?;
+                d.resume_zone(zone)?;
             }
         }
         Some(EventSpec::RegionCut { region, for_s }) => {
-            let ways = d.ways(place(region.as_ref(), &plan.regions).unwrap_or(0));
+            let ways = d.region_proxies(place(region.as_ref(), &plan.regions).unwrap_or(0));
             ways.iter().for_each(|way| way.set_link(Link::cut()));
             std::thread::sleep(Duration::from_secs_f64(*for_s));
             mended = monotonic();
