--- a/crates/fleet/src/capacity/mod.rs
+++ b/crates/fleet/src/capacity/mod.rs
@@ -1,4 +1,5 @@
-//! Capacity: slopes by least squares over recorded runs, and what they make of a plan's sizes. Page: `docs/CAPACITY.md`.
+//! Capacity planning: fits lines to recorded runs by least squares, and estimates from them what a plan's fleet needs.
+//! The results are published in `docs/CAPACITY.md`.
 
 mod fit;
 mod page;
@@ -8,7 +9,7 @@
 mod tables;
 mod target;
 
-pub use fit::{Fit, Foretold, LEAST_STEPS, Line, Point, Verdict, WITHIN};
+pub use fit::{Fit, Line, MAX_RELATIVE_ERROR, MIN_STEPS, Point, Prediction, Verdict};
 pub use page::{PageError, rewrite};
 pub use plan::{Assumptions, Budgets, Figure, Mode, Plan, Role, Sizes, Slope, Source};
 pub use plot::{PlotError, plot};
@@ -19,56 +20,56 @@
 use crate::site::FileError;
 use std::path::Path;
 
-/// Why a plan can't be worked out.
+/// Why a plan can't be evaluated.
 #[derive(Debug, thiserror::Error)]
 pub enum CapacityError {
-    /// The plan can't be used.
+    /// The plan can't be read or is invalid.
     #[error("{0}")]
     Plan(#[from] FileError),
-    /// Its recorded runs can't be used.
+    /// The plan's recorded runs can't be read or are invalid.
     #[error("{0}")]
     Runs(#[from] RunsError),
 }
 
-/// A plan with its slopes.
+/// A plan with its recorded runs and the lines fitted to them.
 #[derive(Debug)]
 pub struct Capacity {
     /// The plan.
     pub plan: Plan,
     /// Its recorded runs.
     pub runs: Runs,
-    /// A fit for each slope of the plan, in its order.
+    /// A fit for each slope of the plan, in the plan's order.
     pub fits: Vec<Fit>,
 }
 
-/// What the slopes say of a figure.
+/// An estimate of a figure.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Estimate {
-    /// Worked out.
-    Worked {
+    /// The figure could be computed.
+    Computed {
         /// The figure.
         value: f64,
-        /// Names of slopes that add to it but are not measured or don't count.
-        without: Vec<String>,
-        /// The slopes that it is worked out by.
-        by: Vec<String>,
+        /// Names of slopes that would contribute, but are not measured or have no usable line.
+        missing_slopes: Vec<String>,
+        /// Names of the slopes from which the figure was computed.
+        used_slopes: Vec<String>,
     },
-    /// The slope that it hangs on is no line: the largest step is all that is known.
-    NoLine {
-        /// The slope.
-        name: String,
-        /// The largest x that was measured, and the value there.
-        most: (f64, f64),
+    /// The slope that gives the base value has no usable line, so that only measured values are known.
+    NoUsableLine {
+        /// Name of the slope.
+        slope: String,
+        /// The largest measured x, and the value there.
+        largest_measured: (f64, f64),
     },
-    /// Nothing was measured of it.
+    /// There is no measurement.
     NotMeasured,
 }
 
 impl Estimate {
-    /// The figure, where it could be worked out.
+    /// The figure, if it could be computed.
     pub fn value(&self) -> Option<f64> {
         match self {
-            Self::Worked { value, .. } => Some(*value),
+            Self::Computed { value, .. } => Some(*value),
             _ => None,
         }
     }
@@ -79,52 +80,58 @@
     pub fn read(plan: &Path) -> Result<Self, CapacityError> {
         let plan = Plan::read(plan)?;
         let runs = Runs::read(&plan.results)?;
-        Ok(Self::of(plan, runs))
+        Ok(Self::new(plan, runs))
     }
 
-    /// Fits all slopes.
-    pub fn of(plan: Plan, runs: Runs) -> Self {
-        let fits = plan.slope.iter().map(|s| Fit::of(&runs.points(s))).collect();
+    /// Fits all slopes of the plan.
+    pub fn new(plan: Plan, runs: Runs) -> Self {
+        let fits = plan.slopes.iter().map(|s| Fit::new(&runs.points(s))).collect();
         Self { plan, runs, fits }
     }
 
-    /// A role's figure under a demand. The first slope of that mode, role and y gives the line; each further one adds
-    /// its slope times what its x differs from what it was in the first one's runs.
+    /// Estimates the figure `y` of a role under a demand. The first slope with this mode, role and `y` is the base: its
+    /// line gives the value at its x. Each further slope adds its rise per unit of x times the difference between the
+    /// demanded x and the x that the base's runs had already.
     pub fn estimate(&self, mode: Mode, role: Role, y: &str, demand: &Demand) -> Estimate {
-        // The module has no modes; its runs are of one.
-        let of = |s: &Slope| s.role == role && s.y == y && s.adds && (s.mode == mode || role == Role::Module);
-        let mut slopes = self.plan.slope.iter().zip(&self.fits).filter(|(s, _)| of(s));
+        // The decision module is measured in one mode only: all that matters to it is how many servers it is given.
+        let contributes =
+            |s: &Slope| s.role == role && s.y == y && s.adds && (s.mode == mode || role == Role::Module);
+        let mut slopes = self.plan.slopes.iter().zip(&self.fits).filter(|(s, _)| contributes(s));
         let Some((base, fit)) = slopes.next() else { return Estimate::NotMeasured };
         let points = self.runs.points(base);
-        let Some(most) = points.iter().max_by(|a, b| a.x.total_cmp(&b.x)) else {
+        let Some(largest) = points.iter().max_by(|a, b| a.x.total_cmp(&b.x)) else {
             return Estimate::NotMeasured;
         };
-        let (Some(line), Some(x)) = (fit.counted(), demand.of(role, &base.x)) else {
-            return Estimate::NoLine { name: base.name.clone(), most: (most.x, most.y) };
+        let (Some(line), Some(x)) = (fit.usable_line(), demand.value(role, &base.x)) else {
+            return Estimate::NoUsableLine {
+                slope: base.name.clone(),
+                largest_measured: (largest.x, largest.y),
+            };
         };
-        let (mut value, mut by, mut without) = (line.at(x), vec![base.name.clone()], Vec::new());
+        let (mut value, mut used_slopes, mut missing_slopes) =
+            (line.at(x), vec![base.name.clone()], Vec::new());
         for (slope, fit) in slopes {
-            // What the base's line holds of this x already, at the size that it is read at.
-            let held = self
+            // This slope's x as a function of the base's x in the base's runs: what the base line includes already.
+            let included = self
                 .runs
-                .of(base)
+                .completed_steps(base)
                 .filter_map(|s| Some(Point { step: s.step, x: s.value(&base.x)?, y: s.value(&slope.x)? }));
-            let held = Line::through(&held.collect::<Vec<_>>()).map(|l| l.at(x));
-            match (fit.counted(), held, demand.of(role, &slope.x)) {
-                (Some(line), Some(held), Some(x)) => {
-                    value += line.slope * (x - held);
-                    by.push(slope.name.clone());
+            let included = Line::through(&included.collect::<Vec<_>>()).map(|l| l.at(x));
+            match (fit.usable_line(), included, demand.value(role, &slope.x)) {
+                (Some(line), Some(included), Some(x)) => {
+                    value += line.slope * (x - included);
+                    used_slopes.push(slope.name.clone());
                 }
-                _ => without.push(slope.name.clone()),
+                _ => missing_slopes.push(slope.name.clone()),
             }
         }
-        Estimate::Worked { value: value.max(0.0), without, by }
+        Estimate::Computed { value: value.max(0.0), missing_slopes, used_slopes }
     }
 
-    /// What one of x costs a role, by its slope; `None` where that is not measured or does not count.
-    pub fn cost(&self, mode: Mode, role: Role, y: &str, x: &str) -> Option<f64> {
-        let of = |s: &Slope| s.mode == mode && s.role == role && s.y == y && s.x == x;
-        let (_, fit) = self.plan.slope.iter().zip(&self.fits).find(|(s, _)| of(s))?;
-        Some(fit.counted()?.slope)
+    /// The rise of a role's figure `y` per unit of `x`; `None` if it is not measured or its line is not usable.
+    pub fn marginal_cost(&self, mode: Mode, role: Role, y: &str, x: &str) -> Option<f64> {
+        let matches = |s: &Slope| s.mode == mode && s.role == role && s.y == y && s.x == x;
+        let (_, fit) = self.plan.slopes.iter().zip(&self.fits).find(|(s, _)| matches(s))?;
+        Some(fit.usable_line()?.slope)
     }
 }
--- a/crates/fleet/src/capacity/page.rs
+++ b/crates/fleet/src/capacity/page.rs
@@ -1,22 +1,22 @@
-//! Tables in a page, between `<!-- tables: NAME -->` and `<!-- end -->`.
+//! Generated tables in a Markdown page, between `<!-- tables: NAME -->` and `<!-- end -->`.
 
-/// Why a page can't be rewritten.
+/// Why a page's tables can't be replaced.
 #[derive(Debug, thiserror::Error, PartialEq, Eq)]
 pub enum PageError {
     /// There is no table of that name.
-    #[error("line {line}: there is no table {name}: one of {known}")]
-    Unknown {
-        /// From 1.
+    #[error("line {line}: there is no table {name}; the tables are {known}")]
+    UnknownTable {
+        /// Line number, from 1.
         line: usize,
-        /// What the page asks for.
+        /// The name in the page.
         name: String,
-        /// What there is.
+        /// The names of all tables.
         known: String,
     },
-    /// A table's place does not end.
-    #[error("line {line}: no {END} follows before the next table or the page's end")]
-    Open {
-        /// From 1.
+    /// A start marker has no end marker.
+    #[error("line {line}: no {END} before the next table or the end of the page")]
+    Unclosed {
+        /// Line number of the start marker, from 1.
         line: usize,
     },
 }
@@ -24,7 +24,7 @@
 const BEGIN: &str = "<!-- tables: ";
 const END: &str = "<!-- end -->";
 
-/// The page with its tables as they are now.
+/// Returns the page with the text between each pair of markers replaced by the table of that name.
 pub fn rewrite(page: &str, tables: &[(&str, String)]) -> Result<String, PageError> {
     let name_of = |line: &str| Some(line.trim().strip_prefix(BEGIN)?.strip_suffix("-->")?.trim().to_owned());
     let mut out = String::new();
@@ -34,11 +34,11 @@
         let Some(name) = name_of(line) else { continue };
         let Some((_, table)) = tables.iter().find(|(n, _)| *n == name) else {
             let known: Vec<_> = tables.iter().map(|(n, _)| *n).collect();
-            return Err(PageError::Unknown { line: i + 1, name, known: known.join(", ") });
+            return Err(PageError::UnknownTable { line: i + 1, name, known: known.join(", ") });
         };
-        // An empty line on both sides, or a table is none for some readers of markdown.
+        // Some Markdown parsers recognize a table only between empty lines.
         out.push_str(&format!("\n{table}\n"));
-        let open = PageError::Open { line: i + 1 };
+        let unclosed = PageError::Unclosed { line: i + 1 };
         loop {
             match lines.next() {
                 Some((_, line)) if line.trim() == END => {
@@ -46,7 +46,7 @@
                     break;
                 }
                 Some((_, line)) if name_of(line).is_none() => {}
-                _ => return Err(open),
+                _ => return Err(unclosed),
             }
         }
     }
--- a/crates/fleet/src/capacity/plan.rs
+++ b/crates/fleet/src/capacity/plan.rs
@@ -1,4 +1,4 @@
-//! A capacity plan: sizes, budgets and assumptions, each with where it comes from, and the slopes to work with.
+//! A capacity plan: sizes, budgets and assumptions, each with its source, and the slopes to fit to recorded runs.
 
 use super::target;
 use crate::site::{FileError, text_of};
@@ -9,23 +9,24 @@
 #[derive(Clone, Copy, Debug, Deserialize, PartialEq, Eq)]
 #[serde(rename_all = "lowercase")]
 pub enum Source {
-    /// The operators' letter.
-    Letter,
-    /// A run of the project; the note names it.
+    /// A requirement of the operators.
+    #[serde(rename = "letter")]
+    Requirement,
+    /// A measurement by this project; the note names it.
     Measured,
-    /// A choice of the project, which can be made otherwise.
+    /// A design choice of this project, which can be changed.
     Chosen,
-    /// Somebody else's page; the note names it.
+    /// A publication of somebody else; the note names it.
     Published,
-    /// Nobody knows it.
+    /// A guess without a source.
     Guessed,
 }
 
 impl Source {
-    /// Its name, as in the file.
+    /// Its name in the plan's file.
     pub fn name(self) -> &'static str {
         match self {
-            Self::Letter => "letter",
+            Self::Requirement => "letter",
             Self::Measured => "measured",
             Self::Chosen => "chosen",
             Self::Published => "published",
@@ -34,179 +35,180 @@
     }
 }
 
-/// A figure and where it comes from.
+/// A figure and its source.
 #[derive(Clone, Debug, Deserialize)]
-#[serde(try_from = "Told")]
+#[serde(try_from = "RawFigure")]
 pub struct Figure {
-    /// The figure, above 0.
+    /// The value, above 0.
     pub value: f64,
-    /// Where it comes from.
+    /// Its source.
     pub source: Source,
-    /// What is to be said of it.
+    /// An explanation; required for measured and published figures.
     pub note: String,
 }
 
+/// A figure as it is read, before validation.
 #[derive(Deserialize)]
 #[serde(deny_unknown_fields)]
-struct Told {
+struct RawFigure {
     value: f64,
     source: Source,
     #[serde(default)]
     note: String,
 }
 
-impl TryFrom<Told> for Figure {
+impl TryFrom<RawFigure> for Figure {
     type Error = &'static str;
 
-    fn try_from(Told { value, source, note }: Told) -> Result<Self, Self::Error> {
+    fn try_from(RawFigure { value, source, note }: RawFigure) -> Result<Self, Self::Error> {
         if !(value > 0.0 && value <= 1e15) {
             return Err("value must be above 0, and no more than 1e15");
         }
         if note.is_empty() && matches!(source, Source::Measured | Source::Published) {
-            return Err("a figure that was measured or published wants a note that says where");
+            return Err("a measured or published figure needs a note that names its source");
         }
         Ok(Self { value, source, note })
     }
 }
 
-/// A table of figures that can be gone through in order, each with its meaning.
+/// Defines a struct of figures. The doc comments of its fields are their descriptions in the tables.
 macro_rules! figures {
-    ($(#[$of:meta])* $name:ident { $(#[doc = $meaning:literal] $field:ident,)* }) => {
-        $(#[$of])*
+    ($(#[$attribute:meta])* $name:ident { $(#[doc = $description:literal] $field:ident,)* }) => {
+        $(#[$attribute])*
         #[derive(Clone, Debug, Deserialize)]
         #[serde(deny_unknown_fields)]
-        pub struct $name { $(#[doc = $meaning] pub $field: Figure,)* }
+        pub struct $name { $(#[doc = $description] pub $field: Figure,)* }
 
         impl $name {
-            /// Each with its meaning, in the order in which they are declared.
-            pub fn each(&self) -> impl Iterator<Item = (&'static str, &Figure)> {
-                [$(($meaning, &self.$field)),*].into_iter().map(|(meaning, figure)| (meaning.trim(), figure))
+            /// All figures with their descriptions, in the order of declaration.
+            pub fn figures(&self) -> impl Iterator<Item = (&'static str, &Figure)> {
+                [$(($description, &self.$field)),*].into_iter().map(|(description, figure)| (description.trim(), figure))
             }
         }
     };
 }
 
 figures! {
-    /// How large the fleet is and what happens in it.
+    /// The size of the fleet, and how often things change in it.
     Sizes {
         /// Servers, each with its sidecar
         servers,
         /// Services
         services,
-        /// Calls a second, of the whole fleet
+        /// Calls per second in the whole fleet
         calls_per_s,
-        /// Levels of a deep call
+        /// Levels of a deep call chain
         depth,
         /// Regions
         regions,
         /// Zones
         zones,
-        /// Changes of configuration a day
+        /// Configuration changes per day
         config_changes_per_day,
-        /// Servers restarted or replaced a day
+        /// Servers restarted or replaced per day
         restarts_per_day,
         /// Machines that fail on an ordinary day
         machine_failures_per_day,
-        /// Machines set aside for control
+        /// Machines reserved for the control plane
         control_machines,
     }
 }
 
 figures! {
-    /// What may be used.
+    /// Limits on latency and on the use of resources.
     Budgets {
-        /// Time that a sidecar adds to a call, for 99 in 100, ms
+        /// Latency that a sidecar adds to a call, p99, ms
         added_ms,
-        /// Time until a change is in force everywhere, s
+        /// Time until a change is applied everywhere, s
         in_force_s,
-        /// Share of a core that a sidecar spends on control, percent
+        /// CPU of a sidecar's control plane, % of a core
         sidecar_core_percent,
-        /// Memory that a sidecar spends on control, MB
+        /// Memory of a sidecar's control plane, MB
         sidecar_memory_mb,
-        /// Bytes a second that a sidecar exchanges for control
+        /// Control plane traffic of a sidecar, bytes per second
         sidecar_bytes_per_s,
-        /// Share of a core of a replica, percent
+        /// CPU of a replica, % of a core
         replica_core_percent,
         /// Memory of a replica, MB
         replica_memory_mb,
-        /// Watches that a replica takes
+        /// Maximum number of watches of a replica
         replica_watches,
-        /// Entries that a list holds at most
+        /// Maximum number of entries in the endpoint list
         list_entries,
-        /// The same of entries with services
+        /// Maximum number of entries in the endpoint list if each entry names its service
         list_entries_by_service,
-        /// Time until all sidecars have a list where all ask at once, s
+        /// Time until all sidecars have the endpoint list if all request it at once, s
         storm_s,
     }
 }
 
 figures! {
-    /// What is taken for granted besides.
+    /// Further assumptions.
     Assumptions {
         /// Services that one sidecar calls
         services_called,
-        /// Share of the sidecars that a change of configuration is told to
+        /// Share of the sidecars that are notified of a configuration change
         config_share,
-        /// Servers on a machine
+        /// Servers per machine
         servers_per_machine,
-        /// Servers in a rack
+        /// Servers per rack
         servers_per_rack,
-        /// Writes of the list for a server that is restarted (drained, removed, registered)
+        /// Writes to the endpoint list per restarted server (drained, removed, registered)
         writes_per_restart,
-        /// Writes of the list for a server that fails (leaving, gone, registered anew)
+        /// Writes to the endpoint list per failed server (draining, removed, registered again)
         writes_per_failure,
-        /// Replicas of the list
+        /// Replicas of the endpoint list
         replicas,
         /// Length of a lease, s
         lease_s,
-        /// Renewals in a lease
+        /// Renewals per length of a lease
         renewals_per_lease,
-        /// A watch without news is answered after, s
+        /// Time after which a watch without changes is answered, s
         watch_wait_s,
-        /// Between two calls of one reader, s
+        /// Pause of a reader between a response and its next watch request, s
         watch_spacing_s,
-        /// Whole lists that a replica tells in a second
+        /// Complete endpoint lists that a replica serves per second
         whole_lists_per_s,
-        /// Window of the floor on expiry, s
+        /// Time window of the limit on lease expiry, s
         expiry_window_s,
-        /// Share of the list that goes by expiry in a window
+        /// Share of the endpoint list that may expire in a window
         expiry_share,
         /// Time without writes while a leader is replaced, s
         failover_s,
-        /// Time in which those that come back register, s
+        /// Time in which returning servers register, s
         registration_s,
-        /// Attempts of a call at one level
+        /// Attempts per call at each level
         attempts,
-        /// What a first try adds to a sidecar's retry budget
+        /// Retries that each first attempt adds to a sidecar's retry budget
         retry_share,
-        /// Retries that a sidecar's budget holds at most
+        /// Maximum of a sidecar's retry budget, retries
         retry_burst,
-        /// Time that a deep call's first client waits, ms
+        /// Timeout of the client at the head of a deep call chain, ms
         deadline_ms,
-        /// What a sidecar tells the shared state, messages a second
+        /// Messages per second from a sidecar to the shared state
         shared_messages_per_s,
-        /// What the shared state holds for a service in a zone, bytes
+        /// Size of the shared state per service and zone, bytes
         shared_bytes,
-        /// What a release holds for a service, bytes
+        /// Size of a configuration release per service, bytes
         release_bytes,
     }
 }
 
-/// What readers are told.
+/// Which part of the endpoint list readers watch.
 #[derive(Clone, Copy, Debug, Deserialize, PartialEq, Eq, PartialOrd, Ord)]
 #[serde(rename_all = "lowercase")]
 pub enum Mode {
-    /// Every reader is told the whole list.
+    /// Every reader watches the complete list.
     Whole,
-    /// Readers are told the servers of the services that they call.
+    /// Readers watch the servers of the services that they call.
     Services,
 }
 
 impl Mode {
-    /// Both.
+    /// All modes.
     pub const ALL: [Self; 2] = [Self::Whole, Self::Services];
 
-    /// Its name, as in files.
+    /// Its name in plans and recorded runs.
     pub fn name(self) -> &'static str {
         match self {
             Self::Whole => "whole",
@@ -215,80 +217,80 @@
     }
 }
 
-/// Whose figures a line of results holds.
+/// The component to which a line of recorded results refers.
 #[derive(Clone, Copy, Debug, Deserialize, PartialEq, Eq)]
 #[serde(rename_all = "lowercase")]
 pub enum Role {
-    /// The replica that leads.
+    /// The leader of the registry's replicas.
     Leader,
-    /// A replica that follows.
+    /// A follower among the registry's replicas.
     Follower,
-    /// One reader that only reads.
+    /// A simulated sidecar that watches the list and serves no requests.
     Hollow,
-    /// One real sidecar.
+    /// A real sidecar.
     Sidecar,
-    /// The decision module.
+    /// The sidecar's decision module alone, which selects a server for each request.
     Module,
-    /// What concerns all.
+    /// The whole fleet.
     Fleet,
 }
 
-/// A slope to be worked out of recorded runs. The first of those with one mode, role and y gives the value at 0 and the
-/// first term; the others add what their x differs from what it was in the first one's runs.
+/// A line to fit to recorded runs. Of the slopes with the same mode, role and y, the first gives the base value. Each
+/// other one corrects it for the difference between its x and the value that this x had in the first one's runs.
 #[derive(Clone, Debug, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Slope {
-    /// Its name, once for each mode.
+    /// Its name, unique within a mode.
     pub name: String,
-    /// The file, in the folder of results.
+    /// Name of the file in the results folder.
     pub file: String,
-    /// The sweep.
+    /// Name of the sweep.
     pub sweep: String,
-    /// What readers are told.
+    /// Which part of the endpoint list readers watch.
     pub mode: Mode,
-    /// Whose figures.
+    /// The measured component.
     pub role: Role,
-    /// What is varied: a size of the step, or a measured value.
+    /// What varies: the name of a size of the step, or of a measured value.
     pub x: String,
-    /// What is measured.
+    /// The measured value's name.
     pub y: String,
-    /// Its unit, for a person.
+    /// The unit of the rise, for display.
     pub unit: String,
-    /// Whether it adds to figures. Not where another slope of the same steps holds its part already.
-    #[serde(default = "adds")]
+    /// Whether estimates include it. False if another slope over the same steps includes its effect already.
+    #[serde(default = "adds_by_default")]
     pub adds: bool,
 }
 
-fn adds() -> bool {
+fn adds_by_default() -> bool {
     true
 }
 
-/// A plan as its file has it; unknown keys are refused.
+/// A capacity plan as in its file; unknown keys are errors.
 #[derive(Clone, Debug, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Plan {
-    /// Its name.
+    /// Name of the plan.
     pub name: String,
-    /// The folder of recorded runs, from the plan's own.
+    /// The folder of recorded runs, relative to the plan's folder in the file.
     pub results: PathBuf,
-    /// Sizes.
+    /// The size of the fleet.
     pub sizes: Sizes,
-    /// Budgets.
+    /// Limits on latency and on the use of resources.
     pub budgets: Budgets,
-    /// Assumptions.
+    /// Further assumptions.
     pub assumptions: Assumptions,
-    /// Slopes.
-    #[serde(default)]
-    pub slope: Vec<Slope>,
+    /// The slopes to fit.
+    #[serde(default, rename = "slope")]
+    pub slopes: Vec<Slope>,
 }
 
 impl Plan {
-    /// Reads a plan; the folder of results is then where it lies.
+    /// Reads a plan from a file, and resolves the results folder relative to it.
     pub fn read(path: &Path) -> Result<Self, FileError> {
         Self::parse(path, &text_of(path)?)
     }
 
-    /// Reads the text of one; `path` is for messages and for the folder of results.
+    /// Parses the text of a plan; `path` is used in errors and to resolve the results folder.
     pub fn parse(path: &Path, text: &str) -> Result<Self, FileError> {
         let mut plan: Self = toml::from_str(text)
             .map_err(|source| FileError::Form { path: path.to_owned(), source: Box::new(source) })?;
@@ -298,41 +300,44 @@
     }
 
     fn check(&self, path: &Path) -> Result<(), FileError> {
-        let wrong = |key: String, what: String| Err(FileError::Value { path: path.to_owned(), key, what });
+        let invalid = |key: String, what: String| Err(FileError::Value { path: path.to_owned(), key, what });
         let (s, a) = (&self.sizes, &self.assumptions);
-        let whole = |f: &Figure, most: f64| f.value.fract() == 0.0 && f.value <= most;
-        for (key, fine) in [
-            ("sizes.depth", whole(&s.depth, 100.0)),
-            ("sizes.regions", whole(&s.regions, 1000.0)),
-            ("sizes.zones", whole(&s.zones, 1000.0) && s.zones.value >= s.regions.value),
-            ("sizes.control_machines", whole(&s.control_machines, 1e5)),
+        let integer = |f: &Figure, max: f64| f.value.fract() == 0.0 && f.value <= max;
+        for (key, is_valid) in [
+            ("sizes.depth", integer(&s.depth, 100.0)),
+            ("sizes.regions", integer(&s.regions, 1000.0)),
+            ("sizes.zones", integer(&s.zones, 1000.0) && s.zones.value >= s.regions.value),
+            ("sizes.control_machines", integer(&s.control_machines, 1e5)),
             ("sizes.services", s.services.value <= s.servers.value),
             ("assumptions.services_called", a.services_called.value <= s.services.value),
             ("assumptions.config_share", a.config_share.value <= 1.0),
-            ("assumptions.replicas", whole(&a.replicas, 9.0) && a.replicas.value <= s.zones.value),
+            ("assumptions.replicas", integer(&a.replicas, 9.0) && a.replicas.value <= s.zones.value),
             ("assumptions.expiry_share", a.expiry_share.value <= 1.0),
-            ("assumptions.attempts", whole(&a.attempts, 100.0)),
+            ("assumptions.attempts", integer(&a.attempts, 100.0)),
             ("assumptions.retry_share", a.retry_share.value <= 1.0),
         ] {
-            if !fine {
-                return wrong(key.into(), "is out of range".into());
+            if !is_valid {
+                return invalid(key.into(), "is out of range".into());
             }
         }
-        for (i, slope) in self.slope.iter().enumerate() {
-            let key = |of: &str| format!("slope {}: {of}", slope.name);
-            if !target::KNOWN.contains(&slope.x.as_str()) {
-                return wrong(key("x"), format!("{} is none of {}", slope.x, target::KNOWN.join(", ")));
+        for (i, slope) in self.slopes.iter().enumerate() {
+            let key = |field: &str| format!("slope {}: {field}", slope.name);
+            if !target::X_NAMES.contains(&slope.x.as_str()) {
+                return invalid(
+                    key("x"),
+                    format!("{} is not one of {}", slope.x, target::X_NAMES.join(", ")),
+                );
             }
             let file = Path::new(&slope.file);
             if file.file_name().is_none_or(|name| name != file.as_os_str()) {
-                return wrong(key("file"), "is to be a name, without a folder".into());
+                return invalid(key("file"), "must be a file name without a folder".into());
             }
-            let same = |o: &&Slope| {
-                let of = |s: &Slope| (s.mode, s.role, s.x.clone(), s.y.clone());
-                (o.name == slope.name && o.mode == slope.mode) || of(o) == of(slope)
+            let is_duplicate = |o: &&Slope| {
+                let axes = |s: &Slope| (s.mode, s.role, s.x.clone(), s.y.clone());
+                (o.name == slope.name && o.mode == slope.mode) || axes(o) == axes(slope)
             };
-            if let Some(other) = self.slope[..i].iter().find(same) {
-                return wrong(key("name"), format!("{} is the same in this mode", other.name));
+            if let Some(other) = self.slopes[..i].iter().find(is_duplicate) {
+                return invalid(key("name"), format!("duplicates slope {} of the same mode", other.name));
             }
         }
         Ok(())
--- a/crates/fleet/src/capacity/plot.rs
+++ b/crates/fleet/src/capacity/plot.rs
@@ -1,4 +1,4 @@
-//! The slopes as one plot of small panels.
+//! A plot of the fitted slopes, with one panel each.
 
 use super::{Capacity, Fit, Slope};
 use plotters::prelude::*;
@@ -11,11 +11,12 @@
 const PANEL: (u32, u32) = (360, 250);
 const COLUMNS: usize = 3;
 const MEASURED: RGBColor = RGBColor(31, 119, 180);
-const FORETOLD: RGBColor = RGBColor(214, 39, 40);
+const PREDICTED: RGBColor = RGBColor(214, 39, 40);
 
-/// A panel for each slope that has points: those, the line where it counts, and the largest step as foretold.
+/// Draws a panel for each slope that has points: the points, the line if it is usable, and the prediction of the
+/// largest step. Returns the plot as SVG.
 pub fn plot(capacity: &Capacity) -> Result<String, PlotError> {
-    let slopes = capacity.plan.slope.iter().zip(&capacity.fits);
+    let slopes = capacity.plan.slopes.iter().zip(&capacity.fits);
     let measured: Vec<(&Slope, &Fit)> = slopes.filter(|(_, fit)| fit.steps > 0).collect();
     let rows = measured.len().div_ceil(COLUMNS).max(1);
     let mut svg = String::new();
@@ -35,8 +36,8 @@
 
 fn draw(panel: &Panel<'_>, capacity: &Capacity, slope: &Slope, fit: &Fit) -> Result<(), PlotError> {
     let points: Vec<(f64, f64)> = capacity.runs.points(slope).iter().map(|p| (p.x, p.y)).collect();
-    let told = fit.foretold.map(|f| (f.x, f.said));
-    let all = || points.iter().copied().chain(told);
+    let prediction = fit.prediction.map(|p| (p.x, p.predicted));
+    let all = || points.iter().copied().chain(prediction);
     let (right, top) = all().fold((0.0f64, 0.0f64), |m, p| (m.0.max(p.0), m.1.max(p.1)));
     let bottom = all().fold(0.0f64, |m, p| m.min(p.1));
     let right = if right > 0.0 { right * 1.05 } else { 1.0 };
@@ -52,13 +53,13 @@
     let mut mesh = chart.configure_mesh();
     mesh.x_desc(&slope.x).y_desc(&slope.y).light_line_style(WHITE).x_labels(5).y_labels(5);
     mesh.draw().map_err(failed)?;
-    if let Some(line) = fit.counted() {
+    if let Some(line) = fit.usable_line() {
         let ends = [0.0, right].map(|x| (x, line.at(x)));
         chart.draw_series(LineSeries::new(ends, &MEASURED)).map_err(failed)?;
     }
     let dots = points.iter().map(|p| Circle::new(*p, 3, MEASURED.filled()));
     chart.draw_series(dots).map_err(failed)?;
-    let crosses = told.iter().map(|p| Cross::new(*p, 5, FORETOLD.stroke_width(2)));
+    let crosses = prediction.iter().map(|p| Cross::new(*p, 5, PREDICTED.stroke_width(2)));
     chart.draw_series(crosses).map_err(failed)?;
     Ok(())
 }
--- a/crates/fleet/src/capacity/runs.rs
+++ b/crates/fleet/src/capacity/runs.rs
@@ -1,37 +1,38 @@
-//! Recorded runs: a line of JSON for each role of each step of a sweep.
+//! Recorded runs: one line of JSON for each role in each step of a sweep.
 
 use super::{Mode, Point, Role, Slope};
 use serde::Deserialize;
 use std::collections::BTreeMap;
 use std::path::{Path, PathBuf};
 
-/// One role at one step. Keys that are of no use here, such as the seed, are let through.
+/// What was measured of one role in one step. Unknown keys, such as the seed, are ignored.
 #[derive(Clone, Debug, Deserialize)]
 pub struct Step {
-    /// What varies.
+    /// Name of the sweep.
     pub sweep: String,
-    /// What readers are told.
+    /// Which part of the endpoint list readers watch.
     pub mode: Mode,
-    /// The step of the sweep.
+    /// Number of the step.
     pub step: u64,
-    /// Its sizes.
-    pub at: BTreeMap<String, f64>,
-    /// Whose figures.
+    /// Sizes of the deployment in this step.
+    #[serde(rename = "at")]
+    pub sizes: BTreeMap<String, f64>,
+    /// The measured component.
     pub role: Role,
-    /// The event, in the sweep of events.
+    /// The injected event, in the sweep `events`.
     #[serde(default)]
     pub event: Option<String>,
-    /// What was measured; the name has the unit.
+    /// The measured values; the unit is part of the name.
     pub measured: BTreeMap<String, f64>,
-    /// Why the step ended before all was measured; it then gives no point.
+    /// Why the step ended before all values were measured. A failed step gives no point.
     #[serde(default)]
     pub failed: Option<String>,
 }
 
 impl Step {
-    /// A measured value or a size of the step.
+    /// The measured value of that name, or else the size of that name.
     pub fn value(&self, key: &str) -> Option<f64> {
-        self.measured.get(key).or_else(|| self.at.get(key)).copied()
+        self.measured.get(key).or_else(|| self.sizes.get(key)).copied()
     }
 }
 
@@ -43,27 +44,27 @@
     Read {
         /// The file.
         path: PathBuf,
-        /// What the system says.
+        /// The system's error.
         source: std::io::Error,
     },
-    /// A line is no result.
+    /// A line is not valid JSON of a step.
     #[error("{path}: line {line}: {source}")]
     Line {
         /// The file.
         path: PathBuf,
-        /// From 1.
+        /// Line number, from 1.
         line: usize,
-        /// What is wrong.
+        /// The parser's error.
         source: serde_json::Error,
     },
 }
 
-/// Recorded runs by the name of their file.
+/// Recorded steps by file name.
 #[derive(Clone, Debug, Default)]
 pub struct Runs(BTreeMap<String, Vec<Step>>);
 
 impl Runs {
-    /// All files `*.jsonl` of a folder; none where there is no such folder.
+    /// Reads all `*.jsonl` files of a folder. A folder that does not exist counts as empty.
     pub fn read(folder: &Path) -> Result<Self, RunsError> {
         let failed = |path: &Path, source| RunsError::Read { path: path.to_owned(), source };
         let listed = match std::fs::read_dir(folder) {
@@ -93,31 +94,31 @@
         Ok(runs)
     }
 
-    /// The steps that a slope is of, with those that failed.
-    fn all<'a>(&'a self, slope: &'a Slope) -> impl Iterator<Item = &'a Step> {
+    /// All steps of a slope's sweep, mode and role, including failed ones.
+    fn steps<'a>(&'a self, slope: &'a Slope) -> impl Iterator<Item = &'a Step> {
         let steps = self.0.get(&slope.file).map(Vec::as_slice).unwrap_or_default();
-        let same = |s: &&Step| s.sweep == slope.sweep && s.mode == slope.mode && s.role == slope.role;
-        steps.iter().filter(same)
+        let matches = |s: &&Step| s.sweep == slope.sweep && s.mode == slope.mode && s.role == slope.role;
+        steps.iter().filter(matches)
     }
 
-    /// The whole steps that a slope is of, with a value of both its x and its y.
-    pub fn of<'a>(&'a self, slope: &'a Slope) -> impl Iterator<Item = &'a Step> {
-        let has = |s: &&Step| s.value(&slope.x).is_some() && s.value(&slope.y).is_some();
-        self.all(slope).filter(|s| s.failed.is_none()).filter(has)
+    /// The completed steps of a slope that have both its x and its y.
+    pub fn completed_steps<'a>(&'a self, slope: &'a Slope) -> impl Iterator<Item = &'a Step> {
+        let has_point = |s: &&Step| s.value(&slope.x).is_some() && s.value(&slope.y).is_some();
+        self.steps(slope).filter(|s| s.failed.is_none()).filter(has_point)
     }
 
-    /// How many of its steps failed.
+    /// The number of failed steps of a slope.
     pub fn failed(&self, slope: &Slope) -> usize {
-        self.all(slope).filter(|s| s.failed.is_some()).count()
+        self.steps(slope).filter(|s| s.failed.is_some()).count()
     }
 
-    /// Those steps as points.
+    /// The completed steps of a slope as points.
     pub fn points(&self, slope: &Slope) -> Vec<Point> {
         let point = |s: &Step| Some(Point { step: s.step, x: s.value(&slope.x)?, y: s.value(&slope.y)? });
-        self.of(slope).filter_map(point).collect()
+        self.completed_steps(slope).filter_map(point).collect()
     }
 
-    /// Played events: the file and the step.
+    /// The steps with an injected event, each with the name of its file.
     pub fn events(&self) -> impl Iterator<Item = (&str, &Step)> {
         let all = self.0.iter().flat_map(|(file, steps)| steps.iter().map(move |s| (file.as_str(), s)));
         all.filter(|(_, s)| s.event.is_some())
--- a/crates/fleet/src/capacity/tables/budgets.rs
+++ b/crates/fleet/src/capacity/tables/budgets.rs
@@ -1,178 +1,178 @@
-//! What has a budget, and at which size of the fleet that is reached.
+//! Figures with a budget, and the size of the fleet at which each exceeds it.
 
-use super::{NOT_MEASURED, number, table, told};
+use super::{NOT_MEASURED, format_estimate, number, table};
 use crate::capacity::{Capacity, Demand, Estimate, Mode, Plan, Role};
 
-/// How a figure is found.
-pub enum Of {
-    /// By slopes of this role and y.
+/// How a figure is computed.
+pub enum Basis {
+    /// From the slopes of this role and y.
     Slopes(Role, &'static str),
-    /// By the demand alone.
+    /// From the demand alone.
     Demand(fn(&Plan, &Demand) -> f64),
 }
 
-/// What has a budget.
+/// A figure with a budget.
 pub struct Budgeted {
-    /// Who spends it.
+    /// The component that uses the budget.
     pub role: &'static str,
-    /// What is spent.
+    /// What is used, with its unit.
     pub what: &'static str,
-    /// How it is found.
-    pub of: Of,
+    /// How it is computed.
+    pub basis: Basis,
     /// The budget, in the measured unit.
     budget: f64,
-    /// The same where readers ask for services.
+    /// The budget if readers watch the services that they call, in the measured unit.
     budget_by_service: f64,
-    /// The measured unit as a part of the one that is told.
+    /// Factor from the measured unit to the displayed one.
     pub scale: f64,
-    /// The mechanism that carries it today.
+    /// The mechanism that limits the figure today.
     pub mechanism: &'static str,
-    /// The mechanism that is missing where the budget is not met.
-    pub missing: &'static str,
+    /// The mechanism that would be needed if the budget is exceeded.
+    pub missing_mechanism: &'static str,
 }
 
-const BY_SERVICE: &str = "lists by service";
-const BY_ZONE: &str = "a replica in each zone that reads without a vote";
-const LONGER: &str = "a list for each region, or a higher bound";
+const PER_SERVICE_LISTS: &str = "per-service lists";
+const REPLICA_PER_ZONE: &str = "a non-voting replica in each zone";
+const LARGER_LIST: &str = "a list per region, or a higher limit";
 
-/// All that has one.
+/// All figures with a budget.
 pub fn all(plan: &Plan) -> Vec<Budgeted> {
     let b = &plan.budgets;
-    let of = |role, what, of, budget, scale, mechanism, missing| Budgeted {
+    let budgeted = |role, what, basis, budget, scale, mechanism, missing_mechanism| Budgeted {
         role,
         what,
-        of,
+        basis,
         budget,
         budget_by_service: budget,
         scale,
         mechanism,
-        missing,
+        missing_mechanism,
     };
     let (core, replica) = (b.sidecar_core_percent.value * 1e4, b.replica_core_percent.value * 1e4);
     let memory = b.replica_memory_mb.value * 1e6;
-    let (data, control) = ("sidecar's data path", "sidecar's control");
-    let (leads, follows) = ("replica that leads", "replica that follows");
-    let answered = "answers written once for all who are at one version";
+    let (data_plane, control_plane) = ("sidecar data plane", "sidecar control plane");
+    let (leader, follower) = ("leader", "follower");
+    let shared_responses = "one rendered response for all watches at the same version";
     vec![
-        of(
-            data,
+        budgeted(
+            data_plane,
             "added to a call, p99, ms",
-            Of::Slopes(Role::Sidecar, "added_us_p99"),
+            Basis::Slopes(Role::Sidecar, "added_us_p99"),
             b.added_ms.value * 1e3,
             1e-3,
-            "reach: a pick goes round few servers",
-            BY_SERVICE,
+            "subsetting: a sidecar balances over a few servers",
+            PER_SERVICE_LISTS,
         ),
-        of(
-            control,
-            "processor, % of a core",
-            Of::Slopes(Role::Sidecar, "cpu_us_per_s"),
+        budgeted(
+            control_plane,
+            "CPU, % of a core",
+            Basis::Slopes(Role::Sidecar, "cpu_us_per_s"),
             core,
             1e-4,
-            "watches that tell what changed",
-            BY_SERVICE,
+            "incremental watches",
+            PER_SERVICE_LISTS,
         ),
-        of(
-            control,
-            "memory, MB, its data path's included",
-            Of::Slopes(Role::Sidecar, "rss_bytes"),
+        budgeted(
+            control_plane,
+            "memory, MB, including the data plane",
+            Basis::Slopes(Role::Sidecar, "rss_bytes"),
             b.sidecar_memory_mb.value * 1e6,
             1e-6,
             "one list in memory and one in a file",
-            BY_SERVICE,
+            PER_SERVICE_LISTS,
         ),
-        of(
-            control,
-            "bytes a second",
-            Of::Slopes(Role::Sidecar, "wire_bytes_per_s"),
+        budgeted(
+            control_plane,
+            "bytes per second",
+            Basis::Slopes(Role::Sidecar, "wire_bytes_per_s"),
             b.sidecar_bytes_per_s.value,
             1.0,
-            "watches that tell what changed",
-            BY_SERVICE,
+            "incremental watches",
+            PER_SERVICE_LISTS,
         ),
-        of(
+        budgeted(
             "all sidecars",
-            "a change in force in the last one, s",
-            Of::Slopes(Role::Fleet, "told_ms_max"),
+            "change applied by the last one after, s",
+            Basis::Slopes(Role::Fleet, "told_ms_max"),
             b.in_force_s.value * 1e3,
             1e-3,
             "watches at every replica",
-            BY_ZONE,
+            REPLICA_PER_ZONE,
         ),
-        of(
+        budgeted(
             "all sidecars",
-            "all ask at once: the last has a list after, s",
-            Of::Demand(|plan, d| d.servers / (d.replicas * plan.assumptions.whole_lists_per_s.value)),
+            "all request the list at once, the last has it after, s",
+            Basis::Demand(|plan, d| d.servers / (d.replicas * plan.assumptions.whole_lists_per_s.value)),
             b.storm_s.value,
             1.0,
-            "admission: those beyond the rate come later, each at a time of its own",
-            BY_ZONE,
+            "admission control: excess requests retry later, each at a different time",
+            REPLICA_PER_ZONE,
         ),
         Budgeted {
             budget_by_service: b.list_entries_by_service.value,
-            ..of(
+            ..budgeted(
                 "the list",
                 "entries",
-                Of::Demand(|_, d| d.servers),
+                Basis::Demand(|_, d| d.servers),
                 b.list_entries.value,
                 1.0,
-                "one list for all",
-                LONGER,
+                "one list for the whole fleet",
+                LARGER_LIST,
             )
         },
-        of(
-            leads,
-            "processor, % of a core",
-            Of::Slopes(Role::Leader, "cpu_us_per_s"),
+        budgeted(
+            leader,
+            "CPU, % of a core",
+            Basis::Slopes(Role::Leader, "cpu_us_per_s"),
             replica,
             1e-4,
-            answered,
-            BY_ZONE,
+            shared_responses,
+            REPLICA_PER_ZONE,
         ),
-        of(
-            leads,
+        budgeted(
+            leader,
             "memory, MB",
-            Of::Slopes(Role::Leader, "rss_bytes"),
+            Basis::Slopes(Role::Leader, "rss_bytes"),
             memory,
             1e-6,
-            "snapshots cut the log",
-            BY_ZONE,
+            "snapshots truncate the log",
+            REPLICA_PER_ZONE,
         ),
-        of(
-            follows,
-            "processor, % of a core",
-            Of::Slopes(Role::Follower, "cpu_us_per_s"),
+        budgeted(
+            follower,
+            "CPU, % of a core",
+            Basis::Slopes(Role::Follower, "cpu_us_per_s"),
             replica,
             1e-4,
-            answered,
-            BY_ZONE,
+            shared_responses,
+            REPLICA_PER_ZONE,
         ),
-        of(
-            follows,
+        budgeted(
+            follower,
             "memory, MB",
-            Of::Slopes(Role::Follower, "rss_bytes"),
+            Basis::Slopes(Role::Follower, "rss_bytes"),
             memory,
             1e-6,
-            "snapshots cut the log",
-            BY_ZONE,
+            "snapshots truncate the log",
+            REPLICA_PER_ZONE,
         ),
-        of(
+        budgeted(
             "each replica",
             "watches",
-            Of::Demand(|_, d| d.watches),
+            Basis::Demand(|_, d| d.watches),
             b.replica_watches.value,
             1.0,
             "readers spread over the replicas",
-            BY_ZONE,
+            REPLICA_PER_ZONE,
         ),
-        of(
+        budgeted(
             "each replica",
-            "watches while one replica is away",
-            Of::Demand(|_, d| d.servers / (d.replicas - 1.0)),
+            "watches while one replica is unavailable",
+            Basis::Demand(|_, d| d.servers / (d.replicas - 1.0)),
             b.replica_watches.value,
             1.0,
-            "readers go to another replica",
-            BY_ZONE,
+            "readers switch to another replica",
+            REPLICA_PER_ZONE,
         ),
     ]
 }
@@ -186,29 +186,29 @@
         }
     }
 
-    /// The budget for a person, of both modes where they differ.
-    pub fn budget_told(&self) -> String {
+    /// Formats the budget, for both modes if they differ.
+    pub fn format_budget(&self) -> String {
         let [whole, services] = [self.budget, self.budget_by_service].map(|b| number(b * self.scale));
         if whole == services { whole } else { format!("{whole}; {services} with services") }
     }
 
-    /// The figure under a demand.
+    /// Estimates the figure under a demand.
     pub fn estimate(&self, capacity: &Capacity, mode: Mode, demand: &Demand) -> Estimate {
-        match self.of {
-            Of::Slopes(role, y) => capacity.estimate(mode, role, y, demand),
-            Of::Demand(figure) => {
+        match self.basis {
+            Basis::Slopes(role, y) => capacity.estimate(mode, role, y, demand),
+            Basis::Demand(figure) => {
                 let value = figure(&capacity.plan, demand);
-                Estimate::Worked { value, without: Vec::new(), by: Vec::new() }
+                Estimate::Computed { value, missing_slopes: Vec::new(), used_slopes: Vec::new() }
             }
         }
     }
 
-    /// The figure for a person.
-    pub fn told(&self, estimate: &Estimate) -> String {
-        told(estimate, self.scale)
+    /// Formats an estimate of the figure.
+    pub fn format_estimate(&self, estimate: &Estimate) -> String {
+        format_estimate(estimate, self.scale)
     }
 
-    /// How often it goes into the budget, or by how much it is beyond, with the mechanism that is missing.
+    /// The ratio of the budget to the estimate; if the budget is exceeded, the inverse and the missing mechanism.
     pub fn margin(&self, estimate: &Estimate, mode: Mode) -> String {
         let budget = self.budget(mode);
         match estimate.value() {
@@ -217,56 +217,58 @@
                 format!("{} times", number(budget / value.max(1e-12)))
             }
             Some(value) => {
-                let beyond = number(value / budget);
-                format!("**{beyond} times the budget, missing: {}**", self.missing)
+                let excess = number(value / budget);
+                format!("**{excess} times the budget, missing: {}**", self.missing_mechanism)
             }
         }
     }
 
-    /// Slopes that the figure comes from.
-    pub fn from(&self, estimate: &Estimate) -> String {
-        match (estimate, &self.of) {
-            (_, Of::Demand(_)) => "the sizes".into(),
-            (Estimate::Worked { by, .. }, _) => by.join(", "),
-            (Estimate::NoLine { name, .. }, _) => name.clone(),
+    /// The slopes from which the estimate was computed.
+    pub fn computed_from(&self, estimate: &Estimate) -> String {
+        match (estimate, &self.basis) {
+            (_, Basis::Demand(_)) => "the sizes".into(),
+            (Estimate::Computed { used_slopes, .. }, _) => used_slopes.join(", "),
+            (Estimate::NoUsableLine { slope, .. }, _) => slope.clone(),
             (Estimate::NotMeasured, _) => NOT_MEASURED.into(),
         }
     }
 
-    /// The number of servers at which the budget is reached.
-    fn reached(&self, capacity: &Capacity, mode: Mode, replicas: f64) -> Reached {
-        let figure = |servers| {
-            let demand = Demand::with(&capacity.plan, mode, servers, replicas, 0.0);
+    /// Finds the number of servers above which the budget is exceeded.
+    fn breaking_point(&self, capacity: &Capacity, mode: Mode, replicas: f64) -> BreakingPoint {
+        let estimate = |servers| {
+            let demand = Demand::new(&capacity.plan, mode, servers, replicas, 0.0);
             self.estimate(capacity, mode, &demand)
         };
-        let beyond = |servers: f64| figure(servers).value().map(|v| v > self.budget(mode));
-        let (mut low, mut high) = (1.0f64, MOST);
-        match (beyond(low), beyond(high)) {
+        let exceeds = |servers: f64| estimate(servers).value().map(|v| v > self.budget(mode));
+        let (mut low, mut high) = (1.0f64, MAX_SERVERS);
+        match (exceeds(low), exceeds(high)) {
             (Some(false), Some(true)) => {}
-            (Some(true), _) => return Reached::Always,
-            (Some(false), _) => return Reached::Never,
-            (None, _) => return Reached::Unknown(self.told(&figure(low))),
+            (Some(true), _) => return BreakingPoint::Always,
+            (Some(false), _) => return BreakingPoint::Never,
+            (None, _) => return BreakingPoint::Unknown(self.format_estimate(&estimate(low))),
         }
-        // Demands only grow with the fleet, so there is one such size where no slope falls.
+        // Demand only grows with the fleet, so the breaking point is unique unless a slope is negative.
         while high / low > 1.0 + 1e-9 {
             let middle = (low * high).sqrt();
-            if beyond(middle) == Some(true) { high = middle } else { low = middle }
+            if exceeds(middle) == Some(true) { high = middle } else { low = middle }
         }
-        Reached::At(low)
+        BreakingPoint::At(low)
     }
 }
 
-/// Sizes beyond this are not looked at.
-const MOST: f64 = 1e9;
+/// Upper bound of the fleet sizes that are searched.
+const MAX_SERVERS: f64 = 1e9;
 
-enum Reached {
+/// The number of servers above which a budget is exceeded.
+enum BreakingPoint {
     At(f64),
     Always,
     Never,
+    /// There is no estimate; the text says why.
     Unknown(String),
 }
 
-impl Reached {
+impl BreakingPoint {
     fn size(&self) -> f64 {
         match self {
             Self::Always => 0.0,
@@ -276,62 +278,64 @@
         }
     }
 
-    fn told(&self, letter: f64) -> String {
+    fn format(&self, required_servers: f64) -> String {
         match self {
-            // Where the letter's size is just what is allowed, nothing is broken.
-            Self::At(size) if *size < letter * (1.0 - 1e-6) => format!("**{}**", number(*size)),
+            // A budget that is met exactly at the required size is not exceeded; the tolerance covers rounding errors.
+            Self::At(size) if *size < required_servers * (1.0 - 1e-6) => format!("**{}**", number(*size)),
             Self::At(size) => number(*size),
-            Self::Always => "**at any**".into(),
-            Self::Never => "at none".into(),
+            Self::Always => "**always**".into(),
+            Self::Never => "never".into(),
             Self::Unknown(why) => why.clone(),
         }
     }
 
-    fn gain(&self, from: &Self) -> String {
-        let (now, then) = (from.size(), self.size());
-        if now.is_nan() || then.is_nan() || now == 0.0 {
+    /// The factor by which this breaking point lies above another one.
+    fn gain(&self, current: &Self) -> String {
+        let (before, after) = (current.size(), self.size());
+        if before.is_nan() || after.is_nan() || before == 0.0 {
             "-".into()
-        } else if then.is_infinite() {
-            if now.is_infinite() { "-".into() } else { "all".into() }
+        } else if after.is_infinite() {
+            if before.is_infinite() { "-".into() } else { "unlimited".into() }
         } else {
-            format!("{} times", number(then / now))
+            format!("{} times", number(after / before))
         }
     }
 }
 
-/// What breaks its budget soonest as the fleet grows, and what the candidates gain.
-pub fn breaks(capacity: &Capacity) -> String {
+/// The breaking points of all budgets, lowest first, and by how much per-service lists and a replica in each zone would
+/// raise them.
+pub fn breaking_points(capacity: &Capacity) -> String {
     let plan = &capacity.plan;
-    let (letter, now) = (plan.sizes.servers.value, plan.assumptions.replicas.value);
-    let mut found: Vec<_> = all(plan)
+    let (required_servers, replicas) = (plan.sizes.servers.value, plan.assumptions.replicas.value);
+    let mut budgets: Vec<_> = all(plan)
         .into_iter()
         .map(|b| {
-            let today = b.reached(capacity, Mode::Whole, now);
-            let by_service = b.reached(capacity, Mode::Services, now);
-            let by_zone = b.reached(capacity, Mode::Whole, plan.sizes.zones.value);
+            let today = b.breaking_point(capacity, Mode::Whole, replicas);
+            let by_service = b.breaking_point(capacity, Mode::Services, replicas);
+            let by_zone = b.breaking_point(capacity, Mode::Whole, plan.sizes.zones.value);
             (b, today, by_service, by_zone)
         })
         .collect();
-    // What is not known comes last, in the order of the list.
-    let place = |r: &Reached| if r.size().is_nan() { (1, 0.0) } else { (0, r.size()) };
-    found.sort_by(|a, b| place(&a.1).partial_cmp(&place(&b.1)).unwrap_or(std::cmp::Ordering::Equal));
-    let rows: Vec<Vec<String>> = found
+    // Unknown breaking points come last, in the order of the budgets.
+    let sort_key = |r: &BreakingPoint| if r.size().is_nan() { (1, 0.0) } else { (0, r.size()) };
+    budgets.sort_by(|a, b| sort_key(&a.1).partial_cmp(&sort_key(&b.1)).unwrap_or(std::cmp::Ordering::Equal));
+    let rows: Vec<Vec<String>> = budgets
         .iter()
         .map(|(b, today, by_service, by_zone)| {
-            let demand = Demand::ordinary(plan, Mode::Whole, letter);
+            let demand = Demand::steady_state(plan, Mode::Whole, required_servers);
             let estimate = b.estimate(capacity, Mode::Whole, &demand);
-            let of_budget =
+            let share_of_budget =
                 estimate.value().map_or_else(|| "-".into(), |v| number(v / b.budget(Mode::Whole)));
             vec![
                 format!("{}: {}", b.role, b.what),
-                b.budget_told(),
-                today.told(letter),
-                of_budget,
-                by_service.told(letter),
+                b.format_budget(),
+                today.format(required_servers),
+                share_of_budget,
+                by_service.format(required_servers),
                 by_service.gain(today),
-                by_zone.told(letter),
+                by_zone.format(required_servers),
                 by_zone.gain(today),
-                b.missing.to_owned(),
+                b.missing_mechanism.to_owned(),
             ]
         })
         .collect();
@@ -339,13 +343,13 @@
     let heads = [
         "what",
         "budget",
-        "reached at servers",
-        "part of the budget at the letter's size",
-        "reached with lists by service",
+        "exceeded above, servers",
+        "share of the budget at the required size",
+        "exceeded above, with per-service lists",
         "gain",
-        &format!("reached with {zones}"),
+        &format!("exceeded above, with {zones}"),
         "gain",
-        "mechanism that is missing beyond it",
+        "mechanism missing above it",
     ];
     table(&heads, &rows)
 }
--- a/crates/fleet/src/capacity/tables/deep.rs
+++ b/crates/fleet/src/capacity/tables/deep.rs
@@ -1,113 +1,112 @@
-//! What a call's depth makes of what each level adds, retries and waits.
+//! How added latency, retries and timeouts accumulate over the levels of a deep call chain.
 
-use super::{number, table, told};
+use super::{format_estimate, number, table};
 use crate::capacity::{Capacity, Demand, Mode, Role};
 
-/// What the levels of a deep call come to.
-pub fn of_levels(capacity: &Capacity) -> String {
+/// Latency, retries and timeouts of a call chain of the plan's depth.
+pub fn call_chain(capacity: &Capacity) -> String {
     let plan = &capacity.plan;
     let (s, a) = (&plan.sizes, &plan.assumptions);
     let (depth, added) = (s.depth.value, plan.budgets.added_ms.value);
     let levels = number(depth);
     let (attempts, share) = (a.attempts.value, a.retry_share.value);
     let deadline = a.deadline_ms.value;
-    let demand = Demand::ordinary(plan, Mode::Whole, s.servers.value);
+    let demand = Demand::steady_state(plan, Mode::Whole, s.servers.value);
     let measured = |mode| capacity.estimate(mode, Role::Sidecar, "added_us_p99", &demand);
-    let all_levels = |mode| told(&measured(mode), 1e-3 * depth);
-    // Down to here an even split leaves an attempt what the sidecars beneath it may add.
-    let splits = |level: &u32| deadline / attempts.powi(*level as i32) >= added * (depth - f64::from(*level));
-    let split = (1..=depth as u32).take_while(splits).last();
-    let split = split.map_or_else(|| "none".into(), |level| number(f64::from(level)));
-    let budget = "retry budget of each sidecar";
-    let passed = "X-Time-Left, from each sidecar to its server";
-    let missing_time = "servers that pass on, in the calls that they make, what their own has left";
+    let all_levels = |mode| format_estimate(&measured(mode), 1e-3 * depth);
+    // Levels at which an even split of the timeout leaves an attempt at least what the sidecars below it may add.
+    let leaves_enough =
+        |level: &u32| deadline / attempts.powi(*level as i32) >= added * (depth - f64::from(*level));
+    let lowest_level = (1..=depth as u32).take_while(leaves_enough).last();
+    let lowest_level = lowest_level.map_or_else(|| "none".into(), |level| number(f64::from(level)));
+    let retry_budget = "retry budget of each sidecar";
+    let propagated_today = "X-Time-Left, from each sidecar to its server";
+    let missing_propagation = "servers that propagate the remaining time of a call to their own calls";
     let rows = [
         [
-            format!("added to a path of {levels} sidecars, each at its budget, ms"),
+            format!("added by a chain of {levels} sidecars, each at its budget, ms"),
             number(added * depth),
             "letter".into(),
-            "nothing adds it up".into(),
-            "a budget for a path".into(),
+            "none".into(),
+            "a budget per call chain".into(),
         ],
         [
-            "the same at the p99 of the slopes, all levels at it at once, ms: whole; services".into(),
+            "the same with each sidecar at its estimated p99, ms: whole; services".into(),
             format!("{}; {}", all_levels(Mode::Whole), all_levels(Mode::Services)),
             "measured".into(),
-            "nothing adds it up".into(),
-            "a budget for a path".into(),
+            "none".into(),
+            "a budget per call chain".into(),
         ],
         [
-            "calls of that depth that meet a level beyond its 99 in 100, %, levels taken as independent"
-                .into(),
+            "calls of that depth in which a level exceeds its p99, levels independent, %".into(),
             number(100.0 * (1.0 - 0.99f64.powf(depth))),
             "letter".into(),
-            "nothing".into(),
+            "none".into(),
             "a stricter quantile for each level".into(),
         ],
         [
-            format!("what each level would have to hold for 99 in 100 calls of {levels} levels, %"),
+            format!("share of calls within budget that each level needs for 99% over {levels} levels, %"),
             format!("{:.3}", 100.0 * 0.99f64.powf(1.0 / depth)),
             "letter".into(),
-            "nothing".into(),
+            "none".into(),
             "a stricter quantile for each level".into(),
         ],
         [
-            "each level's part, were the budget one for a whole path, ms".into(),
+            "share of each level if the budget were for the whole chain, ms".into(),
             number(added / depth),
             "letter".into(),
-            "nothing".into(),
-            "a budget for a path".into(),
+            "none".into(),
+            "a budget per call chain".into(),
         ],
         [
             format!(
-                "attempts at the lowest level for one call, {} at each level, all failing",
+                "attempts at the lowest level for one call if all fail, {} at each level",
                 number(attempts)
             ),
             number(attempts.powf(depth)),
             a.attempts.source.name().into(),
-            format!("{budget}, below"),
+            format!("{retry_budget}, below"),
             "-".into(),
         ],
         [
-            "the same held by the retry budgets, on average".into(),
+            "the same limited by the retry budgets, on average".into(),
             number((1.0 + share).powf(depth)),
             a.retry_share.source.name().into(),
-            budget.into(),
-            "a refusal that tells the levels above not to try again".into(),
+            retry_budget.into(),
+            "a rejection that the levels above must not retry".into(),
         ],
         [
-            "retries that the budgets of all sidecars hold at the start of a failure".into(),
+            "retries in the budgets of all sidecars at the start of a failure".into(),
             number(a.retry_burst.value * s.servers.value),
             a.retry_burst.source.name().into(),
-            budget.into(),
+            retry_budget.into(),
             "-".into(),
         ],
         [
             format!(
-                "left to an attempt at the lowest level, a wait of {} ms split evenly at each, ms",
+                "time of an attempt at the lowest level, a timeout of {} ms split evenly at each, ms",
                 number(deadline)
             ),
             number(deadline / attempts.powf(depth)),
             a.deadline_ms.source.name().into(),
-            "patience: retries that would leave an attempt too little are not planned".into(),
-            missing_time.into(),
+            "no retries that would leave an attempt too little time".into(),
+            missing_propagation.into(),
         ],
         [
-            "lowest level at which that split leaves what the sidecars beneath may add".into(),
-            split,
+            "lowest level at which that split covers what the sidecars below may add".into(),
+            lowest_level,
             a.deadline_ms.source.name().into(),
-            "patience, the same".into(),
-            missing_time.into(),
+            "as above".into(),
+            missing_propagation.into(),
         ],
         [
-            "left to the lowest server where no level keeps time for a retry, less what sidecars may add, ms"
-                .into(),
+            "time of the lowest server without reserves for retries, less added latency, ms".into(),
             number(deadline - added * depth),
             a.deadline_ms.source.name().into(),
-            passed.into(),
-            missing_time.into(),
+            propagated_today.into(),
+            missing_propagation.into(),
         ],
     ];
     let rows: Vec<Vec<String>> = rows.map(|r| r.to_vec()).to_vec();
-    table(&["what", "figure", "source", "carried now by", "missing"], &rows)
+    table(&["what", "figure", "source", "mechanism today", "missing mechanism"], &rows)
 }
--- a/crates/fleet/src/capacity/tables/machines.rs
+++ b/crates/fleet/src/capacity/tables/machines.rs
@@ -1,17 +1,17 @@
-//! Where the machines for control stand, and what is left when some are lost.
+//! Placement of the control plane's machines, and the capacity that remains if some are lost.
 
 use super::{number, table};
 use crate::capacity::Plan;
 
-/// A zone and what is in it.
+/// A zone with its control plane machines.
 struct Zone {
     name: String,
     region: usize,
     machines: usize,
-    votes: bool,
+    has_voter: bool,
 }
 
-/// Zones go round the regions; each of the first regions has a replica that votes, in its first zone.
+/// Assigns the zones to the regions in turn. Each of the first regions has a voting replica in its first zone.
 fn zones(plan: &Plan) -> Vec<Zone> {
     let [regions, zones, machines] =
         [&plan.sizes.regions, &plan.sizes.zones, &plan.sizes.control_machines].map(|f| f.value as usize);
@@ -20,35 +20,37 @@
         name: format!("{}.{}", i % regions + 1, i / regions + 1),
         region: i % regions,
         machines: machines / zones + usize::from(i < machines % zones),
-        votes: i < replicas,
+        has_voter: i < replicas,
     };
     let mut all: Vec<Zone> = (0..zones).map(zone).collect();
     all.sort_by_key(|z| z.region);
     all
 }
 
-/// What stands where: the placing is chosen.
-pub fn placed(plan: &Plan) -> String {
+/// Placement of components on the control plane's machines. It is a design choice of this project.
+pub fn placement(plan: &Plan) -> String {
     let rows: Vec<Vec<String>> = zones(plan)
         .iter()
         .map(|z| {
-            let list = if z.votes { "list, votes" } else { "free; to come: list, reads without a vote" };
-            let place = |nth: usize, what: &str| if z.machines >= nth { what.to_owned() } else { "-".into() };
+            let registry =
+                if z.has_voter { "registry, voting" } else { "free; planned: registry, non-voting" };
+            let machine =
+                |nth: usize, role: &str| if z.machines >= nth { role.to_owned() } else { "-".into() };
             vec![
                 z.name.clone(),
                 (z.region + 1).to_string(),
                 z.machines.to_string(),
-                place(1, list),
-                place(2, "free; to come: shared state"),
-                place(3, "free; to come: releases, and a place for what is lost"),
+                machine(1, registry),
+                machine(2, "free; planned: shared state"),
+                machine(3, "free; planned: releases, and a spare for a lost machine"),
             ]
         })
         .collect();
     table(&["zone", "region", "machines", "first", "second", "third"], &rows)
 }
 
-/// What is lost or cut off.
-enum Lost {
+/// What is lost or cut off from the rest.
+enum Loss {
     Nothing,
     /// The machine of the first replica.
     Machine,
@@ -57,59 +59,61 @@
     Region(usize),
 }
 
-/// What is left when some of it is lost or cut off.
-pub fn lost(plan: &Plan) -> String {
+/// What remains if a part of the fleet is lost or cut off.
+pub fn losses(plan: &Plan) -> String {
     let zones = zones(plan);
     let limit = plan.budgets.replica_watches.value;
-    let each = plan.sizes.servers.value / zones.len() as f64;
-    let all = zones.iter().filter(|z| z.votes).count();
+    let sidecars_per_zone = plan.sizes.servers.value / zones.len() as f64;
+    let voters = zones.iter().filter(|z| z.has_voter).count();
     let cases = [
-        ("nothing", Lost::Nothing),
-        ("a replica's machine", Lost::Machine),
-        ("a zone with a replica", Lost::Zone),
-        ("the first region", Lost::Region(0)),
-        ("the last region", Lost::Region(plan.sizes.regions.value as usize - 1)),
+        ("nothing", Loss::Nothing),
+        ("a replica's machine", Loss::Machine),
+        ("a zone with a replica", Loss::Zone),
+        ("the first region", Loss::Region(0)),
+        ("the last region", Loss::Region(plan.sizes.regions.value as usize - 1)),
     ];
     let mut rows = Vec::new();
-    for (what, lost) in cases {
-        let gone = |(i, z): &(usize, &Zone)| match lost {
-            Lost::Nothing => false,
-            Lost::Machine | Lost::Zone => *i == 0,
-            Lost::Region(region) => z.region == region,
+    for (what, loss) in cases {
+        let is_lost = |(i, z): &(usize, &Zone)| match loss {
+            Loss::Nothing => false,
+            Loss::Machine | Loss::Zone => *i == 0,
+            Loss::Region(region) => z.region == region,
         };
-        let left: Vec<&Zone> = zones.iter().enumerate().filter(|z| !gone(z)).map(|(_, z)| z).collect();
-        let votes = left.iter().filter(|z| z.votes).count();
-        // Where a machine goes, its zone's sidecars and other machines stay.
-        let stay: Vec<&Zone> =
-            if matches!(lost, Lost::Machine) { zones.iter().collect() } else { left.clone() };
-        let machines = stay.iter().map(|z| z.machines).sum::<usize>() - usize::from(stay.len() > left.len());
-        let sidecars = each * stay.len() as f64;
+        let replica_zones_left: Vec<&Zone> =
+            zones.iter().enumerate().filter(|z| !is_lost(z)).map(|(_, z)| z).collect();
+        let voters_left = replica_zones_left.iter().filter(|z| z.has_voter).count();
+        // If only a machine is lost, its zone's sidecars and other machines remain.
+        let sidecar_zones_left: Vec<&Zone> =
+            if matches!(loss, Loss::Machine) { zones.iter().collect() } else { replica_zones_left.clone() };
+        let machines = sidecar_zones_left.iter().map(|z| z.machines).sum::<usize>()
+            - usize::from(sidecar_zones_left.len() > replica_zones_left.len());
+        let sidecars = sidecars_per_zone * sidecar_zones_left.len() as f64;
         let watches = |replicas: usize| match replicas {
-            0 => "none serves".to_owned(),
+            0 => "no replica left".to_owned(),
             n if sidecars / n as f64 > limit => {
-                format!("**{}, of {} taken**", number(sidecars / n as f64), number(limit))
+                format!("**{}, limit {}**", number(sidecars / n as f64), number(limit))
             }
             n => number(sidecars / n as f64),
         };
-        let writes = if 2 * votes > all { "go on" } else { "**stand still**" };
+        let writes = if 2 * voters_left > voters { "possible" } else { "**blocked**" };
         rows.push(vec![
             what.to_owned(),
             machines.to_string(),
-            format!("{votes} of {all}"),
+            format!("{voters_left} of {voters}"),
             writes.to_owned(),
             number(sidecars),
-            watches(votes),
-            watches(left.len()),
+            watches(voters_left),
+            watches(replica_zones_left.len()),
         ]);
     }
     let heads = [
         "lost or cut off",
         "machines left",
-        "votes left",
+        "voters left",
         "writes",
         "sidecars left",
-        "watches a replica, today",
-        "watches a replica, one a zone",
+        "watches per replica, today",
+        "watches per replica, one per zone",
     ];
     table(&heads, &rows)
 }
--- a/crates/fleet/src/capacity/tables/mod.rs
+++ b/crates/fleet/src/capacity/tables/mod.rs
@@ -1,4 +1,4 @@
-//! The tables of a plan, as markdown.
+//! The tables of a capacity plan, as Markdown.
 
 mod budgets;
 mod deep;
@@ -9,36 +9,36 @@
 
 use super::{Capacity, Estimate};
 
-/// All tables by name, in the order in which the page has them.
+/// All tables with their names, in the order in which the page shows them. The page's markers refer to the names.
 pub fn tables(capacity: &Capacity) -> Vec<(&'static str, String)> {
     vec![
         ("sizes", sources::sizes(&capacity.plan)),
         ("slopes", sources::slopes(capacity)),
-        ("ordinary", roles::ordinary(capacity)),
-        ("to come", roles::to_come(capacity)),
-        ("events", events::worked(capacity)),
-        ("played", events::played(capacity)),
-        ("deep", deep::of_levels(capacity)),
-        ("machines", machines::placed(&capacity.plan)),
-        ("lost", machines::lost(&capacity.plan)),
-        ("breaks", budgets::breaks(capacity)),
+        ("ordinary", roles::steady_state(capacity)),
+        ("to come", roles::planned(capacity)),
+        ("events", events::estimated(capacity)),
+        ("played", events::recorded(capacity)),
+        ("deep", deep::call_chain(capacity)),
+        ("machines", machines::placement(&capacity.plan)),
+        ("lost", machines::losses(&capacity.plan)),
+        ("breaks", budgets::breaking_points(capacity)),
     ]
 }
 
-/// A table: its heads and its rows.
+/// Formats a Markdown table.
 fn table(heads: &[&str], rows: &[Vec<String>]) -> String {
     let line =
         |cells: &mut dyn Iterator<Item = String>| format!("| {} |\n", cells.collect::<Vec<_>>().join(" | "));
     let mut text = line(&mut heads.iter().map(|h| (*h).to_owned()));
     text.push_str(&line(&mut heads.iter().map(|_| "---".to_owned())));
     for row in rows {
-        // What files say must not end a cell.
+        // Texts from files must not end a cell.
         text.push_str(&line(&mut row.iter().map(|cell| cell.replace('|', "\\|").replace('\n', " "))));
     }
     text
 }
 
-/// A figure for a person: three digits that count, thousands apart.
+/// Formats a figure with three significant digits and thousands separators.
 fn number(value: f64) -> String {
     let size = value.abs();
     if size == 0.0 {
@@ -62,15 +62,17 @@
     format!("{sign}{grouped}{dot}{part}")
 }
 
-/// An estimate in a unit that is so many of the measured one's.
-fn told(estimate: &Estimate, scale: f64) -> String {
+/// Formats an estimate; `scale` converts its value from the measured unit to the displayed one.
+fn format_estimate(estimate: &Estimate, scale: f64) -> String {
     match estimate {
-        Estimate::Worked { value, without, .. } if without.is_empty() => number(value * scale),
-        Estimate::Worked { value, without, .. } => {
-            format!("{}, without {}", number(value * scale), without.join(", "))
+        Estimate::Computed { value, missing_slopes, .. } if missing_slopes.is_empty() => {
+            number(value * scale)
         }
-        Estimate::NoLine { name, most: (x, y) } => {
-            format!("no line ({name}); {} at {}", number(y * scale), number(*x))
+        Estimate::Computed { value, missing_slopes, .. } => {
+            format!("{}, without {}", number(value * scale), missing_slopes.join(", "))
+        }
+        Estimate::NoUsableLine { slope, largest_measured: (x, y) } => {
+            format!("no usable line ({slope}); {} at {}", number(y * scale), number(*x))
         }
         Estimate::NotMeasured => NOT_MEASURED.into(),
     }
--- a/crates/fleet/src/capacity/tables/roles.rs
+++ b/crates/fleet/src/capacity/tables/roles.rs
@@ -1,114 +1,125 @@
-//! What each role takes in an ordinary second.
+//! The steady-state load of each role.
 
-use super::budgets::{self, Of};
-use super::{NOT_MEASURED, number, table, told};
+use super::budgets::{self, Basis};
+use super::{NOT_MEASURED, format_estimate, number, table};
 use crate::capacity::{Capacity, Demand, Estimate, Mode, Role};
 
-/// Each role in an ordinary second of the letter's fleet.
-pub fn ordinary(capacity: &Capacity) -> String {
+/// The steady-state load of each role in a fleet of the plan's size.
+pub fn steady_state(capacity: &Capacity) -> String {
     let plan = &capacity.plan;
     let servers = plan.sizes.servers.value;
-    let [whole, services] = Mode::ALL.map(|mode| Demand::ordinary(plan, mode, servers));
+    let [whole, services] = Mode::ALL.map(|mode| Demand::steady_state(plan, mode, servers));
     let mut rows = Vec::new();
-    let mut plain = |role: &str, what: &str, of: &dyn Fn(&Demand) -> f64, mechanism: &str| {
-        let (a, b) = (number(of(&whole)), number(of(&services)));
+    let mut add_row = |role: &str, what: &str, value: &dyn Fn(&Demand) -> f64, mechanism: &str| {
+        let (a, b) = (number(value(&whole)), number(value(&services)));
         let cells = [role, what, &a, "-", &b, "-", "-", mechanism, "the sizes"];
         rows.push(cells.map(str::to_owned).to_vec());
     };
     let calls = plan.sizes.calls_per_s.value / servers;
-    let (data, control) = ("sidecar's data path", "sidecar's control");
-    let (leads, follows) = ("replica that leads", "replica that follows");
-    plain(data, "calls a second", &|_| calls, "one sidecar for each server");
-    plain(data, "state: servers to choose among", &|d| d.told, "the list that its control keeps");
-    plain(control, "state: entries", &|d| d.told, "the list, in memory and in a file");
-    plain(control, "messages: answers a second", &|d| d.answers_per_s, "a watch at one replica");
-    plain(leads, "state: entries", &|d| d.servers, "a replicated log and its snapshots");
-    plain(leads, "state: watches", &|d| d.watches, "readers spread over the replicas");
-    plain(leads, "messages: answers a second", &|d| d.watches * d.answers_per_s, "watches");
-    plain(leads, "messages: renewals a second", &|d| d.renewals_per_s, "leases in the leader's memory");
-    plain(leads, "messages: writes a second", &|d| d.writes_per_s, "a replicated log");
-    plain(follows, "state: entries", &|d| d.servers, "the same log");
-    plain(follows, "state: watches", &|d| d.watches, "readers spread over the replicas");
-    plain(follows, "messages: answers a second", &|d| d.watches * d.answers_per_s, "watches");
-    plain(
-        "what fans out",
-        "messages: answers a second of all",
+    let (data_plane, control_plane) = ("sidecar data plane", "sidecar control plane");
+    let (leader, follower) = ("leader", "follower");
+    add_row(data_plane, "calls per second", &|_| calls, "one sidecar for each server");
+    add_row(
+        data_plane,
+        "state: servers to select from",
+        &|d| d.entries_per_sidecar,
+        "the list of the control plane",
+    );
+    add_row(control_plane, "state: entries", &|d| d.entries_per_sidecar, "the list, in memory and in a file");
+    add_row(control_plane, "messages: responses per second", &|d| d.answers_per_s, "a watch at one replica");
+    add_row(leader, "state: entries", &|d| d.servers, "a replicated log and its snapshots");
+    add_row(leader, "state: watches", &|d| d.watches, "readers spread over the replicas");
+    add_row(leader, "messages: responses per second", &|d| d.watches * d.answers_per_s, "watches");
+    add_row(leader, "messages: renewals per second", &|d| d.renewals_per_s, "leases in the leader's memory");
+    add_row(leader, "messages: writes per second", &|d| d.writes_per_s, "a replicated log");
+    add_row(follower, "state: entries", &|d| d.servers, "the same log");
+    add_row(follower, "state: watches", &|d| d.watches, "readers spread over the replicas");
+    add_row(follower, "messages: responses per second", &|d| d.watches * d.answers_per_s, "watches");
+    add_row(
+        "fan-out tier",
+        "messages: responses per second, all sidecars",
         &|d| d.servers * d.answers_per_s,
-        "nothing does: replicas tell each sidecar themselves",
+        "none: replicas respond to each sidecar directly",
     );
     let estimates = |role, y| {
         [(Mode::Whole, &whole), (Mode::Services, &services)]
             .map(|(mode, demand)| capacity.estimate(mode, role, y, demand))
     };
     let decision = estimates(Role::Module, "decision_ns").map(|e| match e {
-        Estimate::Worked { value, without, by } => Estimate::Worked { value: value * calls, without, by },
+        Estimate::Computed { value, missing_slopes, used_slopes } => {
+            Estimate::Computed { value: value * calls, missing_slopes, used_slopes }
+        }
         other => other,
     });
-    let named = |e: &Estimate| match e {
-        Estimate::Worked { by, .. } => by.join(", "),
-        Estimate::NoLine { name, .. } => name.clone(),
+    let slope_names = |e: &Estimate| match e {
+        Estimate::Computed { used_slopes, .. } => used_slopes.join(", "),
+        Estimate::NoUsableLine { slope, .. } => slope.clone(),
         Estimate::NotMeasured => NOT_MEASURED.into(),
     };
-    // Without a line the estimate is of one decision.
-    let of_a_core = |e: &Estimate| match e {
-        Estimate::NoLine { name, most: (x, y) } => {
-            format!("no line ({name}); {} at {}", number(y * calls * 1e-7), number(*x))
+    // Without a usable line, the measured value is per decision, not per second.
+    let format_cpu = |e: &Estimate| match e {
+        Estimate::NoUsableLine { slope, largest_measured: (x, y) } => {
+            format!("no usable line ({slope}); {} at {}", number(y * calls * 1e-7), number(*x))
         }
-        other => told(other, 1e-7),
+        other => format_estimate(other, 1e-7),
     };
-    let [a, b] = &decision;
+    let [whole_decision, services_decision] = &decision;
     let cells = [
-        data.into(),
-        "processor: first picks, % of a core".into(),
-        of_a_core(a),
+        data_plane.into(),
+        "CPU: selection for first attempts, % of a core".into(),
+        format_cpu(whole_decision),
         "-".into(),
-        of_a_core(b),
+        format_cpu(services_decision),
         "-".into(),
         "-".into(),
-        "reach: a pick goes round few servers".into(),
-        named(a),
+        "subsetting: a sidecar balances over a few servers".into(),
+        slope_names(whole_decision),
     ];
     rows.push(cells.to_vec());
-    for b in budgets::all(plan) {
-        let [a, c] = match b.of {
-            Of::Slopes(role, y) => estimates(role, y),
-            Of::Demand(_) => {
-                [b.estimate(capacity, Mode::Whole, &whole), b.estimate(capacity, Mode::Services, &services)]
-            }
+    for budgeted in budgets::all(plan) {
+        let [whole_estimate, services_estimate] = match budgeted.basis {
+            Basis::Slopes(role, y) => estimates(role, y),
+            Basis::Demand(_) => [
+                budgeted.estimate(capacity, Mode::Whole, &whole),
+                budgeted.estimate(capacity, Mode::Services, &services),
+            ],
         };
         rows.push(vec![
-            b.role.to_owned(),
-            b.what.to_owned(),
-            b.told(&a),
-            b.margin(&a, Mode::Whole),
-            b.told(&c),
-            b.margin(&c, Mode::Services),
-            b.budget_told(),
-            b.mechanism.to_owned(),
-            b.from(&a),
+            budgeted.role.to_owned(),
+            budgeted.what.to_owned(),
+            budgeted.format_estimate(&whole_estimate),
+            budgeted.margin(&whole_estimate, Mode::Whole),
+            budgeted.format_estimate(&services_estimate),
+            budgeted.margin(&services_estimate, Mode::Services),
+            budgeted.format_budget(),
+            budgeted.mechanism.to_owned(),
+            budgeted.computed_from(&whole_estimate),
         ]);
     }
-    // A role's rows stand together, in the order in which it first comes.
+    // Group the rows by role, in the order of each role's first row.
     let order: Vec<String> = rows.iter().map(|r| r[0].clone()).collect();
     rows.sort_by_key(|r| order.iter().position(|role| *role == r[0]));
     let heads =
-        ["role", "what", "whole", "margin", "services", "margin", "budget", "mechanism", "worked out from"];
+        ["role", "what", "whole", "margin", "services", "margin", "budget", "mechanism", "computed from"];
     table(&heads, &rows)
 }
 
-/// The parts still to come, by what those that stand cost.
-pub fn to_come(capacity: &Capacity) -> String {
+/// Planned components, estimated from the measured costs of existing ones.
+pub fn planned(capacity: &Capacity) -> String {
     let plan = &capacity.plan;
     let (s, a) = (&plan.sizes, &plan.assumptions);
     let servers = s.servers.value;
-    let core = |per_s: f64, x: &str| {
-        let cost = capacity.cost(Mode::Whole, Role::Leader, "cpu_us_per_s", x);
+    let cpu = |per_s: f64, x: &str| {
+        let cost = capacity.marginal_cost(Mode::Whole, Role::Leader, "cpu_us_per_s", x);
         cost.map_or_else(|| NOT_MEASURED.into(), |us| number(us * per_s * 1e-4))
     };
-    let zoned = Demand::with(plan, Mode::Whole, servers, s.zones.value, 0.0);
-    let follower = |y, scale| told(&capacity.estimate(Mode::Whole, Role::Follower, y, &zoned), scale);
-    let shared = servers * a.shared_messages_per_s.value;
-    let released = s.config_changes_per_day.value / crate::capacity::DAY_S * servers * a.config_share.value;
+    let replica_per_zone = Demand::new(plan, Mode::Whole, servers, s.zones.value, 0.0);
+    let follower = |y, scale| {
+        format_estimate(&capacity.estimate(Mode::Whole, Role::Follower, y, &replica_per_zone), scale)
+    };
+    let shared_state_messages = servers * a.shared_messages_per_s.value;
+    let release_messages =
+        s.config_changes_per_day.value / crate::capacity::DAY_S * servers * a.config_share.value;
     let memory = |bytes: f64| number(bytes * 1e-6);
     let state = |count: f64, bytes: f64| (format!("{} bytes", number(count * bytes)), memory(count * bytes));
     let (shared_state, shared_memory) = state(s.services.value * s.zones.value, a.shared_bytes.value);
@@ -117,36 +128,31 @@
         [
             "shared state".into(),
             shared_state,
-            number(shared),
-            core(shared, "renewals_per_s"),
+            number(shared_state_messages),
+            cpu(shared_state_messages, "renewals_per_s"),
             shared_memory,
-            "guessed messages, each taken to cost what a renewal costs the leader".into(),
+            "guessed number of messages, each at the cost of a lease renewal at the leader".into(),
         ],
         [
-            "zones: each replica of one a zone".into(),
+            "one replica per zone, each".into(),
             format!("{} entries", number(servers)),
-            number(zoned.watches * zoned.answers_per_s),
+            number(replica_per_zone.watches * replica_per_zone.answers_per_s),
             follower("cpu_us_per_s", 1e-4),
             follower("rss_bytes", 1e-6),
-            "a follower of today with the watches of one zone".into(),
+            "an existing follower with the watches of one zone".into(),
         ],
         [
             "releases".into(),
             releases,
-            number(released),
-            core(released, "answers_per_s"),
+            number(release_messages),
+            cpu(release_messages, "answers_per_s"),
             release_memory,
-            "each change told to each sidecar that it concerns, at the cost of an answer of the list".into(),
+            "one message per change and notified sidecar, at the cost of a response with a list update"
+                .into(),
         ],
     ];
     let rows = rows.map(|r: [String; 6]| r.to_vec());
-    let heads = [
-        "part",
-        "state",
-        "messages a second",
-        "processor, % of a core, of all",
-        "memory, MB",
-        "worked out as",
-    ];
+    let heads =
+        ["component", "state", "messages per second", "CPU, % of a core, total", "memory, MB", "computed as"];
     table(&heads, &rows)
 }
--- a/crates/fleet/src/capacity/tables/sources.rs
+++ b/crates/fleet/src/capacity/tables/sources.rs
@@ -1,46 +1,46 @@
-//! What all is worked out from: the plan's figures, and the slopes.
+//! The inputs of all estimates: the plan's figures and the fitted slopes.
 
 use super::{NOT_MEASURED, number, table};
 use crate::capacity::{Capacity, Plan, Verdict};
 
-/// The plan's figures, each with where it comes from.
+/// The plan's figures with their sources.
 pub fn sizes(plan: &Plan) -> String {
-    let all = plan.sizes.each().chain(plan.budgets.each()).chain(plan.assumptions.each());
-    let row = |(meaning, f): (&str, &crate::capacity::Figure)| {
-        vec![meaning.to_owned(), number(f.value), f.source.name().to_owned(), f.note.clone()]
+    let all = plan.sizes.figures().chain(plan.budgets.figures()).chain(plan.assumptions.figures());
+    let row = |(description, f): (&str, &crate::capacity::Figure)| {
+        vec![description.to_owned(), number(f.value), f.source.name().to_owned(), f.note.clone()]
     };
     table(&["figure", "value", "source", "note"], &all.map(row).collect::<Vec<_>>())
 }
 
-/// The slopes with how well they fit.
+/// The fitted slopes, with how well the lines predict.
 pub fn slopes(capacity: &Capacity) -> String {
     let mut rows = Vec::new();
-    for (slope, fit) in capacity.plan.slope.iter().zip(&capacity.fits) {
-        let named = [slope.name.clone(), slope.mode.name().to_owned()];
+    for (slope, fit) in capacity.plan.slopes.iter().zip(&capacity.fits) {
+        let name_and_mode = [slope.name.clone(), slope.mode.name().to_owned()];
         let failed = match capacity.runs.failed(slope) {
             0 => String::new(),
             n => format!(", {n} failed"),
         };
         let verdict = match (fit.verdict, fit.steps) {
             (_, 0) => NOT_MEASURED,
-            (Verdict::Counts, _) => "counts",
-            (Verdict::DoesNotForetell, _) => "**does not foretell: no line**",
-            (Verdict::TooFewPoints, _) => "too few steps",
+            (Verdict::Usable, _) => "usable",
+            (Verdict::NotPredictive, _) => "**not predictive: no usable line**",
+            (Verdict::TooFewSteps, _) => "too few steps",
         };
-        let none = || "-".to_owned();
-        let line = fit.line.filter(|_| fit.verdict != Verdict::DoesNotForetell);
-        let interval = line.and_then(|l| l.interval);
+        let dash = || "-".to_owned();
+        let line = fit.line.filter(|_| fit.verdict != Verdict::NotPredictive);
+        let interval = line.and_then(|l| l.slope_interval);
         rows.push(
-            named
+            name_and_mode
                 .into_iter()
                 .chain([
-                    line.map_or_else(none, |l| format!("{} {}", number(l.slope), slope.unit)),
-                    interval.map_or_else(none, |(low, high)| format!("{} to {}", number(low), number(high))),
-                    line.map_or_else(none, |l| number(l.intercept)),
-                    line.map_or_else(none, |l| number(l.largest_residual)),
+                    line.map_or_else(dash, |l| format!("{} {}", number(l.slope), slope.unit)),
+                    interval.map_or_else(dash, |(low, high)| format!("{} to {}", number(low), number(high))),
+                    line.map_or_else(dash, |l| number(l.intercept)),
+                    line.map_or_else(dash, |l| number(l.largest_residual)),
                     format!("{}{failed}", fit.steps),
-                    fit.foretold.map_or_else(none, |f| {
-                        format!("{} and {} at {}", number(f.said), number(f.measured), number(f.x))
+                    fit.prediction.map_or_else(dash, |p| {
+                        format!("{} and {} at {}", number(p.predicted), number(p.measured), number(p.x))
                     }),
                     verdict.to_owned(),
                     format!("{}, {}", slope.file, slope.sweep),
@@ -56,7 +56,7 @@
         "at 0",
         "largest residual",
         "steps",
-        "foretold and measured",
+        "predicted and measured",
         "verdict",
         "run",
     ];
--- a/crates/fleet/src/capacity/target.rs
+++ b/crates/fleet/src/capacity/target.rs
@@ -1,9 +1,9 @@
-//! What a fleet of a size asks of each part: the values of x at which slopes are read.
+//! The demand that a fleet of a given size places on each component: the x at which fitted lines are evaluated.
 
 use super::{Mode, Plan, Role};
 
-/// Values of x that have one at a fleet's size.
-pub const KNOWN: [&str; 9] = [
+/// Names of x whose value can be derived from a fleet's size.
+pub const X_NAMES: [&str; 9] = [
     "watches",
     "connections",
     "hollow",
@@ -15,80 +15,81 @@
     "renewals_per_s",
 ];
 
-/// What a fleet of a size asks of its parts in a second.
+/// The demand that a fleet of a given size places on its components per second.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Demand {
     /// Servers, each with its sidecar.
     pub servers: f64,
-    /// Entries that a sidecar is told.
-    pub told: f64,
-    /// Writes of the list a second, changes of configuration among them.
+    /// Entries of the part of the endpoint list that one sidecar watches.
+    pub entries_per_sidecar: f64,
+    /// Writes to the endpoint list per second, including configuration changes.
     pub writes_per_s: f64,
-    /// Of those, what one reader is told of.
-    pub news_per_s: f64,
-    /// Answers that one reader gets in a second, those without news among them.
+    /// Those of them of which one reader is notified.
+    pub updates_per_s: f64,
+    /// Responses that one reader receives per second, including those without an update.
     pub answers_per_s: f64,
-    /// Renewals of leases that the leader takes.
+    /// Lease renewals that the leader handles per second.
     pub renewals_per_s: f64,
-    /// Replicas that serve.
+    /// Replicas that serve readers.
     pub replicas: f64,
-    /// Watches of one replica.
+    /// Watches per replica.
     pub watches: f64,
 }
 
 impl Demand {
-    /// Of an ordinary second of a fleet of so many servers. What happens in a day grows with the fleet, the number of
-    /// services does not.
-    pub fn ordinary(plan: &Plan, mode: Mode, servers: f64) -> Self {
-        Self::with(plan, mode, servers, plan.assumptions.replicas.value, 0.0)
+    /// The steady-state demand of a fleet of that many servers. The number of daily changes grows with the fleet, the
+    /// number of services does not.
+    pub fn steady_state(plan: &Plan, mode: Mode, servers: f64) -> Self {
+        Self::new(plan, mode, servers, plan.assumptions.replicas.value, 0.0)
     }
 
-    /// Of a second in which so many replicas serve, and the list changes so often besides.
-    pub fn with(plan: &Plan, mode: Mode, servers: f64, replicas: f64, more_per_s: f64) -> Self {
+    /// The demand while that many replicas serve readers, with additional writes for servers per second.
+    pub fn new(plan: &Plan, mode: Mode, servers: f64, replicas: f64, extra_writes_per_s: f64) -> Self {
         let (s, a) = (&plan.sizes, &plan.assumptions);
-        let grown = servers / s.servers.value;
+        let growth = servers / s.servers.value;
         let failures = s.machine_failures_per_day.value * a.servers_per_machine.value;
-        let of_servers =
+        let server_writes_per_day =
             s.restarts_per_day.value * a.writes_per_restart.value + failures * a.writes_per_failure.value;
-        let listing = grown * of_servers / DAY_S + more_per_s;
-        let configuration = grown * s.config_changes_per_day.value / DAY_S;
-        let part = match mode {
+        let server_writes_per_s = growth * server_writes_per_day / DAY_S + extra_writes_per_s;
+        let config_writes_per_s = growth * s.config_changes_per_day.value / DAY_S;
+        let watched_share = match mode {
             Mode::Whole => 1.0,
             Mode::Services => a.services_called.value / s.services.value,
         };
-        let news_per_s = listing * part + configuration * a.config_share.value;
-        // A watch is answered by the next news or, where none come, at the end of its wait; then comes the spacing.
-        let waited = (1.0 - (-news_per_s * a.watch_wait_s.value).exp()) / news_per_s;
+        let updates_per_s = server_writes_per_s * watched_share + config_writes_per_s * a.config_share.value;
+        // A watch is answered at the next update or after `watch_wait_s`, whichever is first; then the reader pauses.
+        // This is the mean duration of a watch if updates are a Poisson process.
+        let mean_watch_s = (1.0 - (-updates_per_s * a.watch_wait_s.value).exp()) / updates_per_s;
         Self {
             servers,
-            told: servers * part,
-            writes_per_s: listing + configuration,
-            news_per_s,
-            answers_per_s: 1.0 / (waited + a.watch_spacing_s.value),
+            entries_per_sidecar: servers * watched_share,
+            writes_per_s: server_writes_per_s + config_writes_per_s,
+            updates_per_s,
+            answers_per_s: 1.0 / (mean_watch_s + a.watch_spacing_s.value),
             renewals_per_s: servers * a.renewals_per_lease.value / a.lease_s.value,
             replicas,
             watches: servers / replicas,
         }
     }
 
-    /// The x of a role's slope.
-    pub fn of(&self, role: Role, x: &str) -> Option<f64> {
-        let replica = matches!(role, Role::Leader | Role::Follower);
+    /// The value of the x of that name for a role; `None` if it can't be derived.
+    pub fn value(&self, role: Role, x: &str) -> Option<f64> {
+        let is_replica = matches!(role, Role::Leader | Role::Follower);
         Some(match x {
             "watches" | "connections" => self.watches,
             "hollow" => self.servers,
-            // The module has no modes: it goes through what its sidecar was told.
-            "listed" | "entries" if role == Role::Module => self.told,
+            // The decision module processes the entries that its sidecar watches, in every mode.
+            "listed" | "entries" if role == Role::Module => self.entries_per_sidecar,
             "listed" => self.servers,
             "entries" => {
-                if replica {
+                if is_replica {
                     self.servers
                 } else {
-                    self.told
+                    self.entries_per_sidecar
                 }
             }
             "changes_per_s" | "writes_per_s" => self.writes_per_s,
-            "answers_per_s" => self.answers_per_s * if replica { self.watches } else { 1.0 },
+            "answers_per_s" => self.answers_per_s * if is_replica { self.watches } else { 1.0 },
             "renewals_per_s" => self.renewals_per_s,
             _ => return None,
         })
