--- a/crates/fleet/src/capacity/plan.rs
+++ b/crates/fleet/src/capacity/plan.rs
@@ -1,7 +1,7 @@
 //! A capacity plan: sizes, budgets and assumptions, each with its source, and the slopes to fit to recorded runs.
 
 use super::target;
-use crate::site::{FileError, text_of};
+use crate::site::{FileError, read_text};
 use serde::Deserialize;
 use std::path::{Path, PathBuf};
 
@@ -287,20 +287,21 @@
 impl Plan {
     /// Reads a plan from a file, and resolves the results folder relative to it.
     pub fn read(path: &Path) -> Result<Self, FileError> {
-        Self::parse(path, &text_of(path)?)
+        Self::parse(path, &read_text(path)?)
     }
 
     /// Parses the text of a plan; `path` is used in errors and to resolve the results folder.
     pub fn parse(path: &Path, text: &str) -> Result<Self, FileError> {
         let mut plan: Self = toml::from_str(text)
-            .map_err(|source| FileError::Form { path: path.to_owned(), source: Box::new(source) })?;
+            .map_err(|source| FileError::Parse { path: path.to_owned(), source: Box::new(source) })?;
         plan.check(path)?;
         plan.results = path.parent().unwrap_or(Path::new(".")).join(&plan.results);
         Ok(plan)
     }
 
     fn check(&self, path: &Path) -> Result<(), FileError> {
-        let invalid = |key: String, what: String| Err(FileError::Value { path: path.to_owned(), key, what });
+        let invalid =
+            |key: String, what: String| Err(FileError::InvalidValue { path: path.to_owned(), key, what });
         let (s, a) = (&self.sizes, &self.assumptions);
         let integer = |f: &Figure, max: f64| f.value.fract() == 0.0 && f.value <= max;
         for (key, is_valid) in [
