--- a/crates/fleet/tests/model.rs
+++ b/crates/fleet/tests/model.rs
@@ -1,4 +1,4 @@
-//! Whole runs of the model: the same seed gives the same run, the rules hold, and every run ends.
+//! Complete runs of the fleet simulation: they are reproducible, violate no rule of the checker, and end.
 
 use lotusmoor_fleet::model::{Figures, Policy, Run, World};
 use lotusmoor_fleet::scenario::Scenario;
@@ -8,9 +8,9 @@
     Scenario::parse(Path::new("test"), text).expect("the scenario is read")
 }
 
-fn play(text: &str, seed: u64, policy: Policy) -> Figures {
+fn simulate(text: &str, seed: u64, policy: Policy) -> Figures {
     let (scenario, site) = scenario(text);
-    Run::new(World::draw(&scenario, &site, seed), policy).and_then(Run::execute).expect("it is played")
+    Run::new(World::draw(&scenario, &site, seed), policy).and_then(Run::execute).expect("the simulation runs")
 }
 
 const FAULTS: &str = "
@@ -67,29 +67,30 @@
 ";
 
 #[test]
-fn one_seed_gives_one_run_whatever_else_the_machine_does() {
-    let alone = play(FAULTS, 7, Policy::Module);
-    let threads: Vec<_> = (0..4).map(|_| std::thread::spawn(|| play(FAULTS, 7, Policy::Module))).collect();
+fn run_depends_on_its_seed_and_not_on_concurrent_runs() {
+    let alone = simulate(FAULTS, 7, Policy::Module);
+    let threads: Vec<_> =
+        (0..4).map(|_| std::thread::spawn(|| simulate(FAULTS, 7, Policy::Module))).collect();
     for thread in threads {
-        let beside = thread.join().expect("it is played");
-        assert_eq!((beside.digest, &beside), (alone.digest, &alone));
+        let concurrent = thread.join().expect("the simulation runs");
+        assert_eq!((concurrent.digest, &concurrent), (alone.digest, &alone));
     }
-    assert_ne!(play(FAULTS, 8, Policy::Module).digest, alone.digest);
-    // Policies meet the same day: what clients first ask does not depend on what becomes of it.
-    let other = play(FAULTS, 7, Policy::RoundRobin);
+    assert_ne!(simulate(FAULTS, 8, Policy::Module).digest, alone.digest);
+    // All policies get the same requests: clients' first attempts do not depend on the results of earlier ones.
+    let other = simulate(FAULTS, 7, Policy::RoundRobin);
     assert_eq!(other.requests, alone.requests);
     assert_ne!(other.digest, alone.digest);
 }
 
 #[test]
-fn every_policy_keeps_the_rules_through_all_kinds_of_fault() {
+fn no_policy_violates_the_rules_under_faults() {
     for seed in 1..=6 {
         for policy in Policy::ALL {
-            // Baselines know nothing of cold servers, and push them over.
-            let cold = matches!(policy, Policy::RoundRobin | Policy::LeastInFlight);
+            // The baselines ignore slow start and overload servers that are warming up.
+            let ignores_slow_start = matches!(policy, Policy::RoundRobin | Policy::LeastInFlight);
             let name = policy.name();
-            let mut figures = play(FAULTS, seed, policy);
-            if cold {
+            let mut figures = simulate(FAULTS, seed, policy);
+            if ignores_slow_start {
                 figures.violations.remove("a cold server pushed over");
             }
             assert!(figures.violations.is_empty(), "{name}, seed {seed}: {:?}", figures.violations);
@@ -99,63 +100,69 @@
 }
 
 #[test]
-fn every_request_has_one_end() {
+fn every_request_has_exactly_one_outcome() {
     for policy in Policy::ALL {
-        let figures = play(FAULTS, 3, policy);
-        let sum =
-            |of: fn(&lotusmoor_fleet::model::Window) -> u64| figures.windows.iter().map(of).sum::<u64>();
-        let ends = sum(|w| w.in_time) + sum(|w| w.late) + sum(|w| w.refused) + sum(|w| w.failed);
-        assert_eq!(ends, sum(|w| w.requests));
+        let figures = simulate(FAULTS, 3, policy);
+        let sum = |field: fn(&lotusmoor_fleet::model::Window) -> u64| {
+            figures.windows.iter().map(field).sum::<u64>()
+        };
+        let outcomes = sum(|w| w.in_time) + sum(|w| w.late) + sum(|w| w.refused) + sum(|w| w.failed);
+        assert_eq!(outcomes, sum(|w| w.requests));
     }
 }
 
 #[test]
-fn a_load_that_can_not_be_served_ends_and_most_is_turned_down() {
+fn excessive_load_is_mostly_rejected_and_the_run_ends() {
     let text = "name = \"flood\"\nlength_s = 10\nsidecars = 6\nservers = 6\nload = 20\n";
     for policy in [Policy::Module, Policy::RoundRobin, Policy::TrueState] {
         let name = policy.name();
-        let figures = play(text, 1, policy);
+        let figures = simulate(text, 1, policy);
         assert!(figures.whole_run < 0.2 && figures.refused + figures.failed + figures.late > 0.8, "{name}");
         let last = figures.windows.iter().rposition(|w| w.attempts > 0).expect("something was sent");
-        assert!(last < 10 + 4, "{name}: still sends at {last} s");
+        assert!(last < 10 + 4, "{name}: still sends attempts at {last} s");
     }
 }
 
 #[test]
-fn who_sees_the_true_state_serves_no_less_and_a_lost_zone_costs_something() {
+fn true_state_policy_serves_no_less_and_losing_a_zone_lowers_the_score() {
     let calm = "name = \"calm\"\nlength_s = 20\nsidecars = 30\nservers = 30\nload = 0.6\n";
     let lost = format!("{calm}[[fault]]\nkind = \"zone_lost\"\nat_s = 6\nfor_s = 6\n");
     let (mut better, mut worse) = (0, 0);
     for seed in 1..=5 {
-        let whole = |text: &str, policy| play(text, seed, policy).whole_run;
-        better += u32::from(whole(calm, Policy::TrueState) >= whole(calm, Policy::Module) - 0.01);
-        worse += u32::from(whole(&lost, Policy::Module) < whole(calm, Policy::Module));
+        let whole_run = |text: &str, policy| simulate(text, seed, policy).whole_run;
+        better += u32::from(whole_run(calm, Policy::TrueState) >= whole_run(calm, Policy::Module) - 0.01);
+        worse += u32::from(whole_run(&lost, Policy::Module) < whole_run(calm, Policy::Module));
     }
     assert_eq!((better, worse), (5, 5));
 }
 
 #[test]
-fn rounds_of_sidecars_delay_and_break_nothing() {
+fn sidecars_that_act_only_at_ticks_violate_no_rule_and_serve_about_as_much() {
     let text = FAULTS.replace("load =", "ticked = true\nload =");
-    let figures = play(&text, 2, Policy::Module);
+    let figures = simulate(&text, 2, Policy::Module);
     assert!(figures.violations.is_empty(), "{:?}", figures.violations);
-    let fast = play(FAULTS, 2, Policy::Module);
-    assert!((figures.whole_run - fast.whole_run).abs() < 0.1, "{} and {}", figures.whole_run, fast.whole_run);
+    let unticked = simulate(FAULTS, 2, Policy::Module);
+    assert!(
+        (figures.whole_run - unticked.whole_run).abs() < 0.1,
+        "{} and {}",
+        figures.whole_run,
+        unticked.whole_run
+    );
 }
 
-// Of what was on its way to a process that was killed meanwhile, nobody is left to answer: it was never taken.
+// A request on its way to a sidecar whose process is killed gets no response: it must count as never accepted.
 #[test]
-fn what_comes_to_a_sidecar_that_has_just_been_killed_was_never_taken() {
+fn request_to_a_sidecar_that_was_just_killed_is_not_accepted() {
     let text = "name = \"kills\"\nlength_s = 12\nsidecars = 40\nservers = 30\nload = 0.6\nsidecar_us = 5000\n
 [[fault]]\nkind = \"sidecars_killed\"\nat_s = 4\nfor_s = [0.5, 2]\n
 [[fault]]\nkind = \"sidecars_upgraded\"\nat_s = 8\nfor_s = 1\n";
     for seed in 1..=4 {
-        let figures = play(text, seed, Policy::Module);
+        let figures = simulate(text, seed, Policy::Module);
         assert!(figures.violations.is_empty(), "seed {seed}: {:?}", figures.violations);
     }
 }
 
-/// The site that comes with the tool, with lines of it changed.
+/// The built-in site, with these replacements in its text.
 fn site_with(changes: &[(&str, &str)]) -> lotusmoor_fleet::site::Site {
     let mut text = include_str!("../scenarios/site.toml").to_owned();
     for (from, to) in changes {
@@ -165,10 +172,10 @@
     lotusmoor_fleet::site::Site::parse(Path::new("site"), &text).expect("the site is read")
 }
 
-fn play_at(site: &lotusmoor_fleet::site::Site, text: &str, seed: u64, policy: Policy) -> Figures {
+fn simulate_at(site: &lotusmoor_fleet::site::Site, text: &str, seed: u64, policy: Policy) -> Figures {
     let (scenario, _) = scenario(text);
     let world = World::draw(&scenario, site, seed);
-    Run::new(world, policy).and_then(Run::execute).expect("it is played")
+    Run::new(world, policy).and_then(Run::execute).expect("the simulation runs")
 }
 
 const PLAIN: &str = "name = \"plain\"\nlength_s = 12\nsidecars = 8\nservers = 12\nload = 0.6\n";
@@ -178,7 +185,7 @@
 }
 
 #[test]
-fn what_a_tenant_asks_beyond_its_share_is_worth_little_and_the_worst_tenant_counts() {
+fn requests_beyond_a_tenants_share_are_worth_less_and_the_worst_tenant_is_measured() {
     let tenants = "[[tenant]]\nname = \"big\"\nshare = 0.2\ntraffic = 0.8\n
 [[tenant]]\nname = \"small\"\nshare = 0.8\ntraffic = 0.2\n[prices]";
     let site = site_with(&[
@@ -187,7 +194,7 @@
         ("worst_class = 0.2", "worst_class = 0.1\nworst_tenant = 0.1"),
     ]);
     let worth = |f: &Figures| f.windows.iter().map(|w| w.worth).sum::<f64>();
-    let (shared, plain) = (play_at(&site, PLAIN, 1, Policy::Module), play(PLAIN, 1, Policy::Module));
+    let (shared, plain) = (simulate_at(&site, PLAIN, 1, Policy::Module), simulate(PLAIN, 1, Policy::Module));
     assert_eq!(shared.requests, plain.requests);
     assert!(worth(&shared) < 0.8 * worth(&plain), "{} of {}", worth(&shared), worth(&plain));
     assert!(shared.worst_tenant > 0.0 && shared.worst_tenant < 1.0 && plain.worst_tenant == 1.0);
@@ -195,76 +202,96 @@
 }
 
 #[test]
-fn worth_by_work_weighs_long_requests_more() {
+fn worth_by_work_gives_long_requests_more_weight() {
     let site = site_with(&[("[net]", "worth_by = \"work\"\n[net]")]);
     let (by_work, by_request) =
-        (play_at(&site, PLAIN, 1, Policy::RoundRobin), play(PLAIN, 1, Policy::RoundRobin));
+        (simulate_at(&site, PLAIN, 1, Policy::RoundRobin), simulate(PLAIN, 1, Policy::RoundRobin));
     assert_eq!((by_work.digest, by_work.in_time()), (by_request.digest, by_request.in_time()));
-    // Those that take long are the ones that are late.
+    // Requests with much work are more often late.
     assert!(by_work.whole_run < by_request.whole_run, "{} and {}", by_work.whole_run, by_request.whole_run);
 }
 
 #[test]
-fn a_streamed_answer_counts_by_its_first_byte_and_no_time_runs_after_it() {
+fn streamed_response_is_in_time_by_its_first_byte_and_has_no_deadline_after_it() {
     let site = site_with(&[("aim_ms = 400", "aim_ms = 400\nstream_ms = 5000")]);
     for policy in Policy::ALL {
         let name = policy.name();
-        let figures = play_at(&site, PLAIN, 1, policy);
+        let figures = simulate_at(&site, PLAIN, 1, policy);
         assert!(figures.violations.is_empty(), "{name}: {:?}", figures.violations);
-        // The stream takes far longer than its class's deadline of 2 s.
+        // Streams take far longer than their class's deadline of 2 s.
         if name == "true_state" {
             assert!(figures.classes[0].in_time > 0.9, "{}", figures.classes[0].in_time);
         }
     }
-    // A server that ends breaks the streams that it has, which are the client's.
+    // A crashing server breaks its streams. A sidecar can't retry what it has begun to forward: the requests fail.
     let broken = with_fault("kind = \"crash\"\npart = 0.5\n");
-    let figures = play_at(&site, &broken, 1, Policy::Module);
+    let figures = simulate_at(&site, &broken, 1, Policy::Module);
     assert!(figures.violations.is_empty(), "{:?}", figures.violations);
-    assert!(figures.failed > play_at(&site, PLAIN, 1, Policy::Module).failed);
+    assert!(figures.failed > simulate_at(&site, PLAIN, 1, Policy::Module).failed);
 }
 
 #[test]
-fn a_processor_that_is_short_makes_requests_late_and_bad_clients_use_it_up() {
-    let slow = |message: u32| format!("message_us = {message}\nsidecar_cores = 0.1\n{PLAIN}");
-    let whole = |text: &str| play(text, 1, Policy::Module).whole_run;
-    let (free, tight, short) = (whole(PLAIN), whole(&slow(20)), whole(&slow(4000)));
-    assert!((free - tight).abs() < 0.1 && short < 0.5 * free, "{free} {tight} {short}");
-    let bad = format!("{}[[fault]]\nkind = \"bad_clients\"\nat_s = 2\nfor_s = 8\nsize = 2000\n", slow(60));
-    assert!(whole(&bad) < whole(&slow(60)) - 0.2, "{} {}", whole(&bad), whole(&slow(60)));
+fn cpu_shortage_makes_requests_late_and_malformed_clients_use_up_cpu() {
+    let with_cpu_cost = |message_us: u32| format!("message_us = {message_us}\nsidecar_cores = 0.1\n{PLAIN}");
+    let whole_run = |text: &str| simulate(text, 1, Policy::Module).whole_run;
+    let (unlimited, sufficient, scarce) =
+        (whole_run(PLAIN), whole_run(&with_cpu_cost(20)), whole_run(&with_cpu_cost(4000)));
+    assert!(
+        (unlimited - sufficient).abs() < 0.1 && scarce < 0.5 * unlimited,
+        "{unlimited} {sufficient} {scarce}"
+    );
+    let malformed =
+        format!("{}[[fault]]\nkind = \"bad_clients\"\nat_s = 2\nfor_s = 8\nsize = 2000\n", with_cpu_cost(60));
+    assert!(
+        whole_run(&malformed) < whole_run(&with_cpu_cost(60)) - 0.2,
+        "{} {}",
+        whole_run(&malformed),
+        whole_run(&with_cpu_cost(60))
+    );
 }
 
 #[test]
-fn a_second_in_which_a_sidecar_uses_more_than_it_may_is_late_in_the_simulators_rounds() {
-    let site = site_with(&[("max_attempts = 5", "max_attempts = 5\ncpu_ms_per_s = 1")]);
+fn sidecar_above_its_cpu_limit_makes_requests_late_with_ticks() {
+    let low_limit = site_with(&[("max_attempts = 5", "max_attempts = 5\ncpu_ms_per_s = 1")]);
     let text = format!("ticked = true\nmessage_us = 100\n{PLAIN}");
-    let open = site_with(&[("max_attempts = 5", "max_attempts = 5\ncpu_ms_per_s = 1000")]);
-    let (tight, wide) = (play_at(&site, &text, 1, Policy::Module), play_at(&open, &text, 1, Policy::Module));
-    assert!(tight.late > wide.late + 0.3, "{} and {}", tight.late, wide.late);
+    let high_limit = site_with(&[("max_attempts = 5", "max_attempts = 5\ncpu_ms_per_s = 1000")]);
+    let (low, high) = (
+        simulate_at(&low_limit, &text, 1, Policy::Module),
+        simulate_at(&high_limit, &text, 1, Policy::Module),
+    );
+    assert!(low.late > high.late + 0.3, "{} and {}", low.late, high.late);
 }
 
 #[test]
-fn seats_that_are_taken_turn_requests_away_before_the_sidecar() {
+fn requests_above_the_limit_of_open_requests_fail() {
     let site = site_with(&[("max_attempts = 5", "max_attempts = 5\nmost_held = 1")]);
-    let (few, many) = (play_at(&site, PLAIN, 1, Policy::Module), play(PLAIN, 1, Policy::Module));
-    assert!(few.failed > many.failed + 0.1, "{} and {}", few.failed, many.failed);
-    assert!(few.violations.is_empty(), "{:?}", few.violations);
+    let (limited, unlimited) =
+        (simulate_at(&site, PLAIN, 1, Policy::Module), simulate(PLAIN, 1, Policy::Module));
+    assert!(limited.failed > unlimited.failed + 0.1, "{} and {}", limited.failed, unlimited.failed);
+    assert!(limited.violations.is_empty(), "{:?}", limited.violations);
 }
 
 #[test]
-fn a_connection_that_carries_several_attempts_is_opened_less_often() {
+fn multiplexed_connections_need_fewer_handshakes() {
     let site = site_with(&[("idle_s = 10", "idle_s = 10\nstreams = 8")]);
-    let (shared, single) = (play_at(&site, PLAIN, 1, Policy::Module), play(PLAIN, 1, Policy::Module));
-    assert!(shared.handshakes < 0.9 * single.handshakes, "{} {}", shared.handshakes, single.handshakes);
+    let (multiplexed, exclusive) =
+        (simulate_at(&site, PLAIN, 1, Policy::Module), simulate(PLAIN, 1, Policy::Module));
+    assert!(
+        multiplexed.handshakes < 0.9 * exclusive.handshakes,
+        "{} {}",
+        multiplexed.handshakes,
+        exclusive.handshakes
+    );
 }
 
 #[test]
-fn prices_for_handshakes_connections_and_list_lines_come_off() {
+fn prices_for_handshakes_connections_and_list_entries_lower_the_score() {
     let replaced = with_fault("kind = \"replace\"\npart = 0.3\n");
-    let plain = play(&replaced, 1, Policy::Module);
+    let plain = simulate(&replaced, 1, Policy::Module);
     for price in ["handshake = 0.1", "connection = 10", "discovery = 10"] {
         let site = site_with(&[("late_fail = 0.033", &format!("late_fail = 0.033\n{price}"))]);
-        let priced = play_at(&site, &replaced, 1, Policy::RoundRobin);
-        let free = play(&replaced, 1, Policy::RoundRobin);
+        let priced = simulate_at(&site, &replaced, 1, Policy::RoundRobin);
+        let free = simulate(&replaced, 1, Policy::RoundRobin);
         assert_eq!(priced.digest, free.digest, "{price}");
         assert!(priced.score < free.score, "{price}: {} and {}", priced.score, free.score);
     }
@@ -272,40 +299,44 @@
 }
 
 #[test]
-fn live_weights_follow_the_load_and_reports_tell_the_fields_of_the_site() {
+fn live_weights_follow_the_load_and_reports_have_the_sites_fields() {
     let live = site_with(&[("weights = \"rough\"", "weights = \"live\"")]);
     let reports = site_with(&[("how = \"answers\"", "how = \"answers\"\nfields = [\"inflight\", \"util\"]")]);
     let replaced = with_fault(
         "kind = \"replace\"\npart = 0.5\n[[fault]]\nkind = \"sidecars_killed\"\nat_s = 4\nfor_s = 0.5\npart = 0.5\n",
     );
-    let usual = play(&replaced, 1, Policy::Module);
+    let usual = simulate(&replaced, 1, Policy::Module);
     for site in [&live, &reports] {
-        let figures = play_at(site, &replaced, 1, Policy::Module);
+        let figures = simulate_at(site, &replaced, 1, Policy::Module);
         assert_eq!(figures.requests, usual.requests);
         assert!(figures.violations.is_empty(), "{:?}", figures.violations);
     }
-    // Shares of what a sidecar may have in flight go by weight where there is too much for all.
-    let crowded = replaced.replace("load = 0.6", "load = 1.3");
-    assert_ne!(play_at(&live, &crowded, 1, Policy::Module).digest, play(&crowded, 1, Policy::Module).digest);
+    // Under overload, the in-flight limit of a sidecar is divided among the servers by weight.
+    let overload = replaced.replace("load = 0.6", "load = 1.3");
+    assert_ne!(
+        simulate_at(&live, &overload, 1, Policy::Module).digest,
+        simulate(&overload, 1, Policy::Module).digest
+    );
 }
 
 #[test]
-fn spoilt_answers_late_connections_and_eager_clients_cost_tries_and_break_no_rule() {
-    let calm = play(PLAIN, 1, Policy::Module);
-    let faulty = |fault: &str| {
-        let figures = play(&with_fault(fault), 1, Policy::Module);
+fn corrupt_responses_late_connections_and_eager_clients_add_tries_and_violate_no_rule() {
+    let calm = simulate(PLAIN, 1, Policy::Module);
+    let figures_with = |fault: &str| {
+        let figures = simulate(&with_fault(fault), 1, Policy::Module);
         assert!(figures.violations.is_empty(), "{fault}: {:?}", figures.violations);
         figures
     };
-    assert!(faulty("kind = \"spoilt\"\nsize = 0.3\n").tries > 1.1 * calm.tries);
+    assert!(figures_with("kind = \"spoilt\"\nsize = 0.3\n").tries > 1.1 * calm.tries);
     let late = "kind = \"late_connects\"\nsize = 0.9\nextra = 1\n[[fault]]\nkind = \"sidecars_killed\"\nat_s = 3\nfor_s = 0.2\n";
-    assert!(faulty(late).score < calm.score - 0.1);
-    assert!(faulty("kind = \"eager\"\nsize = 3\nextra = 0.9\n").failed > calm.failed + 0.05);
+    assert!(figures_with(late).score < calm.score - 0.1);
+    assert!(figures_with("kind = \"eager\"\nsize = 3\nextra = 0.9\n").failed > calm.failed + 0.05);
 }
 
-// A sidecar has 2 s after the word, and what discovery has counts as told 6 s after it could be asked for.
+// A sidecar may go on sending to a removed server for 2 s after it learned of it. It is presumed to have learned
+// of a change 6 s after discovery could serve it, even if it never fetched it.
 #[test]
-fn a_change_that_never_came_counts_as_told_six_seconds_after_discovery_had_it() {
+fn undelivered_change_counts_as_known_six_seconds_after_discovery_has_it() {
     let text = |calls: f64, length: u32| {
         format!(
             "name = \"untold\"\nlength_s = {length}\nsidecars = 8\nservers = 12\nload = 0.6\n
@@ -315,44 +346,46 @@
         )
     };
     let rule = "a send to a server that drains or is gone";
-    let broken = |calls: f64, length: u32| play(&text(calls, length), 1, Policy::RoundRobin).violations;
-    // A call takes 1,000 s there: none of the new processes ever has a list but that of its start.
-    assert!(broken(0.001, 30).contains_key(rule), "{:?}", broken(0.001, 30));
-    assert!(!broken(0.001, 9).contains_key(rule), "{:?}", broken(0.001, 9));
-    assert!(!broken(20.0, 30).contains_key(rule), "{:?}", broken(20.0, 30));
+    let violations =
+        |calls: f64, length: u32| simulate(&text(calls, length), 1, Policy::RoundRobin).violations;
+    // At 0.001 calls per second a fetch takes 1,000 s: new processes get no list after that of their start.
+    assert!(violations(0.001, 30).contains_key(rule), "{:?}", violations(0.001, 30));
+    assert!(!violations(0.001, 9).contains_key(rule), "{:?}", violations(0.001, 9));
+    assert!(!violations(20.0, 30).contains_key(rule), "{:?}", violations(20.0, 30));
 }
 
 #[test]
-fn what_its_client_left_while_its_connection_came_up_is_never_written() {
-    // Clients leave within half of 180 or 270 ms, connections come up after 140 ms.
+fn request_abandoned_while_its_connection_opens_is_never_sent() {
+    // Clients disconnect within half of 180 or 270 ms, connections open after 140 ms.
     let text = format!(
         "pace = 0.09\n{PLAIN}[[fault]]\nkind = \"late_connects\"\nat_s = 0\nfor_s = 30\nsize = 1\nextra = 0.14\n
 [[fault]]\nkind = \"eager\"\nat_s = 0\nfor_s = 30\nsize = 1\nextra = 1\n"
     );
-    // One that comes again doesn't leave.
+    // Clients that retry do not disconnect.
     let site = site_with(&[("retries = [1, 2.99]", "retries = 0")]);
     for policy in [Policy::Module, Policy::RoundRobin, Policy::TrueState] {
         let name = policy.name();
-        let figures = play_at(&site, &text, 1, policy);
+        let figures = simulate_at(&site, &text, 1, policy);
         assert!(figures.violations.is_empty(), "{name}: {:?}", figures.violations);
         assert!(figures.attempts > 0.0, "{name}: {}", figures.attempts);
         assert_eq!((figures.in_time(), figures.wasted), (0, 0.0), "{name}");
     }
 }
 
-const ROSTER: &str = "[roster]\nreplicas = 3\n";
+const REGISTRY: &str = "[roster]\nreplicas = 3\n";
 
 #[test]
-fn sidecars_that_ride_a_roster_keep_the_rules_and_hear_of_changes_sooner() {
-    // A roster's own table stands last in the file.
-    let ridden = format!("{FAULTS}{ROSTER}");
+fn sidecars_with_a_registry_violate_no_rule_and_learn_of_changes_sooner() {
+    // The registry's table is last: keys after its header would belong to it.
+    let with_registry = format!("{FAULTS}{REGISTRY}");
     for seed in 1..=4 {
         for policy in [Policy::Module, Policy::TrueState] {
             let name = policy.name();
-            let figures = play(&ridden, seed, policy);
+            let figures = simulate(&with_registry, seed, policy);
             assert!(figures.violations.is_empty(), "{name}, seed {seed}: {:?}", figures.violations);
         }
-        let (with, without) = (play(&ridden, seed, Policy::Module), play(FAULTS, seed, Policy::Module));
+        let (with, without) =
+            (simulate(&with_registry, seed, Policy::Module), simulate(FAULTS, seed, Policy::Module));
         assert_eq!(with.requests, without.requests);
         assert!(
             with.staleness_ms[0] < without.staleness_ms[0],
@@ -360,14 +393,14 @@
             with.staleness_ms,
             without.staleness_ms
         );
-        assert_eq!(play(&ridden, seed, Policy::Module).digest, with.digest);
+        assert_eq!(simulate(&with_registry, seed, Policy::Module).digest, with.digest);
     }
 }
 
 #[test]
-fn a_roster_whose_leader_is_killed_or_whose_replica_is_held_delays_news_within_its_bound() {
+fn killed_registry_leader_or_paused_replica_delays_updates_within_a_bound() {
     let replaced = with_fault("kind = \"replace\"\npart = 0.5\n");
-    let calm = play(&format!("{replaced}{ROSTER}"), 1, Policy::Module);
+    let calm = simulate(&format!("{replaced}{REGISTRY}"), 1, Policy::Module);
     assert!(
         calm.last_notified_ms[2] > 0.0 && calm.last_notified_ms[2] < 200.0,
         "{:?}",
@@ -375,28 +408,29 @@
     );
     for (kind, extra, bound) in [("roster_killed", 0, 1000.0), ("roster_held", 1, 7000.0)] {
         let fault = format!("[[fault]]\nkind = \"{kind}\"\nat_s = 4\nfor_s = 5\nextra = {extra}\n");
-        let figures = play(&format!("{replaced}{fault}{ROSTER}"), 1, Policy::Module);
+        let figures = simulate(&format!("{replaced}{fault}{REGISTRY}"), 1, Policy::Module);
         assert!(figures.violations.is_empty(), "{kind}: {:?}", figures.violations);
         assert!(figures.last_notified_ms[2] < bound, "{kind}: {:?}", figures.last_notified_ms);
-        // A killed leader delays the acknowledgement, a held replica the news of it.
+        // A killed leader delays the acknowledgement of a change, a paused replica the notification.
         let (delayed, usual) = match kind {
             "roster_killed" => (figures.staleness_ms[2], calm.staleness_ms[2]),
             _ => (figures.last_notified_ms[2], calm.last_notified_ms[2]),
         };
-        assert!(delayed > usual + 300.0, "{kind}: {delayed} after {usual}");
+        assert!(delayed > usual + 300.0, "{kind}: {delayed}, usually {usual}");
     }
 }
 
-// The list of its start is in its file, also where no change has come since.
+// A sidecar writes the list of its first start to its cache file, even if no change follows.
 #[test]
-fn a_sidecar_that_starts_anew_while_the_roster_is_away_serves_by_its_file() {
+fn sidecar_restarted_during_a_registry_outage_serves_from_its_cache_file() {
     let text = format!(
         "{PLAIN}[[fault]]\nkind = \"discovery_down\"\nat_s = 3\nfor_s = 6\n
-[[fault]]\nkind = \"sidecars_killed\"\nat_s = 4\nfor_s = 0.2\n{ROSTER}"
+[[fault]]\nkind = \"sidecars_killed\"\nat_s = 4\nfor_s = 0.2\n{REGISTRY}"
     );
-    let figures = play(&text, 1, Policy::Module);
-    let away = &figures.windows[5..9];
-    let share = |of: fn(&lotusmoor_fleet::model::Window) -> u64| away.iter().map(of).sum::<u64>() as f64;
-    let served = share(|w| w.in_time + w.late) / share(|w| w.requests);
+    let figures = simulate(&text, 1, Policy::Module);
+    let outage = &figures.windows[5..9];
+    let count =
+        |field: fn(&lotusmoor_fleet::model::Window) -> u64| outage.iter().map(field).sum::<u64>() as f64;
+    let served = count(|w| w.in_time + w.late) / count(|w| w.requests);
     assert!(served > 0.9, "{served}");
 }
--- a/crates/fleet/tests/scale_plan.rs
+++ b/crates/fleet/tests/scale_plan.rs
@@ -1,4 +1,4 @@
-//! Plans of runs at scale: what can't be meant is refused by file and key, and by line where the text is at fault.
+//! Plans of scale runs: invalid values are rejected with file and key, malformed text also with the line.
 
 use lotusmoor_fleet::scale::{Mode, Plan, SweepVariable};
 use std::path::Path;
@@ -17,45 +17,46 @@
 seconds = 3.0
 "#;
 const SWEEP: &str = "\n[sweep]\nover = \"hollow\"\nsteps = [10, 20]\n";
-const AWAY: &str = "\n[[event]]\nkind = \"zone_away\"\nzone = \"a2\"\nfor_s = 1.0\n";
+const ZONE_AWAY: &str = "\n[[event]]\nkind = \"zone_away\"\nzone = \"a2\"\nfor_s = 1.0\n";
 
-fn refused(text: &str, wanted: &[&str]) {
+fn assert_rejected(text: &str, expected: &[&str]) {
     let error = Plan::parse(Path::new("plans/small.toml"), text).expect_err(text).to_string();
     assert!(error.starts_with("plans/small.toml: "), "{error}");
-    assert!(wanted.iter().all(|w| error.contains(w)), "{error}: {wanted:?}");
+    assert!(expected.iter().all(|part| error.contains(part)), "{error}: {expected:?}");
 }
 
 #[test]
-fn a_plan_is_read_with_what_it_leaves_out() {
-    let plan = Plan::parse(Path::new("small.toml"), &format!("{SMALL}{SWEEP}")).expect("it is read");
+fn missing_keys_get_defaults() {
+    let plan = Plan::parse(Path::new("small.toml"), &format!("{SMALL}{SWEEP}")).expect("the plan is read");
     assert_eq!((plan.modes.as_slice(), plan.seed, plan.leases), (&[Mode::Whole][..], 1, 0));
     assert_eq!(plan.sweep.as_ref().map(|s| s.over), Some(SweepVariable::Hollow));
     assert_eq!(plan.sizes().iter().map(|s| s.hollow).collect::<Vec<_>>(), [10, 20]);
-    let events = Plan::parse(Path::new("small.toml"), &format!("{SMALL}{AWAY}")).expect("it is read");
+    let events =
+        Plan::parse(Path::new("small.toml"), &format!("{SMALL}{ZONE_AWAY}")).expect("the plan is read");
     assert_eq!(events.event.iter().map(|e| e.name()).collect::<Vec<_>>(), ["zone_away"]);
 }
 
 #[test]
-fn a_text_that_is_no_plan_is_refused_by_file_line_and_key() {
+fn malformed_text_is_rejected_with_file_line_and_key() {
     let with = |from: &str, to: &str| {
         let text = format!("{SMALL}{SWEEP}");
         assert_eq!(text.matches(from).count(), 1, "{from}");
         text.replace(from, to)
     };
-    refused(&with("calls = 2", "called = 2"), &["line 6", "called"]);
-    refused(&with("hollow = 20", "hollow = \"many\""), &["line 3", "hollow", "string"]);
-    refused(&with("listed = 10", "listed = -10"), &["line 4", "listed"]);
-    refused(&with("[\"whole\"]", "[\"some\"]"), &["line 2", "modes", "some"]);
-    refused(&with("\"hollow\"\n", "\"hollows\"\n"), &["line 15", "hollows"]);
-    refused(&with("steps =", "step ="), &["line 16", "step"]);
-    refused(&with("seconds = 3.0\n", ""), &["seconds"]);
-    refused(&format!("{SMALL}{}", AWAY.replace("zone_away", "zone_lost")), &["zone_lost"]);
-    refused(&format!("{SMALL}{}", AWAY.replace("zone =", "zones =")), &["zones"]);
+    assert_rejected(&with("calls = 2", "called = 2"), &["line 6", "called"]);
+    assert_rejected(&with("hollow = 20", "hollow = \"many\""), &["line 3", "hollow", "string"]);
+    assert_rejected(&with("listed = 10", "listed = -10"), &["line 4", "listed"]);
+    assert_rejected(&with("[\"whole\"]", "[\"some\"]"), &["line 2", "modes", "some"]);
+    assert_rejected(&with("\"hollow\"\n", "\"hollows\"\n"), &["line 15", "hollows"]);
+    assert_rejected(&with("steps =", "step ="), &["line 16", "step"]);
+    assert_rejected(&with("seconds = 3.0\n", ""), &["seconds"]);
+    assert_rejected(&format!("{SMALL}{}", ZONE_AWAY.replace("zone_away", "zone_lost")), &["zone_lost"]);
+    assert_rejected(&format!("{SMALL}{}", ZONE_AWAY.replace("zone =", "zones =")), &["zones"]);
 }
 
 #[test]
-fn a_value_that_cannot_be_meant_is_refused_by_file_and_key() {
-    for (line, instead, key) in [
+fn invalid_value_is_rejected_with_file_and_key() {
+    for (line, replacement, key) in [
         ("modes = [\"whole\"]", "modes = []", "modes"),
         ("modes = [\"whole\"]", "modes = [\"whole\", \"whole\"]", "modes"),
         ("hollow = 20", "hollow = 0", "hollow"),
@@ -81,21 +82,27 @@
     ] {
         let text = format!("{SMALL}{SWEEP}");
         assert_eq!(text.matches(&format!("\n{line}\n")).count(), 1, "{line}");
-        refused(&text.replace(&format!("\n{line}\n"), &format!("\n{instead}\n")), &[&format!(": {key}: ")]);
+        assert_rejected(
+            &text.replace(&format!("\n{line}\n"), &format!("\n{replacement}\n")),
+            &[&format!(": {key}: ")],
+        );
     }
 }
 
 #[test]
-fn what_happens_is_either_a_sweep_or_events_of_zones_that_are_there() {
-    let either = ": sweep: either a sweep or events";
-    refused(SMALL, &[either]);
-    refused(&format!("{SMALL}{AWAY}{SWEEP}"), &[either]);
+fn plan_has_either_a_sweep_or_events_of_known_zones_and_regions() {
+    let sweep_or_events = ": sweep: either a sweep or events";
+    assert_rejected(SMALL, &[sweep_or_events]);
+    assert_rejected(&format!("{SMALL}{ZONE_AWAY}{SWEEP}"), &[sweep_or_events]);
     let zone = "event 0 (zone_away): zone: is none of zones";
-    refused(&format!("{SMALL}{}", AWAY.replace("\"a2\"", "\"a3\"")), &[zone]);
+    assert_rejected(&format!("{SMALL}{}", ZONE_AWAY.replace("\"a2\"", "\"a3\"")), &[zone]);
     let region = "\n[[event]]\nkind = \"region_cut\"\nregion = \"b\"\nfor_s = 1.0\n";
-    refused(&format!("{SMALL}{AWAY}{region}"), &["event 1 (region_cut): region: is none of regions"]);
+    assert_rejected(
+        &format!("{SMALL}{ZONE_AWAY}{region}"),
+        &["event 1 (region_cut): region: is none of regions"],
+    );
     for for_s in ["0.0", "2.0", "nan"] {
-        let away = AWAY.replace("for_s = 1.0", &format!("for_s = {for_s}"));
-        refused(&format!("{SMALL}{away}"), &["event 0 (zone_away): for_s: "]);
+        let zone_away = ZONE_AWAY.replace("for_s = 1.0", &format!("for_s = {for_s}"));
+        assert_rejected(&format!("{SMALL}{zone_away}"), &["event 0 (zone_away): for_s: "]);
     }
 }
--- a/crates/fleet/tests/stored_forms.rs
+++ b/crates/fleet/tests/stored_forms.rs
@@ -1,9 +1,8 @@
-//! The forms in which results and plans are stored, and what the harness's processes send each other: fixtures that were
-//! written by the program at commit 3f326ce. Names in the code may change; what is read from these files and written
-//! again may not.
+//! The stored formats of results and plans, and the messages between the harness's processes. The fixtures were written
+//! by the program at commit 3f326ce. Names in the code may change; the names and values in these files may not.
 //!
-//! Reading a float may change its last digit (serde_json without `float_roundtrip`). Lines of results with floats were
-//! therefore read and written once more by that program before they became fixtures: from then on their text is the same.
+//! Reading a float may change its last digit (serde_json without `float_roundtrip`). Result lines with floats were
+//! therefore read and written once more by that program before they became fixtures, so that their text is stable.
 
 use lotusmoor_faults::{Call, errno};
 use lotusmoor_fleet::capacity::Runs;
@@ -29,14 +28,14 @@
 const SOAK_PLAN: &str = "soak-plan.json";
 const SOAK_LINE: &str = "soak-line.jsonl";
 const SWEEP_LINES: &str = "sweep-lines.jsonl";
-const SERVER_NOTES: &str = "server-notes.jsonl";
-const DISCOVERY_NOTES: &str = "discovery-notes.jsonl";
-const SERVER_CONDUCT: &str = "server-conduct.json";
+const BACKEND_EVENTS: &str = "server-notes.jsonl";
+const DELIVERED_VERSIONS: &str = "discovery-notes.jsonl";
+const BACKEND_CONDUCT: &str = "server-conduct.json";
 const DISCOVERY_LIST: &str = "discovery-list.json";
 const HOLLOW_ASSIGNMENT: &str = "hollow-assignment.json";
-const HOLLOW_CALLS: &str = "hollow-calls.jsonl";
-const HOLLOW_STANDING: &str = "hollow-standing.json";
-const HOLLOW_TAKEN: &str = "hollow-taken.json";
+const HOLLOW_REQUESTS: &str = "hollow-calls.jsonl";
+const HOLLOW_STATUS: &str = "hollow-standing.json";
+const HOLLOW_ACTIVITY: &str = "hollow-taken.json";
 
 fn fixture(name: &str) -> PathBuf {
     Path::new(env!("CARGO_MANIFEST_DIR")).join("tests/fixtures").join(name)
@@ -47,18 +46,18 @@
 }
 
 fn json(value: &impl Serialize) -> String {
-    serde_json::to_string(value).expect("it can be written")
+    serde_json::to_string(value).expect("the value can be written")
 }
 
 fn read<T: DeserializeOwned>(text: &str) -> T {
-    serde_json::from_str(text).expect("it can be read")
+    serde_json::from_str(text).expect("the JSON can be read")
 }
 
-fn address(of: &str) -> SocketAddr {
-    of.parse().expect("an address")
+fn address(text: &str) -> SocketAddr {
+    text.parse().expect("an address")
 }
 
-/// One value a line, each written as its line was.
+/// Reads one value per line, and checks that each is written as the same text.
 fn read_lines<T: DeserializeOwned + Serialize>(name: &str) -> Vec<T> {
     let text = text(name);
     let values: Vec<T> = text.lines().map(read).collect();
@@ -71,16 +70,16 @@
 // ---- Scale runs ----
 
 #[test]
-fn every_kind_of_scale_line_is_read_and_written_again_as_the_same_text() {
+fn scale_lines_of_every_kind_round_trip_to_the_same_text() {
     let stored = text(SCALE_LINES);
-    let lines = Lines::read(&fixture(SCALE_LINES)).expect("they can be read");
+    let lines = Lines::read(&fixture(SCALE_LINES)).expect("the lines can be read");
     let folder = tempfile::tempdir().expect("a folder");
     let copy = folder.path().join("lines.jsonl");
-    let mut written = Lines::create(&copy).expect("it is new");
+    let mut written = Lines::create(&copy).expect("the file is new");
     for line in &lines {
-        written.add(line).expect("it can be written");
+        written.add(line).expect("the line can be written");
     }
-    assert_eq!(std::fs::read_to_string(&copy).expect("it can be read"), stored);
+    assert_eq!(std::fs::read_to_string(&copy).expect("the file can be read"), stored);
     let sweeps: BTreeSet<_> = lines.iter().map(|line| line.sweep).collect();
     let roles: BTreeSet<_> = lines.iter().map(|line| line.role).collect();
     let modes: BTreeSet<_> = lines.iter().map(|line| line.mode).collect();
@@ -99,15 +98,15 @@
     assert_eq!(modes, BTreeSet::from([Mode::Whole, Mode::Services]));
 }
 
-/// The relative difference that reading a float may make.
-const READ_ERROR: f64 = 1e-15;
+/// Maximum relative error of a float that is read.
+const MAX_READ_ERROR: f64 = 1e-15;
 
-/// Whether both have the same keys, texts and counts, and the same floats but for their last digit.
+/// Whether both have the same keys, texts and integers, and the same floats except for the last digit.
 fn is_same(one: &Value, other: &Value) -> bool {
     match (one, other) {
         (Value::Number(a), Value::Number(b)) if a.is_f64() && b.is_f64() => {
             let (a, b) = (a.as_f64().expect("a float"), b.as_f64().expect("a float"));
-            (a - b).abs() <= READ_ERROR * a.abs()
+            (a - b).abs() <= MAX_READ_ERROR * a.abs()
         }
         (Value::Object(a), Value::Object(b)) => {
             a.len() == b.len() && a.iter().zip(b).all(|((k, v), (l, w))| k == l && is_same(v, w))
@@ -120,16 +119,16 @@
 }
 
 #[test]
-fn recorded_scale_runs_are_read_and_written_again_with_the_same_keys_and_values() {
+fn recorded_scale_runs_round_trip_with_the_same_keys_and_values() {
     let folder = Path::new(env!("CARGO_MANIFEST_DIR")).join("../../experiments/scale/results");
     let mut count = 0;
     for entry in std::fs::read_dir(folder).expect("recorded runs") {
         let path = entry.expect("an entry").path();
-        let recorded = std::fs::read_to_string(&path).expect("it can be read");
-        let lines = Lines::read(&path).expect("they can be read");
+        let recorded = std::fs::read_to_string(&path).expect("the file can be read");
+        let lines = Lines::read(&path).expect("the lines can be read");
         assert_eq!(lines.len(), recorded.lines().count(), "{}", path.display());
         for (line, text) in lines.iter().zip(recorded.lines()) {
-            let written = serde_json::to_value(line).expect("it can be written");
+            let written = serde_json::to_value(line).expect("the line can be written");
             assert!(is_same(&written, &read(text)), "{}: {text}", path.display());
         }
         count += lines.len();
@@ -138,10 +137,11 @@
 }
 
 #[test]
-fn a_scale_line_means_what_it_says() {
-    let lines = Lines::read(&fixture(SCALE_LINES)).expect("they can be read");
-    let found = lines.iter().find(|line| line.sweep == Sweep::ModuleListed).expect("a line of the module");
-    let mut wanted = ScaleLine {
+fn scale_line_is_read_into_the_expected_fields() {
+    let lines = Lines::read(&fixture(SCALE_LINES)).expect("the lines can be read");
+    let found =
+        lines.iter().find(|line| line.sweep == Sweep::ModuleListed).expect("a line of the decision module");
+    let mut expected = ScaleLine {
         sweep: Sweep::ModuleListed,
         mode: Mode::Whole,
         step: 1,
@@ -162,9 +162,9 @@
         ("end_ns", 672.1651756913681),
         ("list_ns", 8292.0),
     ] {
-        wanted.set(name, value);
+        expected.set(name, value);
     }
-    assert_eq!(*found, wanted);
+    assert_eq!(*found, expected);
     let event = lines.iter().find(|line| line.sweep == Sweep::Events && line.role == Role::Leader);
     let event = event.expect("a line of an event");
     assert_eq!(event.event.as_deref(), Some("steady"));
@@ -173,8 +173,8 @@
 }
 
 #[test]
-fn a_failed_scale_line_keeps_its_keys() {
-    let lines = Lines::read(&fixture(SCALE_LINES)).expect("they can be read");
+fn failed_scale_line_keeps_its_keys() {
+    let lines = Lines::read(&fixture(SCALE_LINES)).expect("the lines can be read");
     let failed = ScaleLine {
         event: Some("roll".to_owned()),
         failed: Some("no leader".to_owned()),
@@ -190,10 +190,10 @@
 }
 
 #[test]
-fn the_capacity_plan_reads_scale_lines() {
+fn capacity_plan_reads_scale_lines() {
     let folder = tempfile::tempdir().expect("a folder");
-    std::fs::copy(fixture(SCALE_LINES), folder.path().join("runs.jsonl")).expect("it can be copied");
-    let runs = Runs::read(folder.path()).expect("they can be read");
+    std::fs::copy(fixture(SCALE_LINES), folder.path().join("runs.jsonl")).expect("the file can be copied");
+    let runs = Runs::read(folder.path()).expect("the runs can be read");
     let events: Vec<_> = runs.events().collect();
     assert_eq!(events.len(), 5);
     for (file, step) in events {
@@ -205,28 +205,28 @@
 // ---- Experiments ----
 
 #[test]
-fn experiment_lines_are_read_and_written_again_as_the_same_text() {
-    let (lines, torn) = Results::read(&fixture(EXPERIMENT_LINES)).expect("they can be read");
-    assert!(!torn);
+fn experiment_lines_round_trip_to_the_same_text() {
+    let (lines, truncated) = Results::read(&fixture(EXPERIMENT_LINES)).expect("the lines can be read");
+    assert!(!truncated);
     let folder = tempfile::tempdir().expect("a folder");
     let copy = folder.path().join("results.jsonl");
-    let mut results = Results::open(&copy, &lines[0].commit).expect("it is new");
+    let mut results = Results::open(&copy, &lines[0].commit).expect("the file is new");
     for line in &lines {
-        results.add(line).expect("it can be written");
+        results.add(line).expect("the line can be written");
     }
-    assert_eq!(std::fs::read_to_string(&copy).expect("it can be read"), text(EXPERIMENT_LINES));
+    assert_eq!(std::fs::read_to_string(&copy).expect("the file can be read"), text(EXPERIMENT_LINES));
 }
 
 #[test]
-fn an_experiment_line_means_what_it_says() {
-    let (lines, _) = Results::read(&fixture(EXPERIMENT_LINES)).expect("they can be read");
+fn experiment_line_is_read_into_the_expected_fields() {
+    let (lines, _) = Results::read(&fixture(EXPERIMENT_LINES)).expect("the lines can be read");
     let line = &lines[0];
     let point = Point { load: Some(0.7), sidecars: Some(4), servers: Some(6) };
     assert_eq!((line.experiment.as_str(), line.scenario.as_str()), ("stored", "stored-day"));
     assert_eq!((line.variant.as_str(), line.point, line.seed), ("registry", point, 1));
     let figures = &line.figures;
     let stored: Value = read(text(EXPERIMENT_LINES).lines().next().expect("a line"));
-    let value = |path: &str| stored.pointer(path).unwrap_or_else(|| panic!("{path} is not there")).clone();
+    let value = |path: &str| stored.pointer(path).unwrap_or_else(|| panic!("{path} is missing")).clone();
     for (path, measured) in [
         ("/figures/g", figures.score),
         ("/figures/whole", figures.whole_run),
@@ -284,7 +284,7 @@
 }
 
 #[test]
-fn an_experiment_line_of_the_time_before_registries_is_read() {
+fn experiment_line_without_the_registry_keys_is_read() {
     let stored = text(EXPERIMENT_LINES);
     let mut older: Value = read(stored.lines().next().expect("a line"));
     let figures = older["figures"].as_object_mut().expect("figures");
@@ -292,9 +292,9 @@
         assert!(figures.remove(added_later).is_some(), "{added_later}");
     }
     older["point"] = read("{}");
-    let line: RunLine = serde_json::from_value(older).expect("it can be read");
+    let line: RunLine = serde_json::from_value(older).expect("the older form can be read");
     let newer: RunLine = read(stored.lines().next().expect("a line"));
-    let wanted = Figures {
+    let expected = Figures {
         notified_after_ms: [0.0; 3],
         last_notified_ms: [0.0; 3],
         list_polls: 0,
@@ -302,13 +302,13 @@
         withheld_lists: 0,
         ..newer.figures
     };
-    assert_eq!((line.point, line.figures), (Point::default(), wanted));
+    assert_eq!((line.point, line.figures), (Point::default(), expected));
 }
 
-/// The names by which `--measure` and experiments' files call figures.
+/// The names of figures in `--measure` and in experiment files.
 #[test]
-fn measures_are_named_as_before() {
-    let (lines, _) = Results::read(&fixture(EXPERIMENT_LINES)).expect("they can be read");
+fn names_of_measures_are_stable() {
+    let (lines, _) = Results::read(&fixture(EXPERIMENT_LINES)).expect("the lines can be read");
     let figures = &lines[0].figures;
     let named = [
         ("g", figures.score),
@@ -343,7 +343,7 @@
 
 // ---- Soak and sweep ----
 
-/// A conduct with every figure other than its default.
+/// The behaviour of a test server, with no field at its default.
 fn full_conduct() -> Conduct {
     Conduct {
         work_us: 30_000,
@@ -357,10 +357,10 @@
     }
 }
 
-/// A plan with every trouble and every kind of link.
-fn plan_of_all_troubles() -> Plan {
+/// A plan with every kind of fault and every kind of faulty link.
+fn plan_with_all_faults() -> Plan {
     let link = |kind| Fault::Link { sidecar: 2, server: 3, kind };
-    let troubles = [
+    let faults = [
         Fault::KillSidecar(1),
         Fault::StopSidecar(2),
         Fault::StopSidecars(vec![3, 4, 5]),
@@ -405,44 +405,44 @@
         idle_us: 30_000,
         cores: 2,
         socket_passing: true,
-        windows: troubles.into_iter().enumerate().map(window).collect(),
+        windows: faults.into_iter().enumerate().map(window).collect(),
     }
 }
 
 #[test]
-fn a_stored_plan_of_the_soak_is_read_and_written_again_as_the_same_text() {
+fn soak_plan_round_trips_to_the_same_text() {
     let stored = text(SOAK_PLAN);
     let plan: Plan = read(&stored);
-    assert_eq!(plan, plan_of_all_troubles());
+    assert_eq!(plan, plan_with_all_faults());
     assert_eq!(json(&plan), stored);
 }
 
 #[test]
-fn a_plan_from_before_some_of_its_keys_is_read_with_their_defaults() {
+fn soak_plan_without_newer_keys_is_read_with_their_defaults() {
     let mut older: Value = read(&text(SOAK_PLAN));
     let keys = older.as_object_mut().expect("a plan");
     for added_later in ["bodies", "idle_us", "cores", "passed"] {
         assert!(keys.remove(added_later).is_some(), "{added_later}");
     }
-    let plan: Plan = serde_json::from_value(older).expect("it can be read");
-    let wanted =
-        Plan { body_share: 0.0, idle_us: 0, cores: 64, socket_passing: false, ..plan_of_all_troubles() };
-    assert_eq!(plan, wanted);
+    let plan: Plan = serde_json::from_value(older).expect("the older form can be read");
+    let expected =
+        Plan { body_share: 0.0, idle_us: 0, cores: 64, socket_passing: false, ..plan_with_all_faults() };
+    assert_eq!(plan, expected);
 }
 
 #[test]
-fn a_soak_line_holds_the_plan_that_its_seed_draws() {
+fn soak_line_has_the_plan_generated_from_its_seed() {
     let line: Value = read(text(SOAK_LINE).trim_end());
     let keys: Vec<_> = line.as_object().expect("a line").keys().map(String::as_str).collect();
     assert_eq!(keys, ["attempts", "cold_load", "passed", "plan", "requests", "seed", "served", "strangers"]);
     let seed = line["seed"].as_u64().expect("a seed");
     let plan: Plan = serde_json::from_value(line["plan"].clone()).expect("a plan");
     assert_eq!(plan, Plan::draw(seed));
-    assert_eq!(serde_json::to_value(&plan).expect("it can be written"), line["plan"]);
+    assert_eq!(serde_json::to_value(&plan).expect("the value can be written"), line["plan"]);
 }
 
 #[test]
-fn sweep_lines_hold_cases_that_are_read_and_written_again() {
+fn cases_in_sweep_lines_round_trip() {
     let lines: Vec<Value> = text(SWEEP_LINES).lines().map(read).collect();
     let cases: Vec<Case> = lines
         .iter()
@@ -450,26 +450,26 @@
             let keys: Vec<_> = line.as_object().expect("a line").keys().map(String::as_str).collect();
             assert_eq!(keys, ["case", "failure", "passed"]);
             let case: Case = serde_json::from_value(line["case"].clone()).expect("a case");
-            assert_eq!(serde_json::to_value(case).expect("it can be written"), line["case"]);
+            assert_eq!(serde_json::to_value(case).expect("the value can be written"), line["case"]);
             case
         })
         .collect();
-    let said: Vec<_> = cases.iter().map(ToString::to_string).collect();
+    let displayed: Vec<_> = cases.iter().map(ToString::to_string).collect();
     assert!(
-        said.iter().any(|case| case.ends_with(&format!(": error {}", cases_errno(&lines[0])))),
-        "{said:?}"
+        displayed.iter().any(|case| case.ends_with(&format!(": error {}", errno_of(&lines[0])))),
+        "{displayed:?}"
     );
-    assert!(said.iter().any(|case| case.contains("and all after it for 500 ms")), "{said:?}");
-    assert!(said.iter().any(|case| !case.contains("and all after it")), "{said:?}");
+    assert!(displayed.iter().any(|case| case.contains("and all after it for 500 ms")), "{displayed:?}");
+    assert!(displayed.iter().any(|case| !case.contains("and all after it")), "{displayed:?}");
 }
 
-fn cases_errno(line: &Value) -> i64 {
+fn errno_of(line: &Value) -> i64 {
     line["case"]["errno"].as_i64().expect("an error")
 }
 
 #[test]
-fn a_case_as_a_failure_prints_it_is_read_and_written_again_as_the_same_text() {
-    for (stored, said) in [
+fn sweep_case_round_trips_to_the_same_text_and_is_displayed_as_before() {
+    for (stored, description) in [
         (r#"{"call":9,"errno":28,"number":7,"extent":"once"}"#, "number 7: error 28"),
         (
             r#"{"call":0,"errno":4,"number":1,"extent":"for_a_while"}"#,
@@ -478,7 +478,7 @@
     ] {
         let case: Case = read(stored);
         assert_eq!(json(&case), stored);
-        assert_eq!(case.to_string(), format!("{} {said}", case.call()));
+        assert_eq!(case.to_string(), format!("{} {description}", case.call()));
     }
     assert_eq!(read::<Case>(r#"{"call":9,"errno":28,"number":7,"extent":"once"}"#).call(), Call::Write);
     assert_eq!(read::<Case>(r#"{"call":0,"errno":4,"number":1,"extent":"once"}"#).call(), Call::Accept);
@@ -486,7 +486,7 @@
 
 // ---- Processes of the harness ----
 
-fn server_notes() -> Vec<BackendEvent> {
+fn backend_events() -> Vec<BackendEvent> {
     let keyed = ReceivedRequest {
         number: 4,
         id: "r-17".to_owned(),
@@ -519,7 +519,7 @@
     ]
 }
 
-fn discovery_notes() -> Vec<DeliveredVersion> {
+fn delivered_versions() -> Vec<DeliveredVersion> {
     vec![DeliveredVersion { sidecar: 11, index: 42, at: 1_790_000_000_000_003 }]
 }
 
@@ -534,20 +534,16 @@
 }
 
 #[test]
-fn what_servers_and_discovery_write_down_is_read_and_written_again_as_the_same_text() {
-    assert_eq!(read_lines::<BackendEvent>(SERVER_NOTES), server_notes());
-    assert_eq!(read_lines::<DeliveredVersion>(DISCOVERY_NOTES), discovery_notes());
-    let without_told = text(SERVER_NOTES).lines().nth(1).expect("a line").replace(r#","told":null"#, "");
-    assert_eq!(
-        read::<BackendEvent>(&without_told),
-        server_notes()[1],
-        "as it was written before it was told"
-    );
+fn records_of_servers_and_discovery_round_trip_to_the_same_text() {
+    assert_eq!(read_lines::<BackendEvent>(BACKEND_EVENTS), backend_events());
+    assert_eq!(read_lines::<DeliveredVersion>(DELIVERED_VERSIONS), delivered_versions());
+    let older = text(BACKEND_EVENTS).lines().nth(1).expect("a line").replace(r#","told":null"#, "");
+    assert_eq!(read::<BackendEvent>(&older), backend_events()[1], "as written before `told` was added");
 }
 
 #[test]
-fn what_servers_and_discovery_are_told_is_read_and_written_again_as_the_same_text() {
-    assert_eq!(read_lines::<Conduct>(SERVER_CONDUCT), [full_conduct()]);
+fn input_of_servers_and_discovery_round_trips_to_the_same_text() {
+    assert_eq!(read_lines::<Conduct>(BACKEND_CONDUCT), [full_conduct()]);
     assert_eq!(read_lines::<Vec<ServerEntry>>(DISCOVERY_LIST), [discovery_list()]);
     assert_eq!(read::<Conduct>("{}"), Conduct::default());
     assert!(serde_json::from_str::<Conduct>(r#"{"unknown":1}"#).is_err());
@@ -570,11 +566,11 @@
     }
 }
 
-fn hollow_standing() -> Status {
+fn hollow_status() -> Status {
     Status { sidecars: 1, with_list: 2, failing: 3, oldest_outcome: 4, lowest_index: 5, polling: 6 }
 }
 
-fn hollow_taken() -> Activity {
+fn hollow_activity() -> Activity {
     Activity {
         applied: vec![(1, 2, 3)],
         recoveries: vec![(4, 5)],
@@ -588,15 +584,15 @@
 }
 
 #[test]
-fn what_hollow_sidecars_are_told_and_tell_is_read_and_written_again_as_the_same_text() {
+fn messages_to_and_from_hollow_sidecars_round_trip_to_the_same_text() {
     assert_eq!(json(&read_lines::<Assignment>(HOLLOW_ASSIGNMENT)), json(&[hollow_assignment()]));
-    let calls = json(&[
+    let requests = json(&[
         ControlRequest::Status,
         ControlRequest::TakeActivity,
         ControlRequest::ResetConnections,
         ControlRequest::List(3),
     ]);
-    assert_eq!(json(&read_lines::<ControlRequest>(HOLLOW_CALLS)), calls);
-    assert_eq!(read_lines::<Status>(HOLLOW_STANDING), [hollow_standing()]);
-    assert_eq!(json(&read_lines::<Activity>(HOLLOW_TAKEN)), json(&[hollow_taken()]));
+    assert_eq!(json(&read_lines::<ControlRequest>(HOLLOW_REQUESTS)), requests);
+    assert_eq!(read_lines::<Status>(HOLLOW_STATUS), [hollow_status()]);
+    assert_eq!(json(&read_lines::<Activity>(HOLLOW_ACTIVITY)), json(&[hollow_activity()]));
 }
