--- a/crates/balancer/src/balancer/admission.rs
+++ b/crates/balancer/src/balancer/admission.rs
@@ -50,7 +50,7 @@
         self.endpoints.iter_mut().for_each(|e| e.in_flight.body_received(id));
     }
 
-    /// A client's deadline minus two ticks: one until the next event, which notices it, and one as a margin.
+    /// A client's deadline minus two ticks: a timer may be handled one tick late, and the other is a margin.
     fn answer_by(&self, deadline: Micros) -> Micros {
         deadline.clamp(self.now, self.now + MAX_DURATION_US) - 2 * self.settings.tick
     }
--- a/crates/balancer/src/balancer/concurrency_limit.rs
+++ b/crates/balancer/src/balancer/concurrency_limit.rs
@@ -33,8 +33,8 @@
             in_flight,
             total_weight: serving().filter(|e| has_budget(e)).map(|e| self.weight(e)).sum(),
             subset_share: (subset_size / serving().count() as f64).min(1.0),
-            // With many sidecars each limit is below one, so they bind only as a sum. Without overload the
-            // admission factor (5) bounds it below, or a quiet fleet would reject bursts of two or three.
+            // With many sidecars each limit is below one, so they bind only as a sum, taken as no less than
+            // the admission factor (5 without overload), or a quiet fleet would reject bursts of 2 or 3.
             all_full: in_flight > limits.max(self.shedding.admission_factor(self.now)),
             subset_size,
         }
@@ -62,8 +62,8 @@
         let latency_headroom = 1.0 - endpoint.latency_per_work / target_latency;
         let step = latency_headroom.clamp(-MAX_DECREASE_STEPS, 1.0) * LIMIT_STEP;
         // Answers in time while requests wait show that it can serve more than its guaranteed capacity.
-        let max_proven = if requests_wait || step < 0.0 { 1.0 } else { endpoint.proven_capacity };
-        endpoint.proven_capacity = (endpoint.proven_capacity + step).clamp(0.0, max_proven);
+        let max_proven = if requests_wait || step < 0.0 { 1.0 } else { endpoint.spare_capacity_score };
+        endpoint.spare_capacity_score = (endpoint.spare_capacity_score + step).clamp(0.0, max_proven);
         // Unused limits of endpoints that can't be sent to must not keep a full one from growing.
         let in_use = in_flight + 1.0 > GROWTH_UTILIZATION * limits
             || requests_wait && endpoint.in_flight.load() + 1.0 >= endpoint.concurrency_limit;
--- a/crates/balancer/src/balancer/idempotency.rs
+++ b/crates/balancer/src/balancer/idempotency.rs
@@ -3,7 +3,7 @@
 use super::*;
 
 impl Balancer {
-    /// Whether it is idempotent, has not been executed so far, or its key is still deduplicated there.
+    /// Whether a request may run at an endpoint: idempotent, not executed yet, or its key deduplicated there.
     pub(super) fn may_execute(&self, request: &Request, endpoint: EndpointId) -> bool {
         let mut executions = request.possible_executions();
         match self.settings.classes[request.class].idempotency {
--- a/crates/balancer/src/balancer/selection.rs
+++ b/crates/balancer/src/balancer/selection.rs
@@ -40,7 +40,7 @@
             if self.circuit_blocks(e, request.class) {
                 continue;
             }
-            // A trial of the endpoint's circuit needs no limit: unlike one of a class, it is alone there.
+            // No limit for a trial of the endpoint's circuit: unlike a class's trial, it is the only attempt.
             let is_full = e.is_available() && self.is_at_limit(e, request, &load);
             if is_full || !has_budget(e) {
                 at_limits = true;
--- a/crates/balancer/src/balancer/slow_start.rs
+++ b/crates/balancer/src/balancer/slow_start.rs
@@ -5,9 +5,9 @@
 
 use super::*;
 
-/// Share of the overload factor that is used at first; it doubles as `proven_capacity` rises to 1.
+/// Budget rate at first, as a share of the overload factor; it doubles as `spare_capacity_score` rises to 1.
 const OVERLOAD_SHARE: f64 = 0.4;
-/// The budget holds at most its gain in the time to collapse under overload, divided by this.
+/// The maximum budget is what the rate adds in `overload_collapse_after`, divided by this.
 const MAX_BUDGET_COLLAPSE_TIME_DIVISOR: f64 = 4.0;
 
 /// Work served recently.
@@ -28,7 +28,7 @@
         let collapse_after = (rules.overload_collapse_after as f64).max(1.0);
         // A request from each of a thousand sidecars would make it collapse: they share the minimum.
         let min_rate = self.latency.mean_work / (collapse_after * f64::from(self.settings.instances.max(1)));
-        let share = OVERLOAD_SHARE * (1.0 + endpoint.proven_capacity);
+        let share = OVERLOAD_SHARE * (1.0 + endpoint.spare_capacity_score);
         let rate = (warm_throughput * endpoint.size * rules.overload_factor * share * capacity).max(min_rate);
         let gained = rate * self.now.saturating_sub(endpoint.budget_updated_at).max(0) as f64;
         let max_budget = rate * collapse_after / MAX_BUDGET_COLLAPSE_TIME_DIVISOR;
@@ -60,13 +60,13 @@
         self.throughput.by_warm_endpoints.add(self.now, if is_warm { work } else { 0.0 }, window);
     }
 
-    /// Begins the slow start of a new process, with a random part of a request as budget to spread sidecars.
+    /// Begins a slow start; its budget is a random part of the mean work, or all sidecars would send at once.
     pub(super) fn begin_slow_start(&mut self, i: EndpointId, started_at: Micros) {
         let budget = self.rng.f64() * self.latency.mean_work;
         let endpoint = &mut self.endpoints[i];
         endpoint.started_at = endpoint.started_at.max(Some(started_at));
         endpoint.slow_start_budget = budget;
         endpoint.budget_updated_at = self.now;
-        endpoint.proven_capacity = 0.0;
+        endpoint.spare_capacity_score = 0.0;
     }
 }
--- a/crates/balancer/src/decaying_sum.rs
+++ b/crates/balancer/src/decaying_sum.rs
@@ -43,8 +43,8 @@
         self.rate(now, 2 * min_age).min(self.total / min_age.max(1) as f64)
     }
 
-    /// Decayed sum over `window` of the time before the first addition, assuming the recent rate for it.
-    /// This sum itself has a window of `2 * window`.
+    /// What a sum with the window `window` would still hold from the time before the first addition, had the
+    /// recent rate applied then. The recent rate is taken from this sum, whose own window is `2 * window`.
     pub(crate) fn extrapolated_before_start(&self, now: Micros, window: Micros) -> f64 {
         let started_at = self.started_at.unwrap_or(now);
         self.rate(now, 2 * window) * window as f64 * decay(now, started_at, window as f64)
--- a/crates/balancer/src/endpoint.rs
+++ b/crates/balancer/src/endpoint.rs
@@ -36,8 +36,8 @@
     /// Work that it may be sent in slow start, as of `budget_updated_at`.
     pub(crate) slow_start_budget: f64,
     pub(crate) budget_updated_at: Micros,
-    /// From 0 to 1: how far answers in time while requests waited indicate more than the guaranteed capacity.
-    pub(crate) proven_capacity: f64,
+    /// 0 to 1: evidence of more than the guaranteed capacity, from answers in time while requests waited.
+    pub(crate) spare_capacity_score: f64,
 }
 
 impl Endpoint {
--- a/crates/balancer/src/event.rs
+++ b/crates/balancer/src/event.rs
@@ -58,7 +58,7 @@
     pub partition_key: Option<u64>,
     /// When the client gives up on this request.
     pub deadline: Micros,
-    /// Expected work on a standard core, where known.
+    /// Expected work, where known: the processing time on one standard core, the unit of endpoint sizes.
     pub expected_work: Option<Micros>,
     /// The client marked it as a retry.
     pub is_client_retry: bool,
--- a/crates/balancer/src/latency.rs
+++ b/crates/balancer/src/latency.rs
@@ -60,7 +60,7 @@
         }
     }
 
-    /// Expected work of a new request: half is the mean, or endpoints would look slow for tiny requests.
+    /// Expected work of a request, averaged with the mean, or endpoints would look slow for tiny requests.
     pub(crate) fn record_request(&mut self, own_work: f64, objective: f64) -> f64 {
         self.mean_work += FLEET_GAIN * (own_work - self.mean_work);
         let work = (own_work + self.mean_work) / 2.0;
--- a/crates/balancer/src/lib.rs
+++ b/crates/balancer/src/lib.rs
@@ -30,6 +30,6 @@
 pub use ids::{AttemptNumber, ClassId, EndpointId, MachineTypeId, Micros, RequestId, TenantId, ZoneId};
 pub use interner::Interner;
 pub use settings::{
-    DedupScope, DiscoveryMode, Goal, Idempotency, Limits, LoadReportSource, Prices, RequestClass, Rules,
-    Settings, SettingsError, Tenant, ValidRange, WeightSource,
+    DedupScope, DiscoveryMode, Idempotency, Limits, LoadReportSource, Prices, RequestClass, Rules,
+    ScoreWeights, Settings, SettingsError, Tenant, ValidRange, WeightSource,
 };
--- a/crates/balancer/src/load_shedding.rs
+++ b/crates/balancer/src/load_shedding.rs
@@ -10,8 +10,8 @@
 /// Share of the admission factor for client retries and tenants over their quota.
 const LOW_PRIORITY_SHARE: f64 = 0.75;
 const WINDOW_IN_DEADLINES: f64 = 4.0 / 3.0;
-/// Requests that each sum counts in addition to those recorded.
-const MIN_REQUESTS: f64 = 1.0;
+/// Added to each sum (additive smoothing), so that a few requests hardly change the ratio of two sums.
+const PSEUDO_COUNT: f64 = 1.0;
 
 /// Recent requests and how they ended.
 #[derive(Default)]
@@ -59,6 +59,6 @@
 
     /// Assumes that requests before the start were in time, or the first errors would look like overload.
     fn recent(&self, now: Micros, sum: &DecayingSum) -> f64 {
-        MIN_REQUESTS + self.received.extrapolated_before_start(now, self.window) + sum.value(now, self.window)
+        PSEUDO_COUNT + self.received.extrapolated_before_start(now, self.window) + sum.value(now, self.window)
     }
 }
--- a/crates/balancer/src/settings.rs
+++ b/crates/balancer/src/settings.rs
@@ -39,13 +39,13 @@
 /// A class of requests.
 #[derive(Clone, Debug)]
 pub struct RequestClass {
-    /// Latency objective: an answer within this time has its full value.
+    /// Latency objective: an answer within this time has its full value in the simulator's score.
     pub latency_objective: Micros,
     /// The objective grows by this multiple of the request's own work.
     pub objective_per_work: f64,
     /// How long a client waits, over all its retries.
     pub deadline: Micros,
-    /// Share of its value that an answer after the latency objective still has.
+    /// Share of that value that an answer after the latency objective still has.
     pub late_value_share: f64,
     /// Priority weight of one request.
     pub priority_weight: f64,
@@ -117,7 +117,7 @@
     pub connect_timeout: Micros,
 }
 
-/// Parameters of the protocol's rules.
+/// Parameters of the rules of the sidecar protocol (retries, drains, slow start), which the operators define.
 #[derive(Clone, Debug)]
 pub struct Rules {
     /// How long after the deadline a final answer still counts.
@@ -128,9 +128,10 @@
     pub initial_capacity_share: f64,
     /// Longest time from its start until an endpoint has its full capacity (slow start).
     pub slow_start_duration: Micros,
-    /// An endpoint in slow start collapses under more than this multiple of its current capacity ...
+    /// An endpoint in slow start collapses under more than this multiple of its current capacity, if that
+    /// load lasts for `overload_collapse_after`.
     pub overload_factor: f64,
-    /// ... that lasts this long.
+    /// How long a load of more than `overload_factor` has to last for an endpoint to collapse.
     pub overload_collapse_after: Micros,
 }
 
@@ -141,8 +142,8 @@
     pub cross_zone: f64,
     /// For work whose answer was not used.
     pub waste: f64,
-    /// For value not served within its latency objective.
-    pub late_fail: f64,
+    /// For the value of requests that were answered after their latency objective, or failed.
+    pub late_or_failed: f64,
     /// For health checks.
     pub health_check: f64,
     /// For new connections.
@@ -151,7 +152,7 @@
 
 /// Weights of the components of the simulator's score. The balancer only decodes them.
 #[derive(Clone, Debug, Default)]
-pub struct Goal {
+pub struct ScoreWeights {
     /// Score over the whole run.
     pub overall: f64,
     /// Score of the worst-served class.
@@ -188,7 +189,7 @@
     /// Costs that the simulator deducts from its score.
     pub prices: Prices,
     /// Weights of the simulator's score.
-    pub goal: Goal,
+    pub goal: ScoreWeights,
     /// Factor on the priority weight of traffic over a tenant's quota.
     pub over_quota_weight: f64,
     /// Priority weights count per unit of work, not per request.
--- a/crates/balancer/src/settings/decode.rs
+++ b/crates/balancer/src/settings/decode.rs
@@ -1,7 +1,9 @@
 //! Decoding of the settings object, which an instance is given as JSON at its start, on the simulator's wire
 //! and in a sidecar's configuration alike. This module defines the keys of the JSON object.
 
-use super::{DecodeError, DedupScope, DiscoveryMode, Goal, Idempotency, Limits, LoadReportSource, Prices};
+use super::{
+    DecodeError, DedupScope, DiscoveryMode, Idempotency, Limits, LoadReportSource, Prices, ScoreWeights,
+};
 use super::{RequestClass, Rules, Settings, Tenant, WeightSource};
 use crate::ids::Micros;
 use crate::interner::Interner;
@@ -294,7 +296,7 @@
         Prices {
             cross_zone: self.cross_zone,
             waste: self.waste,
-            late_fail: self.late_fail,
+            late_or_failed: self.late_fail,
             health_check: self.health_check,
             handshake: self.handshake,
         }
@@ -302,8 +304,8 @@
 }
 
 impl EncodedGoal {
-    fn decode(self) -> Goal {
-        Goal {
+    fn decode(self) -> ScoreWeights {
+        ScoreWeights {
             overall: self.overall,
             worst_class: self.worst_class,
             worst_tenant: self.worst_tenant,
--- a/crates/balancer/tests/common/mod.rs
+++ b/crates/balancer/tests/common/mod.rs
@@ -49,7 +49,7 @@
             overload_collapse_after: 1500 * MS,
         },
         prices: Prices::default(),
-        goal: Goal::default(),
+        goal: ScoreWeights::default(),
         over_quota_weight: 0.1,
         priority_by_work: false,
         clients_mark_retries: false,
--- a/crates/balancer/tests/limits.rs
+++ b/crates/balancer/tests/limits.rs
@@ -3,7 +3,8 @@
 use std::fs;
 use std::path::{Path, PathBuf};
 
-/// Operators don't run a balancer whose `policy` files in deploy/balancer.toml have more non-blank lines.
+/// The operators' limit on the non-blank lines of all files that deploy/balancer.toml lists under `policy`; they don't
+/// run a balancer that exceeds it.
 const MAX_POLICY_LINES: usize = 1200;
 const MAX_FILE_LINES: usize = 400;
 const MAX_COLUMNS: usize = 110;
@@ -95,7 +96,7 @@
 }
 
 #[test]
-fn doc_of_decision_logic_begins_with_its_interface() {
+fn balancer_module_doc_begins_with_event_and_action() {
     let text = read("crates/balancer/src/balancer.rs");
     let first = text.lines().next().expect("a first line");
     assert!(first.contains("[`Event`]") && first.contains("[`Action`]"), "{first}");
--- a/crates/balancer/tests/retry.rs
+++ b/crates/balancer/tests/retry.rs
@@ -186,7 +186,7 @@
 
 // A rejected client retries at `Retry-After` or later, so its key must still be deduplicated then.
 #[test]
-fn rejects_possible_execution_only_while_its_key_is_deduplicated() {
+fn rejects_possibly_executed_request_only_while_its_key_is_deduplicated() {
     for (ttl, rejects) in [(1200, true), (810, false), (500, false)] {
         let mut settings = settings();
         settings.classes[WITH_KEY].idempotency =
--- a/crates/balancer/tests/rules.rs
+++ b/crates/balancer/tests/rules.rs
@@ -1,5 +1,6 @@
-//! The protocol's rules 1 to 3 over random event sequences with fixed seeds: which attempts may be sent, no
-//! unsafe second execution, and one final answer in time. The checker is independent of the code under test.
+//! Rules 1 to 3 of the sidecar protocol (its rules are numbered by the operators, who define it) over random
+//! event sequences with fixed seeds: which attempts may be sent, no unsafe second execution, and one final
+//! answer in time. The checker is independent of the code under test.
 
 mod common;
 use common::*;
--- a/crates/balancer/tests/settings.rs
+++ b/crates/balancer/tests/settings.rs
@@ -30,7 +30,10 @@
     let g = &s.goal;
     assert_eq!([g.overall, g.worst_class, g.worst_tenant, g.worst_window], [0.1, 0.2, 0.3, 0.4]);
     let p = &s.prices;
-    assert_eq!([p.cross_zone, p.handshake, p.late_fail, p.health_check, p.waste], [1.1, 1.2, 1.3, 1.4, 1.5]);
+    assert_eq!(
+        [p.cross_zone, p.handshake, p.late_or_failed, p.health_check, p.waste],
+        [1.1, 1.2, 1.3, 1.4, 1.5]
+    );
     let l = &s.limits;
     assert_eq!((l.connect_timeout, l.max_attempts, l.max_retry_after), (201, 5, 203));
     assert_eq!((l.may_cancel, l.may_hedge, l.may_gossip), (true, true, true));
--- a/crates/log-output/src/lib.rs
+++ b/crates/log-output/src/lib.rs
@@ -33,8 +33,8 @@
     DROPPED_LINES.load(Ordering::Relaxed)
 }
 
-/// Writes one line, or several that belong together, including the last line end. Text longer than `PIPE_BUF` bytes is
-/// truncated.
+/// Writes one line, or several that belong together. `line` has to end with a line end. Text longer than `PIPE_BUF`
+/// bytes is truncated.
 pub fn write_line(line: &[u8]) -> Result<(), LineDropped> {
     let mut standard_error = STANDARD_ERROR.lock().unwrap_or_else(PoisonError::into_inner);
     let written = standard_error.get_or_insert_with(|| Sink::new(libc::STDERR_FILENO)).write_line(line);
--- a/crates/sidecar/src/body.rs
+++ b/crates/sidecar/src/body.rs
@@ -7,4 +7,4 @@
 
 pub use decoder::{BodyDecoder, Framing};
 pub use limits::{MAX_BODY_BYTES, MAX_BUFFERED_BYTES, STREAMING_BYTES};
-pub use stream::{AnswerBody, BodySender, BodyStream, RequestBody};
+pub use stream::{BodySender, BodyStream, RequestBody, ResponseBody};
--- a/crates/sidecar/src/body/decoder.rs
+++ b/crates/sidecar/src/body/decoder.rs
@@ -122,7 +122,7 @@
         if input.is_empty() {
             return None;
         }
-        // A slow endpoint could take longer for a larger piece than is allowed for one (`MAX_STALL`).
+        // A larger piece could take a slow endpoint longer than `MAX_STALL`, the time limit for each piece.
         let piece = input.split_to(left.min(input.len()).min(MAX_BUFFERED_BYTES)).freeze();
         self.received += piece.len();
         self.expected = match (left - piece.len(), self.framing) {
--- a/crates/sidecar/src/body/stream.rs
+++ b/crates/sidecar/src/body/stream.rs
@@ -107,7 +107,7 @@
                 Some(Ok(Frame::data(piece)))
             }
             None if rest.complete.get() => {
-                // For a body of unknown length, the end of the stream is its last byte.
+                // For a body of unknown length, the terminating chunk is written next: the request may run from now on.
                 self.progress.record_body_end();
                 None
             }
@@ -130,7 +130,7 @@
 }
 
 /// The body of a response to a client: its buffered start, and the rest if it is streamed.
-pub struct AnswerBody {
+pub struct ResponseBody {
     /// The start, or all of it.
     pub first: Bytes,
     /// The pieces that follow. An empty piece marks the end; if the channel closes without one, the body is incomplete.
@@ -139,7 +139,7 @@
     pub length: Option<usize>,
 }
 
-impl AnswerBody {
+impl ResponseBody {
     /// A body that is completely buffered.
     pub fn buffered(body: Bytes) -> Self {
         Self { length: Some(body.len()), first: body, rest: None }
--- a/crates/sidecar/src/client_liveness/last_seen.rs
+++ b/crates/sidecar/src/client_liveness/last_seen.rs
@@ -13,7 +13,7 @@
 const MIN_QUIET_SPAN: Duration = Duration::from_millis(10);
 /// Fewer bytes than this, received within [`MIN_QUIET_SPAN`], were not waiting for room in the receive window: a client
 /// with waiting data sends as much as the window has room for.
-const MIN_BLOCKED_BYTES: usize = 32 << 10;
+const MIN_WINDOW_LIMITED_BYTES: usize = 32 << 10;
 
 /// When a client was last known to be connected.
 pub struct LastSeen {
@@ -68,7 +68,7 @@
         if !span_is_over {
             return;
         }
-        if self.read_in_span.get() < MIN_BLOCKED_BYTES {
+        if self.read_in_span.get() < MIN_WINDOW_LIMITED_BYTES {
             self.last_seen_at.set(Some(now));
         }
         self.span_start.set(Some(now));
@@ -92,7 +92,7 @@
         let read_before = self.read_in_span.replace(self.read_in_span.get() + length);
         // Data received after a quiet span was not waiting for room before, so the client was connected when it
         // arrived.
-        if !was_empty || read_before >= MIN_BLOCKED_BYTES {
+        if !was_empty || read_before >= MIN_WINDOW_LIMITED_BYTES {
             return;
         }
         let received_at = age().and_then(|age| now.checked_sub(age));
--- a/crates/sidecar/src/client_liveness/last_seen/tests.rs
+++ b/crates/sidecar/src/client_liveness/last_seen/tests.rs
@@ -45,7 +45,7 @@
     last_seen.record_bytes_read(1, || None, start);
     last_seen.record_socket_empty(start);
     assert!(is_seen(&last_seen, start));
-    last_seen.record_bytes_read(MIN_BLOCKED_BYTES, || None, start + MS);
+    last_seen.record_bytes_read(MIN_WINDOW_LIMITED_BYTES, || None, start + MS);
     last_seen.record_socket_empty(start + MIN_QUIET_SPAN);
     assert!(!is_seen(&last_seen, start + MIN_QUIET_SPAN));
     // In the next span, without such data, the client counts as seen again.
--- a/crates/sidecar/src/config.rs
+++ b/crates/sidecar/src/config.rs
@@ -30,11 +30,11 @@
 /// Time limit for reading the file at a reload. A read that times out is retried.
 const RELOAD_READ_TIMEOUT: Duration = Duration::from_secs(1);
 /// Minimum number of file descriptors with which requests can be served at all.
-const MIN_SOCKETS: usize = 32;
+const MIN_FILE_DESCRIPTORS: usize = 32;
 /// Minimum amount of memory, as the program itself takes a few MB.
 const MIN_MEMORY_MB: usize = 16;
 /// Limit on file descriptors if the file sets none.
-const DEFAULT_SOCKETS: usize = 1024;
+const DEFAULT_FILE_DESCRIPTORS: usize = 1024;
 /// Limit on memory if the file sets none.
 const DEFAULT_MEMORY_MB: usize = 192;
 
@@ -49,21 +49,21 @@
     /// Seed for random numbers; each start is given a new one.
     pub seed: u64,
     /// Maximum number of file descriptors that the process may hold.
-    pub sockets: usize,
+    pub max_file_descriptors: usize,
     /// Maximum amount of memory that the process may take, in MB.
     pub memory_mb: usize,
     /// The address that receives gossip datagrams from peers.
     pub peer_listen: Option<SocketAddr>,
-    /// The gossip addresses of all sidecars of the tier, indexed by sidecar number.
+    /// The gossip addresses of all sidecars of the tier (those of one service's clients), indexed by sidecar number.
     pub peers: Vec<SocketAddr>,
-    /// The broadcast address that reaches all of them.
-    pub peers_all: Option<SocketAddr>,
+    /// The broadcast address that reaches all of `peers`.
+    pub peers_broadcast: Option<SocketAddr>,
     /// The cached endpoint list, used until a newer one arrives.
     pub cached_list: Option<ListMessage>,
     /// The registry that replaces discovery, if one is configured.
     pub registry: Option<RegistryConfig>,
     /// The decoded settings object.
-    pub decoded: DecodedSettings,
+    pub decoded_settings: DecodedSettings,
 }
 
 #[derive(Deserialize)]
@@ -94,7 +94,7 @@
 
 impl Default for FileLimits {
     fn default() -> Self {
-        Self { sockets: DEFAULT_SOCKETS, memory_mb: DEFAULT_MEMORY_MB }
+        Self { sockets: DEFAULT_FILE_DESCRIPTORS, memory_mb: DEFAULT_MEMORY_MB }
     }
 }
 
@@ -123,8 +123,8 @@
     }
 
     /// Reads the file again. The address of discovery is taken from the file alone, as the environment still has the
-    /// value from the start of the process. Settings that are not returned stay fixed for the life of the process,
-    /// but a file that a process could not be started with is rejected as a whole.
+    /// value from the start of the process. Settings that are not returned take effect only after a restart, but a
+    /// file that a startup would reject is rejected here too.
     pub async fn reload() -> Result<ReloadedConfig, ConfigError> {
         let path = file_path()?;
         let contents = file_access::read(Path::new(&path), RELOAD_READ_TIMEOUT).await;
@@ -147,10 +147,10 @@
         discovery: Option<SocketAddr>,
     ) -> Result<Self, InvalidConfig> {
         let file: File = serde_json::from_str(text).map_err(InvalidConfig::Json)?;
-        let decoded = settings::decode(file.settings.get()).map_err(InvalidConfig::Settings)?;
-        decoded.settings.check().map_err(InvalidConfig::SettingsCheck)?;
-        if file.limits.sockets < MIN_SOCKETS {
-            return Err(InvalidConfig::TooFewSockets { min: MIN_SOCKETS });
+        let decoded_settings = settings::decode(file.settings.get()).map_err(InvalidConfig::Settings)?;
+        decoded_settings.settings.check().map_err(InvalidConfig::SettingsCheck)?;
+        if file.limits.sockets < MIN_FILE_DESCRIPTORS {
+            return Err(InvalidConfig::TooFewFileDescriptors { min: MIN_FILE_DESCRIPTORS });
         }
         if file.limits.memory_mb < MIN_MEMORY_MB {
             return Err(InvalidConfig::TooLittleMemory { min_mb: MIN_MEMORY_MB });
@@ -163,31 +163,31 @@
             discovery: discovery.or(file.discovery).ok_or(InvalidConfig::NoDiscoveryAddress)?,
             management: file.management,
             seed: seed(&file.seed),
-            sockets: file.limits.sockets,
+            max_file_descriptors: file.limits.sockets,
             memory_mb: file.limits.memory_mb,
             peer_listen: file.peer_listen,
             peers: file.peers,
-            peers_all: file.peers_all,
+            peers_broadcast: file.peers_all,
             cached_list: file.known,
             registry: file.registry,
-            decoded,
+            decoded_settings,
         })
     }
 
     /// The resource limits of one of `processes` processes that share the limits of this sidecar.
     pub fn limits(&self, processes: usize) -> ResourceLimits {
-        ResourceLimits::new(self.sockets / processes, self.memory_mb / processes)
+        ResourceLimits::new(self.max_file_descriptors / processes, self.memory_mb / processes)
     }
 
     /// The longest deadline of all classes.
     pub fn longest_deadline(&self) -> Duration {
-        let deadlines = self.decoded.settings.classes.iter().map(|class| class.deadline);
+        let deadlines = self.decoded_settings.settings.classes.iter().map(|class| class.deadline);
         Duration::from_micros(deadlines.max().unwrap_or(0).unsigned_abs())
     }
 }
 
 fn file_path() -> Result<OsString, ConfigError> {
-    std::env::var_os(FILE_VARIABLE).ok_or(ConfigError::NoFile)
+    std::env::var_os(FILE_VARIABLE).ok_or(ConfigError::FileVariableNotSet)
 }
 
 fn address_variable(variable: &'static str) -> Result<Option<SocketAddr>, ConfigError> {
--- a/crates/sidecar/src/config/error.rs
+++ b/crates/sidecar/src/config/error.rs
@@ -13,7 +13,7 @@
 #[derive(Debug)]
 pub enum ConfigError {
     /// `LB_CONFIG` is not set.
-    NoFile,
+    FileVariableNotSet,
     /// The file can't be read.
     Read {
         /// The file.
@@ -47,7 +47,7 @@
     /// The balancer rejects the settings.
     SettingsCheck(SettingsError),
     /// The limit on file descriptors is too low.
-    TooFewSockets {
+    TooFewFileDescriptors {
         /// The minimum number.
         min: usize,
     },
@@ -74,7 +74,7 @@
 impl fmt::Display for ConfigError {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         match self {
-            Self::NoFile => f.write_str("LB_CONFIG is not set"),
+            Self::FileVariableNotSet => f.write_str("LB_CONFIG is not set"),
             Self::Read { path, source } => write!(f, "cannot read LB_CONFIG {}: {source}", path.display()),
             Self::Address { variable, value } => {
                 write!(f, "{variable} is not an address and port: {value}")
@@ -90,7 +90,7 @@
             Self::Json(e) => e.fmt(f),
             Self::Settings(e) => write!(f, "settings: {e}"),
             Self::SettingsCheck(e) => e.fmt(f),
-            Self::TooFewSockets { min } => write!(f, "limits: sockets must be {min} or more"),
+            Self::TooFewFileDescriptors { min } => write!(f, "limits: sockets must be {min} or more"),
             Self::TooLittleMemory { min_mb } => write!(f, "limits: memory_mb must be {min_mb} or more"),
             Self::Registry(e) => e.fmt(f),
             Self::NoListenAddress => f.write_str("no address to listen on"),
@@ -104,7 +104,7 @@
         match self {
             Self::Read { source, .. } => Some(source),
             Self::Invalid { reason, .. } => Some(reason),
-            Self::NoFile | Self::Address { .. } => None,
+            Self::FileVariableNotSet | Self::Address { .. } => None,
         }
     }
 }
--- a/crates/sidecar/src/config/tests.rs
+++ b/crates/sidecar/src/config/tests.rs
@@ -25,12 +25,12 @@
     assert_eq!(config.discovery, address("127.0.0.1:7001"));
     assert_eq!(config.management, Some(address("127.0.0.1:7002")));
     assert_eq!(config.seed, 0x00c0_ffee_1234_5678);
-    assert_eq!((config.sockets, config.memory_mb), (2048, 96));
+    assert_eq!((config.max_file_descriptors, config.memory_mb), (2048, 96));
     assert_eq!(config.peer_listen, Some(address("127.0.0.1:7003")));
     assert_eq!(config.peers, ["127.0.0.1:7003", "127.0.0.2:7003"].map(address));
-    assert_eq!(config.peers_all, Some(address("127.255.255.255:7003")));
+    assert_eq!(config.peers_broadcast, Some(address("127.255.255.255:7003")));
     assert_eq!(config.longest_deadline(), Duration::from_micros(2_040_000));
-    assert_eq!(config.decoded.classes, ["look", "book", "pay", "move", "mark"]);
+    assert_eq!(config.decoded_settings.classes, ["look", "book", "pay", "move", "mark"]);
 }
 
 #[test]
@@ -78,8 +78,8 @@
         Config::parse(&format!("{{{settings}"), Some(address("127.0.0.9:1")), Some(address("127.0.0.9:2")))
             .unwrap_or_else(|error| panic!("{error}"));
     assert_eq!((config.listen, config.discovery), (address("127.0.0.9:1"), address("127.0.0.9:2")));
-    assert_eq!((config.sockets, config.memory_mb, config.seed), (1024, 192, 0));
-    assert_eq!((config.management, config.peer_listen, config.peers_all), (None, None, None));
+    assert_eq!((config.max_file_descriptors, config.memory_mb, config.seed), (1024, 192, 0));
+    assert_eq!((config.management, config.peer_listen, config.peers_broadcast), (None, None, None));
     assert!(config.peers.is_empty() && config.cached_list.is_none() && config.registry.is_none());
     let config = Config::parse(ALL_KEYS, Some(address("127.0.0.9:1")), Some(address("127.0.0.9:2")));
     let config = config.unwrap_or_else(|error| panic!("{error}"));
@@ -91,7 +91,7 @@
     for (valid, invalid, error) in [
         (r#""sockets": 2048"#, r#""sockets": 31"#, "limits: sockets must be 32 or more"),
         (r#""memory_mb": 96"#, r#""memory_mb": 15"#, "limits: memory_mb must be 16 or more"),
-        (r#""hold_back": 0.25"#, r#""hold_back": 0"#, "roster: hold_back must lie above 0 and up to 1"),
+        (r#""hold_back": 0.25"#, r#""hold_back": 0"#, "roster: hold_back must be above 0 and at most 1"),
         (r#""stale_after_ms": 20000"#, r#""stale_after_ms": 0"#, "roster: stale_after_ms must be above 0"),
         (
             r#""services": ["ledger", "mail"]"#,
--- a/crates/sidecar/src/connection/tests.rs
+++ b/crates/sidecar/src/connection/tests.rs
@@ -84,7 +84,8 @@
     }
 }
 
-// Otherwise a request body would take memory for as long as its connection is idle.
+// A permit refers to its request, and so to the request's body. If an idle connection still referred to the permit, the
+// body would take memory for as long as the connection is idle.
 #[tokio::test]
 async fn releases_permit_after_first_byte() {
     let progress = gated(|| true);
--- a/crates/sidecar/src/connection_age.rs
+++ b/crates/sidecar/src/connection_age.rs
@@ -6,9 +6,9 @@
 use std::time::Duration;
 use tokio::net::TcpStream;
 
-/// How long ago a connection was established on which nothing has been sent yet: the kernel counts the time since the
-/// last send from the handshake. The time since data was received would not do: bytes for which the receive buffer has
-/// no room are received late, although their client wrote them earlier and has been waiting since. `None` if the kernel
+/// How long ago a connection was established on which nothing has been sent yet. This is `tcpi_last_data_sent`, which
+/// counts from the handshake before the first send. `tcpi_last_data_recv` can't be used: if the receive buffer is full,
+/// bytes are received late, although their client wrote them earlier and has been waiting since. `None` if the kernel
 /// does not report it.
 pub fn age_before_first_send(stream: &TcpStream) -> Option<Duration> {
     tcp_info(stream).map(|info| Duration::from_millis(u64::from(info.tcpi_last_data_sent)))
--- a/crates/sidecar/src/discovery.rs
+++ b/crates/sidecar/src/discovery.rs
@@ -5,7 +5,7 @@
 mod poll;
 
 use crate::endpoint_list::ListMessage;
-use crate::engine_input::{Input, Inputs};
+use crate::engine_input::{Input, InputSender};
 use poll::{PollError, Polls, poll};
 use std::cell::Cell;
 use std::net::SocketAddr;
@@ -18,11 +18,11 @@
 /// Minimum time between the starts of two polls of a watch, which keeps a discovery that answers at once from being
 /// polled in a tight loop. Discovery ends a watch unless the next poll arrives within 200 ms of the last answer.
 const MIN_POLL_SPACING: Duration = Duration::from_millis(50);
-/// Pause after a failed poll of a continuous watch. It is short, as discovery's agent runs on the same machine and the
-/// sidecar counts as notified of a change once that agent has it.
+/// Pause after a failed poll of a continuous watch. It is short: the agent of discovery that answers polls runs on the
+/// same machine, and by the protocol the sidecar counts as notified of a change as soon as that agent has it.
 const RETRY_PAUSE: Duration = Duration::from_millis(250);
 /// Maximum time from the start of a failed poll to the next one, even where the settings let the balancer wait
-/// longer: the sidecar counts as notified of a change 6 s after discovery had it and was reachable.
+/// longer: by the protocol, the sidecar has to know a change 6 s after discovery had it and was reachable.
 const MAX_RETRY_DELAY: Duration = Duration::from_secs(5);
 
 /// A command to the task that polls discovery.
@@ -35,11 +35,11 @@
     /// Fetch the complete list once.
     Fetch,
     /// Poll discovery at another address.
-    Move(SocketAddr),
+    SetAddress(SocketAddr),
 }
 
-/// What to poll, and how.
-pub struct Watch {
+/// Which discovery to poll, from which version on, and whether continuously.
+pub struct WatchConfig {
     /// The address of discovery.
     pub address: SocketAddr,
     /// The watch runs from the start and retries without a command.
@@ -52,8 +52,12 @@
 type KnownIndex = Rc<Cell<Option<u64>>>;
 
 /// Executes commands, with at most one watch at a time. Ends once the sender of commands is dropped.
-pub async fn run(watch: Watch, mut commands: mpsc::UnboundedReceiver<DiscoveryCommand>, inputs: Inputs) {
-    let Watch { mut address, continuous, known_index } = watch;
+pub async fn run(
+    config: WatchConfig,
+    mut commands: mpsc::UnboundedReceiver<DiscoveryCommand>,
+    inputs: InputSender,
+) {
+    let WatchConfig { mut address, continuous, known_index } = config;
     let retry_now = Rc::new(Notify::new());
     let start_watch = |address, index| {
         let (retry_now, inputs) = (Rc::clone(&retry_now), inputs.clone());
@@ -71,10 +75,10 @@
             DiscoveryCommand::Fetch => {
                 fetches.spawn_local(fetch(address, Rc::clone(&index), inputs.clone()));
             }
-            DiscoveryCommand::Move(to) => {
+            DiscoveryCommand::SetAddress(to) => {
                 // Answers from the old address are ignored from now on. Its versions are meaningless at the new
-                // address, so that is polled for the complete list at once. Without a watch, the balancer handles
-                // that list as a fetched one.
+                // address, so that is polled for the complete list at once, also if the balancer has not
+                // subscribed: it then handles that list as a fetched one.
                 address = to;
                 index = Rc::new(Cell::new(None));
                 fetches.abort_all();
@@ -92,7 +96,7 @@
     }
 }
 
-async fn fetch(address: SocketAddr, index: KnownIndex, inputs: Inputs) {
+async fn fetch(address: SocketAddr, index: KnownIndex, inputs: InputSender) {
     forward(poll(address, None, None, &Notify::new()).await.answer, &index, &inputs);
 }
 
@@ -104,7 +108,7 @@
     continuous: bool,
     index: KnownIndex,
     retry_now: Rc<Notify>,
-    inputs: Inputs,
+    inputs: InputSender,
 ) {
     let mut polls = Polls::default();
     loop {
@@ -132,7 +136,7 @@
 }
 
 /// Forwards an answer or a failure to the engine; returns whether it was an answer.
-fn forward(answer: Result<ListMessage, PollError>, index: &KnownIndex, inputs: &Inputs) -> bool {
+fn forward(answer: Result<ListMessage, PollError>, index: &KnownIndex, inputs: &InputSender) -> bool {
     match answer {
         Ok(list) => {
             index.set(Some(list.index));
--- a/crates/sidecar/src/discovery/poll.rs
+++ b/crates/sidecar/src/discovery/poll.rs
@@ -17,11 +17,11 @@
 /// How long discovery may hold a poll while nothing changes. A poll that is never answered looks like one without
 /// changes, and until it times out draining endpoints are still sent requests, so the time is short. It also sets the
 /// minimum load on discovery: without changes, each sidecar polls this often.
-const MAX_WATCH_TIME: Duration = Duration::from_secs(4);
-/// How long after the time that discovery may hold a poll a hedged poll is started: the first one may never be answered.
+const MAX_HOLD_TIME: Duration = Duration::from_secs(4);
+/// Delay of a hedged poll, counted from the end of the hold time: the first poll may never be answered.
 const HEDGE_DELAY: Duration = Duration::from_secs(2);
-/// How long after the time that discovery may hold a poll that poll times out. A slow or overloaded discovery still
-/// answers polls that wait for it, but none if each of them times out too soon.
+/// Time limit for the answer to a poll, counted from the end of the hold time. It is long: a slow or overloaded
+/// discovery still answers polls that wait for it, but none if each of them times out too soon.
 const ANSWER_TIMEOUT: Duration = Duration::from_secs(6);
 
 /// Why a poll returned no list.
@@ -93,9 +93,9 @@
     }
 
     /// Waits for an answer to any of the polls or the failure of the last one, until a hedged poll is due:
-    /// [`HEDGE_DELAY`] after the time that discovery may hold the poll, or as soon as the answer is slow.
+    /// [`HEDGE_DELAY`] after the end of the hold time, or as soon as the answer is slow.
     pub(super) async fn answer(&mut self, after: Option<u64>) -> Result<ListMessage, PollError> {
-        let hedge_after = watch_time(after) + HEDGE_DELAY;
+        let hedge_after = hold_time(after) + HEDGE_DELAY;
         let last = self.last;
         let ended = async {
             while let Some(ended) = self.in_flight.join_next().await {
@@ -142,8 +142,8 @@
 
 /// How long discovery may hold a poll for the changes since the version `after`. A poll for the complete list is
 /// answered at once.
-fn watch_time(after: Option<u64>) -> Duration {
-    if after.is_some() { MAX_WATCH_TIME } else { Duration::ZERO }
+fn hold_time(after: Option<u64>) -> Duration {
+    if after.is_some() { MAX_HOLD_TIME } else { Duration::ZERO }
 }
 
 /// Polls once, over the connection of the last poll if that is usable. Time and size are bounded, as a discovery that
@@ -156,11 +156,11 @@
 ) -> Polled {
     let path = match after {
         Some(index) => {
-            format!("/discovery/hosts?after={index}&wait_ms={}", MAX_WATCH_TIME.as_millis())
+            format!("/discovery/hosts?after={index}&wait_ms={}", MAX_HOLD_TIME.as_millis())
         }
         None => "/discovery/hosts".to_owned(),
     };
-    match timeout(watch_time(after) + ANSWER_TIMEOUT, get_list(address, &mut reusable, &path, slow)).await {
+    match timeout(hold_time(after) + ANSWER_TIMEOUT, get_list(address, &mut reusable, &path, slow)).await {
         Ok(answer) => Polled { answer, reusable },
         Err(_) => Polled { answer: Err(PollError::NoAnswer), reusable: None },
     }
--- a/crates/sidecar/src/engine.rs
+++ b/crates/sidecar/src/engine.rs
@@ -12,10 +12,10 @@
 use crate::config::Config;
 use crate::discovery::{self, DiscoveryCommand};
 use crate::endpoint_list::ListMessage;
-use crate::engine_input::{Answer, HealthCheckResult, Input, Inputs, QueuedDatagram};
+use crate::engine_input::{Answer, HealthCheckResult, Input, InputSender, QueuedDatagram};
 use crate::gossip::{Datagram, GossipSocket};
 use crate::log::{ThrottledLog, log_line};
-use crate::registry_watch::{ListStatus, RegistryWatch};
+use crate::registry_watch::{RegistryDriver, RegistryHandle};
 use crate::resource_limits::ResourceLimits;
 use crate::upstream::Upstream;
 use clock::Clock;
@@ -45,7 +45,7 @@
     balancer: Balancer,
     clock: Clock,
     inputs: mpsc::UnboundedReceiver<Input>,
-    sender: Inputs,
+    sender: InputSender,
     requests: HashMap<RequestId, OpenRequest>,
     attempts: HashMap<AttemptKey, InFlightAttempt>,
     endpoints: EndpointTable,
@@ -66,7 +66,7 @@
     /// The handle through which client and operator connections reach the engine.
     pub handle: EngineHandle,
     /// The status of the registry's list, if a registry is configured.
-    pub list_status: Option<ListStatus>,
+    pub registry_handle: Option<RegistryHandle>,
 }
 
 impl Engine {
@@ -77,12 +77,12 @@
         gossip: Option<GossipSocket>,
         cordoned: BTreeSet<String>,
     ) -> Result<NewEngine, SettingsError> {
-        let decoded = config.decoded;
+        let decoded = config.decoded_settings;
         let continuous = decoded.settings.discovery == DiscoveryMode::Pushed;
         let connect_timeout = decoded.settings.limits.connect_timeout;
         let upstream = Rc::new(Upstream::new(limits, connect_timeout, decoded.idle_timeout));
         let balancer = Balancer::new(decoded.settings, config.seed)?;
-        let (sender, inputs) = Inputs::new();
+        let (sender, inputs) = InputSender::new();
         let (discovery, commands) = mpsc::unbounded_channel();
         let clock = Clock::new();
         let mut engine = Self {
@@ -102,17 +102,17 @@
         };
         spawn_local(upstream.retire_idle());
         let known_index = config.cached_list.as_ref().map(|list| list.index);
-        let list_status = match config.registry {
+        let registry_handle = match config.registry {
             None => {
-                let watch = discovery::Watch { address: config.discovery, continuous, known_index };
+                let watch = discovery::WatchConfig { address: config.discovery, continuous, known_index };
                 spawn_local(discovery::run(watch, commands, sender.clone()));
                 None
             }
             // The registry is always watched for changes, whatever discovery mode the settings name.
             Some(registry) => {
-                let (watcher, status) = RegistryWatch::new(registry, config.seed, sender.clone());
-                spawn_local(watcher.run());
-                Some(status)
+                let (driver, handle) = RegistryDriver::new(registry, config.seed, sender.clone());
+                spawn_local(driver.run());
+                Some(handle)
             }
         };
         if let Some(gossip) = gossip {
@@ -121,7 +121,7 @@
         let cached = config.cached_list.unwrap_or(ListMessage { snapshot: true, ..ListMessage::default() });
         let entries = engine.apply_list(cached, true);
         engine.deliver(Event::EndpointList(EndpointListUpdate::Cached(entries)));
-        Ok(NewEngine { engine, handle: EngineHandle::new(sender, clock, discovery), list_status })
+        Ok(NewEngine { engine, handle: EngineHandle::new(sender, clock, discovery), registry_handle })
     }
 
     /// Handles inputs and timers. Does not return while any handle to the engine exists.
@@ -198,7 +198,7 @@
     /// Applies a list to the endpoint table and the connections, before the balancer can send anything more.
     fn apply_list(&mut self, list: ListMessage, full: bool) -> Vec<EndpointEntry> {
         if let Some(what) = &list.unreadable {
-            self.bad_input_log.line(format_args!("discovery: entry left out: {what}"));
+            self.bad_input_log.line(format_args!("discovery: skipped an unreadable entry: {what}"));
         }
         let applied = self.endpoints.apply(self.clock.now(), list, full);
         self.events.extend(applied.events_before);
@@ -274,7 +274,7 @@
 }
 
 /// Forwards datagrams from peers to the engine. Never returns.
-async fn receive_gossip(gossip: GossipSocket, inputs: Inputs) {
+async fn receive_gossip(gossip: GossipSocket, inputs: InputSender) {
     let queue = Arc::new(Semaphore::new(MAX_QUEUED_DATAGRAMS));
     loop {
         let datagram = gossip.receive().await;
--- a/crates/sidecar/src/engine/attempts.rs
+++ b/crates/sidecar/src/engine/attempts.rs
@@ -22,8 +22,8 @@
     /// Starts an attempt.
     pub(super) fn start_attempt(&mut self, decision: SendDecision) {
         let SendDecision { request, endpoint, timeout, idempotency_window } = decision;
-        // Engine and balancer drop a request while handling the same input, so a request that the balancer sends is
-        // open here as well.
+        // Always open: engine and balancer drop a request while handling the same input, so the balancer sends only
+        // requests that are open here.
         let Some(open) = self.requests.get_mut(&request) else { return };
         let attempt = open.attempts;
         open.attempts += 1;
--- a/crates/sidecar/src/engine/handle.rs
+++ b/crates/sidecar/src/engine/handle.rs
@@ -2,7 +2,7 @@
 
 use super::clock::Clock;
 use crate::discovery::DiscoveryCommand;
-use crate::engine_input::{Answer, Input, Inputs, Submission};
+use crate::engine_input::{Answer, Input, InputSender, Submission};
 use crate::outgoing_request::OutgoingRequest;
 use lotusmoor_balancer::{Micros, NewRequest, RequestId};
 use std::cell::Cell;
@@ -15,16 +15,16 @@
 /// A handle to the engine.
 #[derive(Clone)]
 pub struct EngineHandle {
-    inputs: Inputs,
+    inputs: InputSender,
     clock: Clock,
     last_request: Rc<Cell<RequestId>>,
     discovery: mpsc::UnboundedSender<DiscoveryCommand>,
 }
 
 impl EngineHandle {
-    /// A handle to the engine that receives `inputs` and whose list `discovery` maintains.
+    /// A handle that sends to the engine through `inputs`, and to the task that polls discovery through `discovery`.
     pub(super) fn new(
-        inputs: Inputs,
+        inputs: InputSender,
         clock: Clock,
         discovery: mpsc::UnboundedSender<DiscoveryCommand>,
     ) -> Self {
@@ -42,9 +42,9 @@
     }
 
     /// Changes the address of discovery.
-    pub fn move_discovery(&self, to: SocketAddr) {
+    pub fn set_discovery_address(&self, to: SocketAddr) {
         // The receiving task ends only with the process.
-        let _ = self.discovery.send(DiscoveryCommand::Move(to));
+        let _ = self.discovery.send(DiscoveryCommand::SetAddress(to));
     }
 
     /// Cordons exactly the endpoints of these names. Returns once that is in effect.
@@ -80,7 +80,7 @@
     outgoing: Rc<OutgoingRequest>,
     answer: oneshot::Receiver<Answer>,
     answered: bool,
-    inputs: Inputs,
+    inputs: InputSender,
 }
 
 impl PendingResponse {
--- a/crates/sidecar/src/engine_input.rs
+++ b/crates/sidecar/src/engine_input.rs
@@ -1,6 +1,6 @@
 //! The inputs that socket tasks send to the engine, and the answers that it returns.
 
-use crate::body::AnswerBody;
+use crate::body::ResponseBody;
 use crate::endpoint_list::ListMessage;
 use crate::gossip::Datagram;
 use crate::memory_budget::MemoryReservation;
@@ -13,7 +13,7 @@
 use std::rc::Rc;
 use tokio::sync::{OwnedSemaphorePermit, mpsc, oneshot};
 
-/// The single final answer to a request.
+/// The single final answer to a request, as the engine hands it to the client's connection.
 pub enum Answer {
     /// An endpoint answered with status 200.
     Served(ServedAnswer),
@@ -30,7 +30,7 @@
     /// Its headers.
     pub headers: HeaderMap,
     /// Its body.
-    pub body: AnswerBody,
+    pub body: ResponseBody,
     /// The memory reserved for the body.
     pub reservation: MemoryReservation,
 }
@@ -121,9 +121,9 @@
 /// Sends inputs to the engine. The channel is unbounded, as the report that a client has closed its connection must
 /// never be lost. Its length is bounded by the limits on the senders: connections, attempts, polls and datagrams.
 #[derive(Clone)]
-pub struct Inputs(mpsc::UnboundedSender<Input>);
+pub struct InputSender(mpsc::UnboundedSender<Input>);
 
-impl Inputs {
+impl InputSender {
     /// Creates the channel for inputs.
     pub fn new() -> (Self, mpsc::UnboundedReceiver<Input>) {
         let (sender, inputs) = mpsc::unbounded_channel();
--- a/crates/sidecar/src/file_access.rs
+++ b/crates/sidecar/src/file_access.rs
@@ -2,7 +2,8 @@
 //!
 //! A regular file in the page cache is read at once, and a named pipe as its bytes arrive. Everything else runs on a
 //! separate thread, and its caller waits for a limited time. One call remains: the serving thread itself opens files
-//! for reading, as their directories are in memory. On a network file system that hangs, that call may block.
+//! for reading, which assumes that their directory entries are cached. On a network file system that hangs, that call
+//! may block.
 
 mod cached;
 
@@ -26,8 +27,8 @@
 /// Stack size of such a thread.
 const STACK_BYTES: usize = 256 << 10;
 
-/// Number of running threads.
-static THREADS: AtomicUsize = AtomicUsize::new(0);
+/// Number of running threads of this module.
+static RUNNING_THREADS: AtomicUsize = AtomicUsize::new(0);
 
 /// Reads a file, waiting for at most `limit`.
 pub async fn read(path: &Path, limit: Duration) -> io::Result<Vec<u8>> {
@@ -127,17 +128,17 @@
 
 /// Runs `work` on a new thread, unless too many threads hang.
 fn spawn(work: impl FnOnce() + Send + 'static) -> io::Result<()> {
-    if THREADS.fetch_add(1, Ordering::SeqCst) >= MAX_THREADS {
-        THREADS.fetch_sub(1, Ordering::SeqCst);
+    if RUNNING_THREADS.fetch_add(1, Ordering::SeqCst) >= MAX_THREADS {
+        RUNNING_THREADS.fetch_sub(1, Ordering::SeqCst);
         return Err(io::Error::new(io::ErrorKind::TimedOut, "too many earlier file operations still hang"));
     }
     let counted = move || {
         work();
-        THREADS.fetch_sub(1, Ordering::SeqCst);
+        RUNNING_THREADS.fetch_sub(1, Ordering::SeqCst);
     };
     let spawned = thread::Builder::new().name("files".to_owned()).stack_size(STACK_BYTES).spawn(counted);
     if spawned.is_err() {
-        THREADS.fetch_sub(1, Ordering::SeqCst);
+        RUNNING_THREADS.fetch_sub(1, Ordering::SeqCst);
     }
     spawned.map(drop)
 }
--- a/crates/sidecar/src/file_access/tests.rs
+++ b/crates/sidecar/src/file_access/tests.rs
@@ -11,7 +11,7 @@
 
 fn wait_for_threads() {
     let until = Instant::now() + 20 * HANG;
-    while THREADS.load(Ordering::SeqCst) > 0 {
+    while RUNNING_THREADS.load(Ordering::SeqCst) > 0 {
         assert!(Instant::now() < until, "threads still hang");
         thread::sleep(RESOURCE_PAUSE);
     }
@@ -48,7 +48,7 @@
 }
 
 #[test]
-fn error_says_that_operation_which_hangs_later_may_take_effect() {
+fn timeout_after_commit_reports_that_operation_may_take_effect() {
     let error = block_on(run(LIMIT, |commit| {
         commit.begin()?;
         thread::sleep(HANG);
--- a/crates/sidecar/src/gossip.rs
+++ b/crates/sidecar/src/gossip.rs
@@ -1,4 +1,4 @@
-//! The UDP socket over which the sidecars of a tier gossip.
+//! The UDP socket over which the sidecars of a tier gossip. A tier is all sidecars of one service's clients.
 
 use std::io;
 use std::net::{SocketAddr, UdpSocket as StdSocket};
--- a/crates/sidecar/src/idle_bound.rs
+++ b/crates/sidecar/src/idle_bound.rs
@@ -27,14 +27,14 @@
 /// If no connection is lost for this long, the timeout rises by one range, as the cause of the losses may be gone.
 const RAISE_INTERVAL: Duration = Duration::from_secs(10);
 
-/// Uses of connections of similar idle age.
+/// How many connections of similar idle age were used recently, and how many of them were lost.
 #[derive(Clone, Copy, Default)]
-struct Uses {
+struct UseCounts {
     used: u32,
     lost: u32,
 }
 
-impl Uses {
+impl UseCounts {
     fn add(&mut self, lost: bool) {
         if self.used >= MAX_USES {
             *self = Self { used: self.used / 2, lost: self.lost / 2 };
@@ -50,11 +50,12 @@
 /// The idle age up to which connections are reused.
 pub struct AdaptiveIdleTimeout {
     configured: Duration,
-    uses: [Uses; RANGES],
-    new: Uses,
-    /// The first range that is too old, and since when that is so.
-    too_old: usize,
-    since: Instant,
+    uses: [UseCounts; RANGES],
+    new_connections: UseCounts,
+    /// Index of the first range that is too old to be reused; `RANGES` if none is.
+    first_too_old: usize,
+    /// When `first_too_old` was last set.
+    first_too_old_at: Instant,
 }
 
 impl AdaptiveIdleTimeout {
@@ -62,28 +63,30 @@
     pub fn new(configured: Duration, now: Instant) -> Self {
         Self {
             configured,
-            uses: [Uses::default(); RANGES],
-            new: Uses::default(),
-            too_old: RANGES,
-            since: now,
+            uses: [UseCounts::default(); RANGES],
+            new_connections: UseCounts::default(),
+            first_too_old: RANGES,
+            first_too_old_at: now,
         }
     }
 
     /// The current timeout.
     pub fn get(&mut self, now: Instant) -> Duration {
-        if self.too_old < RANGES && now.saturating_duration_since(self.since) >= RAISE_INTERVAL {
-            (self.too_old, self.since) = (self.too_old + 1, now);
+        if self.first_too_old < RANGES
+            && now.saturating_duration_since(self.first_too_old_at) >= RAISE_INTERVAL
+        {
+            (self.first_too_old, self.first_too_old_at) = (self.first_too_old + 1, now);
         }
-        if self.too_old == RANGES {
+        if self.first_too_old == RANGES {
             return self.configured;
         }
-        let timeout = FIRST_RANGE_SECONDS * RANGE_FACTOR.powi(self.too_old as i32 - 1);
+        let timeout = FIRST_RANGE_SECONDS * RANGE_FACTOR.powi(self.first_too_old as i32 - 1);
         Duration::from_secs_f64(timeout).min(self.configured)
     }
 
     /// Records whether a new connection was lost before any byte of a response.
     pub fn record_new(&mut self, lost: bool) {
-        self.new.add(lost);
+        self.new_connections.add(lost);
     }
 
     /// Records the same for a connection that had been idle for that time.
@@ -91,17 +94,17 @@
         let range = range_of(idle);
         self.uses[range].add(lost);
         // Whatever drops connections of this age drops all older ones as well.
-        let older = self.uses[range..].iter().fold(Uses::default(), |sum, uses| Uses {
+        let older = self.uses[range..].iter().fold(UseCounts::default(), |sum, uses| UseCounts {
             used: sum.used + uses.used,
             lost: sum.lost + uses.lost,
         });
         // If new connections are lost as well, age is not the cause.
-        let lost_of_older = older.lost * self.new.used.max(1);
-        let lost_of_new = self.new.lost * older.used;
+        let lost_of_older = older.lost * self.new_connections.used.max(1);
+        let lost_of_new = self.new_connections.lost * older.used;
         let by_age = lost_of_older > MIN_RATIO_TO_NEW * lost_of_new;
         if lost && self.uses[range].many_lost() && older.many_lost() && by_age {
-            (self.too_old, self.since) = (range.min(self.too_old), now);
-            self.uses[range..].fill(Uses::default());
+            (self.first_too_old, self.first_too_old_at) = (range.min(self.first_too_old), now);
+            self.uses[range..].fill(UseCounts::default());
         }
     }
 }
--- a/crates/sidecar/src/inbound/pace.rs
+++ b/crates/sidecar/src/inbound/pace.rs
@@ -12,14 +12,14 @@
 /// allows for delays of the network and of this process.
 const MIN_BYTES_PER_SECOND: usize = 32_000;
 
-/// Tracks how fast a body is received.
-pub(super) struct Pace {
+/// Tracks how fast a body is received, and yields the deadline that the minimum rate sets for its next byte.
+pub(super) struct ReceiveRate {
     began: Instant,
     last_progress: Instant,
 }
 
-impl Pace {
-    /// The pace of a request that began to arrive at `began`.
+impl ReceiveRate {
+    /// For a request that began to arrive at `began`.
     pub(super) fn since(began: Instant) -> Self {
         Self { began, last_progress: Instant::now() }
     }
--- a/crates/sidecar/src/inbound/read_request.rs
+++ b/crates/sidecar/src/inbound/read_request.rs
@@ -1,7 +1,7 @@
 //! Reads a request: its head, and its body as far as it is buffered.
 
 use super::client::{Client, READ_BYTES, RequestError};
-use super::pace::Pace;
+use super::pace::ReceiveRate;
 use super::shared::InboundContext;
 use super::timing::REQUEST_READ_TIMEOUT;
 use crate::body::{BodyDecoder, Framing, MAX_BUFFERED_BYTES, STREAMING_BYTES};
@@ -35,7 +35,7 @@
     /// The body, or the buffered start of one that is streamed.
     pub(super) body: Bytes,
     pub(super) decoder: BodyDecoder,
-    pub(super) pace: Pace,
+    pub(super) receive_rate: ReceiveRate,
     pub(super) reservation: MemoryReservation,
 }
 
@@ -57,13 +57,20 @@
         }
         let metadata = RequestMetadata::parse(&context.traffic_classes, &head);
         let metadata = metadata.ok_or(RequestError::Rejected(StatusCode::BAD_REQUEST))?;
-        let mut pace = Pace::since(until - REQUEST_READ_TIMEOUT);
+        let mut receive_rate = ReceiveRate::since(until - REQUEST_READ_TIMEOUT);
         let began = Instant::now();
         let reservation = self.reserve_body(&head, metadata.time_left, began, context).await?;
-        pace.exclude(began.elapsed());
+        receive_rate.exclude(began.elapsed());
         let mut decoder = BodyDecoder::new(head.body);
-        let body = self.read_body(&head, &mut decoder, &mut pace).await?;
-        Ok(ReadRequest::Api(Box::new(ApiRequest { head, metadata, body, decoder, pace, reservation })))
+        let body = self.read_body(&head, &mut decoder, &mut receive_rate).await?;
+        Ok(ReadRequest::Api(Box::new(ApiRequest {
+            head,
+            metadata,
+            body,
+            decoder,
+            receive_rate,
+            reservation,
+        })))
     }
 
     /// Reserves memory for a body. The client may be waiting for its response already, so the wait for memory is
@@ -114,7 +121,7 @@
         &mut self,
         head: &RequestHead,
         decoder: &mut BodyDecoder,
-        pace: &mut Pace,
+        receive_rate: &mut ReceiveRate,
     ) -> Result<Bytes, RequestError> {
         let incomplete = head.body.length().is_none_or(|length| self.unparsed.len() < length);
         if head.expects_continue && incomplete {
@@ -126,7 +133,7 @@
                 Some(piece) if buffer.is_empty() && decoder.ended() => return Ok(piece),
                 Some(piece) => buffer.extend_from_slice(&piece),
                 None if decoder.ended() => {}
-                None => self.fill_body(decoder, pace).await?,
+                None => self.fill_body(decoder, receive_rate).await?,
             }
         }
         Ok(buffer.freeze())
@@ -136,14 +143,14 @@
     pub(super) async fn fill_body(
         &mut self,
         decoder: &BodyDecoder,
-        pace: &mut Pace,
+        receive_rate: &mut ReceiveRate,
     ) -> Result<(), RequestError> {
         let max_bytes = decoder.max_read_bytes(BODY_READ_BYTES);
-        match timeout_at(pace.next_byte_deadline(decoder.received()), self.fill(max_bytes)).await {
+        match timeout_at(receive_rate.next_byte_deadline(decoder.received()), self.fill(max_bytes)).await {
             Ok(read) => read?,
             Err(_) => return Err(RequestError::Rejected(StatusCode::REQUEST_TIMEOUT)),
         }
-        pace.record_progress();
+        receive_rate.record_progress();
         Ok(())
     }
 }
--- a/crates/sidecar/src/inbound/reply.rs
+++ b/crates/sidecar/src/inbound/reply.rs
@@ -1,6 +1,6 @@
 //! The response to a client and its encoding.
 
-use crate::body::AnswerBody;
+use crate::body::ResponseBody;
 use crate::engine_input::{Answer, ServedAnswer};
 use crate::memory_budget::MemoryReservation;
 use crate::request::end_to_end;
@@ -12,13 +12,13 @@
 /// Microseconds in a second.
 const MICROS_PER_SECOND: f64 = 1e6;
 
-/// A response to a client.
+/// A response as it is sent to a client: the form that a request's final [`Answer`] takes on the wire.
 pub(super) struct Reply {
     pub(super) status: StatusCode,
     pub(super) headers: HeaderMap,
     /// Seconds until a retry may succeed.
     pub(super) retry_after: Option<f64>,
-    pub(super) body: AnswerBody,
+    pub(super) body: ResponseBody,
     /// The body is sent with chunked encoding.
     pub(super) chunked: bool,
     /// The memory of the body, reserved until the response is written.
@@ -34,7 +34,7 @@
             status,
             headers: HeaderMap::new(),
             retry_after: None,
-            body: AnswerBody::buffered(Bytes::new()),
+            body: ResponseBody::buffered(Bytes::new()),
             chunked: false,
             _reservation: None,
             _id: None,
--- a/crates/sidecar/src/inbound/serve_request.rs
+++ b/crates/sidecar/src/inbound/serve_request.rs
@@ -2,7 +2,7 @@
 //! large to be buffered.
 
 use super::client::{Client, READ_BYTES, RequestError};
-use super::pace::{Pace, transfer_time};
+use super::pace::{ReceiveRate, transfer_time};
 use super::read_ahead::ReadAhead;
 use super::read_request::{ApiRequest, ReadRequest};
 use super::reply::Reply;
@@ -25,9 +25,9 @@
 use tokio::time::{Instant, sleep_until, timeout};
 
 /// Time allowed for the balancer to reject a request that arrived after its deadline.
-const LATE_DECISION_TIME: Duration = Duration::from_millis(10);
+const LATE_REQUEST_REJECTION_TIMEOUT: Duration = Duration::from_millis(10);
 
-/// The result of a request, as far as its client's connection is concerned.
+/// The response to a request, and whether its client's connection stays open.
 pub(super) struct ServedRequest {
     /// Whether the connection may carry a further request.
     pub(super) keep_alive: bool,
@@ -48,7 +48,7 @@
 /// The rest of a body that is forwarded as it arrives.
 struct StreamingBody {
     decoder: BodyDecoder,
-    pace: Pace,
+    receive_rate: ReceiveRate,
     sender: BodySender,
     read_ahead: ReadAhead,
 }
@@ -110,7 +110,7 @@
 
     /// Submits a request to the engine.
     fn submit(&mut self, request: ApiRequest, context: &InboundContext) -> Submitted {
-        let ApiRequest { head, metadata, body, decoder, pace, reservation } = request;
+        let ApiRequest { head, metadata, body, decoder, receive_rate, reservation } = request;
         let time_left = metadata.time_left;
         let earliest_deadline = self.deadline(time_left, context);
         let mut deadline = earliest_deadline;
@@ -122,7 +122,8 @@
             let transfer = Micros::try_from(transfer_time(outstanding).as_micros());
             deadline = deadline.saturating_add(transfer.unwrap_or(Micros::MAX));
             let (sender, stream) = BodyStream::new(length);
-            streaming = Some(StreamingBody { decoder, pace, sender, read_ahead: ReadAhead::default() });
+            streaming =
+                Some(StreamingBody { decoder, receive_rate, sender, read_ahead: ReadAhead::default() });
             rest = Some(stream);
         }
         let lifecycle = RequestLifecycle::new(&metadata.id, Some(self.liveness.clone()), streaming.is_some());
@@ -161,7 +162,7 @@
     ) -> Result<Answer, RequestError> {
         // A request that arrived after its deadline is shed by the balancer, with a status that promises that it was
         // not processed.
-        let decision_by = Instant::now() + LATE_DECISION_TIME;
+        let decision_by = Instant::now() + LATE_REQUEST_REJECTION_TIMEOUT;
         let mut service = context.service.clone();
         loop {
             let deadline = context.engine.instant(submitted.deadline).max(decision_by);
@@ -211,7 +212,7 @@
             match streaming.decoder.decode(&mut self.unparsed).map_err(RequestError::Rejected)? {
                 Some(piece) => self.forward_piece(piece, streaming, lifecycle, context).await?,
                 None if streaming.decoder.ended() => {}
-                None => self.fill_body(&streaming.decoder, &mut streaming.pace).await?,
+                None => self.fill_body(&streaming.decoder, &mut streaming.receive_rate).await?,
             }
         }
         // Bytes after the body are rejected, as clients send one request at a time.
@@ -227,7 +228,7 @@
         lifecycle: &RequestLifecycle,
         context: &InboundContext,
     ) -> Result<(), RequestError> {
-        let StreamingBody { decoder, pace, sender, read_ahead } = streaming;
+        let StreamingBody { decoder, receive_rate, sender, read_ahead } = streaming;
         let client = self.liveness.clone();
         let since = Instant::now();
         if self.unparsed.is_empty() && !decoder.ended() {
@@ -245,7 +246,7 @@
         };
         match sent {
             Ok(true) => {
-                pace.exclude(since.elapsed());
+                receive_rate.exclude(since.elapsed());
                 Ok(())
             }
             // The request has ended; its response is about to be handled.
--- a/crates/sidecar/src/inbound/write_reply/tests.rs
+++ b/crates/sidecar/src/inbound/write_reply/tests.rs
@@ -1,5 +1,5 @@
 use super::*;
-use crate::body::AnswerBody;
+use crate::body::ResponseBody;
 use bytes::Bytes;
 use hyper::StatusCode;
 use tokio::net::{TcpListener, TcpStream};
@@ -15,12 +15,12 @@
     let (stream, _) = listener.accept().await.expect("accept a connection");
     let mut client = Client::new(stream, Instant::now());
     let (_service, mut in_service) = watch::channel(ServiceState::Serving);
-    let larger_than_socket_buffers = AnswerBody::buffered(Bytes::from(vec![0; 64 << 20]));
+    let larger_than_socket_buffers = ResponseBody::buffered(Bytes::from(vec![0; 64 << 20]));
     let reply = Reply { body: larger_than_socket_buffers, ..Reply::without_body(StatusCode::OK) };
     assert!(!client.write_reply(reply, true, &mut in_service).await);
     // The same for a streamed response.
     let (pieces, rest) = tokio::sync::mpsc::channel(1);
-    let body = AnswerBody { first: Bytes::new(), rest: Some(rest), length: Some(64 << 20) };
+    let body = ResponseBody { first: Bytes::new(), rest: Some(rest), length: Some(64 << 20) };
     let reply = Reply { body, ..Reply::without_body(StatusCode::OK) };
     let feeding = async { while pieces.send(Bytes::from(vec![0; 1 << 20])).await.is_ok() {} };
     let replying = client.write_reply(reply, true, &mut in_service);
--- a/crates/sidecar/src/main.rs
+++ b/crates/sidecar/src/main.rs
@@ -1,5 +1,8 @@
 //! A sidecar load balancer: it accepts its application's requests, and sends each to an endpoint that the balancer
 //! chooses. All tasks share one thread.
+//!
+//! "The protocol" in this crate is the sidecar protocol between clients, sidecars, endpoints and discovery: headers,
+//! the endpoint list, deadlines, and rules on retries, drains and slow start. The operators define it.
 
 mod body;
 mod client_liveness;
--- a/crates/sidecar/src/management/call.rs
+++ b/crates/sidecar/src/management/call.rs
@@ -13,7 +13,7 @@
     /// Uncordon the endpoint of that name.
     Uncordon(String),
     /// Drain the sidecar.
-    Quiesce,
+    Drain,
     /// End the drain.
     Resume,
     /// The status of the registry's list.
@@ -32,7 +32,7 @@
     /// There is no call of that name.
     UnknownCall,
     /// The name of an endpoint is missing.
-    MissingId,
+    MissingName,
     /// There are more arguments than the call takes.
     TooManyArguments,
     /// It is too long.
@@ -49,7 +49,7 @@
             Self::Encoding => "not UTF-8",
             Self::Empty => "no call",
             Self::UnknownCall => "unknown call",
-            Self::MissingId => "no id",
+            Self::MissingName => "no id",
             Self::TooManyArguments => "too many arguments",
             Self::TooLong => "the line is too long",
             Self::Unterminated => "the line has no end",
@@ -66,12 +66,12 @@
         let line = std::str::from_utf8(line).map_err(|_| LineError::Encoding)?;
         let mut words = line.split_ascii_whitespace();
         let name = words.next().ok_or(LineError::Empty)?;
-        let mut id = || words.next().map(str::to_owned).ok_or(LineError::MissingId);
+        let mut id = || words.next().map(str::to_owned).ok_or(LineError::MissingName);
         let call = match name {
             "cordon" => Self::Cordon(id()?),
             "uncordon" => Self::Uncordon(id()?),
             "health" => Self::Health,
-            "quiesce" => Self::Quiesce,
+            "quiesce" => Self::Drain,
             "resume" => Self::Resume,
             "list" => Self::List,
             "metrics" => Self::Metrics,
--- a/crates/sidecar/src/management/operations.rs
+++ b/crates/sidecar/src/management/operations.rs
@@ -3,7 +3,7 @@
 use super::call::Call;
 use crate::engine::EngineHandle;
 use crate::metrics;
-use crate::registry_watch::ListStatus;
+use crate::registry_watch::RegistryHandle;
 use crate::service_state::{self, ServiceState};
 use crate::state_file::{StateFile, StoreError};
 use std::error::Error;
@@ -73,8 +73,8 @@
     pub service: Rc<watch::Sender<ServiceState>>,
     /// The engine.
     pub engine: EngineHandle,
-    /// The status of the registry's list, if a registry is configured.
-    pub list_status: Option<ListStatus>,
+    /// The handle to the registry's list, if a registry is configured.
+    pub registry_handle: Option<RegistryHandle>,
 }
 
 impl Management {
@@ -86,11 +86,11 @@
             Call::Health if self.is_stopping() => Err(CallError::Stopping),
             Call::Health => Ok(Reply::Done),
             Call::List => {
-                let status = self.list_status.as_ref().ok_or(CallError::NoRegistry)?;
+                let status = self.registry_handle.as_ref().ok_or(CallError::NoRegistry)?;
                 Ok(Reply::Line(status.summary()))
             }
             Call::Metrics => Ok(Reply::Metrics(metrics::to_prometheus_text())),
-            Call::Quiesce => self.set_drained(true).await,
+            Call::Drain => self.set_drained(true).await,
             Call::Resume => self.set_drained(false).await,
             Call::Cordon(name) => self.set_cordoned(name, true).await,
             Call::Uncordon(name) => self.set_cordoned(name, false).await,
--- a/crates/sidecar/src/metrics.rs
+++ b/crates/sidecar/src/metrics.rs
@@ -156,7 +156,8 @@
 }
 
 counter_family! {
-    /// A violation of the protocol's rules, detected at run time: each one is a bug in this program.
+    /// A violation of the sidecar protocol's rules (see the head of `main.rs`), detected at run time: each one is a bug
+    /// in this program.
     RuleViolation, "lotusmoor_sidecar_rule_violations", "rule", "Violations of the protocol's rules, which are bugs in the sidecar.",
     {
         /// A request that was read ended without an answer, although its client was still connected.
--- a/crates/sidecar/src/outgoing_request.rs
+++ b/crates/sidecar/src/outgoing_request.rs
@@ -25,7 +25,7 @@
     pub body: Bytes,
     /// The rest of a streamed body.
     pub rest: Option<BodyStream>,
-    /// The state of the request that sends depend on.
+    /// What decides whether an attempt may begin: whether the request is open, its deadline, and attempts in flight.
     pub lifecycle: Rc<RequestLifecycle>,
     /// The memory reserved for the body.
     pub _reservation: Option<MemoryReservation>,
--- a/crates/sidecar/src/registry_watch.rs
+++ b/crates/sidecar/src/registry_watch.rs
@@ -8,10 +8,10 @@
 mod watcher;
 
 pub use config::{RegistryConfig, RegistryConfigError};
-pub use list_status::ListStatus;
+pub use list_status::RegistryHandle;
 
 use crate::endpoint_list::{ListMessage, ListedEndpoint, ListedStatus};
-use crate::engine_input::{Input, Inputs};
+use crate::engine_input::{Input, InputSender};
 use crate::file_access;
 use crate::log::log_line;
 use lotusmoor_registry_client::{
@@ -25,16 +25,16 @@
 use tokio::sync::{mpsc, watch};
 use tokio::task::{AbortHandle, spawn_local};
 use tokio::time::sleep_until;
-use watcher::Watcher;
+use watcher::SharedWatcher;
 
 /// Time limit for reading the cache file, and for writing it.
 const FILE_TIMEOUT: Duration = Duration::from_millis(500);
 
 /// Drives a [`RegistryWatcher`] with the sidecar's sockets and clock, and forwards its list to the engine.
-pub struct RegistryWatch {
+pub struct RegistryDriver {
     config: RegistryConfig,
-    watcher: Watcher,
-    inputs: Inputs,
+    watcher: SharedWatcher,
+    inputs: InputSender,
     /// Indexed by replica.
     connections: Vec<IdleConnection>,
     polls_in_flight: HashMap<u64, AbortHandle>,
@@ -44,14 +44,14 @@
     report_log: ReportLog,
 }
 
-impl RegistryWatch {
-    /// A watch that has not started, and its status. Its lists are sent to `inputs`.
-    pub fn new(config: RegistryConfig, seed: u64, inputs: Inputs) -> (Self, ListStatus) {
-        let watcher = Watcher::new(RegistryWatcher::new(config.settings(), seed));
+impl RegistryDriver {
+    /// A driver that has not started, and the handle to it. Its lists are sent to `inputs`.
+    pub fn new(config: RegistryConfig, seed: u64, inputs: InputSender) -> (Self, RegistryHandle) {
+        let watcher = SharedWatcher::new(RegistryWatcher::new(config.settings(), seed));
         let (services_sender, services) = watch::channel(config.services.clone());
-        let status = ListStatus::new(watcher.clone(), services_sender);
+        let handle = RegistryHandle::new(watcher.clone(), services_sender);
         let (poll_events, poll_results) = mpsc::unbounded_channel();
-        let registry_watch = Self {
+        let driver = Self {
             watcher,
             inputs,
             connections: config.addresses.iter().map(|_| Rc::default()).collect(),
@@ -62,7 +62,7 @@
             report_log: ReportLog::new(config.addresses.clone()),
             config,
         };
-        (registry_watch, status)
+        (driver, handle)
     }
 
     /// Runs until the process ends. The list of the cache file is used at once.
--- a/crates/sidecar/src/registry_watch/config.rs
+++ b/crates/sidecar/src/registry_watch/config.rs
@@ -50,7 +50,7 @@
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         f.write_str(match self {
             Self::NoAddresses => "roster: addresses: at least one is required",
-            Self::RemovedShareOutOfRange => "roster: hold_back must lie above 0 and up to 1",
+            Self::RemovedShareOutOfRange => "roster: hold_back must be above 0 and at most 1",
             Self::ZeroStaleAge => "roster: stale_after_ms must be above 0",
             Self::TooManyServices => "roster: services: at most 256 are allowed",
             Self::InvalidServiceName => "roster: services: a name has 1 to 64 letters, digits or . _ : -",
--- a/crates/sidecar/src/registry_watch/list_status.rs
+++ b/crates/sidecar/src/registry_watch/list_status.rs
@@ -1,6 +1,6 @@
-//! The status of the registry's list for operators, and the reload of the watched services.
+//! The handle through which operators get the status of the registry's list, and a reload changes the watched services.
 
-use super::watcher::Watcher;
+use super::watcher::SharedWatcher;
 use crate::log::log_line;
 use lotusmoor_registry_client::Micros;
 use std::collections::BTreeSet;
@@ -9,16 +9,16 @@
 
 const MICROS_PER_MILLISECOND: Micros = 1000;
 
-/// The status of the list of a [`RegistryWatch`](super::RegistryWatch), and control over the services that it watches.
+/// A handle to a [`RegistryDriver`](super::RegistryDriver): the status of its list, and the services that it watches.
 #[derive(Clone)]
-pub struct ListStatus {
-    watcher: Watcher,
+pub struct RegistryHandle {
+    watcher: SharedWatcher,
     /// The watched services; empty for all.
     services: Rc<watch::Sender<BTreeSet<String>>>,
 }
 
-impl ListStatus {
-    pub(super) fn new(watcher: Watcher, services: watch::Sender<BTreeSet<String>>) -> Self {
+impl RegistryHandle {
+    pub(super) fn new(watcher: SharedWatcher, services: watch::Sender<BTreeSet<String>>) -> Self {
         Self { watcher, services: Rc::new(services) }
     }
 
--- a/crates/sidecar/src/registry_watch/tests.rs
+++ b/crates/sidecar/src/registry_watch/tests.rs
@@ -44,7 +44,7 @@
     assert_eq!(check(format!("{{{address},\"hold_back\":1,\"services\":[\"a.b_c:d-1\"]}}")), Ok(()));
     for (text, error) in [
         (r#"{"addresses":[]}"#.to_owned(), "roster: addresses: at least one is required"),
-        (format!("{{{address},\"hold_back\":0}}"), "roster: hold_back must lie above 0 and up to 1"),
+        (format!("{{{address},\"hold_back\":0}}"), "roster: hold_back must be above 0 and at most 1"),
         (format!("{{{address},\"stale_after_ms\":0}}"), "roster: stale_after_ms must be above 0"),
         (
             format!("{{{address},\"services\":[\"a/b\"]}}"),
--- a/crates/sidecar/src/registry_watch/watcher.rs
+++ b/crates/sidecar/src/registry_watch/watcher.rs
@@ -6,14 +6,14 @@
 use std::time::Duration;
 use tokio::time::Instant;
 
-/// A [`RegistryWatcher`] that is shared by its driver and its status.
+/// A [`RegistryWatcher`] that is shared by its driver and the handle to that.
 #[derive(Clone)]
-pub(super) struct Watcher {
+pub(super) struct SharedWatcher {
     state: Rc<RefCell<RegistryWatcher>>,
     started: Instant,
 }
 
-impl Watcher {
+impl SharedWatcher {
     pub(super) fn new(state: RegistryWatcher) -> Self {
         Self { state: Rc::new(RefCell::new(state)), started: Instant::now() }
     }
--- a/crates/sidecar/src/reload.rs
+++ b/crates/sidecar/src/reload.rs
@@ -3,7 +3,7 @@
 use crate::config::{Config, ConfigError, ReloadedConfig};
 use crate::engine::EngineHandle;
 use crate::log::log_line;
-use crate::registry_watch::ListStatus;
+use crate::registry_watch::RegistryHandle;
 use crate::retry::Backoff;
 use std::future::pending;
 use std::time::Duration;
@@ -17,7 +17,7 @@
 /// Reloads the configuration, with retries while its file can't be read.
 pub struct Reloader {
     engine: EngineHandle,
-    list_status: Option<ListStatus>,
+    registry_handle: Option<RegistryHandle>,
     requested: Option<RequestedReload>,
 }
 
@@ -29,8 +29,8 @@
 
 impl Reloader {
     /// Creates a reloader that applies changes to the engine and, if a registry is configured, to its watch.
-    pub fn new(engine: EngineHandle, list_status: Option<ListStatus>) -> Self {
-        Self { engine, list_status, requested: None }
+    pub fn new(engine: EngineHandle, registry_handle: Option<RegistryHandle>) -> Self {
+        Self { engine, registry_handle, requested: None }
     }
 
     /// Requests a reload.
@@ -73,10 +73,10 @@
     fn apply(&self, config: ReloadedConfig) {
         let address = config.discovery;
         log_line!("configuration read again, discovery at {address}");
-        self.engine.move_discovery(address);
+        self.engine.set_discovery_address(address);
         // Adding or removing the registry takes effect with the next process.
-        if let (Some(list_status), Some(services)) = (&self.list_status, config.services) {
-            list_status.watch_services(services);
+        if let (Some(registry_handle), Some(services)) = (&self.registry_handle, config.services) {
+            registry_handle.watch_services(services);
         }
     }
 }
--- a/crates/sidecar/src/request/metadata.rs
+++ b/crates/sidecar/src/request/metadata.rs
@@ -38,7 +38,7 @@
 impl TrafficClasses {
     /// Takes the classes and tenants of a configuration.
     pub fn new(config: &Config) -> Self {
-        let decoded = &config.decoded;
+        let decoded = &config.decoded_settings;
         let classes = decoded.classes.iter().zip(&decoded.settings.classes);
         let classes = classes.map(|(name, class)| TrafficClass {
             name: name.clone(),
--- a/crates/sidecar/src/request_lifecycle.rs
+++ b/crates/sidecar/src/request_lifecycle.rs
@@ -50,9 +50,9 @@
         until.saturating_duration_since(Instant::now())
     }
 
-    /// Sets the earliest time at which the client may stop waiting. While a body is streamed in, the client's
-    /// deadline may turn out later; but the rest of the body may already be in the kernel's receive queue and the
-    /// client already waiting.
+    /// Sets the earliest time at which the client may stop waiting. The client's deadline counts from the last byte of
+    /// its request. While a body is streamed in, that byte may be still to come, or be in the kernel's receive queue
+    /// already while the client is waiting. This is the deadline in the latter case.
     pub fn set_earliest_deadline(&self, deadline: Instant) {
         self.earliest_deadline.set(Some(deadline));
     }
--- a/crates/sidecar/src/send_gate.rs
+++ b/crates/sidecar/src/send_gate.rs
@@ -1,4 +1,4 @@
-//! The last check before an attempt is written, and the verification of the protocol's rules at its first byte.
+//! The last check before an attempt is written, and the verification of the sidecar protocol's rules at its first byte.
 //! Conditions may have changed since the balancer decided to send, as other tasks have run in between or the connect
 //! was slow.
 
--- a/crates/sidecar/src/startup.rs
+++ b/crates/sidecar/src/startup.rs
@@ -60,7 +60,7 @@
         let traffic_classes = TrafficClasses::new(&config);
         let state = if shared_socket { StateFile::shared(config.listen) } else { StateFile::in_memory() };
         let cordoned = state.state().cordoned.clone();
-        let NewEngine { engine, handle, list_status } =
+        let NewEngine { engine, handle, registry_handle } =
             Engine::start(config, limits, gossip, cordoned).map_err(StartError::Balancer)?;
         let initial = if state.state().drained { ServiceState::Draining } else { ServiceState::Serving };
         let (service, service_changes) = watch::channel(initial);
@@ -77,12 +77,12 @@
         };
         let accepting = inbound::accept(listener, shared_socket, limits.clients, Rc::new(shared));
         let accepting = spawn_local(accepting);
-        let reloader = Reloader::new(handle.clone(), list_status.clone());
+        let reloader = Reloader::new(handle.clone(), registry_handle.clone());
         let management = Management {
             state: Mutex::new(state),
             service: Rc::clone(&service),
             engine: handle,
-            list_status,
+            registry_handle,
         };
         let management = Rc::new(management);
         if shared_socket {
@@ -141,7 +141,7 @@
 
 fn bind_gossip(config: &Config) -> Result<Option<GossipSocket>, StartError> {
     let Some(address) = config.peer_listen else { return Ok(None) };
-    match retry_at_startup(|| GossipSocket::bind(address, &config.peers, config.peers_all)) {
+    match retry_at_startup(|| GossipSocket::bind(address, &config.peers, config.peers_broadcast)) {
         Ok(socket) => Ok(Some(socket)),
         Err(source) => Err(StartError::BindGossip { address, source }),
     }
--- a/crates/sidecar/src/state_file.rs
+++ b/crates/sidecar/src/state_file.rs
@@ -63,7 +63,7 @@
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         match self {
             Self::Malformed(e) => e.fmt(f),
-            Self::Version(version) => write!(f, "version {version}"),
+            Self::Version(version) => write!(f, "unsupported format version {version}"),
         }
     }
 }
--- a/crates/sidecar/src/state_file/tests.rs
+++ b/crates/sidecar/src/state_file/tests.rs
@@ -14,5 +14,5 @@
 fn rejects_other_format_versions() {
     let newer = br#"{"version":2,"cordoned":[],"drained":false}"#;
     let error = OperatorState::decode(newer).expect_err("it is another format");
-    assert_eq!(error.to_string(), "version 2");
+    assert_eq!(error.to_string(), "unsupported format version 2");
 }
--- a/crates/sidecar/src/upstream/attempt.rs
+++ b/crates/sidecar/src/upstream/attempt.rs
@@ -6,7 +6,7 @@
 use super::exchange_result::{ExchangeResult, ExchangeTarget, ResponseStream};
 use super::timing::MAX_STALL;
 use crate::body::{BodyStream, MAX_BODY_BYTES};
-use crate::engine_input::{AttemptResult, HealthCheckResult, Input, Inputs};
+use crate::engine_input::{AttemptResult, HealthCheckResult, Input, InputSender};
 use crate::outgoing_request::OutgoingRequest;
 use crate::request_lifecycle::RequestLifecycle;
 use crate::send_gate::{GatedSend, SendGuard, SendPermit};
@@ -30,7 +30,7 @@
         (request, attempt): (RequestId, AttemptNumber),
         attempt_target: AttemptTarget,
         outgoing: Rc<OutgoingRequest>,
-        inputs: Inputs,
+        inputs: InputSender,
     ) {
         let AttemptTarget { endpoint, permission, until, write_by } = attempt_target;
         let length = outgoing.rest.as_ref().map_or(Some(outgoing.body.len()), BodyStream::length);
@@ -90,7 +90,7 @@
     }
 
     /// Checks an endpoint's health, and reports the outcome.
-    pub async fn health_check(self: Rc<Self>, id: usize, inputs: Inputs) {
+    pub async fn health_check(self: Rc<Self>, id: usize, inputs: InputSender) {
         let (start, endpoint) = (Instant::now(), self.endpoint(id));
         let outgoing = health_check_request();
         let (until, permission) = (start + HEALTH_CHECK_TIMEOUT, endpoint.permission());
--- a/crates/sidecar/src/upstream/pool.rs
+++ b/crates/sidecar/src/upstream/pool.rs
@@ -4,7 +4,7 @@
 use super::Upstream;
 use super::endpoint::{Endpoint, SendPermission};
 use super::pooled_connection::{IdleConnection, PooledConnection};
-use super::timing::SETTLE_TIME;
+use super::timing::MIN_REUSE_DELAY;
 use crate::connection::{Connection, socket_for};
 use crate::io_failure::IoFailure;
 use lotusmoor_balancer::Outcome;
@@ -14,13 +14,13 @@
 use tokio::time::{Instant, sleep_until, timeout};
 
 impl Upstream {
-    /// Takes the most recently used idle connection that has been idle for at least [`SETTLE_TIME`] and is still
+    /// Takes the most recently used idle connection that has been idle for at least [`MIN_REUSE_DELAY`] and is still
     /// usable, and returns for how long it was idle. The connections used less recently may then expire.
     pub(super) fn reuse(&self, endpoint: &Endpoint) -> Option<(PooledConnection, Duration)> {
         let max_idle = self.idle_timeout.borrow_mut().get(Instant::now());
         let mut idle = endpoint.idle.borrow_mut();
         loop {
-            let position = idle.iter().rposition(|idle| idle.since.elapsed() >= SETTLE_TIME)?;
+            let position = idle.iter().rposition(|idle| idle.since.elapsed() >= MIN_REUSE_DELAY)?;
             let IdleConnection { pooled, since } = idle.remove(position);
             if since.elapsed() < max_idle && pooled.connection.usable() {
                 return Some((pooled, since.elapsed()));
--- a/crates/sidecar/src/upstream/response.rs
+++ b/crates/sidecar/src/upstream/response.rs
@@ -5,8 +5,8 @@
 use super::exchange_result::{ExchangeResult, ResponseStream};
 use super::load_report::parse_load_report;
 use super::pooled_connection::PooledConnection;
-use super::timing::SETTLE_TIME;
-use crate::body::{AnswerBody, MAX_BODY_BYTES, MAX_BUFFERED_BYTES, STREAMING_BYTES};
+use super::timing::MIN_REUSE_DELAY;
+use crate::body::{MAX_BODY_BYTES, MAX_BUFFERED_BYTES, ResponseBody, STREAMING_BYTES};
 use crate::connection::Connection;
 use crate::engine_input::{Answer, ServedAnswer};
 use bytes::{Bytes, BytesMut};
@@ -63,8 +63,8 @@
             Buffered::Partial(first) => {
                 let (client, rest) = mpsc::channel(1);
                 let received = first.len();
-                let answer_body = AnswerBody { first, rest: Some(rest), length };
-                let served = ServedAnswer { headers: head.headers, body: answer_body, reservation };
+                let response_body = ResponseBody { first, rest: Some(rest), length };
+                let served = ServedAnswer { headers: head.headers, body: response_body, reservation };
                 let stream = ResponseStream { pooled, permission, body, received, client };
                 return ExchangeResult {
                     outcome: Outcome::Ok,
@@ -77,7 +77,7 @@
         };
         self.return_to_pool(endpoint, permission, pooled).await;
         if head.status == StatusCode::OK {
-            let body = AnswerBody::buffered(first);
+            let body = ResponseBody::buffered(first);
             let served = ServedAnswer { headers: head.headers, body, reservation };
             let answer = Some(Answer::Served(served));
             return ExchangeResult { outcome: Outcome::Ok, answer, load, stream: None };
@@ -123,10 +123,10 @@
 
 /// How long the start of a body is buffered while it is incomplete. A body that is known to be longer than the buffer
 /// is forwarded from its first byte. One of unknown length may be the start of a long one that arrives slowly: it is
-/// buffered for half as long as it took to begin, plus [`SETTLE_TIME`].
+/// buffered for half as long as it took to begin, plus [`MIN_REUSE_DELAY`].
 fn buffering_time(length: Option<usize>, sent: Instant) -> Duration {
     match length {
-        None => sent.elapsed() / 2 + SETTLE_TIME,
+        None => sent.elapsed() / 2 + MIN_REUSE_DELAY,
         Some(length) if length > MAX_BUFFERED_BYTES => Duration::ZERO,
         Some(_) => Duration::MAX,
     }
--- a/crates/sidecar/src/upstream/tests.rs
+++ b/crates/sidecar/src/upstream/tests.rs
@@ -1,7 +1,7 @@
 use super::*;
 use crate::body::MAX_BUFFERED_BYTES;
 use crate::client_liveness::ClientLiveness;
-use crate::engine_input::{Input, Inputs};
+use crate::engine_input::{Input, InputSender};
 use crate::outgoing_request::OutgoingRequest;
 use crate::request_lifecycle::RequestLifecycle;
 use bytes::Bytes;
@@ -98,7 +98,7 @@
         (what, reusable, change): (&'static str, bool, Change),
         clients: &tokio::net::TcpListener,
         local: &tokio::task::LocalSet,
-        inputs: &Inputs,
+        inputs: &InputSender,
     ) -> Self {
         let (listener, address, filler) = listener_with_full_queue();
         let limits = ResourceLimits { clients: 1, upstream: 1, body_bytes: MAX_BUFFERED_BYTES };
@@ -169,7 +169,7 @@
 // nothing is written, and the connection goes to the pool if it can serve another request.
 #[tokio::test]
 async fn late_connection_carries_only_sends_that_are_still_permitted() {
-    let (inputs, mut ended) = Inputs::new();
+    let (inputs, mut ended) = InputSender::new();
     let clients = tokio::net::TcpListener::bind("127.0.0.1:0").await.expect("bind a free port");
     let local = tokio::task::LocalSet::new();
     let mut attempts = Vec::new();
--- a/crates/sidecar/src/write_progress.rs
+++ b/crates/sidecar/src/write_progress.rs
@@ -49,7 +49,7 @@
         self.0.send.as_ref().is_some_and(|send| send.denial().is_some())
     }
 
-    /// Records for how long, as the endpoint is told, its response is waited for.
+    /// Records the wait that is advertised to the endpoint.
     pub fn advertise_wait(&self, wait: Duration) {
         if let Some(send) = &self.0.send {
             send.advertise_wait(wait);
--- a/crates/sidecar/tests/faults/clocks.rs
+++ b/crates/sidecar/tests/faults/clocks.rs
@@ -26,12 +26,12 @@
 
 /// Sends 100 requests, and returns the share of them that this server gets.
 fn request_share(sidecar: &Sidecar, endpoint: &Endpoint) -> f64 {
-    let before = endpoint.requests();
+    let before = endpoint.requests_handled();
     for _ in 0..100 {
         assert_eq!(sidecar.exchange(&request("look", "", "")).map(|m| m.status()), Some(200));
         std::thread::sleep(REQUEST_INTERVAL);
     }
-    (endpoint.requests() - before) as f64 / 100.0
+    (endpoint.requests_handled() - before) as f64 / 100.0
 }
 
 #[test]
--- a/crates/sidecar/tests/faults/deadlines.rs
+++ b/crates/sidecar/tests/faults/deadlines.rs
@@ -124,10 +124,10 @@
     assert_wait_for_process_counts(&request("look", "", ""));
 }
 
-// The part of the request that the socket buffers have no room for reaches the sidecar's socket later than the client
-// has written it.
+// The request is larger than the socket buffers, so its rest arrives only once the sidecar reads, although the client
+// has written it earlier.
 #[test]
-fn waiting_for_process_counts_against_deadline_of_full_buffers() {
+fn waiting_for_process_counts_against_deadline_with_full_buffers() {
     assert_wait_for_process_counts(&request("book", "", &"b".repeat(200_000)));
 }
 
--- a/crates/sidecar/tests/faults/files.rs
+++ b/crates/sidecar/tests/faults/files.rs
@@ -71,7 +71,7 @@
     for _ in 0..20 {
         assert_eq!(next.exchange(&request("look", "", "")).map(|m| m.status()), Some(200));
     }
-    assert_eq!(cordoned.requests(), 0, "the cordoned endpoint got requests");
+    assert_eq!(cordoned.requests_handled(), 0, "the cordoned endpoint got requests");
 }
 
 #[test]
--- a/crates/sidecar/tests/faults/mod.rs
+++ b/crates/sidecar/tests/faults/mod.rs
@@ -1,5 +1,5 @@
 //! System calls of the sidecar that fail in ways that Linux documents, and a wall clock that is stepped: requests are still
-//! answered, and acknowledged operators' calls stay in effect.
+//! answered, and operators' calls (management commands) that were answered with `OK` stay in effect.
 
 mod clocks;
 mod deadlines;
--- a/crates/sidecar/tests/lifecycle/mod.rs
+++ b/crates/sidecar/tests/lifecycle/mod.rs
@@ -15,7 +15,7 @@
     idle_client.write_all(b"GET /up HTTP/1.1\r\nHost: x\r\n\r\n").expect("the write succeeds");
     assert_eq!(read_message(&mut idle_client).expect("a response").status(), 200);
     busy_client.write_all(request("book", "", "").as_bytes()).expect("the write succeeds");
-    wait_until("the endpoint has received the request", || endpoint.requests() == 1);
+    wait_until("the endpoint has received the request", || endpoint.requests_handled() == 1);
     sidecar.signal("-TERM");
     assert!(await_close(&mut idle_client), "an idle connection stayed open");
     // The close of idle connections shows that the signal was handled; new connections are still accepted.
@@ -33,7 +33,7 @@
     let mut sidecar = Sidecar::start(&discovery, &[("s-1", &endpoint)]);
     let mut busy_client = sidecar.connect();
     busy_client.write_all(request("book", "", "").as_bytes()).expect("the write succeeds");
-    wait_until("the endpoint has received the request", || endpoint.requests() == 1);
+    wait_until("the endpoint has received the request", || endpoint.requests_handled() == 1);
     sidecar.signal("-TERM");
     assert_eq!(read_message(&mut busy_client).expect("a response").status(), 502);
     assert_eq!(sidecar.process.wait().expect("the process exits").code(), Some(0));
--- a/crates/sidecar/tests/lists/mod.rs
+++ b/crates/sidecar/tests/lists/mod.rs
@@ -20,7 +20,7 @@
         for _ in 0..5 {
             assert_eq!(sidecar.exchange(&request("book", "", "")).expect("a response").body, b"new");
         }
-        assert_eq!((old.requests(), old.closed()), (1, 1));
+        assert_eq!((old.requests_handled(), old.closed()), (1, 1));
     }
 }
 
@@ -45,7 +45,7 @@
     assert_eq!(status, 503, "the request is known not to have run");
     // The sidecar may see the connection before the stub does.
     wait_until("the connection is accepted", || endpoint.accepted.load(Ordering::SeqCst) >= 2);
-    assert_eq!(endpoint.requests(), 0);
+    assert_eq!(endpoint.requests_handled(), 0);
 }
 
 // The internal ID of a removed endpoint is reused for the next new one; neither may get the other's requests.
@@ -70,7 +70,7 @@
         discovery.await_watch(version + 1);
         assert_eq!(sidecar.exchange(&request("book", "", "")).expect("a response").status(), 503);
     }
-    assert_eq!(endpoints.map(|e| e.requests()), [3; 4]);
+    assert_eq!(endpoints.map(|e| e.requests_handled()), [3; 4]);
 }
 
 #[test]
@@ -127,12 +127,12 @@
             200,
             "{invalid}"
         );
-        assert_eq!((old.requests(), new.requests()), (0, 1), "{invalid}");
+        assert_eq!((old.requests_handled(), new.requests_handled()), (0, 1), "{invalid}");
     }
 }
 
-// Over sockets, changes reach only a sidecar that watches, also in the `pushed` mode. Without a watch the list would stay
-// as it was at the start.
+// The simulation delivers changes in `pushed` mode to the balancer. A real discovery never connects to a sidecar, so
+// the sidecar has to watch; without a watch the list would stay as it was at the start.
 #[test]
 fn watches_from_the_start_in_pushed_mode() {
     let discovery = Discovery::start();
@@ -145,7 +145,7 @@
     discovery.publish(2, list(2, false, &changes));
     discovery.await_watch(2);
     assert_eq!([exchange(), exchange()], [200; 2]);
-    assert_eq!((old.requests(), new.requests()), (0, 2));
+    assert_eq!((old.requests_handled(), new.requests_handled()), (0, 2));
     // A failure does not end the watch either.
     discovery.failing.store(true, Ordering::SeqCst);
     let polls_before = discovery.polls().len();
@@ -154,7 +154,7 @@
     discovery.publish(3, list(3, true, &[("s-old", old.address, "active")]));
     discovery.await_watch(3);
     assert_eq!(exchange(), 200);
-    assert_eq!((old.requests(), new.requests()), (1, 2));
+    assert_eq!((old.requests_handled(), new.requests_handled()), (1, 2));
 }
 
 // An unanswered watch looks like one without changes. Without a timeout, a leaving endpoint would still be sent requests,
@@ -173,7 +173,7 @@
     // This does not measure speed: the sidecar's own timers end the watch after 6 s.
     assert!(start.elapsed() < TEST_TIMEOUT / 2, "{:?}", start.elapsed());
     assert_eq!(sidecar.exchange(&request("book", "", "")).expect("a response").status(), 200);
-    assert_eq!((old.requests(), new.requests()), (0, 1));
+    assert_eq!((old.requests_handled(), new.requests_handled()), (0, 1));
 }
 
 // SIGHUP must not end the process, as it does by default. Only the configuration file has the new address of discovery,
@@ -217,7 +217,8 @@
     assert!(other.polls().is_empty());
 }
 
-// A long list may take seconds over a slow link. With a time limit of 2 s it was abandoned each time and never applied.
+// A long list may take seconds over a slow link. A time limit of 2 s for the complete answer would end each poll early,
+// and the list would never be applied.
 #[test]
 fn uses_list_received_over_several_seconds() {
     const TRANSFER_TIME: Duration = Duration::from_secs(5);
@@ -233,7 +234,7 @@
             config.replace("\"on_request\"", &format!("\"{mode}\""))
         });
         let began = Instant::now();
-        while new.requests() == 0 {
+        while new.requests_handled() == 0 {
             assert!(began.elapsed() < MAX_LIST_TIME, "the list was not applied, {mode}");
             assert_eq!(sidecar.exchange(&request("look", "", "")).map(|m| m.status()), Some(200));
             thread::sleep(Duration::from_millis(20));
--- a/crates/sidecar/tests/operation/mod.rs
+++ b/crates/sidecar/tests/operation/mod.rs
@@ -44,7 +44,7 @@
         if closes {
             stream.shutdown(std::net::Shutdown::Write).expect("the socket shuts down");
         }
-        read_line(&mut stream)
+        read_answer(&mut stream)
     };
     assert_eq!(answer_to(b"health\n", false), "OK");
     assert!(answer_to(b"health \xff\n", false).starts_with("ERR "));
@@ -103,9 +103,9 @@
         let (mut busy_client, mut idle_client) = (sidecar.connect(), sidecar.connect());
         idle_client.write_all(b"GET /up HTTP/1.1\r\nHost: x\r\n\r\n").expect("the write succeeds");
         assert_eq!(read_message(&mut idle_client).expect("a response").status(), 200);
-        let before = endpoint.requests();
+        let before = endpoint.requests_handled();
         busy_client.write_all(request("book", "", "").as_bytes()).expect("the write succeeds");
-        wait_until("the endpoint has received the request", || endpoint.requests() > before);
+        wait_until("the endpoint has received the request", || endpoint.requests_handled() > before);
         assert_eq!([sidecar.call("quiesce"), sidecar.call("quiesce")], ["OK", "OK"]);
         assert_eq!(status_of_up(&sidecar), 503);
         assert_eq!(sidecar.call("health"), "OK");
@@ -125,9 +125,9 @@
     }
     // After SIGTERM the sidecar shuts down, and ending the drain does not change that.
     assert_eq!(sidecar.call("quiesce"), "OK");
-    let (mut busy_client, before) = (sidecar.connect(), endpoint.requests());
+    let (mut busy_client, before) = (sidecar.connect(), endpoint.requests_handled());
     busy_client.write_all(request("book", "", "").as_bytes()).expect("the write succeeds");
-    wait_until("the endpoint has received the request", || endpoint.requests() > before);
+    wait_until("the endpoint has received the request", || endpoint.requests_handled() > before);
     sidecar.signal("-TERM");
     wait_until("the sidecar is shutting down", || sidecar.call("health").starts_with("ERR "));
     assert!(sidecar.call("resume").starts_with("ERR "));
@@ -250,7 +250,7 @@
     let [one, two] = [(); 2].map(|()| Endpoint::start(|_| Reply::Response(200, "", Vec::new())));
     let sidecar = Sidecar::start(&discovery, &[("s-1", &one), ("s-2", &two)]);
     let exchange = || sidecar.exchange(&request("look", "", "")).expect("a response").status();
-    assert!((0..20).all(|_| exchange() == 200) && one.requests() > 0);
+    assert!((0..20).all(|_| exchange() == 200) && one.requests_handled() > 0);
     for invalid in ["cordon s-3", "uncordon s-3", "cordon", "uncordon", "cordon s-1 s-2", "cordon S-1"] {
         assert!(sidecar.call(invalid).starts_with("ERR "), "{invalid}");
     }
@@ -260,7 +260,7 @@
     wait_until("idle connections to the endpoint are closed", || {
         one.closed() > 0 || one.accepted.load(Ordering::SeqCst) == 0
     });
-    let before = one.requests();
+    let before = one.requests_handled();
     // The endpoint is listed again, removed, and listed again, perhaps with another internal ID: a cordon applies to the
     // name.
     let entries = [("s-1", one.address, "active"), ("s-2", two.address, "active")];
@@ -274,11 +274,11 @@
     sidecar.reload(&config(sidecar.address, discovery.address, "null"));
     discovery.await_watch(4);
     assert!((0..20).all(|_| exchange() == 200));
-    assert_eq!(one.requests(), before);
+    assert_eq!(one.requests_handled(), before);
     assert_eq!(sidecar.call("cordon s-2"), "OK");
     assert_eq!(exchange(), 503);
     assert_eq!([sidecar.call("uncordon s-2"), sidecar.call("uncordon s-1")], ["OK", "OK"]);
-    wait_until("the endpoint gets requests again", || exchange() == 200 && one.requests() > before);
+    wait_until("the endpoint gets requests again", || exchange() == 200 && one.requests_handled() > before);
 }
 
 // The call may reach either process, before, during or after the upgrade.
@@ -310,15 +310,15 @@
     assert_eq!([new.call("health"), new.call("resume")], ["OK", "OK"]);
     wait_for_propagation();
     assert!((0..20).all(|_| status_of_up(&old) == 200 && exchange(&old) == 200));
-    assert_eq!(one.requests(), 0);
+    assert_eq!(one.requests_handled(), 0);
     stop(old);
     assert!((0..10).all(|_| exchange(&new) == 200));
-    assert_eq!((one.requests(), new.call("quiesce")), (0, "OK".to_owned()));
+    assert_eq!((one.requests_handled(), new.call("quiesce")), (0, "OK".to_owned()));
     let newer = start();
     stop(new);
     assert_eq!((status_of_up(&newer), newer.call("health")), (503, "OK".to_owned()));
     assert_eq!([newer.call("uncordon s-1"), newer.call("resume")], ["OK", "OK"]);
-    wait_until("the endpoint gets requests again", || exchange(&newer) == 200 && one.requests() > 0);
+    wait_until("the endpoint gets requests again", || exchange(&newer) == 200 && one.requests_handled() > 0);
 }
 
 #[test]
--- a/crates/sidecar/tests/races/discovery.rs
+++ b/crates/sidecar/tests/races/discovery.rs
@@ -55,7 +55,7 @@
     for _ in 0..4 {
         assert_eq!(sidecar.exchange(&request("book", "", "")).expect("a response").body, b"new");
     }
-    assert_eq!((old.requests(), middle.requests(), second.polls().len()), (0, 0, 1));
+    assert_eq!((old.requests_handled(), middle.requests_handled(), second.polls().len()), (0, 0, 1));
 }
 
 /// After a reload, the sidecar has to know all that discovery lists within 4 s, and 2 s later a server that is no longer
@@ -77,7 +77,7 @@
         for _ in 0..4 {
             assert_eq!(sidecar.exchange(&request("look", "", "")).expect("a response").status(), 200);
         }
-        (old.requests(), new.requests())
+        (old.requests_handled(), new.requests_handled())
     };
     let delays = [1_500, 2_500, 3_500].map(Duration::from_millis);
     let sent = thread::scope(|scope| {
@@ -99,7 +99,7 @@
     discovery.publish(2, indented);
     discovery.await_watch(2);
     assert_eq!(sidecar.exchange(&request("book", "", "")).expect("a response").status(), 200);
-    assert_eq!((old.requests(), new.requests()), (0, 1));
+    assert_eq!((old.requests_handled(), new.requests_handled()), (0, 1));
 }
 
 // A response that ends with its connection is complete only if the connection is closed in order, and not if it is reset.
@@ -184,7 +184,7 @@
         for _ in 0..4 {
             assert_eq!(sidecar.exchange(&request("book", "", "")).expect("a response").status(), 200);
         }
-        assert_eq!((old.requests(), new.requests()), (0, 4), "{mode}");
+        assert_eq!((old.requests_handled(), new.requests_handled()), (0, 4), "{mode}");
     }
 }
 
--- a/crates/sidecar/tests/races/mod.rs
+++ b/crates/sidecar/tests/races/mod.rs
@@ -1,4 +1,4 @@
-//! Races between two events, each forced in both orders: `docs/crossings.md` lists them.
+//! Races between two events, each forced in both orders. The file `docs/crossings.md` lists the races.
 
 mod discovery;
 
@@ -24,7 +24,7 @@
 pub fn times_received(endpoint: &Endpoint, request: &str) -> usize {
     let (_, after) = request.split_once("X-Correlation-Id: ").expect("an id");
     let id = after.lines().next();
-    let received = endpoint.received.lock().expect("the lock is not poisoned");
+    let received = endpoint.handled.lock().expect("the lock is not poisoned");
     received.iter().filter(|m| m.header("x-correlation-id") == id).count()
 }
 
@@ -150,11 +150,12 @@
     }
 }
 
-// The end of the stream shows the client that its connection is closed, and it sends its request elsewhere. A reset
-// instead could discard data that it has not read yet, and if the sidecar forwarded the request as well, it would run
-// twice.
-// A request that has been read would have to be answered. Closing a connection with unread bytes resets it at once,
-// which shows that the request was not read; of a request that is read and dropped, bytes are accepted for 200 ms.
+// A client that sees the end of the stream sends its request elsewhere. If the sidecar forwarded the request as well,
+// the request would run twice, so the sidecar must not read it. The sidecar closes with a FIN: a reset could discard
+// data that the client has not read yet.
+//
+// How the test tells: closing a connection with unread bytes resets it at once. If the sidecar read and dropped the
+// request, which it would have to answer, the connection would accept bytes for another 200 ms.
 #[test]
 fn leaves_request_after_close_of_idle_connection_unread() {
     for trigger in ["quiesce", "-TERM"] {
@@ -268,7 +269,7 @@
     }
     // This request is queued after those of all clients that have closed.
     assert_eq!(sidecar.exchange(&request("book", "", "")).expect("a response").status(), 200);
-    assert_eq!(endpoint.requests(), 3);
+    assert_eq!(endpoint.requests_handled(), 3);
 }
 
 #[test]
@@ -288,7 +289,7 @@
         let endpoint = Endpoint::on(listener, reply_ok);
         assert_eq!(sidecar.exchange(&request("book", "", "")).expect("a response").status(), 200);
         assert!(!has_received(&endpoint, &request_text), "{close_mode:?}");
-        assert_eq!(endpoint.requests(), 1);
+        assert_eq!(endpoint.requests_handled(), 1);
     }
 }
 
@@ -331,7 +332,7 @@
             let sidecar = Sidecar::start(&discovery, &[("s-1", &endpoint)]);
             let (mut client, began) = (sidecar.connect(), Instant::now());
             client.write_all(request("book", "", "").as_bytes()).expect("the write succeeds");
-            wait_until("the first attempt is rejected", || endpoint.requests() == 1);
+            wait_until("the first attempt is rejected", || endpoint.requests_handled() == 1);
             close_client(client, close_mode);
             (began, (discovery, endpoint, sidecar))
         });
@@ -340,7 +341,11 @@
         let request_text = request("book", "", "");
         let status = sidecar.exchange(&request_text).expect("a response").status();
         assert_eq!((status, has_received(&endpoint, &request_text)), (503, true));
-        assert_eq!(endpoint.requests(), 1 + times_received(&endpoint, &request_text), "{close_mode:?}");
+        assert_eq!(
+            endpoint.requests_handled(),
+            1 + times_received(&endpoint, &request_text),
+            "{close_mode:?}"
+        );
     }
 }
 
--- a/crates/sidecar/tests/requests/mod.rs
+++ b/crates/sidecar/tests/requests/mod.rs
@@ -18,7 +18,7 @@
     let response = sidecar.exchange(&request_text).expect("a response");
     assert_eq!((response.status(), response.header("content-type")), (200, Some("x/y")));
     assert!(response.body == body);
-    let received = endpoint.received.lock().expect("the lock is not poisoned");
+    let received = endpoint.handled.lock().expect("the lock is not poisoned");
     assert_eq!(received[0].start, "POST /api?site=4 HTTP/1.1");
     let id = received[0].header("x-correlation-id").expect("an id");
     assert!(request_text.contains(&format!("X-Correlation-Id: {id}\r\n")));
@@ -62,7 +62,7 @@
         assert_eq!(response.status(), status, "{invalid}");
         assert!(status == 404 || await_close(&mut client), "the connection stays open after {invalid}");
     }
-    assert_eq!(endpoint.requests(), 0);
+    assert_eq!(endpoint.requests_handled(), 0);
     assert_eq!(sidecar.exchange(&valid).expect("a response").status(), 200);
 }
 
@@ -74,11 +74,11 @@
     let sidecar = Sidecar::start(&discovery, &[("s-1", &endpoint)]);
     let (request_text, mut client) = (request("book", "", ""), sidecar.connect());
     client.write_all(request_text.as_bytes()).expect("the write succeeds");
-    wait_until("the endpoint has received the request", || endpoint.requests() == 1);
+    wait_until("the endpoint has received the request", || endpoint.requests_handled() == 1);
     assert_eq!(sidecar.exchange(&request_text).expect("a response").status(), 409);
     assert_eq!(read_message(&mut client).expect("a response").status(), 200);
     assert_eq!(sidecar.exchange(&request_text).expect("a response").status(), 409);
-    assert_eq!(endpoint.requests(), 1);
+    assert_eq!(endpoint.requests_handled(), 1);
 }
 
 // A request that is itself at fault would otherwise be retried at all endpoints, and each would appear to be failing.
@@ -91,7 +91,7 @@
     let sidecar = Sidecar::start(&discovery, &[("s-1", &one), ("s-2", &two)]);
     for sent in 1..=20 {
         assert_eq!(sidecar.exchange(&request("look", "X-Bad: 1\r\n", "")).expect("a response").status(), 400);
-        assert_eq!(one.requests() + two.requests(), sent);
+        assert_eq!(one.requests_handled() + two.requests_handled(), sent);
     }
     assert_eq!(sidecar.exchange(&request("look", "", "")).expect("a response").status(), 200);
 }
@@ -159,7 +159,7 @@
         assert!(Instant::now() < until, "a head that is sent byte by byte is never rejected");
         thread::sleep(Duration::from_millis(20));
     }
-    assert_eq!(endpoint.requests(), 0);
+    assert_eq!(endpoint.requests_handled(), 0);
 }
 
 // A broken connection does not show whether the request has run. A non-idempotent one must then neither be retried nor
@@ -174,7 +174,7 @@
         let sidecar = Sidecar::start(&discovery, &[("s-1", &one), ("s-2", &two)]);
         let status = sidecar.exchange(&request("book", "", "{}")).expect("a response").status();
         assert!(status >= 500 && status != 503, "{status}");
-        assert_eq!(one.requests() + two.requests(), 1);
+        assert_eq!(one.requests_handled() + two.requests_handled(), 1);
     }
 }
 
@@ -193,8 +193,8 @@
             assert_eq!(sidecar.exchange(&request("book", "", "{}")).expect("a response").status(), 200);
         }
     }
-    assert_eq!(good.requests(), 4);
-    assert!(rejecting.requests() > 0);
+    assert_eq!(good.requests_handled(), 4);
+    assert!(rejecting.requests_handled() > 0);
 }
 
 #[test]
@@ -238,7 +238,7 @@
     // The deadline is longer than this test waits, so only the client's close can end the attempt.
     let request_text = request("book", "", "{}").replace("19000m", "600000m");
     client.write_all(request_text.as_bytes()).expect("the write succeeds");
-    wait_until("the endpoint has received the request", || endpoint.requests() == 1);
+    wait_until("the endpoint has received the request", || endpoint.requests_handled() == 1);
     client.shutdown(Shutdown::Both).expect("the socket shuts down");
     wait_until("the attempt is cancelled", || endpoint.closed() == 1);
 }
--- a/crates/sidecar/tests/responses/mod.rs
+++ b/crates/sidecar/tests/responses/mod.rs
@@ -32,7 +32,7 @@
     let [one, two] = [(); 2].map(|()| Endpoint::start(move |_| truncated()));
     let sidecar = Sidecar::start(&discovery, &[("s-1", &one), ("s-2", &two)]);
     assert_eq!(sidecar.exchange(&request("book", "", "{}")).expect("a response").status(), 502);
-    assert_eq!(one.requests() + two.requests(), 1);
+    assert_eq!(one.requests_handled() + two.requests_handled(), 1);
 }
 
 // The endpoint keeps the connection open and sends no more, so that only the head shows that the response is invalid.
@@ -145,7 +145,7 @@
     for _ in 0..20 {
         assert_eq!(sidecar.exchange(&request("look", "", "")).expect("a response").status(), 200);
     }
-    assert_eq!(healthy.requests(), 20);
+    assert_eq!(healthy.requests_handled(), 20);
 }
 
 // Extra bytes after a response must not be taken for the response to the next request, whether they arrive with it or
--- a/crates/sidecar/tests/services/mod.rs
+++ b/crates/sidecar/tests/services/mod.rs
@@ -155,10 +155,10 @@
 
 /// Sends requests until each of these servers has received one; all of them must succeed.
 fn await_requests_to(sidecar: &Sidecar, servers: &[&Endpoint]) {
-    let before: Vec<_> = servers.iter().map(|server| server.requests()).collect();
+    let before: Vec<_> = servers.iter().map(|server| server.requests_handled()).collect();
     wait_until("each server gets a request", || {
         assert_eq!(exchange(sidecar), 200);
-        servers.iter().zip(&before).all(|(server, before)| server.requests() > *before)
+        servers.iter().zip(&before).all(|(server, before)| server.requests_handled() > *before)
     });
 }
 
@@ -181,7 +181,7 @@
     replica.await_watch(index, "&services=ledger,pay");
     await_servers(&sidecar, 3, " services=2");
     await_requests_to(&sidecar, &[&ledger, &pay, &late]);
-    assert_eq!((stock.requests(), without_service.requests()), (0, 0));
+    assert_eq!((stock.requests_handled(), without_service.requests_handled()), (0, 0));
     let polls = replica.polls();
     assert_eq!(polls[0], "/v1/watch?wait_ms=0&services=ledger,pay");
     assert!(polls.iter().all(|path| path.ends_with("&services=ledger,pay")), "{polls:?}");
@@ -219,12 +219,12 @@
         assert_eq!(exchange(&sidecar), 200);
         thread::sleep(Duration::from_millis(5));
     }
-    let ledger_requests = ledger.requests();
+    let ledger_requests = ledger.requests_handled();
     await_list_and_requests_to(&sidecar, &replica, 1, "&services=pay,stock", &[&pay, &stock]);
     let index = replica.publish(&servers);
     await_list_and_requests_to(&sidecar, &replica, index, "&services=pay,stock", &[&pay, &stock]);
     assert!((0..50).all(|_| exchange(&sidecar) == 200));
-    assert_eq!(ledger.requests(), ledger_requests);
+    assert_eq!(ledger.requests_handled(), ledger_requests);
     assert_eq!(replica.full_list_polls(), 2, "{:?}", replica.polls());
     reload(&sidecar, &discovery, &registry_config(address, &[]));
     await_list_and_requests_to(&sidecar, &replica, index, "", &[&ledger, &pay, &stock]);
@@ -281,11 +281,11 @@
     let line = sidecar.call("list");
     assert!(line.starts_with("OK version=none ") && line.ends_with(" servers=0 held=0 services=1"), "{line}");
     assert_eq!(exchange(&sidecar), 503);
-    assert_eq!((ledger.requests(), pay.requests()), (0, 0));
+    assert_eq!((ledger.requests_handled(), pay.requests_handled()), (0, 0));
     replica.state.0.lock().expect("the lock is not poisoned").knows_services = true;
     await_servers(&sidecar, 1, " services=1");
     await_requests_to(&sidecar, &[&ledger]);
-    assert_eq!(pay.requests(), 0);
+    assert_eq!(pay.requests_handled(), 0);
 }
 
 #[test]
--- a/crates/sidecar/tests/stored_state/mod.rs
+++ b/crates/sidecar/tests/stored_state/mod.rs
@@ -119,7 +119,7 @@
             assert_eq!(status_of_look(&sidecar), 200, "{}", stored.fixture);
         }
         for (name, endpoint) in endpoints {
-            let gets_requests = endpoint.requests() > 0;
+            let gets_requests = endpoint.requests_handled() > 0;
             assert_eq!(gets_requests, !stored.cordoned.contains(&name), "{}: {name}", stored.fixture);
         }
         // Cordoned names are known to operators' calls. Repeating a call leaves the text of the file as it was.
--- a/crates/sidecar/tests/streaming/mod.rs
+++ b/crates/sidecar/tests/streaming/mod.rs
@@ -67,7 +67,7 @@
             assert!(response.body == body, "{framing} {length}");
         }
     }
-    let received = endpoint.received.lock().expect("the lock is not poisoned");
+    let received = endpoint.handled.lock().expect("the lock is not poisoned");
     assert!(received.iter().all(|m| m.header("x-sum").is_none() && m.header("expect").is_none()));
 }
 
@@ -111,7 +111,7 @@
             client
         })
         .collect();
-    wait_until("the endpoint has received all requests", || endpoint.requests() == 16);
+    wait_until("the endpoint has received all requests", || endpoint.requests_handled() == 16);
     thread::sleep(Duration::from_millis(500));
     thread::scope(|scope| {
         for client in &mut readers {
@@ -167,7 +167,7 @@
             Reply::Raw([head, body].concat(), None)
         });
         let sidecar = Sidecar::start_with_config(&discovery, &[("s-1", &endpoint)], 1024, |config| {
-            // A stalled response is abandoned after the longest of these times.
+            // A stalled response is abandoned after the longest of the deadline and the latency objective (`AimUs`).
             config.replace("\"DeadlineUs\":20000000", "\"DeadlineUs\":1000000").replace("8000000", "800000")
         });
         let request_text = request("look", "", "");
@@ -186,7 +186,7 @@
         };
         assert!(!complete && (without_length || head.contains("content-length")), "{head}");
         assert!(!(is_http_1_0 && head.contains("chunked")), "{head}");
-        assert_eq!(endpoint.requests(), 1, "there is no retry after the first byte of a response");
+        assert_eq!(endpoint.requests_handled(), 1, "there is no retry after the first byte of a response");
     }
 }
 
@@ -243,7 +243,7 @@
     let response = read_message(&mut client).expect("a response");
     assert_eq!((response.status(), response.body), (200, b"230000".to_vec()));
 
-    let before = endpoint.requests();
+    let before = endpoint.requests_handled();
     for sent in [100, 30_000, 200_000] {
         let mut client = sidecar.connect();
         let request_bytes =
@@ -253,7 +253,7 @@
         assert_eq!(read_message(&mut client).expect("a response").status(), 408);
         assert!(await_close(&mut client) && stalled_at.elapsed() < TEST_TIMEOUT / 3);
     }
-    assert_eq!(endpoint.requests(), before);
+    assert_eq!(endpoint.requests_handled(), before);
 }
 
 // Such a response may go on for long, so its first part must be forwarded before the rest is received.
--- a/crates/sidecar/tests/stubs/endpoint.rs
+++ b/crates/sidecar/tests/stubs/endpoint.rs
@@ -27,8 +27,8 @@
 /// A stub endpoint that records the requests it receives.
 pub struct Endpoint {
     pub address: SocketAddr,
-    /// The requests for which the reply has been determined.
-    pub received: Arc<Mutex<Vec<Message>>>,
+    /// The requests for which the reply has been determined; those that still wait for it are not included.
+    pub handled: Arc<Mutex<Vec<Message>>>,
     /// Number of requests whose head has been received.
     heads: Arc<AtomicUsize>,
     /// Number of requests that have been received completely, including those without a reply yet.
@@ -47,23 +47,23 @@
     /// Starts an endpoint on this listener.
     pub fn on(listener: TcpListener, reply: impl Fn(&Message) -> Reply + Send + Sync + 'static) -> Self {
         let address = listener.local_addr().expect("an address");
-        let (received, heads, complete, accepted, closed) = Default::default();
-        let endpoint = Self { address, received, heads, complete, accepted, closed };
-        let (received, heads, complete) =
-            (endpoint.received.clone(), endpoint.heads.clone(), endpoint.complete.clone());
+        let (handled, heads, complete, accepted, closed) = Default::default();
+        let endpoint = Self { address, handled, heads, complete, accepted, closed };
+        let (handled, heads, complete) =
+            (endpoint.handled.clone(), endpoint.heads.clone(), endpoint.complete.clone());
         let (accepted, closed) = (endpoint.accepted.clone(), endpoint.closed.clone());
         let reply = Arc::new(reply);
         thread::spawn(move || {
             for stream in listener.incoming().map_while(Result::ok) {
                 accepted.fetch_add(1, Ordering::SeqCst);
-                let (received, closed, reply) = (received.clone(), closed.clone(), reply.clone());
+                let (handled, closed, reply) = (handled.clone(), closed.clone(), reply.clone());
                 let (heads, complete) = (heads.clone(), complete.clone());
                 thread::spawn(move || {
                     let reply = |message: &Message| {
                         complete.fetch_add(1, Ordering::SeqCst);
                         reply(message)
                     };
-                    serve(stream, &heads, &received, &closed, &reply);
+                    serve(stream, &heads, &handled, &closed, &reply);
                 });
             }
         });
@@ -71,8 +71,8 @@
     }
 
     /// Number of requests for which the reply has been determined.
-    pub fn requests(&self) -> usize {
-        self.received.lock().expect("the lock is not poisoned").len()
+    pub fn requests_handled(&self) -> usize {
+        self.handled.lock().expect("the lock is not poisoned").len()
     }
 
     /// Number of requests whose head has been received.
@@ -94,7 +94,7 @@
 fn serve(
     mut stream: TcpStream,
     heads: &AtomicUsize,
-    received: &Mutex<Vec<Message>>,
+    handled: &Mutex<Vec<Message>>,
     closed: &AtomicUsize,
     reply: &dyn Fn(&Message) -> Reply,
 ) {
@@ -106,7 +106,7 @@
         let Some(mut message) = read_body(head, &mut stream) else { break };
         message.idle = last_reply.map(|at| at.elapsed());
         let reply = reply(&message);
-        received.lock().expect("the lock is not poisoned").push(message);
+        handled.lock().expect("the lock is not poisoned").push(message);
         match reply {
             Reply::Response(status, headers, body) => write_response(&mut stream, status, headers, &body),
             Reply::ResponseThenClose(status, headers, body) => {
--- a/crates/sidecar/tests/stubs/http.rs
+++ b/crates/sidecar/tests/stubs/http.rs
@@ -79,7 +79,7 @@
 }
 
 /// Reads the answer to an operator's call, without its line end; empty if there is none.
-pub fn read_line(stream: &mut TcpStream) -> String {
+pub fn read_answer(stream: &mut TcpStream) -> String {
     stream.set_read_timeout(Some(TEST_TIMEOUT)).expect("a timeout can be set");
     let mut line = String::new();
     // A truncated answer, without its line end, counts as none.
--- a/crates/sidecar/tests/stubs/sidecar.rs
+++ b/crates/sidecar/tests/stubs/sidecar.rs
@@ -211,7 +211,7 @@
     pub fn call(&self, line: &str) -> String {
         let Ok(mut stream) = TcpStream::connect(self.management) else { return "cannot connect".to_owned() };
         stream.write_all(format!("{line}\n").as_bytes()).expect("the write succeeds");
-        read_line(&mut stream)
+        read_answer(&mut stream)
     }
 
     /// Sends a request on a new connection; returns the response, or `None` if there is none.
--- a/crates/sidecar/tests/time_limits/changes.rs
+++ b/crates/sidecar/tests/time_limits/changes.rs
@@ -71,11 +71,15 @@
     assert_follows_change_after_fault(1, NOTIFICATION_TIME, raw_fault(endless, Delivery::TrickleSpaces));
 }
 
-// An unanswered watch looks like one without changes. It is abandoned only when a change that it missed has to be known
-// already, which leaves the grace period to follow the change.
+// An unanswered watch looks like one without changes, so it is abandoned only after `NOTIFICATION_TIME`, when a change
+// that it missed has to be known already. Only the grace period remains to follow that change.
 #[test]
 fn follows_change_after_unanswered_watches() {
-    assert_follows_change_after_fault(2, NOTIFICATION_TIME + GRACE, raw_fault("", Delivery::KeepOpen));
+    assert_follows_change_after_fault(
+        2,
+        NOTIFICATION_TIME + LEAVING_GRACE_TIME,
+        raw_fault("", Delivery::KeepOpen),
+    );
 }
 
 #[test]
--- a/crates/sidecar/tests/time_limits/client_close_during_body.rs
+++ b/crates/sidecar/tests/time_limits/client_close_during_body.rs
@@ -11,7 +11,7 @@
 const BODY_LENGTHS: [usize; 6] = [100_000, 150_000, 200_000, 400_000, 1_000_000, 4_000_000];
 /// Length of a chunk.
 const CHUNK_BYTES: usize = 10_000;
-/// How long the sidecar process is stopped, which the operators' test does as well.
+/// How long the sidecar process is stopped (SIGSTOP), as in the operators' continuous test.
 const STOP_TIME: Duration = Duration::from_millis(150);
 /// Number of clients whose partly sent bodies reserve the memory for bodies of a sidecar with 16 MB.
 const MEMORY_HOLDERS: usize = 90;
--- a/crates/sidecar/tests/time_limits/clients.rs
+++ b/crates/sidecar/tests/time_limits/clients.rs
@@ -92,8 +92,8 @@
 }
 
 /// Runs a case for each close mode, with a sidecar that runs, and with one that is stopped (SIGSTOP) and then finds both
-/// at once: that the client has closed, and what its request has waited for. A run proves nothing, returns `None`, and is
-/// repeated, if the machine was too slow for the requests to be waiting when their clients close.
+/// at once: that the client has closed, and the event that would let its request be sent. A run proves nothing,
+/// returns `None`, and is repeated, if the machine was too slow for the requests to be waiting when their clients close.
 fn for_each_close_mode(run_case: impl Fn((bool, &'static [u8]), bool) -> Option<()>) {
     for close_mode in CLIENT_CLOSE_MODES {
         for while_stopped in [false, true] {
@@ -109,7 +109,7 @@
 
 /// Closes these clients, waits for as long as their requests may still be attempted after that, and calls `then`. With
 /// `while_stopped`, the sidecar process is stopped throughout.
-fn all_close(
+fn close_clients_then(
     sidecar: &Sidecar,
     clients: Vec<TcpStream>,
     (close_mode, while_stopped): ((bool, &'static [u8]), bool),
@@ -166,7 +166,7 @@
         });
         clients.iter().any(is_waiting).then_some(())?;
         let mut before = (0, 0);
-        all_close(&sidecar, clients, (close_mode, while_stopped), || {
+        close_clients_then(&sidecar, clients, (close_mode, while_stopped), || {
             // Attempts that had begun have reached the endpoint by then.
             thread::sleep(if while_stopped { 4 * CLOSE_REACTION_TIME } else { SOCKET_TOLERANCE });
             before = (times_forwarded(&closing_requests), times_forwarded(&remaining_requests));
@@ -255,7 +255,7 @@
     let (stop, served) = (AtomicBool::new(false), AtomicUsize::new(0));
     // An unanswered watch is abandoned only after the time for which discovery may hold it without changes.
     let notification_time = if matches!(failure, DiscoveryFailure::Unresponsive) {
-        NOTIFICATION_TIME + GRACE
+        NOTIFICATION_TIME + LEAVING_GRACE_TIME
     } else {
         NOTIFICATION_TIME
     };
--- a/crates/sidecar/tests/time_limits/mod.rs
+++ b/crates/sidecar/tests/time_limits/mod.rs
@@ -1,5 +1,6 @@
-//! Time limits of the operators' continuous test, each case reproduced on sockets: changes of the list after faults of
-//! discovery, clients that close their connections to a busy sidecar, and idle clients that take all descriptors.
+//! Time limits that the operators check in their continuous test (which is not part of these sources), each reproduced
+//! with real processes and TCP connections: changes of the list after faults of discovery, clients that close their
+//! connections to a busy sidecar, and idle clients that take all descriptors.
 
 mod changes;
 mod client_close_during_body;
@@ -16,7 +17,7 @@
 /// A sidecar has to know a change this long after discovery had it and was reachable.
 const NOTIFICATION_TIME: Duration = Duration::from_secs(6);
 /// How long a sidecar may still send requests to an endpoint after it knows that the endpoint is leaving.
-const GRACE: Duration = Duration::from_secs(2);
+const LEAVING_GRACE_TIME: Duration = Duration::from_secs(2);
 /// An attempt may begin at most this long after its client has closed the connection.
 const CLOSE_REACTION_TIME: Duration = Duration::from_millis(100);
 /// Tolerance for bounds measured on sockets.
--- a/crates/simulator-adapter/src/decode.rs
+++ b/crates/simulator-adapter/src/decode.rs
@@ -124,7 +124,7 @@
         return Ok(EndpointListUpdate::Failed);
     }
     let id: u64 = line.number("RosterId")?;
-    let list = lists.get(&id).ok_or_else(|| line.error("RosterId", FieldError::UnknownCatalog(id)))?;
+    let list = lists.get(&id).ok_or_else(|| line.error("RosterId", FieldError::UnknownList(id)))?;
     let entries = list.iter().map(|entry| entry.intern(names)).collect();
     match kind {
         1 => Ok(EndpointListUpdate::Delta(entries)),
--- a/crates/simulator-adapter/src/error.rs
+++ b/crates/simulator-adapter/src/error.rs
@@ -59,11 +59,11 @@
     /// A batch begins inside another.
     NestedBatch,
     /// An entry is outside a `catalog`, which is the protocol's name for an endpoint list.
-    OutsideCatalog,
+    OutsideList,
     /// A `catalog` has fewer entries than announced.
-    ShortCatalog {
+    IncompleteList {
         /// Its number.
-        catalog: u64,
+        list: u64,
         /// Number of missing entries.
         missing: usize,
     },
@@ -97,7 +97,7 @@
     /// It is not one of the field's values.
     UnknownValue(String),
     /// No `catalog` has this number.
-    UnknownCatalog(u64),
+    UnknownList(u64),
     /// It is not valid Base64.
     Base64(Base64Error),
     /// The settings cannot be decoded.
@@ -113,16 +113,16 @@
             Self::UnfinishedBatch => f.write_str("batch not ended by `go`"),
             Self::OutsideBatch { message } => write!(f, "{message} outside a batch"),
             Self::NestedBatch => f.write_str("`mark` inside a batch"),
-            Self::OutsideCatalog => f.write_str("entry `m` outside a catalog"),
-            Self::ShortCatalog { catalog, missing } => {
-                write!(f, "catalog {catalog} lacks {missing} entries")
+            Self::OutsideList => f.write_str("entry `m` outside a catalog"),
+            Self::IncompleteList { list, missing } => {
+                write!(f, "catalog {list} lacks {missing} entries")
             }
             Self::Field { message, field, reason } => match reason {
                 FieldError::Missing => write!(f, "{message} has no field {field}"),
                 FieldError::NotANumber => write!(f, "{message}: {field} is not a number in its range"),
                 FieldError::TooLarge => write!(f, "{message}: {field} is too large"),
                 FieldError::UnknownValue(value) => write!(f, "{message}: unknown {field} {value}"),
-                FieldError::UnknownCatalog(id) => write!(f, "{message}: {field} {id} is not a known catalog"),
+                FieldError::UnknownList(id) => write!(f, "{message}: {field} {id} is not a known catalog"),
                 FieldError::Base64(error) => write!(f, "{message}: {field}: {error}"),
                 FieldError::Settings(error) => write!(f, "{message}: {field}: {error}"),
                 FieldError::UnusableSettings(error) => write!(f, "{message}: {field}: {error}"),
@@ -144,7 +144,7 @@
             | FieldError::NotANumber
             | FieldError::TooLarge
             | FieldError::UnknownValue(_)
-            | FieldError::UnknownCatalog(_) => None,
+            | FieldError::UnknownList(_) => None,
         }
     }
 }
--- a/crates/simulator-adapter/src/host.rs
+++ b/crates/simulator-adapter/src/host.rs
@@ -86,7 +86,7 @@
                 encode::batch_end(batch.number, &mut self.reply).expect("writing to a string cannot fail");
                 return Ok(Progress::ReplyComplete);
             }
-            "m" => return Err(LineError::OutsideCatalog),
+            "m" => return Err(LineError::OutsideList),
             "catalog" => self.begin_list(line.number("RosterId")?, line.number("Hosts")?),
             "start" => {
                 let id = line.number("I")?;
@@ -122,7 +122,7 @@
 
     fn read_entry(&mut self, line: &Line, list: PendingList) -> Result<(), LineError> {
         if line.name != "m" {
-            return Err(LineError::ShortCatalog { catalog: list.id, missing: list.entries_left });
+            return Err(LineError::IncompleteList { list: list.id, missing: list.entries_left });
         }
         self.lists.entry(list.id).or_default().push(Entry::decode(line)?);
         self.expect_entries(list.id, list.entries_left - 1);
--- a/crates/simulator-adapter/src/tests.rs
+++ b/crates/simulator-adapter/src/tests.rs
@@ -13,7 +13,7 @@
 "Rules": {"ColdShare": 0.3, "OverloadFactor": 3.0, "TipAfterUs": 1500000, "WarmWithinUs": 8900000},
 "Tenants": [{"Name": "one"}, {"Name": "two"}], "Zones": ["a", "b"]}"#;
 
-const CATALOG: u64 = 6;
+const LIST_ID: u64 = 6;
 
 /// The names of an instance that knows the endpoints `10.0.0.1:80` (0) and `10.0.0.2:80` (1), and the lists that it has
 /// received.
@@ -26,7 +26,7 @@
         "m Endpoint=10.0.0.3:80 Campus=new Model=y Status=0",
     ];
     let entries = entries.map(|line| Entry::decode(&Line::new(line)).expect("an entry"));
-    let lists = HashMap::from([(CATALOG, Vec::from(entries))]);
+    let lists = HashMap::from([(LIST_ID, Vec::from(entries))]);
     event(&mut names, &lists, "endpoints I=3 Epoch=1 Kind=3 RosterId=6");
     (names, lists)
 }
@@ -74,7 +74,7 @@
 }
 
 #[test]
-fn every_field_of_a_demand_is_read() {
+fn every_field_of_a_request_is_read() {
     let line =
         "demand I=3 Ticket=9 Profile=book Project=two PartitionKey=4 DueUs=9900000 WorkHintUs=1200 Flags=3";
     let Event::RequestReceived(new) = read(line) else { panic!("a request") };
@@ -161,7 +161,7 @@
 }
 
 #[test]
-fn every_field_of_a_catalog_is_read() {
+fn every_field_of_an_endpoint_list_is_read() {
     for (kind, name) in [(1, "changes"), (2, "cached list"), (3, "complete list")] {
         let Event::EndpointList(update) = read(&format!("endpoints I=3 Epoch=1 Kind={kind} RosterId=6"))
         else {
--- a/crates/simulator-adapter/tests/stored_forms.rs
+++ b/crates/simulator-adapter/tests/stored_forms.rs
@@ -1,5 +1,6 @@
 //! Golden tests of what is exchanged with the balancer: its settings object, and a transcript of the simulator's
-//! protocol that the program wrote at commit 3f326ce. Names in the code may change; what is read and written may not.
+//! protocol that an earlier version (commit 3f326ce) wrote. Names in the code may change; what is read and written may
+//! not.
 
 use lotusmoor_balancer::settings::{DecodedSettings, decode};
 use lotusmoor_balancer::*;
@@ -68,7 +69,7 @@
     assert_eq!((rules.answer_grace, rules.max_poll_interval), (50_000, 3_000_000));
     assert_eq!((rules.initial_capacity_share, rules.overload_factor), (0.3, 2.5));
     assert_eq!((rules.overload_collapse_after, rules.slow_start_duration), (1_400_000, 8_900_000));
-    assert_eq!((prices.cross_zone, prices.handshake, prices.late_fail), (0.01, 0.02, 0.03));
+    assert_eq!((prices.cross_zone, prices.handshake, prices.late_or_failed), (0.01, 0.02, 0.03));
     assert_eq!((prices.health_check, prices.waste), (0.04, 0.05));
     assert_eq!((goal.overall, goal.worst_class), (0.4, 0.3));
     assert_eq!((goal.worst_tenant, goal.worst_window), (0.2, 0.1));
--- a/crates/simulator-adapter/tests/wire.rs
+++ b/crates/simulator-adapter/tests/wire.rs
@@ -34,7 +34,7 @@
     format!("mark WallUs={} batch={number}\n{events}go\n", 8_000_000 + 5000 * number)
 }
 
-fn demand(instance: u32, ticket: u64) -> String {
+fn request(instance: u32, ticket: u64) -> String {
     format!(
         "demand I={instance} Ticket={ticket} Profile=look Project=one PartitionKey=4 DueUs=9900000 Flags=0\n"
     )
@@ -51,7 +51,7 @@
 
 #[test]
 fn sends_request_and_ends_it_with_the_answer() {
-    let input = batch(1, &(start(0) + &demand(0, 593372770898372)));
+    let input = batch(1, &(start(0) + &request(0, 593372770898372)));
     let reply = run(&input).expect("readable");
     assert!(reply.contains("hand_off I=0 Ticket=593372770898372 Endpoint=10.0.0."), "{reply}");
     assert!(reply.ends_with("next batch=1\n"));
@@ -66,7 +66,7 @@
 #[test]
 fn decodes_every_event() {
     let events = start(0)
-        + &demand(0, 1)
+        + &request(0, 1)
         + "under_way I=0 Ticket=1 Go=0 Endpoint=10.0.0.1:80 TookUs=5\n\
            peer_data I=0 By=1 Bytes=aGkgNw==\npeer_data I=0 By=1 Bytes=-\n\
            withdrawn I=0 Ticket=1\nwithdrawn I=0 Ticket=1\nalarm I=0 Ctx=77\n\
@@ -95,7 +95,7 @@
 }
 
 #[test]
-fn reused_catalog_number_means_latest_list_before_the_event() {
+fn event_uses_latest_list_with_its_id() {
     let list = |host: &str| format!("catalog RosterId=0 Hosts=1\nm Endpoint={host} Status=1 Group=0\n");
     let both = format!(
         "start I=0 RandomSeed=1 Conf={0}\nstart I=1 RandomSeed=1 Conf={0}\n{1}endpoints I=0 Epoch=1 Kind=2 RosterId=0\n\
@@ -103,8 +103,8 @@
         conf(),
         list("h:1"),
         list("h:2"),
-        demand(0, 1),
-        demand(1, 2)
+        request(0, 1),
+        request(1, 2)
     );
     let reply = run(&batch(1, &both)).expect("readable");
     assert!(reply.contains("hand_off I=0 Ticket=1 Endpoint=h:1 "), "{reply}");
@@ -113,12 +113,12 @@
 
 #[test]
 fn kill_and_start_in_one_batch_replace_the_instance_and_its_state() {
-    let first = batch(1, &(start(0) + &demand(0, 1)));
-    let again = batch(2, &("kill I=0\n".to_owned() + &start(0) + &demand(0, 2)));
+    let first = batch(1, &(start(0) + &request(0, 1)));
+    let again = batch(2, &("kill I=0\n".to_owned() + &start(0) + &request(0, 2)));
     let reply = run(&(first + &again)).expect("readable");
     assert!(reply.contains("Ticket=2 "), "{reply}");
     let later = "mark WallUs=99000000 batch=3\nalarm I=0 Ctx=9900000\ngo\n";
-    let all = run(&(batch(1, &(start(0) + &demand(0, 1)))
+    let all = run(&(batch(1, &(start(0) + &request(0, 1)))
         + &batch(2, &("kill I=0\n".to_owned() + &start(0)))
         + later));
     assert!(!all.expect("readable").contains("error I=0"));
@@ -134,7 +134,7 @@
                 if n == 1 {
                     events += &start(i);
                 }
-                events += &demand(i, u64::from(n) * 10 + u64::from(i));
+                events += &request(i, u64::from(n) * 10 + u64::from(i));
             }
             input += &batch(n, &events);
         }
@@ -294,7 +294,7 @@
 #[test]
 fn serves_megabyte_batches() {
     let mut events = start(0);
-    (0..12_000).for_each(|t| events += &demand(0, t));
+    (0..12_000).for_each(|t| events += &request(0, t));
     assert!(events.len() > 1_000_000);
     let reply = run(&batch(1, &events)).expect("readable");
     let sent = reply.lines().filter(|l| l.starts_with("hand_off")).count();
