--- a/crates/lotusmoor/tests/roster.rs
+++ b/crates/lotusmoor/tests/roster.rs
@@ -1,5 +1,5 @@
-//! Three replicas of a roster as real processes with faults between them: what was acknowledged stays, what is told
-//! only goes forward, and a replica that can't know says so.
+//! Three replicas of the registry as real processes with faults between them: acknowledged writes are never lost, served
+//! versions never decrease, and a replica that may be out of date says so.
 
 use lotusmoor_fleet::harness::registry_replicas::{Answer, RegistryReplicas, call, voter_count};
 use lotusmoor_fleet::harness::{Link, Programs, Timeline, process_guard::ProcessGuard, until};
@@ -9,259 +9,271 @@
 use std::net::TcpStream;
 use std::time::{Duration, Instant};
 
-/// Replicas, with what they need.
-struct Play {
-    rosters: RegistryReplicas,
+/// The replicas of a registry, with the runtime and the folder that they use.
+struct TestRegistry {
+    replicas: RegistryReplicas,
     _runtime: tokio::runtime::Runtime,
     folder: tempfile::TempDir,
 }
 
-fn start(count: usize, arguments: &[&str]) -> Play {
+fn start(count: usize, arguments: &[&str]) -> TestRegistry {
     let programs = Programs::find().expect("the programs are built");
-    let reaper = ProcessGuard::start(&programs.lotusmoor).expect("the process guard starts");
+    let process_guard = ProcessGuard::start(&programs.lotusmoor).expect("the process guard starts");
     let folder = tempfile::tempdir().expect("a temporary directory");
     let runtime = tokio::runtime::Builder::new_multi_thread().worker_threads(2).enable_all().build();
     let runtime = runtime.expect("the runtime starts");
-    let mut rosters =
-        RegistryReplicas::new(programs, folder.path(), runtime.handle().clone(), reaper, Timeline::default());
-    rosters.start(count, arguments).unwrap_or_else(|e| panic!("{e}"));
+    let mut replicas = RegistryReplicas::new(
+        programs,
+        folder.path(),
+        runtime.handle().clone(),
+        process_guard,
+        Timeline::default(),
+    );
+    replicas.start(count, arguments).unwrap_or_else(|e| panic!("{e}"));
     if count > 1 {
-        rosters.restart_with_proxies().unwrap_or_else(|e| panic!("{e}"));
+        replicas.restart_with_proxies().unwrap_or_else(|e| panic!("{e}"));
     }
     for at in 0..count {
-        let tells = || rosters.call(at, "GET", "/v1/list", "").is_ok_and(|a| a.status == 200);
-        assert!(until(tells), "replica {at} tells no list\n{}", rosters.logs());
+        let serves_list = || replicas.call(at, "GET", "/v1/list", "").is_ok_and(|a| a.status == 200);
+        assert!(until(serves_list), "replica {at} serves no list\n{}", replicas.logs());
     }
-    Play { rosters, _runtime: runtime, folder }
+    TestRegistry { replicas, _runtime: runtime, folder }
 }
 
-/// A file of settings, for replicas that are to be quick to doubt themselves.
-fn config(folder: &std::path::Path, text: &str) -> String {
+/// Writes a configuration file of the registry and returns its path.
+fn write_config(folder: &std::path::Path, text: &str) -> String {
     let path = folder.join(format!("settings-{}.toml", text.len()));
     std::fs::write(&path, text).expect("the file is written");
     path.display().to_string()
 }
 
-impl Play {
-    fn check(&self, holds: bool, what: &str) {
-        assert!(holds, "{what}\n{}{}", self.rosters.timeline, self.rosters.logs());
+impl TestRegistry {
+    fn check(&self, condition: bool, what: &str) {
+        assert!(condition, "{what}\n{}{}", self.replicas.timeline, self.replicas.logs());
     }
 
-    fn wait(&self, what: &str, holds: impl FnMut() -> bool) {
-        let came = until(holds);
-        self.check(came, &format!("timed out waiting until {what}"));
+    fn wait(&self, what: &str, condition: impl FnMut() -> bool) {
+        let is_met = until(condition);
+        self.check(is_met, &format!("timed out waiting until {what}"));
     }
 
     fn register(&self, at: usize, name: &str, since_ms: u64) -> Option<u64> {
         let body = json!({"address": "127.0.0.1:9000", "since_ms": since_ms, "lease_ms": 0}).to_string();
-        let answer = self.rosters.call(at, "PUT", &format!("/v1/servers/{name}"), &body).ok()?;
+        let answer = self.replicas.call(at, "PUT", &format!("/v1/servers/{name}"), &body).ok()?;
         (answer.status == 200).then(|| answer.body["index"].as_u64())?
     }
 
-    /// Registers at any replica that takes it.
-    fn must_register(&self, name: &str, since_ms: u64) -> u64 {
+    /// Registers a server through any replica that accepts the write.
+    fn register_at_any(&self, name: &str, since_ms: u64) -> u64 {
         let mut index = None;
         self.wait(&format!("{name} is registered"), || {
-            index = (0..self.rosters.count()).find_map(|at| self.register(at, name, since_ms));
+            index = (0..self.replicas.count()).find_map(|at| self.register(at, name, since_ms));
             index.is_some()
         });
         index.unwrap_or(0)
     }
 
     fn names(&self, at: usize) -> Option<Vec<String>> {
-        let answer = self.rosters.call(at, "GET", "/v1/list?consistent=true", "").ok()?;
+        let answer = self.replicas.call(at, "GET", "/v1/list?consistent=true", "").ok()?;
         let list = answer.body["endpoints"].as_array()?.clone();
         (answer.status == 200)
             .then(|| list.iter().filter_map(|e| Some(e["name"].as_str()?.to_owned())).collect())
     }
 
-    /// Waits until all that run have one version and one digest of it.
-    fn wait_alike(&self, which: &[usize]) {
+    /// Waits until these replicas have the same version with the same digest.
+    fn wait_converged(&self, which: &[usize]) {
         self.wait("all replicas have the same list", || {
-            let views: Vec<_> = which.iter().map(|at| self.rosters.status(*at)).collect();
-            let view = |s: &Option<Value>| s.as_ref().map(|s| (s["index"].clone(), s["digest"].clone()));
-            views.iter().all(|s| s.is_some() && view(s) == view(&views[0]))
+            let statuses: Vec<_> = which.iter().map(|at| self.replicas.status(*at)).collect();
+            let version = |s: &Option<Value>| s.as_ref().map(|s| (s["index"].clone(), s["digest"].clone()));
+            statuses.iter().all(|s| s.is_some() && version(s) == version(&statuses[0]))
         });
     }
 
     fn wait_leader(&self) -> usize {
         let mut leader = None;
         self.wait("there is a leader", || {
-            leader = self.rosters.leader();
+            leader = self.replicas.leader();
             leader.is_some()
         });
         leader.unwrap_or(0)
     }
 }
 
-/// Versions that were seen, with their digests: none has two.
+/// The versions that were received, with their digests; each version must have a single digest.
 #[derive(Default)]
-struct Seen(BTreeMap<u64, u64>);
+struct DigestsByVersion(BTreeMap<u64, u64>);
 
-impl Seen {
-    fn note(&mut self, answer: &Answer) {
+impl DigestsByVersion {
+    fn record(&mut self, answer: &Answer) {
         if let (200, Some(index), Some(digest)) =
             (answer.status, answer.body["index"].as_u64(), answer.body["digest"].as_u64())
         {
             let known = *self.0.entry(index).or_insert(digest);
-            assert_eq!(known, digest, "two contents of {index}");
+            assert_eq!(known, digest, "two digests for version {index}");
         }
     }
 }
 
-// The leader stands still for longer than an election, and goes on in the belief that it leads.
+// The leader is paused (SIGSTOP) for longer than an election takes, and is still in the leader state when it resumes.
 #[test]
-fn a_leader_that_was_paused_loses_nothing_and_tells_nothing_old_as_new() {
-    let play = start(3, &[]);
-    let old = play.wait_leader();
-    let first = play.must_register("before", 1);
-    play.wait_alike(&[0, 1, 2]);
-    play.rosters.pause(old).expect("the replica is paused");
-    let others: Vec<usize> = (0..3).filter(|at| *at != old).collect();
+fn paused_leader_loses_no_write_and_serves_no_stale_list_as_current() {
+    let registry = start(3, &[]);
+    let paused = registry.wait_leader();
+    let first = registry.register_at_any("before", 1);
+    registry.wait_converged(&[0, 1, 2]);
+    registry.replicas.pause(paused).expect("the replica is paused");
+    let others: Vec<usize> = (0..3).filter(|at| *at != paused).collect();
     let mut last = first;
     for i in 0..20 {
         let mut index = None;
-        play.wait("the others go on", || {
-            index = others.iter().find_map(|at| play.register(*at, &format!("during-{i}"), 1));
+        registry.wait("the other replicas accept a write", || {
+            index = others.iter().find_map(|at| registry.register(*at, &format!("during-{i}"), 1));
             index.is_some()
         });
-        play.check(index > Some(last), "versions go forward");
+        registry.check(index > Some(last), "the version increases");
         last = index.unwrap_or(last);
     }
-    play.rosters.resume(old).expect("the replica is resumed");
-    let mut seen = Seen::default();
+    registry.replicas.resume(paused).expect("the replica is resumed");
+    let mut digests = DigestsByVersion::default();
     let mut newest = 0;
-    play.wait("the old leader has come up to date", || {
-        let Ok(answer) = play.rosters.call(old, "GET", "/v1/list", "") else { return false };
-        seen.note(&answer);
+    registry.wait("the former leader is up to date", || {
+        let Ok(answer) = registry.replicas.call(paused, "GET", "/v1/list", "") else { return false };
+        digests.record(&answer);
         let index = answer.body["index"].as_u64().unwrap_or(0);
         if answer.status == 200 {
-            play.check(index >= newest, "what it tells goes forward");
+            registry.check(index >= newest, "the served version does not decrease");
             newest = index;
-            // Whatever it lacks was acknowledged while it stood still, at least this long ago.
+            // The writes that it lacks were acknowledged while it was paused, so the age of a list without them must be
+            // above 0.
             let age = answer.body["age_ms"].as_u64().unwrap_or(0);
-            play.check(index >= last || age > 0, "it does not say that its list is new");
+            registry
+                .check(index >= last || age > 0, "a list that lacks acknowledged writes has an age above 0");
         }
         answer.status == 200 && index >= last
     });
-    // A write through it holds for all.
-    let through = play.must_register("after", 1);
-    play.check(through > last, "versions go forward");
-    play.wait_alike(&[0, 1, 2]);
+    // A write through any replica reaches all.
+    let index = registry.register_at_any("after", 1);
+    registry.check(index > last, "the version increases");
+    registry.wait_converged(&[0, 1, 2]);
     for at in 0..3 {
-        let names = play.names(at).expect("a response");
-        play.check(names.len() == 22, &format!("nothing acknowledged is lost: {names:?}"));
+        let names = registry.names(at).expect("a response");
+        registry.check(names.len() == 22, &format!("no acknowledged write is lost: {names:?}"));
     }
 }
 
 #[test]
-fn a_minority_goes_on_answering_marks_what_it_tells_as_old_and_then_refuses() {
+fn isolated_replica_serves_its_list_then_marks_it_stale_then_refuses() {
     let folder = tempfile::tempdir().expect("a temporary directory");
-    let quick = config(folder.path(), "[ages]\nmark_s = 1.5\nrefuse_s = 4\n");
-    let play = start(3, &["--config", &quick]);
-    let leader = play.wait_leader();
-    let alone = (leader + 1) % 3;
-    let before = play.must_register("before", 1);
-    play.wait_alike(&[0, 1, 2]);
-    play.rosters.set_isolated(alone, true);
-    let cut = Instant::now();
-    play.must_register("after", 1);
-    let (mut marked, mut plain) = (0, 0);
-    play.wait("the minority refuses", || {
-        let asked = cut.elapsed();
-        let answer = play.rosters.call(alone, "GET", "/v1/list", "").expect("a response");
+    let config = write_config(folder.path(), "[ages]\nmark_s = 1.5\nrefuse_s = 4\n");
+    let registry = start(3, &["--config", &config]);
+    let leader = registry.wait_leader();
+    let isolated = (leader + 1) % 3;
+    let before = registry.register_at_any("before", 1);
+    registry.wait_converged(&[0, 1, 2]);
+    registry.replicas.set_isolated(isolated, true);
+    let isolated_at = Instant::now();
+    registry.register_at_any("after", 1);
+    let (mut stale, mut current) = (0, 0);
+    registry.wait("the isolated replica refuses reads", || {
+        let since_isolation = isolated_at.elapsed();
+        let answer = registry.replicas.call(isolated, "GET", "/v1/list", "").expect("a response");
         if answer.status == 200 {
-            // It lacks what was acknowledged after the cut, and may not say that it is younger than the cut.
-            play.check(answer.body["index"].as_u64() == Some(before), "it tells what it had");
+            // It lacks the writes acknowledged after its isolation, so the age that it reports must be at least the time
+            // since then.
+            registry
+                .check(answer.body["index"].as_u64() == Some(before), "it serves the version that it had");
             let age = Duration::from_millis(answer.body["age_ms"].as_u64().unwrap_or(0));
-            play.check(
-                age + Duration::from_millis(20) >= asked.saturating_sub(Duration::from_millis(50)),
-                "it is no younger than it says",
+            registry.check(
+                age + Duration::from_millis(20) >= since_isolation.saturating_sub(Duration::from_millis(50)),
+                "the reported age is not below the time since the isolation",
             );
-            play.check(age < Duration::from_secs(5), "it refuses past its bound");
-            if answer.body["stale"] == true { marked += 1 } else { plain += 1 }
+            registry.check(age < Duration::from_secs(5), "no list is served past refuse_s");
+            if answer.body["stale"] == true { stale += 1 } else { current += 1 }
         }
         answer.status == 503 && answer.retry_after().is_some()
     });
-    play.check(marked > 0 && plain > 0, "first it tells plainly, then marked");
-    // Neither is a write taken there, nor a consistent read.
-    let list = play.rosters.call(alone, "GET", "/v1/list?consistent=true", "").expect("a response");
-    play.check(list.status == 503 && play.register(alone, "never", 1).is_none(), "a minority takes nothing");
-    play.rosters.set_isolated(alone, false);
-    play.wait_alike(&[0, 1, 2]);
-    play.check(
-        play.names(alone).is_some_and(|n| !n.contains(&"never".to_owned())),
-        "what was refused is not there",
+    registry.check(stale > 0 && current > 0, "it serves unmarked lists first, then lists marked as stale");
+    // It rejects writes and consistent reads as well.
+    let list = registry.replicas.call(isolated, "GET", "/v1/list?consistent=true", "").expect("a response");
+    registry.check(
+        list.status == 503 && registry.register(isolated, "never", 1).is_none(),
+        "the isolated replica rejects consistent reads and writes",
+    );
+    registry.replicas.set_isolated(isolated, false);
+    registry.wait_converged(&[0, 1, 2]);
+    registry.check(
+        registry.names(isolated).is_some_and(|n| !n.contains(&"never".to_owned())),
+        "the rejected write has no effect",
     );
 }
 
 #[test]
-fn links_cut_one_way_stop_no_majority() {
-    let play = start(3, &[]);
-    let leader = play.wait_leader();
+fn one_way_partitions_do_not_stop_writes() {
+    let registry = start(3, &[]);
+    let leader = registry.wait_leader();
     let other = (leader + 1) % 3;
-    // The leader hears of nobody who asks it, then nobody hears of it.
+    // First, requests from another replica do not reach the leader; then the leader's requests do not reach that replica.
     for (from, to) in [(other, leader), (leader, other)] {
-        play.rosters.set_link(from, to, Link { cut_up: true, ..Link::default() });
+        registry.replicas.set_link(from, to, Link { cut_up: true, ..Link::default() });
         for i in 0..5 {
-            play.must_register(&format!("cut-{from}-{i}"), 1);
+            registry.register_at_any(&format!("cut-{from}-{i}"), 1);
         }
-        play.rosters.set_link(from, to, Link::default());
+        registry.replicas.set_link(from, to, Link::default());
     }
-    play.wait_alike(&[0, 1, 2]);
-    play.check(play.names(0).is_some_and(|n| n.len() == 10), "all are there");
+    registry.wait_converged(&[0, 1, 2]);
+    registry.check(registry.names(0).is_some_and(|n| n.len() == 10), "all writes are present");
 }
 
 #[test]
-fn a_replica_whose_disk_fills_up_says_so_loses_nothing_and_comes_back_once_there_is_room() {
-    let play = start(3, &[]);
-    let leader = play.wait_leader();
-    play.must_register("before", 1);
-    let pid = play.rosters.pid(leader).and_then(|p| rustix::process::Pid::from_raw(p as i32));
-    let room = |current| {
+fn replica_with_full_disk_reports_it_and_recovers_once_there_is_space() {
+    let registry = start(3, &[]);
+    let leader = registry.wait_leader();
+    registry.register_at_any("before", 1);
+    let pid = registry.replicas.pid(leader).and_then(|p| rustix::process::Pid::from_raw(p as i32));
+    let set_max_file_size = |current| {
         let limit = rustix::process::Rlimit { current, maximum: None };
-        rustix::process::prlimit(pid, rustix::process::Resource::Fsize, limit).expect("it can be set");
+        rustix::process::prlimit(pid, rustix::process::Resource::Fsize, limit).expect("the limit can be set");
     };
-    // Its log is a file as well, and has room.
-    room(Some(65536));
+    // The limit applies to its log file as well, which stays below it.
+    set_max_file_size(Some(65536));
     let mut acknowledged = vec!["before".to_owned()];
-    play.wait("the leader is of no use for want of room", || {
+    registry.wait("the leader is unavailable for lack of disk space", || {
         let name = format!("s-{}", acknowledged.len());
-        if (0..3).any(|at| play.register(at, &name, 1).is_some()) {
+        if (0..3).any(|at| registry.register(at, &name, 1).is_some()) {
             acknowledged.push(name);
         }
-        let up = play.rosters.call(leader, "GET", "/up", "");
+        let up = registry.replicas.call(leader, "GET", "/up", "");
         acknowledged.len() > 5 && up.is_ok_and(|a| a.status == 503 && a.retry_after().is_some())
     });
-    let said = play.rosters.log_text(leader);
-    play.check(said.contains("the replica has stopped"), "it says why");
-    play.check(said.contains("the store is opened anew in"), "it says what it does about it");
-    play.check(!said.contains("panicked"), "it does not panic");
-    play.wait_leader();
-    play.must_register("without", 1);
+    let log = registry.replicas.log_text(leader);
+    registry.check(log.contains("the replica has stopped"), "the log has the reason");
+    registry.check(log.contains("the store is opened anew in"), "the log announces the reopening");
+    registry.check(!log.contains("panicked"), "it does not panic");
+    registry.wait_leader();
+    registry.register_at_any("without", 1);
     acknowledged.push("without".into());
-    play.check(!play.rosters.has_exited(leader), "it waits for room");
-    // With room again it comes back to itself, with no operator.
-    room(None);
-    play.wait_alike(&[0, 1, 2]);
-    let names = play.names(leader).expect("a response");
-    play.check(acknowledged.iter().all(|n| names.contains(n)), "nothing acknowledged is lost");
-    let metrics = play.rosters.call(leader, "GET", "/metrics", "").expect("a response");
-    play.check(metrics.status == 200, "it counts again");
+    registry.check(!registry.replicas.has_exited(leader), "it keeps running until there is space");
+    // Once there is space it recovers without an operator.
+    set_max_file_size(None);
+    registry.wait_converged(&[0, 1, 2]);
+    let names = registry.names(leader).expect("a response");
+    registry.check(acknowledged.iter().all(|n| names.contains(n)), "no acknowledged write is lost");
+    let metrics = registry.replicas.call(leader, "GET", "/metrics", "").expect("a response");
+    registry.check(metrics.status == 200, "it serves metrics again");
 }
 
 #[test]
-fn a_single_replica_acknowledges_what_is_on_its_disk_and_nothing_else() {
-    let play = start(1, &[]);
+fn killed_single_replica_keeps_each_acknowledged_write() {
+    let registry = start(1, &[]);
     let mut acknowledged = Vec::new();
     for round in 0..4 {
         for i in 0..15 {
-            play.must_register(&format!("r{round}-{i}"), 1);
+            registry.register_at_any(&format!("r{round}-{i}"), 1);
             acknowledged.push(format!("r{round}-{i}"));
         }
-        // In the middle of a write.
-        let address = play.rosters.address(0);
-        let writing = std::thread::spawn(move || {
+        // The kill comes in the middle of a write.
+        let address = registry.replicas.address(0);
+        let writer = std::thread::spawn(move || {
             for i in 0..50 {
                 let body = json!({"address": "127.0.0.1:1", "lease_ms": 0}).to_string();
                 let _ = call(
@@ -274,92 +286,93 @@
             }
         });
         std::thread::sleep(Duration::from_millis(20 + 10 * round));
-        play.rosters.kill(0).expect("the replica is killed");
-        let _ = writing.join();
-        play.rosters.start_replica(0).expect("the replica starts");
-        play.wait_leader();
+        registry.replicas.kill(0).expect("the replica is killed");
+        let _ = writer.join();
+        registry.replicas.start_replica(0).expect("the replica starts");
+        registry.wait_leader();
     }
-    let names = play.names(0).expect("a response");
-    play.check(acknowledged.iter().all(|n| names.contains(n)), "nothing acknowledged is lost");
+    let names = registry.names(0).expect("a response");
+    registry.check(acknowledged.iter().all(|n| names.contains(n)), "no acknowledged write is lost");
 }
 
-// A torn end, or one flipped byte: the replica serves what was acknowledged, or it says what is wrong and ends.
+// With a truncated file or one flipped bit, the replica either serves the acknowledged writes, or names the damaged
+// file and exits.
 #[test]
-fn a_file_that_was_torn_or_changed_is_never_served_as_something_else() {
-    let mut play = start(3, &[]);
+fn truncated_or_corrupted_database_is_never_served_as_other_data() {
+    let mut registry = start(3, &[]);
     for i in 0..30 {
-        play.must_register(&format!("s-{i}"), 1);
+        registry.register_at_any(&format!("s-{i}"), 1);
     }
-    play.wait_alike(&[0, 1, 2]);
-    let want = play.rosters.status(0).map(|s| (s["index"].clone(), s["digest"].clone()));
-    let victim = (play.wait_leader() + 1) % 3;
-    play.rosters.kill(victim).expect("the replica is killed");
-    let file = play.rosters.database_file(victim);
-    let whole = std::fs::read(&file).expect("the file is read");
-    let mark = file.with_file_name("roster.mark");
-    let marked = std::fs::read(&mark).expect("the file is read");
-    // Bytes of values that hold something.
+    registry.wait_converged(&[0, 1, 2]);
+    let expected = registry.replicas.status(0).map(|s| (s["index"].clone(), s["digest"].clone()));
+    let victim = (registry.wait_leader() + 1) % 3;
+    registry.replicas.kill(victim).expect("the replica is killed");
+    let file = registry.replicas.database_file(victim);
+    let original = std::fs::read(&file).expect("the file is read");
+    let mark_file = file.with_file_name("roster.mark");
+    let mark = std::fs::read(&mark_file).expect("the file is read");
+    // A value that is in use, so that one of the flipped bits damages stored data.
     let text = b"\"name\":\"s-7\"";
-    let inside = whole.windows(text.len()).position(|w| w == text).expect("the log has it");
+    let in_value = original.windows(text.len()).position(|w| w == text).expect("the file contains the value");
     let (mut refused, mut served) = (0, 0);
-    let spoils = [inside + 10, 17, 4096 + 5, whole.len() / 3, whole.len() / 2].map(|at| (at, true));
-    let torn = [whole.len() - 1, whole.len() - 5000, 100].map(|at| (at, false));
-    for (at, flip) in spoils.into_iter().chain(torn) {
-        let mut spoilt = whole.clone();
+    let flipped = [in_value + 10, 17, 4096 + 5, original.len() / 3, original.len() / 2].map(|at| (at, true));
+    let truncated = [original.len() - 1, original.len() - 5000, 100].map(|at| (at, false));
+    for (at, flip) in flipped.into_iter().chain(truncated) {
+        let mut damaged = original.clone();
         if flip {
-            spoilt[at] ^= 0x10;
+            damaged[at] ^= 0x10;
         } else {
-            spoilt.truncate(at);
+            damaged.truncate(at);
         }
-        std::fs::write(&file, &spoilt).expect("the file is written");
-        std::fs::write(&mark, &marked).expect("the file is written");
-        play.rosters.start_replica(victim).expect("the replica starts");
-        let mut state = None;
-        let came = until(|| {
-            let view = play.rosters.status(victim).map(|s| (s["index"].clone(), s["digest"].clone()));
-            state = Some(play.rosters.has_exited(victim));
-            state == Some(true) || view == want
+        std::fs::write(&file, &damaged).expect("the file is written");
+        std::fs::write(&mark_file, &mark).expect("the file is written");
+        registry.replicas.start_replica(victim).expect("the replica starts");
+        let mut has_exited = None;
+        let is_decided = until(|| {
+            let version = registry.replicas.status(victim).map(|s| (s["index"].clone(), s["digest"].clone()));
+            has_exited = Some(registry.replicas.has_exited(victim));
+            has_exited == Some(true) || version == expected
         });
-        play.check(came, &format!("byte {at}, flipped {flip}: it neither serves nor ends"));
-        if state == Some(true) {
+        registry.check(is_decided, &format!("byte {at}, flipped {flip}: it neither serves nor exits"));
+        if has_exited == Some(true) {
             refused += 1;
-            let said = play.rosters.log_text(victim);
-            let last = said.lines().last().unwrap_or_default();
-            play.check(!said.contains("panicked"), "it does not panic");
-            play.check(
+            let log = registry.replicas.log_text(victim);
+            let last = log.lines().last().unwrap_or_default();
+            registry.check(!log.contains("panicked"), "it does not panic");
+            registry.check(
                 last.contains("roster.redb"),
-                &format!("byte {at}, flipped {flip}: it names its file: {last}"),
+                &format!("byte {at}, flipped {flip}: the last log line names the file: {last}"),
             );
         } else {
             served += 1;
         }
-        play.rosters.kill(victim).expect("the replica is killed");
+        registry.replicas.kill(victim).expect("the replica is killed");
     }
-    play.check(refused >= 2, &format!("{refused} refused, {served} served"));
-    // The others have gone on, and a new replica takes its place.
-    play.must_register("later", 1);
-    let out = format!("/v1/replicas/{}", victim + 1);
-    play.wait("it is put out", || {
-        let leader = play.rosters.leader().unwrap_or(0);
-        play.rosters.call(leader, "DELETE", &out, "").is_ok_and(|a| a.status == 200)
+    registry.check(refused >= 2, &format!("{refused} refused, {served} served"));
+    // The other replicas still accept writes, and a new replica replaces the damaged one.
+    registry.register_at_any("later", 1);
+    let path = format!("/v1/replicas/{}", victim + 1);
+    registry.wait("the damaged replica is removed", || {
+        let leader = registry.replicas.leader().unwrap_or(0);
+        registry.replicas.call(leader, "DELETE", &path, "").is_ok_and(|a| a.status == 200)
     });
-    let new = play.rosters.add(&[]).unwrap_or_else(|e| panic!("{e}"));
-    play.wait("the new one votes", || {
-        play.rosters.status(new).is_some_and(|s| voter_count(&s) == 3 && s["servers"] == 31)
+    let new = registry.replicas.add(&[]).unwrap_or_else(|e| panic!("{e}"));
+    registry.wait("the new replica is a voter", || {
+        registry.replicas.status(new).is_some_and(|s| voter_count(&s) == 3 && s["servers"] == 31)
     });
 }
 
 #[test]
-fn two_replicas_with_the_same_number_are_not_both_taken() {
-    let play = start(3, &[]);
-    let leader = play.wait_leader();
-    play.must_register("a", 1);
+fn second_replica_with_the_same_id_is_rejected() {
+    let registry = start(3, &[]);
+    let leader = registry.wait_leader();
+    registry.register_at_any("a", 1);
     let programs = Programs::find().expect("the programs are built");
-    // A new folder with a number that is taken.
-    let fresh = play.folder.path().join("fresh");
-    let run = |id: usize, folder: &std::path::Path, log: &str| {
+    // A new folder with an id that is in use.
+    let fresh = registry.folder.path().join("fresh");
+    let start_with = |id: usize, folder: &std::path::Path, log: &str| {
         let mut command = std::process::Command::new(&programs.lotusmoor);
-        let join = play.rosters.address(leader).to_string();
+        let join = registry.replicas.address(leader).to_string();
         let listen = lotusmoor_fleet::harness::unused_address().to_string();
         command.args([
             "roster",
@@ -373,130 +386,133 @@
             "--folder",
         ]);
         command.arg(folder);
-        let log = play.folder.path().join(log);
+        let log = registry.folder.path().join(log);
         lotusmoor_fleet::harness::Process::start(command, "copy", &log, None).expect("the process starts")
     };
     let taken = (leader + 1) % 3;
-    let mut second = run(taken + 1, &fresh, "second.log");
-    play.wait("the second one ends", || second.exit_status().is_some());
-    play.check(second.log_text().contains("a number of its own"), &second.log_text());
-    // A copy of the folder of one that runs: it is told apart by its address.
-    play.rosters.kill(taken).expect("the replica is killed");
-    let copy = play.folder.path().join("copy");
+    let mut second = start_with(taken + 1, &fresh, "second.log");
+    registry.wait("the second replica with the id exits", || second.exit_status().is_some());
+    registry.check(second.log_text().contains("a number of its own"), &second.log_text());
+    // A copy of the folder of a running replica: its different address reveals it.
+    registry.replicas.kill(taken).expect("the replica is killed");
+    let copy = registry.folder.path().join("copy");
     std::fs::create_dir(&copy).expect("the directory is created");
-    std::fs::copy(play.rosters.database_file(taken), copy.join("roster.redb")).expect("the file is copied");
-    play.rosters.start_replica(taken).expect("the replica starts");
-    play.wait_alike(&[0, 1, 2]);
-    let copied = run(taken + 1, &copy, "copy.log");
+    std::fs::copy(registry.replicas.database_file(taken), copy.join("roster.redb"))
+        .expect("the file is copied");
+    registry.replicas.start_replica(taken).expect("the replica starts");
+    registry.wait_converged(&[0, 1, 2]);
+    let copied = start_with(taken + 1, &copy, "copy.log");
     let term = |s: Option<Value>| s.and_then(|s| s["term"].as_u64());
-    play.wait("the copy is noticed", || {
-        (0..3).any(|at| play.rosters.log_text(at).contains("two replicas have the number"))
+    registry.wait("the copy is reported", || {
+        (0..3).any(|at| registry.replicas.log_text(at).contains("two replicas have the number"))
     });
-    let before = term(play.rosters.status(leader));
+    let before = term(registry.replicas.status(leader));
     for i in 0..10 {
-        play.must_register(&format!("b-{i}"), 1);
+        registry.register_at_any(&format!("b-{i}"), 1);
     }
-    play.wait_alike(&[0, 1, 2]);
-    play.check(term(play.rosters.status(leader)) == before, "the copy unseats nobody");
+    registry.wait_converged(&[0, 1, 2]);
+    registry.check(term(registry.replicas.status(leader)) == before, "the copy causes no election");
     drop(copied);
 }
 
 #[test]
-fn three_replicas_are_upgraded_one_after_the_other_and_back_while_servers_register() {
-    let play = start(3, &["--format", "1"]);
+fn rolling_upgrade_and_downgrade_lose_no_write() {
+    let registry = start(3, &["--format", "1"]);
     let mut acknowledged = Vec::new();
-    let mut round = |play: &Play, format: &str| {
+    let mut roll_to_format = |registry: &TestRegistry, format: &str| {
         for at in 0..3 {
             for i in 0..10 {
                 let name = format!("f{format}-{at}-{i}-{}", acknowledged.len());
-                play.must_register(&name, 1);
+                registry.register_at_any(&name, 1);
                 acknowledged.push(name);
             }
-            play.rosters.kill(at).expect("the replica is killed");
-            play.rosters.set_arguments(at, &["--format", format]);
-            play.rosters.start_replica(at).expect("the replica starts");
-            play.wait_alike(&[0, 1, 2]);
+            registry.replicas.kill(at).expect("the replica is killed");
+            registry.replicas.set_arguments(at, &["--format", format]);
+            registry.replicas.start_replica(at).expect("the replica starts");
+            registry.wait_converged(&[0, 1, 2]);
         }
         acknowledged.len()
     };
-    let bare = std::fs::read(play.rosters.database_file(0)).expect("the file is read");
-    round(&play, "2");
-    let sealed = std::fs::read(play.rosters.database_file(0)).expect("the file is read");
-    assert_ne!(bare, sealed);
-    let all = round(&play, "1");
+    let in_format_1 = std::fs::read(registry.replicas.database_file(0)).expect("the file is read");
+    roll_to_format(&registry, "2");
+    let in_format_2 = std::fs::read(registry.replicas.database_file(0)).expect("the file is read");
+    assert_ne!(in_format_1, in_format_2);
+    let count = roll_to_format(&registry, "1");
     for at in 0..3 {
-        play.check(play.names(at).is_some_and(|n| n.len() == all), "nothing acknowledged is lost");
+        registry.check(registry.names(at).is_some_and(|n| n.len() == count), "no acknowledged write is lost");
     }
-    // A file of a form that is not known yet is left alone.
-    play.rosters.kill(0).expect("the replica is killed");
-    let config = play.rosters.database_file(0).with_file_name("newer.toml");
+    // A format that this version does not know is rejected.
+    registry.replicas.kill(0).expect("the replica is killed");
+    let config = registry.replicas.database_file(0).with_file_name("newer.toml");
     std::fs::write(&config, "format = 4\n").expect("the file is written");
-    play.rosters.set_arguments(0, &["--config", &config.display().to_string()]);
-    play.rosters.start_replica(0).expect("the replica starts");
-    play.wait("it refuses", || play.rosters.has_exited(0));
-    play.check(play.rosters.log_text(0).contains("format: must be 1, 2 or 3"), "it names the key");
+    registry.replicas.set_arguments(0, &["--config", &config.display().to_string()]);
+    registry.replicas.start_replica(0).expect("the replica starts");
+    registry.wait("the replica refuses to start", || registry.replicas.has_exited(0));
+    registry
+        .check(registry.replicas.log_text(0).contains("format: must be 1, 2 or 3"), "the log names the key");
 }
 
 #[test]
-fn a_server_that_falls_silent_leaves_and_one_that_flaps_changes_the_list_seldom() {
+fn expired_server_is_removed_and_flapping_one_is_rate_limited() {
     let folder = tempfile::tempdir().expect("a temporary directory");
-    let quick = config(folder.path(), "[leases]\nwindow_s = 1\nshare = 0.5\nleaving_s = 2\n");
-    let play = start(3, &["--config", &quick]);
+    let config = write_config(folder.path(), "[leases]\nwindow_s = 1\nshare = 0.5\nleaving_s = 2\n");
+    let registry = start(3, &["--config", &config]);
     let programs = Programs::find().expect("the programs are built");
-    let rosters: Vec<String> = (0..3).map(|at| play.rosters.address(at).to_string()).collect();
-    let keep = |name: &str| {
+    let addresses: Vec<String> = (0..3).map(|at| registry.replicas.address(at).to_string()).collect();
+    let start_keep = |name: &str| {
         let mut command = std::process::Command::new(&programs.lotusmoor);
         command.args(["roster", "keep", name, "127.0.0.1:9001", "--lease-ms", "900", "--drain-ms", "100"]);
-        command.args(["--roster", &rosters.join(",")]);
-        let log = play.folder.path().join(format!("{name}.log"));
+        command.args(["--roster", &addresses.join(",")]);
+        let log = registry.folder.path().join(format!("{name}.log"));
         lotusmoor_fleet::harness::Process::start(command, name, &log, None).expect("the process starts")
     };
-    let mut kept: Vec<_> = (0..4).map(|i| keep(&format!("k-{i}"))).collect();
+    let mut keepers: Vec<_> = (0..4).map(|i| start_keep(&format!("k-{i}"))).collect();
     let status = |name: &str| {
-        let answer = play.rosters.call(0, "GET", &format!("/v1/servers/{name}"), "").ok()?;
+        let answer = registry.replicas.call(0, "GET", &format!("/v1/servers/{name}"), "").ok()?;
         match answer.status {
             200 => Some(format!("{} {}", answer.body["entry"]["status"], answer.body["entry"]["why"])),
             _ => Some(answer.status.to_string()),
         }
     };
     let active = "\"active\" \"registered\"";
-    play.wait("all are listed", || (0..4).all(|i| status(&format!("k-{i}")).as_deref() == Some(active)));
-    kept[1].kill().expect("the process is killed");
-    play.wait("it is leaving", || status("k-1").as_deref() == Some("\"leaving\" \"expired\""));
-    play.wait("it is gone", || status("k-1").as_deref() == Some("404"));
-    // Those that are heard of stay, over a change of leader as well.
-    let leader = play.wait_leader();
-    play.rosters.kill(leader).expect("the replica is killed");
-    play.rosters.start_replica(leader).expect("the replica starts");
-    play.wait_leader();
+    registry.wait("all are listed", || (0..4).all(|i| status(&format!("k-{i}")).as_deref() == Some(active)));
+    keepers[1].kill().expect("the process is killed");
+    registry
+        .wait("the killed server is leaving", || status("k-1").as_deref() == Some("\"leaving\" \"expired\""));
+    registry.wait("the killed server is removed", || status("k-1").as_deref() == Some("404"));
+    // Servers whose lease is renewed stay listed, across a change of leader as well.
+    let leader = registry.wait_leader();
+    registry.replicas.kill(leader).expect("the replica is killed");
+    registry.replicas.start_replica(leader).expect("the replica starts");
+    registry.wait_leader();
     std::thread::sleep(Duration::from_secs(3));
     for name in ["k-0", "k-2", "k-3"] {
-        play.wait("the others stay", || status(name).as_deref() == Some(active));
+        registry.wait("the other servers are active", || status(name).as_deref() == Some(active));
     }
-    kept[2].terminate().expect("the signal is sent");
-    play.wait("one that is told to stop takes itself off", || status("k-2").as_deref() == Some("404"));
-    // Ten times a second.
-    let mut taken = 0;
+    keepers[2].terminate().expect("the signal is sent");
+    registry.wait("a stopped server deregisters itself", || status("k-2").as_deref() == Some("404"));
+    // Up to twenty changes a second.
+    let mut accepted = 0;
     for i in 0..40 {
         let body = json!({"address": "127.0.0.1:9000", "since_ms": i, "lease_ms": 0}).to_string();
-        let answer = play.rosters.call(0, "PUT", "/v1/servers/flaps", &body).expect("a response");
+        let answer = registry.replicas.call(0, "PUT", "/v1/servers/flaps", &body).expect("a response");
         match answer.status {
-            200 => taken += 1,
+            200 => accepted += 1,
             429 => assert!(answer.retry_after().is_some_and(|s| s > 0.0 && s <= 2.001), "{}", answer.head),
             other => panic!("{other} {}", answer.body),
         }
         std::thread::sleep(Duration::from_millis(50));
     }
-    play.check((3..=9).contains(&taken), &format!("{taken} of 40 changes were taken"));
-    play.must_register("other", 1);
+    registry.check((3..=9).contains(&accepted), &format!("{accepted} of 40 changes were accepted"));
+    registry.register_at_any("other", 1);
 }
 
 #[test]
-fn a_list_is_restored_from_a_backup_in_an_epoch_that_is_newer_than_all_before() {
-    let play = start(1, &[]);
-    play.must_register("kept", 1);
+fn restored_backup_starts_a_newer_epoch() {
+    let registry = start(1, &[]);
+    registry.register_at_any("kept", 1);
     let programs = Programs::find().expect("the programs are built");
-    let backup = play.folder.path().join("roster.backup");
+    let backup = registry.folder.path().join("roster.backup");
     let lotusmoor = |arguments: &[&str]| {
         let output = std::process::Command::new(&programs.lotusmoor)
             .args(arguments)
@@ -504,20 +520,20 @@
             .expect("the command runs");
         (output.status.code(), String::from_utf8_lossy(&output.stderr).into_owned())
     };
-    let address = play.rosters.address(0).to_string();
+    let address = registry.replicas.address(0).to_string();
     let out = backup.display().to_string();
     assert_eq!(lotusmoor(&["roster", "backup", "--roster", &address, "--out", &out]).0, Some(0));
-    play.must_register("lost", 1);
-    let before = play.rosters.call(0, "GET", "/v1/list", "").expect("a response").body;
-    // A backup that was changed is not taken.
-    let mut spoilt = std::fs::read(&backup).expect("the file is read");
-    let middle = spoilt.len() / 2;
-    spoilt[middle] ^= 1;
-    let wrong = play.folder.path().join("spoilt.backup");
-    std::fs::write(&wrong, spoilt).expect("the file is written");
+    registry.register_at_any("lost", 1);
+    let before = registry.replicas.call(0, "GET", "/v1/list", "").expect("a response").body;
+    // A corrupted backup is rejected.
+    let mut corrupted = std::fs::read(&backup).expect("the file is read");
+    let middle = corrupted.len() / 2;
+    corrupted[middle] ^= 1;
+    let corrupted_file = registry.folder.path().join("spoilt.backup");
+    std::fs::write(&corrupted_file, corrupted).expect("the file is written");
     let listen = lotusmoor_fleet::harness::unused_address().to_string();
-    let fresh = play.folder.path().join("fresh").display().to_string();
-    let (code, said) = lotusmoor(&[
+    let fresh = registry.folder.path().join("fresh").display().to_string();
+    let (code, error) = lotusmoor(&[
         "roster",
         "serve",
         "--listen",
@@ -525,22 +541,22 @@
         "--folder",
         &fresh,
         "--restore",
-        &wrong.display().to_string(),
+        &corrupted_file.display().to_string(),
     ]);
-    assert!(code == Some(1) && said.contains("spoilt.backup"), "{said}");
-    let restored = play.folder.path().join("restored").display().to_string();
+    assert!(code == Some(1) && error.contains("spoilt.backup"), "{error}");
+    let restored = registry.folder.path().join("restored").display().to_string();
     let mut command = std::process::Command::new(&programs.lotusmoor);
     command.args(["roster", "serve", "--listen", &listen, "--folder", &restored, "--restore", &out]);
-    let log = play.folder.path().join("restored.log");
+    let log = registry.folder.path().join("restored.log");
     let _new = lotusmoor_fleet::harness::Process::start(command, "restored", &log, None)
         .expect("the process starts");
     let at = listen.parse().expect("an address");
     let list = |path: &str| call(at, "GET", path, "", Duration::from_secs(5)).ok();
-    play.wait("it serves", || list("/v1/list").is_some_and(|a| a.status == 200));
+    registry.wait("the restored registry serves", || list("/v1/list").is_some_and(|a| a.status == 200));
     let after = list("/v1/list").expect("a response").body;
-    play.check(after["epoch"].as_u64() > before["epoch"].as_u64(), "the epoch is newer");
-    play.check(after["index"].as_u64() > before["index"].as_u64(), "the index has not gone back");
-    // A reader that is ahead of the backup gets the whole list, in both protocols.
+    registry.check(after["epoch"].as_u64() > before["epoch"].as_u64(), "the epoch is newer");
+    registry.check(after["index"].as_u64() > before["index"].as_u64(), "the index has not decreased");
+    // A reader with a newer index than the backup gets a full snapshot, from the watch and from the discovery endpoint.
     let (epoch, index) = (before["epoch"].clone(), before["index"].clone());
     let watch =
         list(&format!("/v1/watch?epoch={epoch}&after={index}&wait_ms=1000")).expect("a response").body;
@@ -555,10 +571,10 @@
 }
 
 #[test]
-fn what_can_not_be_meant_is_a_clear_4xx_and_nothing_half_applied() {
-    let play = start(1, &[]);
-    let before = play.must_register("good", 1);
-    let put = |path: &str, body: &str| play.rosters.call(0, "PUT", path, body).expect("a response");
+fn invalid_requests_get_a_4xx_and_have_no_effect() {
+    let registry = start(1, &[]);
+    let before = registry.register_at_any("good", 1);
+    let put = |path: &str, body: &str| registry.replicas.call(0, "PUT", path, body).expect("a response");
     let good = r#"{"address":"127.0.0.1:1"}"#;
     let long = "n".repeat(129);
     for (path, body, status, word) in [
@@ -573,21 +589,21 @@
         ("/v1/servers/good".into(), r#"{"address":"127.0.0.1:1","expect":0}"#, 409, "expected"),
     ] {
         let answer = put(&path, body);
-        let said = answer.body["error"].as_str().unwrap_or_default().to_owned();
-        assert!(answer.status == status && said.contains(word), "{path} {body}: {} {said}", answer.status);
+        let error = answer.body["error"].as_str().unwrap_or_default().to_owned();
+        assert!(answer.status == status && error.contains(word), "{path} {body}: {} {error}", answer.status);
     }
-    let post = |body: &str| play.rosters.call(0, "POST", "/v1/servers", body);
+    let post = |body: &str| registry.replicas.call(0, "POST", "/v1/servers", body);
     let servers = |n: usize| -> Vec<Value> {
         (0..n).map(|i| json!({"name": format!("m-{i}"), "address": "127.0.0.1:1"})).collect()
     };
-    // One bad one among many, and far too many.
-    let mut some = servers(100);
-    some[57]["name"] = json!("not a name");
-    let answer = post(&json!({"servers": some}).to_string()).expect("a response");
+    // One invalid server among many, and too many servers.
+    let mut one_invalid = servers(100);
+    one_invalid[57]["name"] = json!("not a name");
+    let answer = post(&json!({"servers": one_invalid}).to_string()).expect("a response");
     assert!(answer.status == 422 && answer.body["error"].as_str().is_some_and(|e| e.contains("not a name")));
     let answer = post(&json!({"servers": servers(20_001)}).to_string()).expect("a response");
     assert_eq!(answer.status, 422, "{}", answer.body);
-    // 100,000 are more than a body may hold: it is turned away before it is read to its end.
+    // The body with 100,000 servers exceeds the size limit: it is rejected before it is read to its end.
     match post(&json!({"servers": servers(100_000)}).to_string()) {
         Ok(answer) => assert_eq!(answer.status, 413),
         Err(error) => assert!(
@@ -605,59 +621,66 @@
         ("POST", "/peer/append", 409),
         ("POST", "/peer/unknown", 404),
     ] {
-        assert_eq!(play.rosters.call(0, method, path, "").expect("a response").status, status, "{path}");
+        assert_eq!(registry.replicas.call(0, method, path, "").expect("a response").status, status, "{path}");
     }
-    let list = play.rosters.call(0, "GET", "/v1/list", "").expect("a response");
+    let list = registry.replicas.call(0, "GET", "/v1/list", "").expect("a response");
     let list = list.body;
     assert_eq!((list["index"].as_u64(), list["endpoints"].as_array().map(Vec::len)), (Some(before), Some(1)));
-    // A body that is cut off, and a peer that says nothing: closed within its time.
+    // A connection whose client sends nothing, or part of a request head, is closed in time; a request with a truncated
+    // body has no effect.
     let open = |text: &str| {
-        let mut stream = TcpStream::connect(play.rosters.address(0)).expect("the connection is established");
+        let mut stream =
+            TcpStream::connect(registry.replicas.address(0)).expect("the connection is established");
         stream.set_read_timeout(Some(Duration::from_secs(30))).expect("a read timeout can be set");
         stream.write_all(text.as_bytes()).expect("the request is sent");
         stream
     };
     for text in ["", "PUT /v1/servers/a HTT"] {
-        let begun = Instant::now();
+        let started = Instant::now();
         let read = open(text).read_to_end(&mut Vec::new());
-        assert!(begun.elapsed() < Duration::from_secs(8), "{text:?}: {read:?} after {:?}", begun.elapsed());
+        assert!(
+            started.elapsed() < Duration::from_secs(8),
+            "{text:?}: {read:?} after {:?}",
+            started.elapsed()
+        );
     }
     drop(open("PUT /v1/servers/a HTTP/1.1\r\nHost: x\r\nContent-Length: 30\r\n\r\n{\"addr"));
-    assert_eq!(play.rosters.call(0, "GET", "/v1/servers/a", "").expect("a response").status, 404);
+    assert_eq!(registry.replicas.call(0, "GET", "/v1/servers/a", "").expect("a response").status, 404);
 }
 
 #[test]
-fn watchers_that_come_at_once_are_told_when_to_come_again_and_a_slow_one_holds_up_nobody() {
+fn excess_readers_get_retry_after_and_a_slow_reader_blocks_nobody() {
     let folder = tempfile::tempdir().expect("a temporary directory");
-    let narrow = config(folder.path(), "[limits]\nwhole_lists_per_s = 50\nconnections = 1000\n");
-    let play = start(1, &["--config", &narrow]);
+    let config = write_config(folder.path(), "[limits]\nwhole_lists_per_s = 50\nconnections = 1000\n");
+    let registry = start(1, &["--config", &config]);
     for part in 0..4 {
         let servers: Vec<Value> = (0..500)
             .map(|i| json!({"name": format!("m-{part}-{i}"), "address": "127.0.0.1:1", "lease_ms": 0, "zone": "porto"}))
             .collect();
-        let answer = play.rosters.call(0, "POST", "/v1/servers", &json!({"servers": servers}).to_string());
+        let answer =
+            registry.replicas.call(0, "POST", "/v1/servers", &json!({"servers": servers}).to_string());
         assert_eq!(answer.expect("a response").status, 200);
     }
-    let at = play.rosters.address(0);
-    // One that asks for whole lists and reads nothing of them.
+    let at = registry.replicas.address(0);
+    // A client that requests full lists and reads none of the responses.
     let mut slow = TcpStream::connect(at).expect("the connection is established");
     for _ in 0..20 {
         let _ = slow.write_all(b"GET /v1/list HTTP/1.1\r\nHost: x\r\n\r\n");
     }
     std::thread::sleep(Duration::from_secs(1));
-    let began = Instant::now();
+    let started = Instant::now();
     let threads: Vec<_> = (0..200)
         .map(|_| {
             std::thread::spawn(move || {
-                let mut turned_away = 0;
+                let mut rejected = 0;
                 loop {
                     let answer =
                         call(at, "GET", "/discovery/hosts", "", Duration::from_secs(20)).expect("a response");
                     match answer.status {
-                        200 => return (turned_away, answer.body["endpoints"].as_array().map_or(0, Vec::len)),
+                        200 => return (rejected, answer.body["endpoints"].as_array().map_or(0, Vec::len)),
                         503 => {
-                            turned_away += 1;
-                            let wait = answer.retry_after().expect("it says when");
+                            rejected += 1;
+                            let wait = answer.retry_after().expect("the response has Retry-After");
                             assert!(wait > 0.0 && wait < 31.0);
                             std::thread::sleep(Duration::from_secs_f64(wait));
                         }
@@ -667,20 +690,21 @@
             })
         })
         .collect();
-    let all: Vec<(i32, usize)> = threads.into_iter().map(|t| t.join().expect("it is answered")).collect();
-    let took = began.elapsed();
-    let again: i32 = all.iter().map(|a| a.0).sum();
-    assert!(all.iter().all(|a| a.1 == 2000));
-    play.check(again > 50, &format!("{again} were told to come again"));
-    play.check(took < Duration::from_secs(20), &format!("all have it after {took:?}"));
-    // A watch is told of a change while the slow one still has its place.
-    let index = play.rosters.status(0).and_then(|s| s["index"].as_u64()).expect("a response");
+    let outcomes: Vec<(i32, usize)> =
+        threads.into_iter().map(|t| t.join().expect("the thread does not panic")).collect();
+    let took = started.elapsed();
+    let rejections: i32 = outcomes.iter().map(|a| a.0).sum();
+    assert!(outcomes.iter().all(|a| a.1 == 2000));
+    registry.check(rejections > 50, &format!("{rejections} requests were rejected"));
+    registry.check(took < Duration::from_secs(20), &format!("all readers have the list after {took:?}"));
+    // A watch is notified of a change while the slow client still holds its connection.
+    let index = registry.replicas.status(0).and_then(|s| s["index"].as_u64()).expect("a response");
     let watch = std::thread::spawn(move || {
         call(at, "GET", &format!("/discovery/hosts?after={index}&wait_ms=20000"), "", Duration::from_secs(30))
     });
     std::thread::sleep(Duration::from_millis(200));
-    play.must_register("new", 1);
-    let told = watch.join().expect("the thread does not panic").expect("a response");
-    assert_eq!(told.body["endpoints"][0]["name"], "new");
+    registry.register_at_any("new", 1);
+    let update = watch.join().expect("the thread does not panic").expect("a response");
+    assert_eq!(update.body["endpoints"][0]["name"], "new");
     drop(slow);
 }
--- a/crates/lotusmoor/tests/roster_faults.rs
+++ b/crates/lotusmoor/tests/roster_faults.rs
@@ -1,4 +1,4 @@
-//! Replicas of a roster whose disks fail for a while: what was acknowledged stays, and they come back by themselves.
+//! Replicas of the registry whose disks fail for a while: no acknowledged write is lost, and they recover by themselves.
 
 use lotusmoor_faults::{Call, FaultTable, Rule, errno};
 use lotusmoor_fleet::harness::registry_replicas::{RegistryReplicas, call};
@@ -11,56 +11,61 @@
 use std::time::Duration;
 
 /// Three replicas, each with a fault table of its own.
-struct Play {
-    rosters: RegistryReplicas,
+struct TestRegistry {
+    replicas: RegistryReplicas,
     tables: Vec<FaultTable>,
     _runtime: tokio::runtime::Runtime,
     _folder: tempfile::TempDir,
 }
 
-fn start() -> Play {
+fn start() -> TestRegistry {
     let programs = Programs::find().expect("the programs are built");
-    let reaper = ProcessGuard::start(&programs.lotusmoor).expect("the process guard starts");
+    let process_guard = ProcessGuard::start(&programs.lotusmoor).expect("the process guard starts");
     let folder = tempfile::tempdir().expect("a temporary directory");
     let runtime = tokio::runtime::Builder::new_multi_thread().worker_threads(2).enable_all().build();
     let runtime = runtime.expect("the runtime starts");
-    let mut rosters =
-        RegistryReplicas::new(programs, folder.path(), runtime.handle().clone(), reaper, Timeline::default());
-    rosters.start(3, &[]).unwrap_or_else(|e| panic!("{e}"));
+    let mut replicas = RegistryReplicas::new(
+        programs,
+        folder.path(),
+        runtime.handle().clone(),
+        process_guard,
+        Timeline::default(),
+    );
+    replicas.start(3, &[]).unwrap_or_else(|e| panic!("{e}"));
     let mut tables = Vec::new();
     for at in 0..3 {
         let table = FaultTable::create(&folder.path().join(format!("{at}.faults")))
             .expect("the fault table is created");
-        rosters.set_faults(at, table.path());
+        replicas.set_faults(at, table.path());
         tables.push(table);
     }
-    // They start anew, and then have them.
-    rosters.restart_with_proxies().unwrap_or_else(|e| panic!("{e}"));
-    Play { rosters, tables, _runtime: runtime, _folder: folder }
+    // The replicas load their fault tables when they restart.
+    replicas.restart_with_proxies().unwrap_or_else(|e| panic!("{e}"));
+    TestRegistry { replicas, tables, _runtime: runtime, _folder: folder }
 }
 
-impl Play {
-    fn wait(&self, what: &str, holds: impl FnMut() -> bool) {
-        let came = until(holds);
-        assert!(came, "timed out waiting until {what}\n{}{}", self.rosters.timeline, self.rosters.logs());
+impl TestRegistry {
+    fn wait(&self, what: &str, condition: impl FnMut() -> bool) {
+        let is_met = until(condition);
+        assert!(is_met, "timed out waiting until {what}\n{}{}", self.replicas.timeline, self.replicas.logs());
     }
 
     fn register(&self, at: usize, name: &str) -> bool {
         let body = json!({"address": "127.0.0.1:9000", "since_ms": 1, "lease_ms": 0}).to_string();
-        let answer = self.rosters.call(at, "PUT", &format!("/v1/servers/{name}"), &body);
+        let answer = self.replicas.call(at, "PUT", &format!("/v1/servers/{name}"), &body);
         answer.is_ok_and(|a| a.status == 200)
     }
 
     fn names(&self, at: usize) -> Option<Vec<String>> {
-        let answer = self.rosters.call(at, "GET", "/v1/list?consistent=true", "").ok()?;
+        let answer = self.replicas.call(at, "GET", "/v1/list?consistent=true", "").ok()?;
         let list = answer.body["endpoints"].as_array()?.clone();
         (answer.status == 200)
             .then(|| list.iter().filter_map(|e| Some(e["name"].as_str()?.to_owned())).collect())
     }
 
-    /// Syncs of these replicas fail for a while, as writes go on; in the end all three are of use and have all that was
-    /// acknowledged.
-    fn fails_and_comes_back(&self, which: &[usize], call: Call, errno: i32, lasts_us: u64) {
+    /// Lets a system call of these replicas fail for a while during writes; afterwards all three replicas must be running
+    /// and have every acknowledged write.
+    fn check_recovery(&self, which: &[usize], call: Call, errno: i32, lasts_us: u64) {
         let rules: Vec<(usize, usize)> = which
             .iter()
             .map(|at| {
@@ -69,65 +74,70 @@
             .collect();
         let mut acknowledged = Vec::new();
         let mut number = 0;
-        self.wait("each has met its faults, and a write is taken after that", || {
+        self.wait("each replica has met its faults, and writes are accepted", || {
             number += 1;
             let name = format!("{call}-{errno}-{}-{number}", which[0]);
             if self.register(number % 3, &name) {
                 acknowledged.push(name);
             }
-            let met = |(at, rule): &(usize, usize)| self.tables[*at].hits(*rule).is_ok_and(|hits| hits > 0);
-            rules.iter().all(met) && acknowledged.len() > 20
+            let was_hit =
+                |(at, rule): &(usize, usize)| self.tables[*at].hits(*rule).is_ok_and(|hits| hits > 0);
+            rules.iter().all(was_hit) && acknowledged.len() > 20
         });
         for at in 0..3 {
-            self.wait(&format!("replica {at} has all that was acknowledged"), || {
+            self.wait(&format!("replica {at} has every acknowledged write"), || {
                 self.names(at).is_some_and(|names| acknowledged.iter().all(|name| names.contains(name)))
             });
-            assert!(!self.rosters.has_exited(at), "replica {at} ended\n{}", self.rosters.logs());
+            assert!(!self.replicas.has_exited(at), "replica {at} exited\n{}", self.replicas.logs());
         }
-        let views: Vec<Option<Value>> = (0..3).map(|at| self.rosters.status(at)).collect();
-        assert!(views.iter().all(Option::is_some), "{views:?}");
+        let statuses: Vec<Option<Value>> = (0..3).map(|at| self.replicas.status(at)).collect();
+        assert!(statuses.iter().all(Option::is_some), "{statuses:?}");
         self.tables.iter().for_each(|table| table.disarm_all().expect("the rules are disarmed"));
     }
 }
 
 #[test]
-fn a_replica_whose_syncs_fail_for_a_second_comes_back_by_itself() {
-    let play = start();
-    let leader = play.rosters.leader().expect("there is a leader");
-    play.fails_and_comes_back(&[leader], Call::Sync, errno::EIO, 1_000_000);
-    let leader = play.rosters.leader();
+fn replica_recovers_after_its_syncs_fail_for_a_second() {
+    let registry = start();
+    let leader = registry.replicas.leader().expect("there is a leader");
+    registry.check_recovery(&[leader], Call::Sync, errno::EIO, 1_000_000);
+    let leader = registry.replicas.leader();
     let follower = (0..3).find(|at| Some(*at) != leader).expect("a follower");
-    play.fails_and_comes_back(&[follower], Call::Sync, errno::ENOSPC, 1_000_000);
+    registry.check_recovery(&[follower], Call::Sync, errno::ENOSPC, 1_000_000);
 }
 
 #[test]
-fn replicas_whose_disks_all_fail_for_a_second_come_back_by_themselves() {
-    let play = start();
-    play.fails_and_comes_back(&[0, 1, 2], Call::Sync, errno::EIO, 1_000_000);
-    play.fails_and_comes_back(&[0, 1, 2], Call::Write, errno::ENOSPC, 1_000_000);
+fn replicas_recover_after_all_their_disks_fail_for_a_second() {
+    let registry = start();
+    registry.check_recovery(&[0, 1, 2], Call::Sync, errno::EIO, 1_000_000);
+    registry.check_recovery(&[0, 1, 2], Call::Write, errno::ENOSPC, 1_000_000);
 }
 
 #[test]
-fn a_replica_whose_log_cannot_be_written_either_comes_back_all_the_same() {
+fn replica_recovers_from_failed_syncs_even_if_its_log_cannot_be_written() {
     let programs = Programs::find().expect("the programs are built");
-    let reaper = ProcessGuard::start(&programs.lotusmoor).expect("the process guard starts");
+    let process_guard = ProcessGuard::start(&programs.lotusmoor).expect("the process guard starts");
     let folder = tempfile::tempdir().expect("a temporary directory");
     let table = FaultTable::create(&folder.path().join("faults")).expect("the fault table is created");
     let listen = unused_address();
     let mut command = Command::new(&programs.lotusmoor);
     command.args(["roster", "serve", "--listen", &listen.to_string(), "--folder"]).arg(folder.path());
     programs.preload(&mut command, table.path()).expect("the library is built");
-    let full = Path::new("/dev/full");
-    let mut replica = Process::start(command, "roster", full, Some(&reaper)).expect("the process starts");
+    let full_device = Path::new("/dev/full");
+    let mut replica =
+        Process::start(command, "roster", full_device, Some(&process_guard)).expect("the process starts");
     let register = || {
         let body = json!({"address": "127.0.0.1:9000", "since_ms": 1, "lease_ms": 0}).to_string();
         let answer = call(listen, "PUT", "/v1/servers/s-1", &body, Duration::from_secs(2));
         answer.is_ok_and(|a| a.status == 200)
     };
-    assert!(until(register), "it takes a write");
+    assert!(until(register), "the replica accepts no write");
     let rule = table.arm(Rule::lasting(300_000, Call::Sync, errno::EIO)).expect("the rule is armed");
     let drain = || call(listen, "POST", "/v1/servers/s-1/drain", "", Duration::from_secs(2));
-    assert!(until(|| drain().is_ok() && table.hits(rule).is_ok_and(|hits| hits > 0)), "it meets its faults");
-    assert!(until(|| register() || replica.exit_status().is_some()), "it takes a write again");
-    assert!(replica.exit_status().is_none(), "it goes on");
+    assert!(until(|| drain().is_ok() && table.hits(rule).is_ok_and(|hits| hits > 0)), "no sync failed");
+    assert!(
+        until(|| register() || replica.exit_status().is_some()),
+        "the replica accepts no write after the faults"
+    );
+    assert!(replica.exit_status().is_none(), "the replica exited");
 }
