--- a/crates/lotusmoor/tests/scale_sidecar.rs
+++ b/crates/lotusmoor/tests/scale_sidecar.rs
@@ -19,14 +19,14 @@
 }
 
 #[test]
-fn a_small_run_has_a_line_for_each_step_with_all_that_is_measured() {
+fn small_run_writes_a_line_with_all_measurements_for_each_step() {
     let folder = tempfile::tempdir().expect("a temporary directory");
     let out = folder.path().join("small.jsonl");
     let status = command(&out, &SMALL).status().expect("the command runs");
     assert!(status.success());
     let lines = Lines::read(&out).expect("the results are read");
-    let is = |line: &Line| (line.sweep, line.role, line.step, line.at.listed, line.at.changes_per_s);
-    let steps: Vec<_> = lines.iter().map(is).collect();
+    let step = |line: &Line| (line.sweep, line.role, line.step, line.at.listed, line.at.changes_per_s);
+    let steps: Vec<_> = lines.iter().map(step).collect();
     let (module, sidecar) = (Role::Module, Role::Sidecar);
     assert_eq!(
         steps,
@@ -41,8 +41,8 @@
     );
     for line in &lines {
         assert_eq!((&line.failed, line.mode, line.at.services, line.at.hollow), (&None, Mode::Whole, 0, 0));
-        let steady = ["cpu_us_per_s", "file_bytes_per_s", "wire_bytes_per_s", "writes_per_s"];
-        let wanted: &[&str] = match line.sweep {
+        let common = ["cpu_us_per_s", "file_bytes_per_s", "wire_bytes_per_s", "writes_per_s"];
+        let expected: &[&str] = match line.sweep {
             Sweep::ModuleListed => {
                 &["change_ns", "decision_ns", "decision_ns_p99", "decisions", "end_ns", "list_ns"]
             }
@@ -58,72 +58,73 @@
             ],
             _ => &["entries", "in_force_ms_max", "in_force_ms_p50", "in_force_ms_p99"],
         };
-        let mut wanted = wanted.to_vec();
+        let mut expected = expected.to_vec();
         if line.role == Role::Sidecar {
-            wanted.extend(steady);
+            expected.extend(common);
             assert_eq!(line.measured["entries"], f64::from(line.at.listed));
-            // The list came over the wire, and went to the file.
+            // The sidecar has received the list over the network and written it to its file.
             assert!(line.measured["wire_bytes_per_s"] > 0.0 && line.measured["file_bytes_per_s"] > 0.0);
         }
-        wanted.sort_unstable();
-        assert_eq!(keys(line), wanted);
+        expected.sort_unstable();
+        assert_eq!(keys(line), expected);
         if line.sweep == Sweep::SidecarListed {
             assert!(line.measured["rss_bytes"] > 1e6 && line.measured["served"] > 0.0, "{line:?}");
         }
     }
-    // Results that are there are not written over.
+    // Existing results are not overwritten.
     let before = std::fs::read(&out).expect("the file is read");
     assert_eq!(command(&out, &SMALL).status().expect("the command runs").code(), Some(1));
     assert_eq!(std::fs::read(&out).expect("the file is read"), before);
 }
 
 #[test]
-fn a_step_that_fails_has_a_line_that_says_so_and_the_run_goes_on() {
+fn failed_step_is_recorded_and_the_run_continues() {
     let folder = tempfile::tempdir().expect("a temporary directory");
     let out = folder.path().join("failed.jsonl");
     let mut command = command(&out, &SMALL);
     command.args(["--sweeps", "sidecar_listed,module_listed"]);
-    // A sidecar that ends at once.
+    // A sidecar that exits at once.
     assert!(command.env("LOTUSMOOR_SIDECAR", "/bin/false").status().expect("the command runs").success());
     let lines = Lines::read(&out).expect("the results are read");
     let failed: Vec<_> = lines.iter().map(|l| (l.sweep, l.failed.is_some())).collect();
     let (sidecar, module) = (Sweep::SidecarListed, Sweep::ModuleListed);
     assert_eq!(failed, [(sidecar, true), (sidecar, true), (module, false), (module, false)]);
-    let why = lines[0].failed.as_deref().unwrap_or_default();
-    assert!(why.contains("the sidecar has ended"), "{why}");
+    let reason = lines[0].failed.as_deref().unwrap_or_default();
+    assert!(reason.contains("the sidecar has ended"), "{reason}");
     assert!(lines[0].measured.is_empty());
 }
 
-/// Children of a process, each with the time of its start.
-fn children(of: u32) -> Vec<(u32, u64)> {
+/// Ids of the child processes of `pid`, each with its start time in clock ticks.
+fn children(pid: u32) -> Vec<(u32, u64)> {
     let all = std::fs::read_dir("/proc").expect("the directory is listed").filter_map(Result::ok);
     let ids = all.filter_map(|e| e.file_name().to_str()?.parse::<u32>().ok());
     let parent = |id: u32| -> Option<u32> {
         let text = std::fs::read_to_string(format!("/proc/{id}/stat")).ok()?;
         text.rsplit_once(')')?.1.split_whitespace().nth(1)?.parse().ok()
     };
-    ids.filter(|id| parent(*id) == Some(of))
+    ids.filter(|id| parent(*id) == Some(pid))
         .filter_map(|id| Some((id, process_guard::start_ticks(id)?)))
         .collect()
 }
 
 #[test]
-fn a_run_that_is_killed_leaves_no_child() {
+fn killed_run_leaves_no_child_process() {
     let folder = tempfile::tempdir().expect("a temporary directory");
     let mut command = command(&folder.path().join("killed.jsonl"), &["--sweeps", "sidecar_listed"]);
     command.args(["--listed", "20", "--seconds", "300"]).stderr(Stdio::null()).env("TMPDIR", folder.path());
     let mut run = command.spawn().expect("the process starts");
     let has_list = || {
-        let own = std::fs::read_dir(folder.path()).expect("the directory is listed").filter_map(Result::ok);
-        own.map(|e| e.path().join("sidecar.list")).any(|file| file.is_file())
+        let entries =
+            std::fs::read_dir(folder.path()).expect("the directory is listed").filter_map(Result::ok);
+        entries.map(|e| e.path().join("sidecar.list")).any(|file| file.is_file())
     };
-    // Three replicas, the server, the sidecar, and the reaper.
-    let all = until(|| has_list() && children(run.id()).len() == 6);
-    let left = children(run.id());
+    // Three replicas, the server, the sidecar, and the process guard.
+    let all_started = until(|| has_list() && children(run.id()).len() == 6);
+    let children_before_kill = children(run.id());
     run.kill().expect("the process is killed");
     run.wait().expect("the process exits");
-    assert!(all, "{left:?}");
-    for (id, started) in left {
-        assert!(until(|| process_guard::start_ticks(id) != Some(started)), "child {id} is left");
+    assert!(all_started, "{children_before_kill:?}");
+    for (id, started) in children_before_kill {
+        assert!(until(|| process_guard::start_ticks(id) != Some(started)), "child {id} still runs");
     }
 }
--- a/crates/lotusmoor/tests/soak.rs
+++ b/crates/lotusmoor/tests/soak.rs
@@ -1,89 +1,94 @@
-//! A few short seeds of the fault soak, and what it is made of.
+//! A few short seeds of the fault soak, and the plans that it draws.
 
 use lotusmoor_fleet::soak::{Fault, Plan, run_plan};
 
-/// Seeds that meet rolls, reloads, failing calls, a silent discovery, drains, long bodies, hand-overs and operators' calls; 6005
-/// and 6021 kill sidecars whose sockets are passed on.
+/// Seeds whose plans together contain rolling restarts, reloads, failing system calls, a silent discovery, drains, long
+/// bodies, hand-overs and operators' calls; in 6005 and 6021 sidecars with passed sockets are killed.
 const SEEDS: [u64; 6] = [3, 126, 404, 538, 6005, 6021];
 
 #[test]
-fn no_rule_is_broken_where_troubles_meet() {
+fn no_rule_is_violated_under_overlapping_faults() {
     for pair in SEEDS.chunks(2) {
         std::thread::scope(|scope| {
-            let plays: Vec<_> =
-                pair.iter().map(|seed| scope.spawn(|| run_plan(&Plan::draw(*seed)))).collect();
-            for played in plays {
-                let seen = played
+            let runs: Vec<_> = pair.iter().map(|seed| scope.spawn(|| run_plan(&Plan::draw(*seed)))).collect();
+            for run in runs {
+                let summary = run
                     .join()
                     .expect("the thread does not panic")
                     .unwrap_or_else(|failure| panic!("{failure}"));
-                assert!(seen.served * 2 > seen.requests, "{seen:?}");
+                assert!(summary.served * 2 > summary.requests, "{summary:?}");
             }
         });
     }
 }
 
-// No attempt may begin for a client that closed in the queue of a passed socket, while its sidecar was killed.
+// In seed 8450 clients close their connections in the queue of a passed socket while its sidecar is killed: no attempt
+// may begin for them.
 #[test]
-fn soak_seed_8450() {
+fn no_attempt_begins_for_client_that_closed_in_queue_of_passed_socket() {
     if let Err(failure) = run_plan(&Plan::draw(8450)) {
         panic!("{failure}");
     }
 }
 
 #[test]
-fn a_seed_draws_the_same_plan_and_troubles_of_it_overlap() {
-    let mut meet = 0;
+fn plans_are_deterministic_and_their_faults_overlap() {
+    let mut plans_with_overlaps = 0;
     for seed in 0..200 {
         let plan = Plan::draw(seed);
         assert_eq!(plan, Plan::draw(seed));
-        let text = serde_json::to_string(&plan).expect("a plan is text");
-        assert_eq!(serde_json::from_str::<Plan>(&text).expect("and is read again"), plan);
-        // Three meetings of three troubles and two of operators; where sockets are passed on, a roll is three hand-overs.
-        let most = if plan.socket_passing { 3 * 3 * 3 + 2 } else { 3 * 3 + 2 };
-        assert!((10..=40).contains(&plan.sidecars) && plan.windows.len() <= most);
-        let stops = |w: &lotusmoor_fleet::soak::FaultWindow| {
+        let text = serde_json::to_string(&plan).expect("the plan is serialized");
+        assert_eq!(serde_json::from_str::<Plan>(&text).expect("the plan is parsed"), plan);
+        // At most three groups of three faults, and two operators' calls; with passed sockets, a fault that stops three
+        // sidecars becomes three hand-overs.
+        let max_windows = if plan.socket_passing { 3 * 3 * 3 + 2 } else { 3 * 3 + 2 };
+        assert!((10..=40).contains(&plan.sidecars) && plan.windows.len() <= max_windows);
+        let stops_sidecar = |w: &lotusmoor_fleet::soak::FaultWindow| {
             matches!(w.fault, Fault::StopSidecar(_) | Fault::StopSidecars(_))
         };
-        assert!(!plan.socket_passing || !plan.windows.iter().any(stops));
+        assert!(!plan.socket_passing || !plan.windows.iter().any(stops_sidecar));
         let windows = plan.windows.iter();
-        let overlaps = windows.filter(|w| {
-            let other = |o: &&lotusmoor_fleet::soak::FaultWindow| {
+        let overlapping = windows.filter(|w| {
+            let overlaps = |o: &&lotusmoor_fleet::soak::FaultWindow| {
                 *o != *w && o.at_ms <= w.at_ms && w.at_ms <= o.at_ms + o.lasts_ms
             };
-            plan.windows.iter().any(|o| other(&o))
+            plan.windows.iter().any(|o| overlaps(&o))
         });
-        meet += usize::from(overlaps.count() >= 2);
-        let long = |w: &lotusmoor_fleet::soak::FaultWindow| {
+        plans_with_overlaps += usize::from(overlapping.count() >= 2);
+        let is_long_pause = |w: &lotusmoor_fleet::soak::FaultWindow| {
             matches!(w.fault, Fault::PauseSidecar(_)) && w.lasts_ms > 150
         };
-        assert!(!plan.windows.iter().any(long));
+        assert!(!plan.windows.iter().any(is_long_pause));
     }
-    assert!(meet > 150, "{meet}");
+    assert!(plans_with_overlaps > 150, "{plans_with_overlaps}");
 }
 
-/// Seeds with clients that leave bodies at an away or held sidecar, signals in series, and logs that nobody reads.
-const FURTHER_SEEDS: [u64; 4] = [8501, 8502, 8503, 8504];
+/// Seeds with clients that disconnect mid-body while their sidecar is down or paused, series of signals, and logs that
+/// nobody reads.
+const EXTRA_FAULT_SEEDS: [u64; 4] = [8501, 8502, 8503, 8504];
 
 #[test]
-fn no_rule_is_broken_by_leaving_bodies_signal_series_and_unread_logs() {
-    let (mut left, mut signals, mut dropped) = (0, 0, 0);
-    for pair in FURTHER_SEEDS.chunks(2) {
+fn no_rule_is_violated_under_aborted_uploads_signal_series_and_unread_logs() {
+    let (mut aborted, mut signals, mut dropped) = (0, 0, 0);
+    for pair in EXTRA_FAULT_SEEDS.chunks(2) {
         std::thread::scope(|scope| {
-            let plays: Vec<_> = pair
+            let runs: Vec<_> = pair
                 .iter()
                 .map(|seed| scope.spawn(|| run_plan(&Plan::draw_with_extra_faults(*seed))))
                 .collect();
-            for played in plays {
-                let seen = played
+            for run in runs {
+                let summary = run
                     .join()
                     .expect("the thread does not panic")
                     .unwrap_or_else(|failure| panic!("{failure}"));
-                left += seen.aborted_uploads;
-                signals += seen.series_signals;
-                dropped += seen.dropped_log_lines;
+                aborted += summary.aborted_uploads;
+                signals += summary.series_signals;
+                dropped += summary.dropped_log_lines;
             }
         });
     }
-    assert!(left > 0 && signals > 0 && dropped > 0, "{left} left, {signals} signals, {dropped} lines");
+    assert!(
+        aborted > 0 && signals > 0 && dropped > 0,
+        "{aborted} aborted uploads, {signals} signals, {dropped} dropped log lines"
+    );
 }
--- a/crates/lotusmoor/tests/versions_side_by_side/registry.rs
+++ b/crates/lotusmoor/tests/versions_side_by_side/registry.rs
@@ -1,7 +1,7 @@
 //! A registry with replicas of both builds.
 
-use crate::process::{PATIENCE, Sidecar, sidecar_config};
-use crate::stage::{Build, Stage};
+use crate::process::{RESPONSE_TIMEOUT, Sidecar, sidecar_config};
+use crate::stage::{Build, BuildFixture};
 use lotusmoor_fleet::harness::registry_replicas::{Answer, RegistryReplicas, call, voter_count};
 use lotusmoor_fleet::harness::{Timeline, until};
 use serde_json::{Value, json};
@@ -9,17 +9,17 @@
 use std::net::{SocketAddr, TcpListener};
 use std::time::Instant;
 
-/// Changes of leader after which each build has led.
+/// The limit for changes of leader until a replica of the required build is the leader.
 const MAX_LEADER_CHANGES: usize = 30;
 
-/// Watches until there is a change after that index. A watch may end without one before its time: a replica that was
-/// out of touch with the others, as for a moment after its start, lets its watches go.
+/// Watches until there is a change after that index. A watch may end early without one: a replica that had no contact
+/// with the others, as for a moment after its start, ends its watches.
 fn watch_change(at: SocketAddr, epoch: &Value, index: u64) -> Answer {
-    let began = Instant::now();
+    let started = Instant::now();
     loop {
         let path = format!("/v1/watch?wait_ms=8000&epoch={epoch}&after={index}");
-        let answer = call(at, "GET", &path, "", PATIENCE).expect("a response");
-        if answer.status != 200 || answer.body["index"] != index || began.elapsed() > PATIENCE {
+        let answer = call(at, "GET", &path, "", RESPONSE_TIMEOUT).expect("a response");
+        if answer.status != 200 || answer.body["index"] != index || started.elapsed() > RESPONSE_TIMEOUT {
             return answer;
         }
     }
@@ -27,39 +27,43 @@
 
 /// A registry of replicas of both builds, with a sidecar of each build that watches it.
 struct MixedRegistry {
-    stage: Stage,
-    rosters: RegistryReplicas,
+    fixture: BuildFixture,
+    replicas: RegistryReplicas,
     builds: Vec<Build>,
     sidecars: Vec<Sidecar>,
     written: BTreeSet<String>,
-    // Last, as the replicas' ways run on it.
+    // The last field, so that it is dropped last: the fault proxies between the replicas run on it.
     _runtime: tokio::runtime::Runtime,
 }
 
 impl MixedRegistry {
     fn start(builds: &[Build]) -> Self {
-        let stage = Stage::new();
+        let fixture = BuildFixture::new();
         let runtime = tokio::runtime::Builder::new_multi_thread().worker_threads(2).enable_all().build();
         let runtime = runtime.expect("the runtime starts");
-        let mut rosters = RegistryReplicas::new(
-            stage.programs.clone(),
-            stage.folder.path(),
+        let mut replicas = RegistryReplicas::new(
+            fixture.programs.clone(),
+            fixture.folder.path(),
             runtime.handle().clone(),
-            stage.reaper.clone(),
+            fixture.process_guard.clone(),
             Timeline::default(),
         );
         for build in builds {
-            rosters.add_with_program(stage.registry_program(*build), &[]).unwrap_or_else(|e| panic!("{e}"));
+            replicas
+                .add_with_program(fixture.registry_program(*build), &[])
+                .unwrap_or_else(|e| panic!("{e}"));
         }
         let mut mixed = Self {
-            stage,
-            rosters,
+            fixture,
+            replicas,
             builds: builds.to_vec(),
             sidecars: Vec::new(),
             written: BTreeSet::new(),
             _runtime: runtime,
         };
-        mixed.wait("all vote", |m| m.rosters.status(0).is_some_and(|s| voter_count(&s) == m.builds.len()));
+        mixed.wait("all replicas are voters", |m| {
+            m.replicas.status(0).is_some_and(|s| voter_count(&s) == m.builds.len())
+        });
         mixed.sidecars = vec![mixed.start_sidecar(Build::Earlier), mixed.start_sidecar(Build::Present)];
         mixed
     }
@@ -67,53 +71,60 @@
     fn start_sidecar(&self, build: Build) -> Sidecar {
         let listener = TcpListener::bind("127.0.0.1:0").expect("a free port");
         let mut config = sidecar_config(listener.local_addr().expect("an address"), &[]);
-        let addresses: Vec<SocketAddr> = (0..self.builds.len()).map(|at| self.rosters.address(at)).collect();
-        let file = self.stage.folder.path().join(format!("{build:?}.list"));
-        // The earlier build knows this key alone.
+        let addresses: Vec<SocketAddr> = (0..self.builds.len()).map(|at| self.replicas.address(at)).collect();
+        let file = self.fixture.folder.path().join(format!("{build:?}.list"));
+        // Of the two names of this key, the earlier build knows only `roster`.
         config["roster"] = json!({"addresses": addresses, "file": file});
-        let path = self.stage.write_config(&format!("{build:?}.json"), &config);
-        Sidecar::start(&self.stage, build, &listener, &path)
+        let path = self.fixture.write_config(&format!("{build:?}.json"), &config);
+        Sidecar::start(&self.fixture, build, &listener, &path)
     }
 
-    fn wait(&self, what: &str, mut holds: impl FnMut(&Self) -> bool) {
-        let came = until(|| holds(self));
-        assert!(came, "timed out waiting until {what}\n{}{}", self.rosters.timeline, self.rosters.logs());
+    fn wait(&self, what: &str, mut condition: impl FnMut(&Self) -> bool) {
+        let is_met = until(|| condition(self));
+        assert!(is_met, "timed out waiting until {what}\n{}{}", self.replicas.timeline, self.replicas.logs());
     }
 
-    /// Registers a server at that replica, or a request through it to the leader.
+    /// Registers a server through that replica, which forwards the write if it is not the leader.
     fn register(&mut self, at: usize, name: &str) {
         let body = json!({"address": "127.0.0.1:9000", "since_ms": 1, "lease_ms": 0}).to_string();
         let path = format!("/v1/servers/{name}");
-        self.wait(&format!("replica {at} takes {name}"), |m| {
-            m.rosters.call(at, "PUT", &path, &body).is_ok_and(|answer| answer.status == 200)
+        self.wait(&format!("replica {at} accepts {name}"), |m| {
+            m.replicas.call(at, "PUT", &path, &body).is_ok_and(|answer| answer.status == 200)
         });
         self.written.insert(name.to_owned());
     }
 
-    /// All replicas have all that was written, at one version with one digest; both sidecars follow.
-    fn check_alike(&self) {
+    /// Checks that all replicas have every write, in the same version with the same digest, and both sidecars that version.
+    fn check_converged(&self) {
         self.wait("all replicas and sidecars have the same list", |m| {
-            let views: Vec<_> = (0..m.builds.len()).filter_map(|at| m.rosters.status(at)).collect();
-            let view = |s: &Value| (s["epoch"].clone(), s["index"].clone(), s["digest"].clone());
-            let is_alike = views.len() == m.builds.len() && views.iter().all(|s| view(s) == view(&views[0]));
-            let version = || format!("version={}/{} ", views[0]["epoch"], views[0]["index"]);
-            is_alike && m.sidecars.iter().all(|s| s.operator("list").contains(&version()))
+            let statuses: Vec<_> = (0..m.builds.len()).filter_map(|at| m.replicas.status(at)).collect();
+            let version_and_digest =
+                |s: &Value| (s["epoch"].clone(), s["index"].clone(), s["digest"].clone());
+            let is_same = statuses.len() == m.builds.len()
+                && statuses.iter().all(|s| version_and_digest(s) == version_and_digest(&statuses[0]));
+            let version = || format!("version={}/{} ", statuses[0]["epoch"], statuses[0]["index"]);
+            is_same && m.sidecars.iter().all(|s| s.command("list").contains(&version()))
         });
         for at in 0..self.builds.len() {
-            let answer = self.rosters.call(at, "GET", "/v1/list?consistent=true", "").expect("a response");
+            let answer = self.replicas.call(at, "GET", "/v1/list?consistent=true", "").expect("a response");
             let entries = answer.body["endpoints"].as_array().cloned().unwrap_or_default();
             let names = entries.iter().filter_map(|e| Some(e["name"].as_str()?.to_owned()));
-            assert_eq!(names.collect::<BTreeSet<_>>(), self.written, "replica {at}\n{}", self.rosters.logs());
+            assert_eq!(
+                names.collect::<BTreeSet<_>>(),
+                self.written,
+                "replica {at}\n{}",
+                self.replicas.logs()
+            );
         }
     }
 
-    /// A watch at each replica is answered with what is written at another.
+    /// Checks that a watch at each replica receives a write through another.
     fn check_watches(&mut self) {
         let count = self.builds.len();
         for at in 0..count {
-            self.check_alike();
-            let status = self.rosters.status(at).expect("its status");
-            let (address, epoch) = (self.rosters.address(at), status["epoch"].clone());
+            self.check_converged();
+            let status = self.replicas.status(at).expect("a status");
+            let (address, epoch) = (self.replicas.address(at), status["epoch"].clone());
             let index = status["index"].as_u64().expect("an index");
             let watch = std::thread::spawn(move || watch_change(address, &epoch, index));
             let name = format!("watched-{}", self.written.len());
@@ -126,45 +137,46 @@
         }
     }
 
-    /// Kills leaders until a replica of that build leads; writes go on all the while.
+    /// Kills leaders until a replica of that build is the leader; writes continue throughout.
     fn change_leader_to(&mut self, build: Build) {
         for _ in 0..MAX_LEADER_CHANGES {
-            self.wait("there is a leader", |m| m.rosters.leader().is_some());
-            let Some(leader) = self.rosters.leader() else { continue };
+            self.wait("there is a leader", |m| m.replicas.leader().is_some());
+            let Some(leader) = self.replicas.leader() else { continue };
             if self.builds[leader] == build {
-                println!("{:?}: replica {leader} leads, which is {build:?}", self.builds);
+                println!("{:?}: the leader is replica {leader}, of the build {build:?}", self.builds);
                 return self.register(leader, &format!("led-{}", self.written.len()));
             }
-            self.rosters.kill(leader).expect("the replica is killed");
+            self.replicas.kill(leader).expect("the replica is killed");
             let other = (leader + 1) % self.builds.len();
             self.register(other, &format!("without-{}", self.written.len()));
-            self.rosters.start_replica(leader).expect("the replica starts");
-            self.check_alike();
+            self.replicas.start_replica(leader).expect("the replica starts");
+            self.check_converged();
         }
-        panic!("no {build:?} replica came to lead\n{}", self.rosters.logs());
+        panic!("no replica of the build {build:?} became the leader\n{}", self.replicas.logs());
     }
 
-    /// All are killed and started again with what is on their disks.
+    /// Kills all replicas and starts them again with their data.
     fn restart_all(&self) {
-        (0..self.builds.len()).for_each(|at| self.rosters.kill(at).expect("the replica is killed"));
-        (0..self.builds.len()).for_each(|at| self.rosters.start_replica(at).expect("the replica starts"));
-        self.wait("there is a leader", |m| m.rosters.leader().is_some());
+        (0..self.builds.len()).for_each(|at| self.replicas.kill(at).expect("the replica is killed"));
+        (0..self.builds.len()).for_each(|at| self.replicas.start_replica(at).expect("the replica starts"));
+        self.wait("there is a leader", |m| m.replicas.leader().is_some());
     }
 
-    /// Each replica goes on with the other build, on the disk that it has.
-    fn exchange_builds(&mut self) {
+    /// Restarts each replica with the other build and its own data.
+    fn swap_builds(&mut self) {
         for at in 0..self.builds.len() {
             let build = if self.builds[at] == Build::Earlier { Build::Present } else { Build::Earlier };
             self.builds[at] = build;
-            self.rosters.set_program(at, self.stage.registry_program(build));
-            self.rosters.kill(at).expect("the replica is killed");
-            self.rosters.start_replica(at).expect("the replica starts");
-            self.check_alike();
+            self.replicas.set_program(at, self.fixture.registry_program(build));
+            self.replicas.kill(at).expect("the replica is killed");
+            self.replicas.start_replica(at).expect("the replica starts");
+            self.check_converged();
         }
     }
 }
 
-pub fn holds_with_replicas_of(builds: [Build; 3]) {
+/// Checks writes, watches, changes of leader and restarts of a registry with replicas of these builds.
+pub fn check_registry_with_replicas_of(builds: [Build; 3]) {
     let mut mixed = MixedRegistry::start(&builds);
     for at in 0..builds.len() {
         mixed.register(at, &format!("first-{at}"));
@@ -176,6 +188,6 @@
     }
     mixed.restart_all();
     mixed.check_watches();
-    mixed.exchange_builds();
+    mixed.swap_builds();
     mixed.check_watches();
 }
--- a/crates/lotusmoor/tests/versions_side_by_side/stage.rs
+++ b/crates/lotusmoor/tests/versions_side_by_side/stage.rs
@@ -6,7 +6,7 @@
 use serde_json::Value;
 use std::path::PathBuf;
 
-/// Names the folder of the earlier build's programs.
+/// The environment variable with the folder of the earlier build's programs.
 const EARLIER_BUILD: &str = "EARLIER_BUILD";
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
@@ -16,28 +16,28 @@
 }
 
 /// The programs of both builds, and a folder for what they write.
-pub struct Stage {
+pub struct BuildFixture {
     pub programs: Programs,
     earlier: PathBuf,
     pub folder: tempfile::TempDir,
-    pub reaper: ProcessGuard,
+    pub process_guard: ProcessGuard,
 }
 
-impl Stage {
+impl BuildFixture {
     pub fn new() -> Self {
         let earlier =
-            std::env::var_os(EARLIER_BUILD).expect("EARLIER_BUILD names the earlier programs' folder");
+            std::env::var_os(EARLIER_BUILD).expect("EARLIER_BUILD names the folder of the earlier programs");
         let programs = Programs::find().expect("the programs are built");
-        let reaper = ProcessGuard::start(&programs.lotusmoor).expect("the process guard starts");
+        let process_guard = ProcessGuard::start(&programs.lotusmoor).expect("the process guard starts");
         Self {
             programs,
             earlier: earlier.into(),
             folder: tempfile::tempdir().expect("a temporary directory"),
-            reaper,
+            process_guard,
         }
     }
 
-    /// Earlier builds have the sidecar under the name of their time.
+    /// The sidecar program of a build; in older builds it had another name.
     pub fn sidecar_program(&self, build: Build) -> PathBuf {
         match build {
             Build::Earlier => ["tinflow", "lotusmoor-sidecar"]
