--- a/crates/lotusmoor/tests/fleet_rules.rs
+++ b/crates/lotusmoor/tests/fleet_rules.rs
@@ -1,5 +1,5 @@
-//! Rules for many real sidecars together: their combined load on servers that are warming up, no request forwarded after
-//! its client has disconnected, and many sidecars that start at once.
+//! Rules for many real sidecars together: their combined load on servers that are warming up, no request forwarded
+//! after its client has disconnected, and many sidecars that start at once.
 
 use lotusmoor_fleet::harness::backend::Conduct;
 use lotusmoor_fleet::harness::check::{Idempotency, Outcome, slow_start_peaks};
@@ -44,8 +44,8 @@
 fn check_slow_start_under_burst(seed: u64) {
     let run = || {
         let mut shape = ClusterConfig::plain(SIDECARS, SERVERS, 0, seed);
-        // Each server can answer 40 requests a second. At its start the slow-start limit is 43 requests within 3 s; with
-        // the checker's tolerance, the 59th is a violation.
+        // Each server can answer 40 requests a second. At its start the slow-start limit is 43 requests within 3 s;
+        // with the checker's tolerance, the 59th is a violation.
         (shape.cores, shape.conduct) = (2, Conduct { work_us: 50_000, ..Conduct::default() });
         let mut cluster = Cluster::start(shape)?;
         let clients = cluster.start_clients(&traffic(RATE, seed));
@@ -116,8 +116,8 @@
 
 const START_SIDECARS: usize = 20;
 
-/// Restarts nine in ten of the sidecars at once, while discovery has the fault that `inject_fault` injects. The operators
-/// require that nine in ten of the restarted sidecars are ready within 10 s.
+/// Restarts nine in ten of the sidecars at once, while discovery has the fault that `inject_fault` injects. The
+/// operators require that nine in ten of the restarted sidecars are ready within 10 s.
 fn check_simultaneous_start(seed: u64, inject_fault: impl FnOnce(&Cluster) -> Result<(), ClusterError>) {
     let run = || {
         let mut cluster = Cluster::start(ClusterConfig::plain(START_SIDECARS, 8, 0, seed))?;
--- a/crates/lotusmoor/tests/processes.rs
+++ b/crates/lotusmoor/tests/processes.rs
@@ -1,5 +1,5 @@
-//! Several real processes with faults between them: the protocol's rules hold for every request, as the checker verifies
-//! from what clients and servers recorded.
+//! Several real processes with faults between them: the protocol's rules hold for every request, as the checker
+//! verifies from what clients and servers recorded.
 
 use lotusmoor_fleet::harness::backend::Conduct;
 use lotusmoor_fleet::harness::check::{History, Idempotency, Rule, check, inject_violation};
--- a/crates/lotusmoor/tests/roster.rs
+++ b/crates/lotusmoor/tests/roster.rs
@@ -1,5 +1,5 @@
-//! Three replicas of the registry as real processes with faults between them: acknowledged writes are never lost, served
-//! versions never decrease, and a replica that may be out of date says so.
+//! Three replicas of the registry as real processes with faults between them: acknowledged writes are never lost,
+//! served versions never decrease, and a replica that may be out of date says so.
 
 use lotusmoor_fleet::harness::registry_replicas::{Answer, RegistryReplicas, call, voter_count};
 use lotusmoor_fleet::harness::{Link, Programs, Timeline, process_guard::ProcessGuard, until};
@@ -178,8 +178,8 @@
         let since_isolation = isolated_at.elapsed();
         let answer = registry.replicas.call(isolated, "GET", "/v1/list", "").expect("a response");
         if answer.status == 200 {
-            // It lacks the writes acknowledged after its isolation, so the age that it reports must be at least the time
-            // since then.
+            // It lacks the writes acknowledged after its isolation, so the age that it reports must be at least the
+            // time since then.
             registry
                 .check(answer.body["index"].as_u64() == Some(before), "it serves the version that it had");
             let age = Duration::from_millis(answer.body["age_ms"].as_u64().unwrap_or(0));
@@ -212,7 +212,8 @@
     let registry = start(3, &[]);
     let leader = registry.wait_leader();
     let other = (leader + 1) % 3;
-    // First, requests from another replica do not reach the leader; then the leader's requests do not reach that replica.
+    // First, requests from another replica do not reach the leader; then the leader's requests do not reach that
+    // replica.
     for (from, to) in [(other, leader), (leader, other)] {
         registry.replicas.set_link(from, to, Link { cut_up: true, ..Link::default() });
         for i in 0..5 {
@@ -529,7 +530,7 @@
     let mut corrupted = std::fs::read(&backup).expect("the file is read");
     let middle = corrupted.len() / 2;
     corrupted[middle] ^= 1;
-    let corrupted_file = registry.folder.path().join("spoilt.backup");
+    let corrupted_file = registry.folder.path().join("corrupted.backup");
     std::fs::write(&corrupted_file, corrupted).expect("the file is written");
     let listen = lotusmoor_fleet::harness::unused_address().to_string();
     let fresh = registry.folder.path().join("fresh").display().to_string();
@@ -543,7 +544,7 @@
         "--restore",
         &corrupted_file.display().to_string(),
     ]);
-    assert!(code == Some(1) && error.contains("spoilt.backup"), "{error}");
+    assert!(code == Some(1) && error.contains("corrupted.backup"), "{error}");
     let restored = registry.folder.path().join("restored").display().to_string();
     let mut command = std::process::Command::new(&programs.lotusmoor);
     command.args(["roster", "serve", "--listen", &listen, "--folder", &restored, "--restore", &out]);
--- a/crates/lotusmoor/tests/roster_faults.rs
+++ b/crates/lotusmoor/tests/roster_faults.rs
@@ -1,4 +1,5 @@
-//! Replicas of the registry whose disks fail for a while: no acknowledged write is lost, and they recover by themselves.
+//! Replicas of the registry whose disks fail for a while: no acknowledged write is lost, and they recover by
+//! themselves.
 
 use lotusmoor_faults::{Call, FaultTable, Rule, errno};
 use lotusmoor_fleet::harness::registry_replicas::{RegistryReplicas, call};
@@ -63,8 +64,8 @@
             .then(|| list.iter().filter_map(|e| Some(e["name"].as_str()?.to_owned())).collect())
     }
 
-    /// Lets a system call of these replicas fail for a while during writes; afterwards all three replicas must be running
-    /// and have every acknowledged write.
+    /// Lets a system call of these replicas fail for a while during writes; afterwards all three replicas must be
+    /// running and have every acknowledged write.
     fn check_recovery(&self, which: &[usize], call: Call, errno: i32, lasts_us: u64) {
         let rules: Vec<(usize, usize)> = which
             .iter()
--- a/crates/lotusmoor/tests/scale.rs
+++ b/crates/lotusmoor/tests/scale.rs
@@ -1,5 +1,5 @@
-//! `lotusmoor fleet scale` with real processes: its plans, a small run through each event, simulated readers ("hollow" in
-//! plans and results) compared with real sidecars, and a run that is killed.
+//! `lotusmoor fleet scale` with real processes: its plans, a small run through each event, simulated readers ("hollow"
+//! in plans and results) compared with real sidecars, and a run that is killed.
 
 use indicatif::ProgressBar;
 use lotusmoor_fleet::harness::{process_guard, until};
@@ -187,8 +187,8 @@
     serde_json::from_str(file["list"].as_str()?).ok()
 }
 
-/// Changes servers, some while the former leader is down, and after each change compares the lists of a simulated reader
-/// and of a real sidecar.
+/// Changes servers, some while the former leader is down, and after each change compares the lists of a simulated
+/// reader and of a real sidecar.
 fn check_same_lists(mode: Mode) {
     let plan = small();
     let sizes = plan.sizes()[0];
@@ -225,7 +225,8 @@
     let first = wait_same(1);
     assert!(until(|| sidecar.index() == index(&first)), "{:?} of {first:?}", sidecar.index());
     deployment.take().expect("the events are read");
-    // Servers without a lease: the simulated sidecar that holds the lease of a server registers it again when it is removed.
+    // Servers without a lease: the simulated sidecar that holds the lease of a server registers it again when it is
+    // removed.
     let is_changeable = |s: &usize| *s >= plan.leases && deployment.draw.concerns(mode, services, *s);
     let servers: Vec<usize> = deployment.draw.turns.iter().copied().filter(is_changeable).collect();
     let leader = || deployment.rosters.leader();
--- a/crates/lotusmoor/tests/versions_side_by_side/registry.rs
+++ b/crates/lotusmoor/tests/versions_side_by_side/registry.rs
@@ -94,7 +94,8 @@
         self.written.insert(name.to_owned());
     }
 
-    /// Checks that all replicas have every write, in the same version with the same digest, and both sidecars that version.
+    /// Checks that all replicas have every write, in the same version with the same digest, and both sidecars that
+    /// version.
     fn check_converged(&self) {
         self.wait("all replicas and sidecars have the same list", |m| {
             let statuses: Vec<_> = (0..m.builds.len()).filter_map(|at| m.replicas.status(at)).collect();
