--- a/crates/fleet/src/experiment/report.rs
+++ b/crates/fleet/src/experiment/report.rs
@@ -55,7 +55,7 @@
 /// The plotted points of a variant; curves are in the order of the variants' names.
 type Curve = Vec<(f64, f64)>;
 
-/// Writes the page.
+/// Renders the page for these results; its tables show these measures.
 pub fn report(lines: &[Line], measures: &[String]) -> Result<String, ReportError> {
     let first = lines.first().ok_or(ReportError::Empty)?;
     let variants: BTreeSet<&str> = lines.iter().map(|l| l.variant.as_str()).collect();
--- a/crates/fleet/src/experiment/results.rs
+++ b/crates/fleet/src/experiment/results.rs
@@ -51,9 +51,9 @@
     Line {
         /// The file.
         path: PathBuf,
-        /// From 1.
+        /// The line number, from 1.
         line: usize,
-        /// What is wrong.
+        /// The parser's error.
         source: serde_json::Error,
     },
     /// The file contains results of another commit; they must not be mixed in one file.
@@ -63,9 +63,9 @@
     Commit {
         /// The file.
         path: PathBuf,
-        /// The commit there.
+        /// The commit of the results in the file.
         found: String,
-        /// The one now.
+        /// The current commit.
         now: String,
     },
 }
--- a/crates/fleet/src/model/decider/plain.rs
+++ b/crates/fleet/src/model/decider/plain.rs
@@ -21,6 +21,7 @@
     TrueState,
 }
 
+/// A baseline policy in one sidecar process.
 pub struct Baseline {
     settings: Settings,
     selection: Selection,
@@ -33,12 +34,14 @@
     open: FxHashMap<RequestId, Open>,
 }
 
+/// An open request.
 struct Open {
     new: NewRequest,
     arrived: Micros,
     attempts: Vec<Sent>,
 }
 
+/// An attempt that was sent.
 struct Sent {
     to: EndpointId,
     at: Micros,
--- a/crates/fleet/src/model/rules.rs
+++ b/crates/fleet/src/model/rules.rs
@@ -87,7 +87,7 @@
 
 /// The rule that the overload of a server that is warming up violates. `informed` is the share of its recent work
 /// that came from sidecars that knew about its restart; up to two thirds is no violation.
-pub fn check_cold_overload(informed: f64) -> Option<&'static str> {
+pub fn check_overload(informed: f64) -> Option<&'static str> {
     (informed > 2.0 / 3.0).then_some("a cold server pushed over")
 }
 
--- a/crates/fleet/src/model/rules/tests.rs
+++ b/crates/fleet/src/model/rules/tests.rs
@@ -66,6 +66,6 @@
 
 #[test]
 fn overload_is_a_violation_above_two_thirds_informed_work() {
-    assert_eq!([0.0, 0.5, 2.0 / 3.0].map(check_cold_overload), [None; 3]);
-    assert_eq!([0.667, 1.0].map(check_cold_overload), [Some("a cold server pushed over"); 2]);
+    assert_eq!([0.0, 0.5, 2.0 / 3.0].map(check_overload), [None; 3]);
+    assert_eq!([0.667, 1.0].map(check_overload), [Some("a cold server pushed over"); 2]);
 }
--- a/crates/fleet/src/model/run/attempts.rs
+++ b/crates/fleet/src/model/run/attempts.rs
@@ -229,10 +229,10 @@
                     now as f64 / SECOND as f64,
                     s.spec.kind,
                     s.spec.speed,
-                    s.warmth(now),
+                    s.slow_start_factor(now),
                     100.0 * informed
                 );
-                self.violations.record(rules::check_cold_overload(informed));
+                self.violations.record(rules::check_overload(informed));
                 self.end_server(now, server as usize);
                 self.reply(now, id, reset(reused));
             }
--- a/crates/fleet/src/model/run/registry.rs
+++ b/crates/fleet/src/model/run/registry.rs
@@ -246,18 +246,18 @@
             RegistryEvent::PollArrived(poll) => self.poll_arrived(now, poll),
             RegistryEvent::PollExpired(poll) => {
                 let Some(registry) = &mut self.registry else { return };
-                let a = &registry.polls[poll as usize];
-                let replica = a.replica;
-                if a.is_waiting && registry.is_available(replica) {
+                let pending = &registry.polls[poll as usize];
+                let replica = pending.replica;
+                if pending.is_waiting && registry.is_available(replica) {
                     registry.replicas[replica].waiting.retain(|w| *w != poll);
                     self.answer_poll(now, poll);
                 }
             }
             RegistryEvent::PollAnswered(poll) => {
                 let Some(registry) = &mut self.registry else { return };
-                let a = &mut registry.polls[poll as usize];
-                let (process, number) = (a.process, a.number);
-                let event = match std::mem::replace(&mut a.reply, Err(None)) {
+                let pending = &mut registry.polls[poll as usize];
+                let (process, number) = (pending.process, pending.number);
+                let event = match std::mem::replace(&mut pending.reply, Err(None)) {
                     Ok(update) => client::Event::Response { poll: number, update: *update },
                     Err(retry_after) => client::Event::PollFailed {
                         poll: number,
@@ -378,10 +378,10 @@
 
     fn answer_poll(&mut self, now: Micros, poll: u32) {
         let Some(registry) = &mut self.registry else { return };
-        let a = &mut registry.polls[poll as usize];
-        a.is_waiting = false;
-        let mut update = registry.list.update(a.after.map(|v| v.index));
-        update.waited_ms = ((now - a.arrived) / 1000) as u64;
+        let pending = &mut registry.polls[poll as usize];
+        pending.is_waiting = false;
+        let mut update = registry.list.update(pending.after.map(|v| v.index));
+        update.waited_ms = ((now - pending.arrived) / 1000) as u64;
         // Without a leader the age of a replica's list grows.
         let leaderless_for =
             if now < registry.leaderless_until { now - (registry.leaderless_until - SECOND) } else { 0 };
@@ -392,14 +392,14 @@
     /// Sends the result of a poll to the sidecar. A replica produces its responses one after another.
     fn send_reply(&mut self, now: Micros, poll: u32, reply: Result<Box<ListUpdate>, Option<Micros>>) {
         let Some(registry) = &mut self.registry else { return };
-        let a = &mut registry.polls[poll as usize];
-        let replica = &mut registry.replicas[a.replica];
+        let pending = &mut registry.polls[poll as usize];
+        let replica = &mut registry.replicas[pending.replica];
         let lines = reply.as_ref().map_or(0, |u| u.endpoints.len());
         let cost = registry.spec.answer + (registry.spec.line * lines as f64) as Micros;
         replica.busy_until = replica.busy_until.max(now) + cost;
         let (from, ready_at) = (replica.zone, replica.busy_until);
-        a.reply = reply;
-        let sidecar = self.processes[a.process as usize].sidecar as usize;
+        pending.reply = reply;
+        let sidecar = self.processes[pending.process as usize].sidecar as usize;
         let zone = self.world.sidecars[sidecar].zone;
         if self.world.links.is_open(from, zone) {
             let at = ready_at + self.world.links.delay(from, zone, 1.0);
--- a/crates/fleet/src/model/server.rs
+++ b/crates/fleet/src/model/server.rs
@@ -168,17 +168,17 @@
     }
 
     /// The share of its capacity that it has reached in its slow start.
-    pub fn warmth(&self, now: Micros) -> f64 {
+    pub fn slow_start_factor(&self, now: Micros) -> f64 {
         let Some(started) = self.started else { return 1.0 };
         let warm_up_time = (self.spec.warm_up_time as f64).max(1.0);
         let mut age = (now - started) as f64 / warm_up_time;
-        if self.spec.warms_by_work {
+        if self.spec.warms_up_by_work {
             age = age.max(
                 2.0 * (self.done - self.done_before_start)
                     / (warm_up_time * self.spec.cores * self.spec.speed),
             );
         }
-        (self.spec.cold_from + (1.0 - self.spec.cold_from) * age).min(1.0)
+        (self.spec.initial_capacity + (1.0 - self.spec.initial_capacity) * age).min(1.0)
     }
 
     /// Work that each core does in a microsecond.
@@ -187,7 +187,7 @@
             f64::from(self.connections) / f64::from(self.spec.connections.max(1) * self.spec.streams);
         let load_per_core = self.in_flight() as f64 / self.spec.cores;
         let thrash = if load_per_core > self.spec.thrash_at { self.spec.thrash } else { 0.0 };
-        self.spec.speed * self.warmth(now) / self.slowdown
+        self.spec.speed * self.slow_start_factor(now) / self.slowdown
             * (1.0 - self.spec.connection_overhead * table_use.min(1.0))
             * (1.0 - thrash)
     }
@@ -204,13 +204,13 @@
         overload_limit.multiple
             * self.spec.cores
             * self.spec.speed
-            * self.warmth(now)
+            * self.slow_start_factor(now)
             * overload_limit.window as f64
     }
 
     /// The work that it may still be sent while it is warming up, up to half of the nominal limit.
     pub fn overload_headroom(&self, now: Micros, overload_limit: OverloadLimit) -> f64 {
-        if self.warmth(now) >= 1.0 {
+        if self.slow_start_factor(now) >= 1.0 {
             return f64::INFINITY;
         }
         let recent = self
@@ -252,7 +252,7 @@
             return None;
         }
         let after = (((least - self.attained) / rate).ceil() as Micros).max(1);
-        Some(now + if self.warmth(now) < 1.0 { after.min(SECOND / 5) } else { after })
+        Some(now + if self.slow_start_factor(now) < 1.0 { after.min(SECOND / 5) } else { after })
     }
 
     /// Handles a fully received request. A draining server rejects requests that arrive more than `grace` after the
@@ -265,7 +265,7 @@
         grace: Micros,
     ) -> Arrival {
         let Arriving { attempt, work, due, informed } = new;
-        if self.warmth(now) < 1.0 {
+        if self.slow_start_factor(now) < 1.0 {
             self.recent_arrivals.push_back((now, work, informed));
             self.recent_work += work;
             while let Some((_, old, _)) =
--- a/crates/fleet/src/model/server/tests.rs
+++ b/crates/fleet/src/model/server/tests.rs
@@ -56,7 +56,7 @@
         |s: &mut Server| (0..400).map(|i| send(s, i, 10_000.0, overload_limit)).collect::<Vec<_>>();
     let mut warm = server(|s| s.queue = 1000);
     assert!(overload(&mut warm).iter().all(|a| *a == Arrival::Accepted));
-    let mut restarted = server(|s| (s.queue, s.cold_from, s.warm_up_time) = (1000, 0.1, 10 * SECOND));
+    let mut restarted = server(|s| (s.queue, s.initial_capacity, s.warm_up_time) = (1000, 0.1, 10 * SECOND));
     restarted.start(0);
     // 3 x 0.1 x 1 s of work.
     let all = overload(&mut restarted);
@@ -75,7 +75,8 @@
     // Under 30, (16 + 3 x 4 + 3) x 10 ms.
     assert!((overload_limit.max_work(160_000.0) - 310_000.0).abs() < 0.1);
     for (work, accepted) in [(1_000.0, 429), (50_000.0, 8), (429_000.0, 1), (430_000.0, 0)] {
-        let mut restarted = server(|s| (s.queue, s.cold_from, s.warm_up_time) = (1000, 0.1, 10 * SECOND));
+        let mut restarted =
+            server(|s| (s.queue, s.initial_capacity, s.warm_up_time) = (1000, 0.1, 10 * SECOND));
         restarted.start(0);
         let first =
             (0..1000).position(|i| send(&mut restarted, i, work, overload_limit) != Arrival::Accepted);
@@ -85,12 +86,13 @@
 
 #[test]
 fn slow_start_by_work_is_never_slower_than_by_time() {
-    let mut s = server(|s| (s.cold_from, s.warm_up_time, s.warms_by_work) = (0.2, 10 * SECOND, true));
+    let mut s =
+        server(|s| (s.initial_capacity, s.warm_up_time, s.warms_up_by_work) = (0.2, 10 * SECOND, true));
     s.start(0);
-    assert!((s.warmth(5 * SECOND) - 0.6).abs() < 1e-9);
+    assert!((s.slow_start_factor(5 * SECOND) - 0.6).abs() < 1e-9);
     s.done += 4.0 * SECOND as f64;
-    assert!((s.warmth(5 * SECOND) - 0.84).abs() < 1e-9);
-    assert_eq!(s.warmth(10 * SECOND), 1.0);
+    assert!((s.slow_start_factor(5 * SECOND) - 0.84).abs() < 1e-9);
+    assert_eq!(s.slow_start_factor(10 * SECOND), 1.0);
 }
 
 #[test]
--- a/crates/fleet/src/model/world.rs
+++ b/crates/fleet/src/model/world.rs
@@ -31,12 +31,12 @@
     /// Requests that it queues.
     pub queue: usize,
     /// Share of its capacity when its process has just started.
-    pub cold_from: f64,
+    pub initial_capacity: f64,
     /// Time from the start of its process until it has its full capacity.
     pub warm_up_time: Micros,
     /// The slow start also advances with the work done: under full load twice as fast as with time alone.
-    pub warms_by_work: bool,
-    /// Time between two pauses; 0 for none.
+    pub warms_up_by_work: bool,
+    /// Mean time between two pauses; 0 for none.
     pub pause_every: Micros,
     /// Length of a pause.
     pub pause: Micros,
@@ -80,9 +80,9 @@
             speed: 1.0,
             slots: 16,
             queue: 100,
-            cold_from: 0.2,
+            initial_capacity: 0.2,
             warm_up_time: 10 * SECOND,
-            warms_by_work: false,
+            warms_up_by_work: false,
             pause_every: 0,
             pause: 0,
             pause_growth: 0.0,
@@ -452,9 +452,9 @@
                     speed,
                     slots: (parameters.slots * kind.cores).ceil() as usize,
                     queue: (parameters.queue * kind.cores) as usize,
-                    cold_from: kind.cold_from.draw(&mut server_rng),
+                    initial_capacity: kind.cold_from.draw(&mut server_rng),
                     warm_up_time: seconds(kind.cold_s.draw(&mut server_rng)),
-                    warms_by_work: kind.warm_by == "work",
+                    warms_up_by_work: kind.warm_by == "work",
                     pause_every: seconds(kind.pause_every_s.draw(&mut server_rng)),
                     pause: millis(kind.pause_ms.draw(&mut server_rng)),
                     pause_growth: parameters.pause_growth,
--- a/crates/fleet/src/site/mod.rs
+++ b/crates/fleet/src/site/mod.rs
@@ -205,7 +205,7 @@
     pub max_retry_after_ms: f64,
     /// Share of requests whose client disconnects early.
     pub impatient: Range,
-    /// Whether retries are marked.
+    /// Whether clients mark retries as such.
     pub marks_retry: bool,
 }
 
@@ -288,9 +288,9 @@
 pub struct Rules {
     /// How long sends to a draining server may go on.
     pub drain_grace_ms: f64,
-    /// A server that is warming up crashes when it is sent more than this multiple of its capacity ...
+    /// A server that is warming up crashes when it is sent more than this multiple of its capacity within `fall_ms`.
     pub fall_multiple: f64,
-    /// ... within this time.
+    /// The time window of `fall_multiple`.
     pub fall_ms: f64,
 }
 
@@ -350,7 +350,7 @@
     /// Load reports.
     #[serde(default)]
     pub report: Option<Report>,
-    /// Probes.
+    /// Health checks.
     #[serde(default)]
     pub probe: Probe,
     /// Kinds of machine.
