--- a/crates/fleet/src/harness/check/slow_start.rs
+++ b/crates/fleet/src/harness/check/slow_start.rs
@@ -1,4 +1,5 @@
-//! The rule for servers that are warming up: whether all sidecars together have sent one more than it can take.
+//! The rule for servers that are warming up: whether all sidecars together have sent such a server more requests than
+//! it can handle.
 
 use super::history::History;
 use super::{Rule, Violation};
@@ -31,8 +32,8 @@
 }
 
 /// The first overload of a server after each of its starts, if more than two thirds of the requests in the window came
-/// from sidecars that had been notified of the start. The limit has a tolerance of its own; `slack` does not apply
-/// here, as the rule for operators allows no more.
+/// from sidecars that had been notified of the start. The limit that operators are given includes a tolerance (see
+/// [`SlowStartLimit::max_requests`](super::SlowStartLimit::max_requests)) and allows no more, so `slack` is not added.
 pub(super) fn slow_start_overloads(history: &History) -> Vec<Violation> {
     let Some(limit) = &history.slow_start_limit else { return Vec::new() };
     let overload = |(server, start): &(usize, i64)| {
--- a/crates/fleet/src/harness/check/slow_start_limit.rs
+++ b/crates/fleet/src/harness/check/slow_start_limit.rs
@@ -1,7 +1,7 @@
 //! How many requests a server can take while it is warming up.
 
-/// The capacity of a server that is warming up, from the settings. Each request to a fake backend takes the mean work,
-/// so requests are simply counted.
+/// The capacity of a server that is warming up, from the settings. Every request to a fake backend is the same
+/// amount of work, the mean, so the load is the number of requests.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct SlowStartLimit {
     /// Requests a second that a warm server can serve.
--- a/crates/fleet/src/harness/cluster.rs
+++ b/crates/fleet/src/harness/cluster.rs
@@ -105,7 +105,7 @@
     /// The file in which it records what it received.
     records: PathBuf,
     status: &'static str,
-    since_ms: i64,
+    started_ms: i64,
     unavailable_since: Option<i64>,
 }
 
@@ -134,7 +134,7 @@
                 process: None,
                 records: folder.path().join(format!("server-{i}.notes")),
                 status: "active",
-                since_ms: 0,
+                started_ms: 0,
                 unavailable_since: None,
             });
         }
--- a/crates/fleet/src/harness/cluster/config.rs
+++ b/crates/fleet/src/harness/cluster/config.rs
@@ -43,7 +43,7 @@
 
 impl ClusterConfig {
     /// A configuration with well-behaved servers in three zones, a request class of each kind of idempotency, and the
-    /// limits that sites use by default.
+    /// default limits.
     pub fn plain(sidecars: usize, servers: usize, registry_replicas: usize, seed: u64) -> Self {
         let class = |name: &str, effect: &str, objective_us: i64| {
             json!({"Name": name, "AimUs": objective_us, "DeadlineUs": 2_000_000, "Effect": effect, "DedupScope": "all",
--- a/crates/fleet/src/harness/cluster/hand_over.rs
+++ b/crates/fleet/src/harness/cluster/hand_over.rs
@@ -1,6 +1,6 @@
 //! Hand-over to a new process of a sidecar, as for a new version: the new process starts beside the old one on the same
-//! listening socket, which the harness holds in place of the platform, and the old one is stopped once the new one is
-//! ready.
+//! listening socket, and the old one is stopped once the new one is ready. The harness holds the socket, as the
+//! operators' deployment environment does in production.
 
 use super::super::process::Process;
 use super::{Cluster, ClusterError, now_micros};
--- a/crates/fleet/src/harness/cluster/notification_deadline.rs
+++ b/crates/fleet/src/harness/cluster/notification_deadline.rs
@@ -28,8 +28,8 @@
 /// All interruptions of a run.
 #[derive(Debug, Default)]
 pub(super) struct Interruptions {
-    /// Whether lists are pushed. A change that discovery's agent beside the sidecar has then counts as delivered, also
-    /// to a new process of the sidecar.
+    /// Whether lists are pushed. If so, a change counts as delivered as soon as the local agent of discovery, which
+    /// runs beside the sidecar, has it; also to a new process of the sidecar.
     pub(super) pushed: bool,
     pub(super) all: Vec<Interruption>,
 }
@@ -43,7 +43,7 @@
             let within = match interruption.cause {
                 InterruptionCause::ProcessDown => usual,
                 InterruptionCause::DiscoverySilent => NOTIFIED_WITHIN_US,
-                // A sidecar that polls is notified earlier after a reload, and never later.
+                // For a sidecar that polls, a reload can only bring the deadline forward (`after_reload` below).
                 InterruptionCause::Reload if self.pushed => NOTIFIED_AFTER_RELOAD_US,
                 InterruptionCause::Reload => return None,
             };
--- a/crates/fleet/src/harness/cluster/servers.rs
+++ b/crates/fleet/src/harness/cluster/servers.rs
@@ -47,7 +47,7 @@
         self.start_server(number)?;
         self.timeline.note(format!("server {number} restarted, warming up"));
         let server = &mut self.servers[number];
-        server.since_ms = started / 1000;
+        server.started_ms = started / 1000;
         self.history.server_starts.push((number, started));
         if let Some(since) = server.unavailable_since.take() {
             self.history.server_outages.push(Outage { instance: number, span: (since, now_micros()) });
@@ -110,7 +110,7 @@
             "left" => ("DELETE", path, String::new()),
             _ => {
                 let body = json!({"address": server.address, "zone": zone, "type": "m", "group": 1,
-                    "since_ms": server.since_ms, "lease_ms": 0});
+                    "since_ms": server.started_ms, "lease_ms": 0});
                 ("PUT", path, body.to_string())
             }
         };
@@ -149,7 +149,7 @@
                 name: server.name.clone(),
                 zone: self.config.zones[server.zone].clone(),
                 status: server.status.to_owned(),
-                since_ms: server.since_ms,
+                since_ms: server.started_ms,
                 addresses: self.sidecars.iter().map(|s| s.server_proxies[*number].address).collect(),
             }
         };
--- a/crates/fleet/src/harness/cluster/sidecars.rs
+++ b/crates/fleet/src/harness/cluster/sidecars.rs
@@ -99,7 +99,7 @@
             .map(|(k, s)| {
                 let address = if with_registry { s.address } else { sidecar.server_proxies[k].address };
                 json!({"name": s.name, "address": address, "zone": self.config.zones[s.zone],
-                    "type": "m", "group": 1, "status": "active", "weight": 1.0, "since_ms": s.since_ms})
+                    "type": "m", "group": 1, "status": "active", "weight": 1.0, "since_ms": s.started_ms})
             })
             .collect();
         let mut settings = self.config.settings.clone();
--- a/crates/fleet/src/soak/extra_faults.rs
+++ b/crates/fleet/src/soak/extra_faults.rs
@@ -56,7 +56,8 @@
         plan
     }
 
-    /// Draws clients that abort uploads to a sidecar that is down, if the platform holds its socket, or else paused.
+    /// Draws clients that abort uploads to a sidecar that is down if sockets are passed between processes, and paused
+    /// otherwise.
     fn draw_aborted_uploads(&mut self, rng: &mut ChaCha8Rng, ends_ms: u64) {
         let sidecar = rng.random_range(0..self.sidecars);
         let at_ms = rng.random_range(ends_ms / 2..ends_ms + 1_000);
--- a/crates/fleet/src/soak/plan.rs
+++ b/crates/fleet/src/soak/plan.rs
@@ -20,7 +20,7 @@
 /// The time from one group to the next, in milliseconds.
 const GROUP_INTERVAL_MS: std::ops::Range<u64> = 1_500..3_500;
 
-/// A fault. Those that last end with their [`FaultWindow`].
+/// A fault. One that has a duration ends with its [`FaultWindow`].
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum Fault {
@@ -164,7 +164,7 @@
 /// cannot answer in time.
 const MAX_CALL_OUTAGE_MS: u64 = 500;
 
-/// The share of plans in which the platform holds the clients' sockets and passes them to processes.
+/// The share of plans in which listening sockets are passed from process to process (see [`Plan::socket_passing`]).
 const SOCKET_PASSING_SHARE: f64 = 0.4;
 /// The share of plans with small servers, which can be overloaded while they warm up.
 const SMALL_SERVER_SHARE: f64 = 0.4;
@@ -192,8 +192,8 @@
 }
 
 impl FaultWindow {
-    /// The window with hand-overs in place of stops, as a platform that holds the sockets never stops a sidecar without
-    /// starting a new process.
+    /// The window with hand-overs in place of stops: where listening sockets are passed on, a sidecar is never stopped
+    /// without starting a new process.
     fn with_hand_overs(self) -> Vec<Self> {
         let sidecars = match &self.fault {
             Fault::StopSidecar(sidecar) => vec![*sidecar],
@@ -245,7 +245,8 @@
     /// Requests that a server works on at a time.
     #[serde(default = "many_cores")]
     pub cores: usize,
-    /// Whether the platform holds the clients' sockets, and passes them from process to process.
+    /// Whether the harness holds the listening sockets of sidecars and passes them from process to process, as the
+    /// operators' deployment environment does.
     #[serde(default)]
     #[serde(rename = "passed")]
     pub socket_passing: bool,
@@ -402,27 +403,27 @@
         self.windows.iter().map(|w| w.at_ms + w.lasts_ms).max().unwrap_or(0)
     }
 
-    /// The shape of the cluster that the plan runs on.
-    pub fn shape(&self) -> ClusterConfig {
-        let mut shape = ClusterConfig::plain(self.sidecars, self.servers, self.registry_replicas, self.seed);
-        shape.fault_injection = true;
-        shape.inherited_sockets = self.socket_passing;
-        shape.cores = self.cores;
-        shape.unread_logs = self.unread_logs();
-        shape.slack = TIMING_TOLERANCE_US;
-        shape.conduct = self.normal_conduct();
-        shape.zones = ["a", "b", "c"][..self.zones].iter().map(|z| (*z).to_owned()).collect();
-        let settings = &mut shape.settings;
+    /// The configuration of the cluster that the plan runs on.
+    pub fn cluster_config(&self) -> ClusterConfig {
+        let mut config = ClusterConfig::plain(self.sidecars, self.servers, self.registry_replicas, self.seed);
+        config.fault_injection = true;
+        config.inherited_sockets = self.socket_passing;
+        config.cores = self.cores;
+        config.unread_logs = self.unread_logs();
+        config.slack = TIMING_TOLERANCE_US;
+        config.conduct = self.normal_conduct();
+        config.zones = ["a", "b", "c"][..self.zones].iter().map(|z| (*z).to_owned()).collect();
+        let settings = &mut config.settings;
         if !self.pushed_lists && self.registry_replicas == 0 {
             settings["Discovery"] = json!("on_request");
             settings["Rules"]["AskWithinUs"] = json!(3_000_000);
         }
-        for lane in settings["Lanes"].as_array_mut().into_iter().flatten() {
-            lane["DeadlineUs"] = json!(self.client_timeout_ms * 1000);
-            lane["AimUs"] = json!(self.client_timeout_ms * 500);
-            lane["KeyTtlUs"] = json!(self.dedup_window_ms * 1000);
+        for class in settings["Lanes"].as_array_mut().into_iter().flatten() {
+            class["DeadlineUs"] = json!(self.client_timeout_ms * 1000);
+            class["AimUs"] = json!(self.client_timeout_ms * 500);
+            class["KeyTtlUs"] = json!(self.dedup_window_ms * 1000);
         }
-        shape
+        config
     }
 }
 
--- a/crates/fleet/src/soak/run.rs
+++ b/crates/fleet/src/soak/run.rs
@@ -29,7 +29,8 @@
 const READY_TIMEOUT: Duration = Duration::from_secs(6);
 /// Mixed into the seed of clients that abort uploads, so that their ids differ from those of other clients.
 const ABORTED_UPLOADS_SEED: u64 = 0x1ea5e5;
-/// How long a sidecar must have been up, beyond its first second, before it is signalled, as for a reload.
+/// How long a sidecar must have been up before it is signalled, made to reload, stopped or replaced: a little longer
+/// than its first second.
 const MIN_UPTIME: Duration = Duration::from_millis(1_100);
 
 /// The summary of a run in which no rule was broken.
@@ -49,7 +50,7 @@
     pub series_signals: usize,
     /// Log lines that sidecars dropped, as nobody read them.
     pub dropped_log_lines: u64,
-    /// The highest load of a server that was warming up, as a fraction of what it can bear; `None` if no server was.
+    /// The highest load of a server that was warming up, as a fraction of its limit; `None` if no server was.
     pub cold_load: Option<f64>,
 }
 
@@ -93,7 +94,7 @@
 
 /// Runs a plan. A failure names the broken rules, with the timeline, the trace of each request, and the logs.
 pub fn run_plan(plan: &Plan) -> Result<RunSummary, ClusterError> {
-    let cluster = Cluster::start(plan.shape())?;
+    let cluster = Cluster::start(plan.cluster_config())?;
     let clients = cluster.start_clients(&traffic(plan));
     let started_at = Instant::now();
     let mut due_steps = Vec::new();
--- a/crates/fleet/src/sweep/replica.rs
+++ b/crates/fleet/src/sweep/replica.rs
@@ -42,7 +42,7 @@
 
 struct Replica {
     programs: Programs,
-    reaper: ProcessGuard,
+    process_guard: ProcessGuard,
     listen: SocketAddr,
     folder: tempfile::TempDir,
     table: FaultTable,
@@ -52,7 +52,7 @@
 /// Runs the scenario, with the system calls of the case failing, if there is one. Returns the number of system calls.
 pub fn run_replica_scenario(case: Option<&Case>) -> Result<CallCounts, ReplicaError> {
     let programs = Programs::find()?;
-    let reaper = ProcessGuard::start(&programs.lotusmoor)?;
+    let process_guard = ProcessGuard::start(&programs.lotusmoor)?;
     let folder = tempfile::tempdir()?;
     let to_io_error = |e: lotusmoor_faults::TableError| std::io::Error::other(e.to_string());
     let table = FaultTable::create(&folder.path().join("faults")).map_err(to_io_error)?;
@@ -60,14 +60,15 @@
         table.arm(case.rule()).map_err(to_io_error)?;
     }
     let listen = unused_address();
-    let process = start(&programs, &reaper, listen, &folder, &table)?;
-    let mut replica = Replica { programs, reaper, listen, folder, table, process };
+    let process = start(&programs, &process_guard, listen, &folder, &table)?;
+    let mut replica = Replica { programs, process_guard, listen, folder, table, process };
     let mut acknowledged = BTreeSet::new();
     replica.write_all(SERVERS_BEFORE_KILL, &mut acknowledged)?;
     replica.write("DELETE", &server_name(0))?;
     acknowledged.remove(&server_name(0));
     replica.process.kill()?;
-    replica.process = start(&replica.programs, &replica.reaper, listen, &replica.folder, &replica.table)?;
+    replica.process =
+        start(&replica.programs, &replica.process_guard, listen, &replica.folder, &replica.table)?;
     replica.check_list(&acknowledged, &server_name(0))?;
     replica.write_all(SERVERS_AFTER_KILL, &mut acknowledged)?;
     replica.check_list(&acknowledged, &server_name(0))?;
@@ -80,7 +81,7 @@
 
 fn start(
     programs: &Programs,
-    reaper: &ProcessGuard,
+    process_guard: &ProcessGuard,
     listen: SocketAddr,
     folder: &tempfile::TempDir,
     table: &FaultTable,
@@ -97,7 +98,7 @@
     ]);
     command.arg(folder.path().join("store"));
     programs.preload(&mut command, table.path())?;
-    Process::start(command, "replica", &log_of(folder), Some(reaper))
+    Process::start(command, "replica", &log_of(folder), Some(process_guard))
 }
 
 fn log_of(folder: &tempfile::TempDir) -> PathBuf {
--- a/crates/fleet/src/sweep/sidecar.rs
+++ b/crates/fleet/src/sweep/sidecar.rs
@@ -37,14 +37,14 @@
 
 /// Runs the scenario, with the system calls of the case failing, if there is one. Returns the number of system calls.
 pub fn run_sidecar_scenario(case: Option<&Case>, seed: u64) -> Result<CallCounts, ClusterError> {
-    let mut shape = ClusterConfig::plain(1, 3, 0, seed);
-    shape.fault_injection = true;
-    shape.inherited_sockets = true;
-    shape.slack = TIMING_TOLERANCE_US;
-    shape.initial_faults = case.map(Case::rule).into_iter().collect();
+    let mut config = ClusterConfig::plain(1, 3, 0, seed);
+    config.fault_injection = true;
+    config.inherited_sockets = true;
+    config.slack = TIMING_TOLERANCE_US;
+    config.initial_faults = case.map(Case::rule).into_iter().collect();
     let normal_conduct = Conduct { work_us: 2_000, idle_us: 30_000, ..Conduct::default() };
-    shape.conduct = normal_conduct.clone();
-    let cluster = Cluster::start(shape)?;
+    config.conduct = normal_conduct.clone();
+    let cluster = Cluster::start(config)?;
     let clients = cluster.start_clients(&traffic(seed));
     let mut scenario = SidecarScenario { cluster, clients, normal_conduct };
     scenario.run_requests()?;
@@ -195,14 +195,14 @@
         let calls = CallCounts(Call::ALL.iter().map(|call| self.cluster.system_calls(0, *call)).collect());
         self.cluster.terminate_sidecar(0)?;
         self.wait_for_exit("the process", |cluster| cluster.sidecar_has_stopped(0))?;
-        let mut asks = self.clients.into_requests();
+        let mut requests = self.clients.into_requests();
         if case.is_some_and(Case::ends_connections) {
             // The injected error ended these connections, not the sidecar.
-            for ask in asks.iter_mut().filter(|ask| matches!(ask.outcome, Outcome::Closed { .. })) {
-                ask.outcome = Outcome::ConnectFailed;
+            for request in requests.iter_mut().filter(|r| matches!(r.outcome, Outcome::Closed { .. })) {
+                request.outcome = Outcome::ConnectFailed;
             }
         }
-        self.cluster.finish_with_requests(asks)?;
+        self.cluster.finish_with_requests(requests)?;
         Ok(calls)
     }
 }
--- a/crates/registry-client/src/list.rs
+++ b/crates/registry-client/src/list.rs
@@ -9,7 +9,7 @@
 /// a higher epoch than all lists before it. Within an epoch each change raises the index by one.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash, Deserialize, Serialize)]
 pub struct Version {
-    /// The history of the list that the index belongs to.
+    /// Identifies the bootstrap or restore that started this history of the list.
     pub epoch: u64,
     /// Number of the last change. It never decreases, not even from one epoch to the next.
     pub index: u64,
@@ -51,7 +51,8 @@
     Expired,
 }
 
-/// A server in the list.
+/// An entry of the list: an endpoint, which is one server of a service. In this crate, server and endpoint
+/// mean the same.
 #[derive(Clone, Debug, PartialEq, Deserialize, Serialize)]
 pub struct Entry {
     /// Unique name of the server, the same for all clients.
--- a/crates/registry-client/src/settings.rs
+++ b/crates/registry-client/src/settings.rs
@@ -3,8 +3,8 @@
 use crate::Micros;
 
 const DEFAULT_WATCH_WAIT_MICROS: Micros = 4_000_000;
-/// 6 s together with the watch wait: the time within which a sidecar has to learn of changes that it missed because a
-/// watch stopped responding.
+/// This and `DEFAULT_WATCH_WAIT_MICROS` add up to 6 s, within which a sidecar has to follow a change: if a watch stops
+/// responding, it is abandoned only after that time.
 const DEFAULT_RESPONSE_TIMEOUT_MICROS: Micros = 2_000_000;
 const DEFAULT_MIN_POLL_INTERVAL_MICROS: Micros = 50_000;
 const DEFAULT_INITIAL_BACKOFF_MICROS: Micros = 250_000;
--- a/crates/registry-client/tests/watcher/main.rs
+++ b/crates/registry-client/tests/watcher/main.rs
@@ -271,19 +271,26 @@
     );
 }
 
+/// How a replica reacts to a poll.
 #[derive(Clone, Debug)]
-enum Replica {
+enum Reaction {
+    /// With an error; whether it has a `Retry-After`.
     Fails(bool),
     Silent,
-    Responds { epoch: u64, index: u64, servers: usize, snapshot: bool },
+    Responds {
+        epoch: u64,
+        index: u64,
+        servers: usize,
+        snapshot: bool,
+    },
 }
 
-fn replica_scripts() -> impl Strategy<Value = Vec<Replica>> {
+fn reaction_scripts() -> impl Strategy<Value = Vec<Reaction>> {
     let one = prop_oneof![
-        any::<bool>().prop_map(Replica::Fails),
-        Just(Replica::Silent),
+        any::<bool>().prop_map(Reaction::Fails),
+        Just(Reaction::Silent),
         (1u64..4, 0u64..30, 0usize..12, any::<bool>()).prop_map(|(epoch, index, servers, snapshot)| {
-            Replica::Responds { epoch, index, servers, snapshot }
+            Reaction::Responds { epoch, index, servers, snapshot }
         }),
     ];
     prop::collection::vec(one, 1..80)
@@ -293,7 +300,7 @@
     // Versions never decrease, a timer is always set, at most two polls are in flight, and no list that removes most
     // servers is used without confirmation.
     #[test]
-    fn keeps_invariants_whatever_replicas_respond(script in replica_scripts(), replicas in 1usize..4, seed: u64) {
+    fn keeps_invariants_whatever_replicas_respond(script in reaction_scripts(), replicas in 1usize..4, seed: u64) {
         let mut driver = TestDriver { watcher: RegistryWatcher::new(Settings::new(replicas), seed), now: 0, out: Vec::new() };
         let mut out = driver.handle(Event::Start(None));
         let mut open: Vec<(u64, usize)> = Vec::new();
@@ -319,13 +326,13 @@
             }
             prop_assert!(open.len() <= 2, "{open:?}");
             prop_assert!(driver.watcher.next_timer().is_some_and(|at| at < driver.now + 40 * SECOND));
-            let Some(replica) = script.next() else { break };
-            out = match (replica, open.pop()) {
-                (Replica::Responds { epoch, index, servers, snapshot }, Some((poll, _))) => {
+            let Some(reaction) = script.next() else { break };
+            out = match (reaction, open.pop()) {
+                (Reaction::Responds { epoch, index, servers, snapshot }, Some((poll, _))) => {
                     let update = ListUpdate { snapshot, ..complete(v(epoch, index), servers) };
                     driver.respond(poll, update)
                 }
-                (Replica::Fails(retry_after), Some((poll, _))) => driver.fail(poll, retry_after.then_some(SECOND)),
+                (Reaction::Fails(retry_after), Some((poll, _))) => driver.fail(poll, retry_after.then_some(SECOND)),
                 (_, poll) => {
                     open.extend(poll);
                     driver.advance()
--- a/crates/registry/src/config.rs
+++ b/crates/registry/src/config.rs
@@ -44,7 +44,8 @@
     },
 }
 
-/// A replica's configuration. Keys and tables have their names in the file for serde too, as its errors quote them.
+/// A replica's configuration. Where a type or field is renamed for serde, that is the name which the file or serde's
+/// error messages have.
 #[derive(Clone, Debug, Deserialize)]
 #[serde(deny_unknown_fields, default)]
 pub struct Config {
@@ -219,7 +220,7 @@
             ),
             ("format", Format::from_number(self.format).is_some(), "must be 1, 2 or 3"),
             ("leases.window_s", is_positive(self.leases.window_s), "must be above 0"),
-            ("leases.share", (0.0..=1.0).contains(&self.leases.share), "must lie in 0 to 1"),
+            ("leases.share", (0.0..=1.0).contains(&self.leases.share), "must be from 0 to 1"),
             ("leases.leaving_s", is_positive(self.leases.draining_s), "must be above 0"),
             ("ages.mark_s", is_positive(self.ages.stale_after_s), "must be above 0"),
             (
--- a/crates/registry/src/core/lease.rs
+++ b/crates/registry/src/core/lease.rs
@@ -74,7 +74,7 @@
     last_reading: Option<Micros>,
     /// Expiries in the current window: the time and the number of leases.
     recent_expiries: VecDeque<(Micros, usize)>,
-    deferred: usize,
+    deferred_expiries: usize,
 }
 
 impl LeaseTracker {
@@ -86,20 +86,20 @@
             clock: 0,
             last_reading: None,
             recent_expiries: VecDeque::new(),
-            deferred: 0,
+            deferred_expiries: 0,
         }
     }
 
     /// The number of endpoints with an expired lease that stay active because the expiry limit is reached.
-    pub fn deferred(&self) -> usize {
-        self.deferred
+    pub fn deferred_expiries(&self) -> usize {
+        self.deferred_expiries
     }
 
     /// Starts tracking, as this replica becomes the leader.
     pub fn start_leading<'a>(&mut self, now: Micros, records: impl Iterator<Item = &'a EndpointRecord>) {
         self.leases.clear();
         self.last_reading = Some(now);
-        self.deferred = 0;
+        self.deferred_expiries = 0;
         self.recent_expiries = [(self.clock, usize::MAX)].into();
         for record in records {
             self.track(record);
@@ -110,7 +110,7 @@
     pub fn stop_leading(&mut self) {
         self.leases.clear();
         self.last_reading = None;
-        self.deferred = 0;
+        self.deferred_expiries = 0;
     }
 
     /// Tracks the changed record of an endpoint.
@@ -148,12 +148,12 @@
         let mut allowed = self.allowed_expiries(active);
         let mut expired = Vec::new();
         let mut newly_expired = 0;
-        let mut deferred = 0;
+        let mut deferred_expiries = 0;
         for name in self.names_to_propose() {
             let Some(lease) = self.leases.get_mut(&name) else { continue };
             if lease.active && lease.proposed_at.is_none() {
                 if allowed == 0 {
-                    deferred += 1;
+                    deferred_expiries += 1;
                     continue;
                 }
                 allowed -= 1;
@@ -166,7 +166,7 @@
         if newly_expired > 0 {
             self.recent_expiries.push_back((self.clock, newly_expired));
         }
-        self.deferred = deferred;
+        self.deferred_expiries = deferred_expiries;
         expired
     }
 
--- a/crates/registry/src/core/lease/tests.rs
+++ b/crates/registry/src/core/lease/tests.rs
@@ -78,7 +78,7 @@
         let after = active[(i + 19).min(active.len() - 1)];
         assert!(before - after <= before / 10 + 1, "from {before} to {after} active endpoints in a window");
     }
-    assert!(leader.active() > 30 && leader.leases.deferred() > 0, "{}", leader.active());
+    assert!(leader.active() > 30 && leader.leases.deferred_expiries() > 0, "{}", leader.active());
 }
 
 #[test]
--- a/crates/registry/src/core/mod.rs
+++ b/crates/registry/src/core/mod.rs
@@ -1,5 +1,5 @@
-//! Decisions without I/O: the replicated endpoint list, and what the leader and each replica decide beside it. The
-//! registry process, the fleet simulation and the fault exploration ([`crate::explore`]) all run this code.
+//! Decisions without I/O: the replicated endpoint list, and the decisions that a leader or a replica makes on its
+//! own. The registry process, the fleet simulation and the fault exploration ([`crate::explore`]) all run this code.
 //!
 //! [`List`] is a state machine that [`Command`]s change. [`lease`], [`flap`], [`admission`] and [`freshness`] are local
 //! to a replica and not replicated.
--- a/crates/registry/src/core/outcome.rs
+++ b/crates/registry/src/core/outcome.rs
@@ -48,7 +48,8 @@
     /// have other errors.
     #[error("{0}")]
     Invalid(String),
-    /// The epoch to start is out of range or not newer than the list's; or, with epoch 0, the list is not bootstrapped.
+    /// A bootstrap's epoch is out of range or not newer than the list's; or another command came before the first
+    /// bootstrap, with 0 as the epoch. Both are the same value on the wire.
     #[error("epoch {0} is out of range or not newer than the list's, or the list is not bootstrapped")]
     #[serde(rename = "Epoch")]
     StaleEpoch(u64),
--- a/crates/registry/src/core/service_index.rs
+++ b/crates/registry/src/core/service_index.rs
@@ -39,7 +39,8 @@
     /// Services with tombstones, by the tombstones' indexes.
     tombstones: BTreeSet<(u64, String)>,
     tombstone_count: usize,
-    /// The latest index at which a service without state may have changed: initially the start of the epoch.
+    /// The latest index at which a service may have changed that is not in `services`, as it never had endpoints or its
+    /// state was dropped: initially the start of the epoch.
     dropped_index: u64,
 }
 
--- a/crates/registry/src/core/service_index/queries.rs
+++ b/crates/registry/src/core/service_index/queries.rs
@@ -6,7 +6,7 @@
 use std::collections::BTreeMap;
 
 impl ServiceIndex {
-    /// The latest index at which a service without state may have changed.
+    /// The latest index at which a service that is not in the index, or no longer, may have changed.
     pub(in crate::core) fn dropped_index(&self) -> u64 {
         self.dropped_index
     }
@@ -26,13 +26,13 @@
         self.max_of(services, |state| state.update_floor)
     }
 
-    /// The largest value among these services, with `dropped_index` as the value of a service without state.
+    /// The largest value among these services, with `dropped_index` as the value of one that is not in the index.
     fn max_of(&self, services: &[String], value: impl Fn(&ServiceState) -> u64) -> u64 {
         let values = services.iter().map(|s| self.services.get(s).map_or(self.dropped_index, &value));
         values.max().unwrap_or(0)
     }
 
-    /// A digest of the history of these services. One without state counts as 0.
+    /// A digest of the history of these services. One that is not in the index counts as 0.
     pub(in crate::core) fn digest(&self, services: &[String]) -> u64 {
         services.iter().fold(0, |combined, service| {
             let digest = self.services.get(service).map_or(0, |state| state.digest);
--- a/crates/registry/src/explore/defect.rs
+++ b/crates/registry/src/explore/defect.rs
@@ -13,7 +13,8 @@
     EarlyAcknowledgement,
     /// An endpoint that moves to another service leaves no tombstone in the old one.
     MovesLeaveNoTombstone,
-    /// Readers get incremental updates although tombstones that they need were dropped.
+    /// The update floor, the oldest index from which incremental updates are possible, is ignored: readers get
+    /// incremental updates although tombstones that they need were dropped.
     UpdateFloorIsIgnored,
     /// Readers of services get all endpoints.
     ServicesAreNotFiltered,
--- a/crates/registry/src/explore/network.rs
+++ b/crates/registry/src/explore/network.rs
@@ -145,9 +145,9 @@
             // The message was lost: the caller waits for its whole timeout, like over a real network.
             Ok(Err(_)) => {
                 tokio::time::sleep(call_timeout).await;
-                Err(CallError::NoAnswer("lost".into()))
+                Err(CallError::NoValidResponse("lost".into()))
             }
-            Err(_) => Err(CallError::NoAnswer("no answer in time".into())),
+            Err(_) => Err(CallError::NoValidResponse("no answer in time".into())),
         }
     }
 }
--- a/crates/registry/src/explore/readers.rs
+++ b/crates/registry/src/explore/readers.rs
@@ -25,8 +25,9 @@
 const CALL_PROBABILITY: f64 = 0.1;
 /// Makes the readers' random numbers independent of those of the schedule.
 const SEED_MASK: u64 = 0x7365_7276;
-/// How far behind the list a reader has to be for [`Defect::UpdateFloorIsIgnored`].
-const IGNORED_FLOOR_DISTANCE: u64 = 3;
+/// With [`Defect::UpdateFloorIsIgnored`], readers that are more than this many indexes behind get updates without
+/// tombstones.
+const IGNORED_FLOOR_LAG: u64 = 3;
 
 struct Reader {
     services: Arc<[String]>,
@@ -187,7 +188,7 @@
             update.endpoints.retain(|e| e.status != Status::Removed || !list.entries().contains_key(&e.name));
         }
         Some(Defect::UpdateFloorIsIgnored)
-            if after.is_some_and(|after| after + IGNORED_FLOOR_DISTANCE < update.version.index) =>
+            if after.is_some_and(|after| after + IGNORED_FLOOR_LAG < update.version.index) =>
         {
             update.endpoints.retain(|e| e.status != Status::Removed);
         }
--- a/crates/registry/src/explore/schedule/calls.rs
+++ b/crates/registry/src/explore/schedule/calls.rs
@@ -15,11 +15,12 @@
 
 /// Endpoints that clients write.
 const ENDPOINTS: i32 = 4;
-/// The probability, in a quarter of the writes, that a write expects the endpoint to be new.
+/// One write in four expects the index of the endpoint's last change. Another one in four expects, with this
+/// probability, that the endpoint is new.
 const EXPECT_NEW_PROBABILITY: f64 = 0.3;
 
 /// What a registering endpoint reports about itself.
-struct Process {
+struct EndpointInfo {
     started_ms: i64,
     service: Option<String>,
 }
@@ -48,9 +49,9 @@
             calls.len() - 1
         };
         let service = self.readers.draw_endpoint_service();
-        let process = Process { started_ms: self.last_started_ms, service };
+        let endpoint = EndpointInfo { started_ms: self.last_started_ms, service };
         runtime.spawn(async move {
-            let result = client.execute(operation, process).await;
+            let result = client.execute(operation, endpoint).await;
             let at = clock.load(Ordering::Relaxed);
             let mut calls = calls.lock().unwrap_or_else(PoisonError::into_inner);
             calls[number].completion = Some(Completion { at, result });
@@ -91,10 +92,10 @@
 }
 
 impl Client {
-    async fn execute(&self, operation: Operation, process: Process) -> CallResult {
+    async fn execute(&self, operation: Operation, endpoint: EndpointInfo) -> CallResult {
         match operation {
             Operation::Write { name, status, expect } => {
-                self.write(command(name, status, expect, process)).await
+                self.write(command(name, status, expect, endpoint)).await
             }
             Operation::LinearizableRead if self.defect == Some(Defect::LinearizableReadsAreLocal) => {
                 read_result(&self.node.read(None).update, 0)
@@ -140,20 +141,20 @@
 }
 
 /// The command that gives an endpoint a status.
-fn command(name: String, status: Status, expect: Option<u64>, process: Process) -> Command {
+fn command(name: String, status: Status, expect: Option<u64>, endpoint: EndpointInfo) -> Command {
     match status {
         Status::Active => {
             let entry = Entry {
                 name,
                 address: ([127, 0, 0, 1], 80).into(),
-                service: process.service,
+                service: endpoint.service,
                 zone: None,
                 region: None,
                 machine_type: None,
                 cell: 0,
                 status,
                 weight: 1.0,
-                started_ms: process.started_ms,
+                started_ms: endpoint.started_ms,
                 status_reason: StatusReason::Registered,
             };
             let servers = vec![Registration { entry, lease_ms: 0 }];
--- a/crates/registry/src/explore/schedule/faults.rs
+++ b/crates/registry/src/explore/schedule/faults.rs
@@ -7,12 +7,12 @@
 
 /// How long a fault of a replica lasts, in steps.
 const FAULT_DURATION: Range<Step> = 20..600;
-/// How long replicas are down after all crash, in steps.
-const COMMON_OUTAGE: Range<Step> = 1..100;
+/// How long all replicas are down after a crash of the whole cluster, in steps.
+const CLUSTER_OUTAGE: Range<Step> = 1..100;
 /// The share of messages that a lossy network loses.
 const LOSS: Range<f64> = 0.0..0.4;
 /// The probability of a crash of all replicas, rather than of a full disk.
-const COMMON_CRASH_PROBABILITY: f64 = 0.4;
+const CLUSTER_CRASH_PROBABILITY: f64 = 0.4;
 /// Steps for which a replica runs on a full disk before it is crashed.
 const FULL_DISK_STEPS: Step = 50;
 
@@ -30,7 +30,7 @@
             4 => self.lose_messages(),
             5 | 6 => self.crash_for(id, steps),
             7 => self.suspend(id, steps),
-            _ if self.rng.random_bool(COMMON_CRASH_PROBABILITY) => self.crash_all(),
+            _ if self.rng.random_bool(CLUSTER_CRASH_PROBABILITY) => self.crash_all(),
             _ => self.fill_disk(id, steps),
         }
     }
@@ -78,7 +78,7 @@
         self.note("all replicas crash".into());
         for id in REPLICAS {
             self.crash(id);
-            let steps = self.rng.random_range(COMMON_OUTAGE);
+            let steps = self.rng.random_range(CLUSTER_OUTAGE);
             self.schedule_return(id, steps);
         }
     }
--- a/crates/registry/src/explore/schedule/replica.rs
+++ b/crates/registry/src/explore/schedule/replica.rs
@@ -19,7 +19,8 @@
 const SNAPSHOT_ENTRIES: u64 = 20;
 /// Log entries that are retained after a snapshot.
 const RETAINED_ENTRIES: u64 = 5;
-/// Added to a replica's id for its identity.
+/// Added to a replica's id for its identity, by which replicas with the same id are told apart (see
+/// [`crate::raft::Replica`]).
 const IDENTITY_OFFSET: u64 = 100;
 
 /// A replica and its disk, which outlives crashes.
--- a/crates/registry/src/http/client.rs
+++ b/crates/registry/src/http/client.rs
@@ -145,7 +145,7 @@
                 Err(CallError::Rejected(message.into()))
             }
             Err(error @ ClientError::NotSent { .. }) => Err(CallError::NotSent(error.into())),
-            Err(error @ ClientError::NoResponse { .. }) => Err(CallError::NoAnswer(error.into())),
+            Err(error @ ClientError::NoResponse { .. }) => Err(CallError::NoValidResponse(error.into())),
         }
     }
 }
--- a/crates/registry/src/http/discovery.rs
+++ b/crates/registry/src/http/discovery.rs
@@ -1,5 +1,6 @@
-//! Lists and watches, in two protocols: the platform's discovery protocol (`/discovery/hosts`), and the registry's own
-//! (`/v1/list` and `/v1/watch`), which adds epochs, digests and ages.
+//! Lists and watches, in two protocols: the registry's own (`/v1/list` and `/v1/watch`), which has epochs, digests and
+//! ages, and the discovery protocol of the platform (`/discovery/hosts`). The platform is the deployment environment;
+//! sidecars without a registry client use its protocol.
 
 use super::error_response::ErrorResponse;
 use super::rendered::RenderedList;
@@ -35,7 +36,7 @@
     services: Option<String>,
 }
 
-/// `GET /discovery/hosts`: the platform's discovery protocol.
+/// `GET /discovery/hosts`: the list in the platform's discovery protocol.
 pub(super) async fn hosts<T: Transport>(
     State(state): State<Arc<ServerState<T>>>,
     Query(query): Query<ListQuery>,
--- a/crates/registry/src/http/metrics.rs
+++ b/crates/registry/src/http/metrics.rs
@@ -35,7 +35,7 @@
     is_leader: Gauge,
     age_ms: Gauge,
     watchers: Gauge,
-    pending_expirations: Gauge,
+    deferred_expiries: Gauge,
     log_entries: Gauge,
     store_reopened: Gauge,
     log_lines_dropped: Gauge,
@@ -68,7 +68,7 @@
                 "How old this replica's list can be; -1 where that is not known"
             ),
             watchers: registered!(Gauge, "watchers", "Watches that wait"),
-            pending_expirations: registered!(
+            deferred_expiries: registered!(
                 Gauge,
                 "waiting_to_expire",
                 "Leases that ran out and wait for room (leader)"
@@ -99,7 +99,7 @@
         set(&self.watchers, watchers as u64);
         set(&self.store_reopened, node.settings().store_reopen_count);
         set(&self.log_lines_dropped, lotusmoor_log_output::dropped_lines());
-        set(&self.pending_expirations, node.pending_expirations() as u64);
+        set(&self.deferred_expiries, node.deferred_expiries() as u64);
         let mut text = String::new();
         // Writing to a string can't fail.
         let _ = encode(&mut text, &self.registry);
--- a/crates/registry/src/http/operators.rs
+++ b/crates/registry/src/http/operators.rs
@@ -65,7 +65,7 @@
         "digest": state.list.digest(),
         "servers": state.list.entries().len(),
         "active": state.list.active(),
-        "waiting_to_expire": node.pending_expirations(),
+        "waiting_to_expire": node.deferred_expiries(),
         "applied": state.applied.map(|l| l.index),
         "last_log": metrics.last_log_index,
         "snapshot": metrics.snapshot.map(|l| l.index),
--- a/crates/registry/src/http/rendered.rs
+++ b/crates/registry/src/http/rendered.rs
@@ -19,7 +19,7 @@
     pub digest: u64,
     /// The entries in the registry's own protocol.
     pub native_entries: Bytes,
-    /// The entries in the platform's discovery protocol; empty if limited to some services.
+    /// The entries in the platform's discovery protocol (`/discovery/hosts`); empty if limited to some services.
     pub platform_entries: Bytes,
 }
 
--- a/crates/registry/src/node/leases.rs
+++ b/crates/registry/src/node/leases.rs
@@ -23,8 +23,8 @@
 
 impl<T: Transport> Node<T> {
     /// The number of endpoints with an expired lease that stay active because the expiry limit is reached.
-    pub fn pending_expirations(&self) -> usize {
-        lock(&self.inner.leader_state).leases.deferred()
+    pub fn deferred_expiries(&self) -> usize {
+        lock(&self.inner.leader_state).leases.deferred_expiries()
     }
 
     /// Brings the leases up to date with the list and proposes the expiry of those that are due.
--- a/crates/registry/src/process.rs
+++ b/crates/registry/src/process.rs
@@ -10,7 +10,7 @@
 use crate::core::List;
 use crate::http::{HttpTransport, serve, serve_unavailable};
 use crate::node::{Node, NodeError, Settings};
-use crate::store::{DATABASE_FILE, Format, Snapshot, Store};
+use crate::store::{DATABASE_FILE, Format, StateMachineData, Store};
 use backoff::Backoff;
 use rand::RngExt;
 use std::io;
@@ -32,7 +32,7 @@
 pub fn read_backup(path: &Path) -> Result<List, ProcessError> {
     let error = |source| ProcessError::Backup { path: path.to_owned(), source };
     let bytes = std::fs::read(path).map_err(|e| error(e.into()))?;
-    let snapshot = Snapshot::decode(&bytes).map_err(|e| error(e.into()))?;
+    let snapshot = StateMachineData::decode(&bytes).map_err(|e| error(e.into()))?;
     Ok(snapshot.list)
 }
 
--- a/crates/registry/src/raft/network.rs
+++ b/crates/registry/src/raft/network.rs
@@ -42,7 +42,8 @@
         };
         let bytes = serde_json::to_vec(&envelope).map_err(|e| CallError::NotSent(e.into()))?;
         let response = self.transport.call(to, rpc, bytes, timeout).await?;
-        serde_json::from_slice(&response).map_err(|e| CallError::NoAnswer(format!("malformed: {e}").into()))
+        serde_json::from_slice(&response)
+            .map_err(|e| CallError::NoValidResponse(format!("malformed: {e}").into()))
     }
 }
 
--- a/crates/registry/src/raft/transport.rs
+++ b/crates/registry/src/raft/transport.rs
@@ -63,7 +63,7 @@
     NotSent(Cause),
     /// The call may have been received, but there was no valid response.
     #[error("no valid response: {0}")]
-    NoAnswer(Cause),
+    NoValidResponse(Cause),
     /// The other replica rejected the call; it had no effect.
     #[error("rejected: {0}")]
     Rejected(Cause),
--- a/crates/registry/src/store/applied_state.rs
+++ b/crates/registry/src/store/applied_state.rs
@@ -9,9 +9,10 @@
 use std::sync::{Arc, Mutex, MutexGuard, PoisonError};
 use tokio::sync::watch;
 
-/// The list with its place in the log. It is stored and sent as JSON.
+/// What the state machine consists of: the list with its place in the log. Snapshots are copies of it, stored and sent
+/// as JSON.
 #[derive(Clone, Debug, Default, PartialEq, Deserialize, Serialize)]
-pub struct Snapshot {
+pub struct StateMachineData {
     /// The last log entry that is applied to it.
     pub applied: Option<LogId>,
     /// The members of the cluster.
@@ -20,7 +21,7 @@
     pub list: List,
 }
 
-impl Snapshot {
+impl StateMachineData {
     pub(super) fn meta(&self) -> SnapshotMeta<u64, Replica> {
         let snapshot_id =
             self.applied.map_or_else(|| "0".to_owned(), |l| format!("{}-{}", l.leader_id, l.index));
@@ -36,7 +37,7 @@
 /// The list as of the last applied entry, with notification of its changes.
 #[derive(Default)]
 pub struct AppliedState {
-    state: Mutex<Snapshot>,
+    state: Mutex<StateMachineData>,
     applied_index: watch::Sender<u64>,
     list_index: watch::Sender<u64>,
     service_waiters: ServiceWaiters,
@@ -44,7 +45,7 @@
 
 impl AppliedState {
     /// Locks the state. No log entry is applied meanwhile, so the lock must be released soon.
-    pub fn state(&self) -> MutexGuard<'_, Snapshot> {
+    pub fn state(&self) -> MutexGuard<'_, StateMachineData> {
         self.state.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
@@ -68,7 +69,7 @@
     }
 
     /// Notifies waiters and subscribers of a new state, which the caller has locked.
-    pub(super) fn notify(&self, state: &Snapshot) {
+    pub(super) fn notify(&self, state: &StateMachineData) {
         self.service_waiters.notify(&state.list);
         let list_index = state.list.version().index;
         self.list_index.send_if_modified(|known| std::mem::replace(known, list_index) != list_index);
--- a/crates/registry/src/store/error.rs
+++ b/crates/registry/src/store/error.rs
@@ -32,7 +32,7 @@
     RolledBack {
         /// Commits in the database.
         found: u64,
-        /// Commits that were counted beside it.
+        /// Commits according to the commit counter, a file beside the database.
         counted: u64,
     },
     /// The database was written by a newer version of this program.
--- a/crates/registry/src/store/mod.rs
+++ b/crates/registry/src/store/mod.rs
@@ -9,7 +9,7 @@
 mod service_waiters;
 mod state_machine;
 
-pub use applied_state::{AppliedState, Snapshot};
+pub use applied_state::{AppliedState, StateMachineData};
 pub use error::StoreError;
 pub use format::{Format, FormatError};
 pub use state_machine::StateMachine;
@@ -217,7 +217,7 @@
             let Some(value) = value else { continue };
             let json = decode_to_json(key, &value)?;
             if key == SNAPSHOT {
-                let snapshot: Snapshot = decode_json(key, &json)?;
+                let snapshot: StateMachineData = decode_json(key, &json)?;
                 self.check_services(key, snapshot.list.has_services())?;
             }
             singletons.insert(key, self.format.encode(&json).as_slice())?;
--- a/crates/registry/src/store/state_machine.rs
+++ b/crates/registry/src/store/state_machine.rs
@@ -1,7 +1,7 @@
 //! openraft's state machine: applies the log to the list, and builds and installs snapshots.
 
 use super::log::{read_failed, write_failed};
-use super::{AppliedState, SNAPSHOT, Snapshot, Store, StoreError};
+use super::{AppliedState, SNAPSHOT, StateMachineData, Store, StoreError};
 use crate::core::Outcome;
 use crate::raft::{LogEntry, LogId, Membership, Replica, StorageError, TypeConfig};
 use openraft::storage::RaftStateMachine;
@@ -11,23 +11,23 @@
 
 impl Store {
     /// The stored snapshot.
-    pub fn load_snapshot(&self) -> Result<Option<Snapshot>, StoreError> {
+    pub fn load_snapshot(&self) -> Result<Option<StateMachineData>, StoreError> {
         self.get(SNAPSHOT)
     }
 
     /// Stores a snapshot, replacing the previous one.
-    pub fn save_snapshot(&self, snapshot: &Snapshot) -> Result<(), StoreError> {
+    pub fn save_snapshot(&self, snapshot: &StateMachineData) -> Result<(), StoreError> {
         self.check_services(SNAPSHOT, snapshot.list.has_services())?;
         self.put(SNAPSHOT, snapshot)
     }
 
     /// Encodes a snapshot in this store's format.
-    pub fn encode_snapshot(&self, snapshot: &Snapshot) -> Result<Vec<u8>, StoreError> {
+    pub fn encode_snapshot(&self, snapshot: &StateMachineData) -> Result<Vec<u8>, StoreError> {
         self.check_services(SNAPSHOT, snapshot.list.has_services())?;
         self.encode(SNAPSHOT, snapshot)
     }
 
-    fn snapshot_reader(&self, snapshot: &Snapshot) -> Result<Box<Cursor<Vec<u8>>>, StoreError> {
+    fn snapshot_reader(&self, snapshot: &StateMachineData) -> Result<Box<Cursor<Vec<u8>>>, StoreError> {
         Ok(Box::new(Cursor::new(self.encode_snapshot(snapshot)?)))
     }
 }
@@ -104,7 +104,7 @@
         snapshot: Box<Cursor<Vec<u8>>>,
     ) -> Result<(), StorageError> {
         let corrupt = |error| StoreError::Corrupt { what: "received snapshot".into(), error };
-        let new = Snapshot::decode(snapshot.get_ref()).map_err(|e| read_failed(corrupt(e)))?;
+        let new = StateMachineData::decode(snapshot.get_ref()).map_err(|e| read_failed(corrupt(e)))?;
         self.store.save_snapshot(&new).map_err(write_failed)?;
         let mut state = self.applied_state.state();
         *state = new;
--- a/crates/registry/tests/forms.rs
+++ b/crates/registry/tests/forms.rs
@@ -2,7 +2,7 @@
 //! decode it and lose the services.
 
 use lotusmoor_registry::core::{Command, ExpiredLease, List, Outcome, Registration};
-use lotusmoor_registry::store::{Format, Snapshot, Store, StoreError};
+use lotusmoor_registry::store::{Format, StateMachineData, Store, StoreError};
 use serde::Deserialize;
 use serde_json::json;
 
@@ -85,8 +85,8 @@
 
 #[test]
 fn store_of_older_format_rejects_services() {
-    let with_services = Snapshot { list: list(Some("s")), ..Snapshot::default() };
-    let without_services = Snapshot { list: list(None), ..Snapshot::default() };
+    let with_services = StateMachineData { list: list(Some("s")), ..StateMachineData::default() };
+    let without_services = StateMachineData { list: list(None), ..StateMachineData::default() };
     for older_format in [Format::PlainJson, Format::Checksummed] {
         let folder = tempfile::tempdir().expect("a temporary directory");
         let store = Store::open(folder.path(), older_format).expect("the store opens");
@@ -118,7 +118,7 @@
 #[test]
 fn store_without_services_converts_to_older_formats() {
     let folder = tempfile::tempdir().expect("a temporary directory");
-    let without_services = Snapshot { list: list(None), ..Snapshot::default() };
+    let without_services = StateMachineData { list: list(None), ..StateMachineData::default() };
     for format in [Format::Services, Format::Checksummed, Format::PlainJson, Format::Services] {
         let store = Store::open(folder.path(), format).expect("the store opens");
         store.save_snapshot(&without_services).expect("the snapshot is saved");
--- a/crates/registry/tests/stored_forms/database.rs
+++ b/crates/registry/tests/stored_forms/database.rs
@@ -5,7 +5,7 @@
 use lotusmoor_registry::core::{List, Outcome};
 use lotusmoor_registry::node::Node;
 use lotusmoor_registry::raft::{LogEntry, LogId, Replica};
-use lotusmoor_registry::store::{Format, Snapshot, Store, StoreError};
+use lotusmoor_registry::store::{Format, StateMachineData, Store, StoreError};
 use lotusmoor_registry_client::{Status, StatusReason};
 use openraft::RaftLogReader;
 use openraft::storage::RaftLogStorage;
@@ -26,7 +26,7 @@
 const ROWS: &str = "database-rows.txt";
 
 /// Position of the last command in the snapshot; those after it are only in the log.
-const IN_SNAPSHOT: usize = 8;
+const LAST_IN_SNAPSHOT: usize = 8;
 /// Index of the last entry that was purged from the log.
 const PURGED: u64 = 6;
 
@@ -37,7 +37,7 @@
     for (i, command) in samples::commands().into_iter().enumerate().skip(1) {
         let outcome = node.write(command).await.expect("the command is applied");
         assert!(matches!(outcome, Outcome::Applied { changed: true, .. }), "{outcome:?}");
-        if i == IN_SNAPSHOT {
+        if i == LAST_IN_SNAPSHOT {
             take_snapshot_and_purge(&node).await;
         }
     }
@@ -108,7 +108,9 @@
     let store = Store::open(folder, Format::Checksummed).expect("the store opens");
     store.identity(1, samples::replica(1).identity).expect("the identity is stored");
     let list = samples::list(&samples::commands_without_services());
-    store.save_snapshot(&Snapshot { list, ..Snapshot::default() }).expect("the snapshot is saved");
+    store
+        .save_snapshot(&StateMachineData { list, ..StateMachineData::default() })
+        .expect("the snapshot is saved");
 }
 
 pub fn write_fixtures() {
@@ -143,7 +145,7 @@
     let folder = copy();
     let store = Store::open(folder.path(), Format::NEWEST).expect("the store opens");
     let snapshot = store.load_snapshot().expect("the store is readable").expect("there is a snapshot");
-    assert_eq!(snapshot.list, samples::list(&samples::commands()[..=IN_SNAPSHOT]));
+    assert_eq!(snapshot.list, samples::list(&samples::commands()[..=LAST_IN_SNAPSHOT]));
     let nodes: BTreeMap<u64, Replica> =
         snapshot.membership.membership().nodes().map(|(id, node)| (*id, node.clone())).collect();
     assert_eq!(nodes, BTreeMap::from([(1, samples::replica(1))]));
--- a/crates/registry/tests/stored_forms/http_calls.rs
+++ b/crates/registry/tests/stored_forms/http_requests.rs
@@ -1,4 +1,4 @@
-//! The requests of the fixtures of [`crate::http_answers`].
+//! The requests of the fixtures of [`crate::http_responses`].
 
 use crate::samples::{self, EPOCH, FIRST_INDEX, LEASE_MS};
 use serde_json::{Value, json};
--- a/crates/registry/tests/stored_forms/http_answers.rs
+++ b/crates/registry/tests/stored_forms/http_responses.rs
@@ -3,7 +3,7 @@
 //! The fixtures are `http/SCENARIO/NN-name.request` and `.response`. In a response, numbers that depend on the time are
 //! replaced by `#`, and the `date` header is omitted.
 
-use crate::http_calls::{
+use crate::http_requests::{
     FOLLOWER, LAST_INDEX, LEADER, OVERLOADED, RATE_LIMITED, SCENARIOS, STORE_FAILED, UNINITIALIZED, calls,
     request,
 };
@@ -11,7 +11,7 @@
 use crate::{database, fixtures, raft_calls};
 use lotusmoor_registry::core::EndpointRecord;
 use lotusmoor_registry::http::{Limits, serve, serve_unavailable};
-use lotusmoor_registry::store::Snapshot;
+use lotusmoor_registry::store::StateMachineData;
 use lotusmoor_registry_client::ListUpdate;
 use std::future::Future;
 use std::time::Duration;
@@ -103,7 +103,7 @@
             while node.age().is_none() || node.applied_state().state().list.version().index < LAST_INDEX {
                 tokio::time::sleep(Duration::from_millis(10)).await;
             }
-            // A leader knows the leases only from its first tick on.
+            // A leader tracks leases only from its first lease check on.
             while node.renew("m").await.is_err() {
                 tokio::time::sleep(Duration::from_millis(10)).await;
             }
@@ -233,7 +233,7 @@
 fn backup_over_http_restores_the_list() {
     let response = fixtures::read(&format!("http/{LEADER}/19-backup.response"));
     let head = response.windows(4).position(|w| w == b"\r\n\r\n").expect("the end of the head") + 4;
-    let snapshot = Snapshot::decode(&response[head..]).expect("a valid snapshot");
+    let snapshot = StateMachineData::decode(&response[head..]).expect("a valid snapshot");
     assert_eq!(snapshot.list, samples::list(&samples::commands()));
     let file = tempfile::NamedTempFile::new().expect("a file");
     std::fs::write(file.path(), &response[head..]).expect("the file is written");
--- a/crates/registry/tests/stored_forms/main.rs
+++ b/crates/registry/tests/stored_forms/main.rs
@@ -5,13 +5,13 @@
 //! `roster.toml`. It does not overwrite existing ones: a test that finds a difference means that the code is no longer
 //! compatible with other releases.
 
-mod calls_made;
 mod configuration;
 mod database;
 mod fixtures;
-mod http_answers;
-mod http_calls;
+mod http_requests;
+mod http_responses;
 mod messages;
+mod outgoing_calls;
 mod raft_calls;
 mod samples;
 
@@ -19,9 +19,9 @@
 #[test]
 #[ignore = "writes the fixtures"]
 fn write_fixtures() {
-    calls_made::write_fixtures();
+    outgoing_calls::write_fixtures();
     messages::write_fixtures();
     raft_calls::write_fixtures();
     database::write_fixtures();
-    http_answers::write_fixtures();
+    http_responses::write_fixtures();
 }
--- a/crates/registry/tests/stored_forms/messages.rs
+++ b/crates/registry/tests/stored_forms/messages.rs
@@ -4,7 +4,7 @@
 use lotusmoor_registry::core::{Command, List, Outcome};
 use lotusmoor_registry::node::WriteError;
 use lotusmoor_registry::raft::{LogEntry, Membership, Rpc, Vote};
-use lotusmoor_registry::store::{Format, Snapshot};
+use lotusmoor_registry::store::{Format, StateMachineData};
 use openraft::raft::AppendEntriesResponse;
 use serde::Serialize;
 use serde::de::DeserializeOwned;
@@ -37,12 +37,12 @@
     ]
 }
 
-fn snapshot(format: Format) -> Snapshot {
+fn snapshot(format: Format) -> StateMachineData {
     let services = format.has_services();
     let commands = if services { samples::commands() } else { samples::commands_without_services() };
     let last = commands.len() as u64 + 2;
     let membership = Membership::new(Some(samples::log_id(1, 1)), samples::membership(true));
-    Snapshot { applied: Some(samples::log_id(1, last)), membership, list: samples::list(&commands) }
+    StateMachineData { applied: Some(samples::log_id(1, last)), membership, list: samples::list(&commands) }
 }
 
 fn encoded<V: Serialize>(values: &[V]) -> Vec<String> {
@@ -108,7 +108,7 @@
 fn snapshots_of_all_formats_match_fixtures() {
     for (name, format) in SNAPSHOTS {
         let bytes = fixtures::read(name);
-        let read = Snapshot::decode(&bytes).expect("a valid snapshot");
+        let read = StateMachineData::decode(&bytes).expect("a valid snapshot");
         assert_eq!(read, snapshot(format), "{name}");
         let plain = serde_json::to_vec(&read).expect("the snapshot is encoded");
         assert_eq!(format.encode(&plain), bytes, "{name}");
--- a/crates/registry/tests/stored_forms/raft_calls.rs
+++ b/crates/registry/tests/stored_forms/raft_calls.rs
@@ -6,7 +6,7 @@
 use lotusmoor_registry::node::{Node, WriteError};
 use lotusmoor_registry::raft::transport::Envelope;
 use lotusmoor_registry::raft::{CallError, Membership, Peers, Rpc, Target, TypeConfig, Vote};
-use lotusmoor_registry::store::{Format, Snapshot};
+use lotusmoor_registry::store::{Format, StateMachineData};
 use openraft::SnapshotMeta;
 use openraft::error::{InstallSnapshotError, RaftError};
 use openraft::raft::{
@@ -61,7 +61,7 @@
     let (last, members) = (samples::log_id(1, 40), samples::membership(false));
     let membership = Membership::new(Some(samples::log_id(0, 0)), members);
     let list = samples::list(&samples::commands());
-    let snapshot = Snapshot { applied: Some(last), membership: membership.clone(), list };
+    let snapshot = StateMachineData { applied: Some(last), membership: membership.clone(), list };
     let plain = serde_json::to_vec(&snapshot).expect("the snapshot is encoded");
     let snapshot_id = format!("1-1-40-{offset}");
     let meta = SnapshotMeta { last_log_id: Some(last), last_membership: membership, snapshot_id };
@@ -123,7 +123,7 @@
     let mut lines = Vec::new();
     for (rpc, body) in calls {
         if rpc == Rpc::Renew {
-            // The leader knows the leases of new registrations only from its next tick on.
+            // The leader tracks the leases of new registrations only from its next lease check on.
             tokio::time::sleep(Duration::from_secs(1)).await;
         }
         let response = node.handle_peer_call(rpc, &body).await.expect("a response");
