--- a/crates/sidecar/tests/streaming/mod.rs
+++ b/crates/sidecar/tests/streaming/mod.rs
@@ -167,7 +167,7 @@
             Reply::Raw([head, body].concat(), None)
         });
         let sidecar = Sidecar::start_with_config(&discovery, &[("s-1", &endpoint)], 1024, |config| {
-            // A stalled response is abandoned after the longest of the deadline and the latency objective (`AimUs`).
+            // A stalled response is abandoned after the longer of the deadline and the latency objective (`AimUs`).
             config.replace("\"DeadlineUs\":20000000", "\"DeadlineUs\":1000000").replace("8000000", "800000")
         });
         let request_text = request("look", "", "");
--- a/crates/sidecar/tests/time_limits/clients.rs
+++ b/crates/sidecar/tests/time_limits/clients.rs
@@ -93,7 +93,8 @@
 
 /// Runs a case for each close mode, with a sidecar that runs, and with one that is stopped (SIGSTOP) and then finds both
 /// at once: that the client has closed, and the event that would let its request be sent. A run proves nothing,
-/// returns `None`, and is repeated, if the machine was too slow for the requests to be waiting when their clients close.
+/// returns `None`, and is repeated, if the machine was too slow for the requests to be waiting when their clients
+/// close.
 fn for_each_close_mode(run_case: impl Fn((bool, &'static [u8]), bool) -> Option<()>) {
     for close_mode in CLIENT_CLOSE_MODES {
         for while_stopped in [false, true] {
