--- a/crates/fleet/src/capacity/plan.rs
+++ b/crates/fleet/src/capacity/plan.rs
@@ -271,7 +271,7 @@
 pub struct Plan {
     /// Name of the plan.
     pub name: String,
-    /// The folder of recorded runs, relative to the plan's folder in the file.
+    /// The folder of recorded runs. In the file it is relative to the plan's folder.
     pub results: PathBuf,
     /// The size of the fleet.
     pub sizes: Sizes,
