--- a/crates/fleet/src/experiment/report.rs
+++ b/crates/fleet/src/experiment/report.rs
@@ -28,15 +28,15 @@
     RGBColor(80, 80, 80),
 ];
 
-type OfWindow = fn(&Window) -> f64;
-type OfPoint = fn(&Line) -> Option<f64>;
+type WindowMeasure = fn(&Window) -> f64;
+type PointParameter = fn(&Line) -> Option<f64>;
 
 fn share(n: u64, of: u64) -> f64 {
     n as f64 / of.max(1) as f64
 }
 
 /// Plots over the seconds of a run.
-const OVER_TIME: [(&str, OfWindow); 9] = [
+const OVER_TIME: [(&str, WindowMeasure); 9] = [
     ("Goodput: requests served in time, by the second of their first try", |w| w.in_time as f64),
     ("Share of requests rejected on their last try", |w| share(w.refused, w.requests)),
     ("Attempts for each try", |w| share(w.attempts, w.tries)),
@@ -71,7 +71,7 @@
         escaped(&first.commit)
     );
     for scenario in scenarios {
-        let of: Vec<&Line> = lines.iter().filter(|l| l.scenario == scenario).collect();
+        let scenario_lines: Vec<&Line> = lines.iter().filter(|l| l.scenario == scenario).collect();
         let _ = write!(page, "<h2>{}</h2><p>", escaped(scenario));
         // One legend for all plots, because inside a plot it would cover the curves.
         for (i, variant) in variants.iter().enumerate() {
@@ -81,18 +81,18 @@
         }
         page.push_str("</p>");
         let mut points: Vec<_> = Vec::new();
-        for line in &of {
+        for line in &scenario_lines {
             if !points.contains(&line.point) {
                 points.push(line.point);
             }
         }
         for point in &points {
-            let here: Vec<&Line> = of.iter().copied().filter(|l| l.point == *point).collect();
+            let selected: Vec<&Line> = scenario_lines.iter().copied().filter(|l| l.point == *point).collect();
             let _ = write!(page, "<h3>{point}</h3>");
-            table(&mut page, &here, &variants, measures);
+            table(&mut page, &selected, &variants, measures);
             let curves: BTreeMap<&str, Vec<&Line>> = variants
                 .iter()
-                .map(|v| (*v, here.iter().copied().filter(|l| l.variant == *v).collect()))
+                .map(|v| (*v, selected.iter().copied().filter(|l| l.variant == *v).collect()))
                 .collect();
             for (title, value) in OVER_TIME {
                 let drawn: Vec<Curve> = curves.values().map(|runs| over_time(runs, value)).collect();
@@ -100,7 +100,7 @@
             }
         }
         if points.len() > 1 {
-            over_scale(&mut page, &of, &variants)?;
+            over_scale(&mut page, &scenario_lines, &variants)?;
         }
     }
     page.push_str("</body></html>\n");
@@ -127,18 +127,19 @@
     page.push_str("</table>");
 }
 
-fn over_time(runs: &[&Line], value: OfWindow) -> Curve {
+fn over_time(runs: &[&Line], value: WindowMeasure) -> Curve {
     let seconds = runs.iter().map(|l| l.figures.windows.len()).max().unwrap_or(0);
     let at = |s: usize| {
-        let here = runs.iter().filter_map(|l| l.figures.windows.get(s)).filter(|w| w.requests > 0).map(value);
-        let here: Vec<f64> = here.collect();
-        (!here.is_empty()).then(|| (s as f64, median(here)))
+        let selected =
+            runs.iter().filter_map(|l| l.figures.windows.get(s)).filter(|w| w.requests > 0).map(value);
+        let selected: Vec<f64> = selected.collect();
+        (!selected.is_empty()).then(|| (s as f64, median(selected)))
     };
     (0..seconds).filter_map(at).collect()
 }
 
 fn over_scale(page: &mut String, lines: &[&Line], variants: &BTreeSet<&str>) -> Result<(), ReportError> {
-    let axes: [(&str, OfPoint); 3] = [
+    let axes: [(&str, PointParameter); 3] = [
         ("load", |l| l.point.load),
         ("sidecars", |l| l.point.sidecars.map(|n| n as f64)),
         ("servers", |l| l.point.servers.map(|n| n as f64)),
@@ -154,9 +155,9 @@
         for name in OVER_SCALE {
             let curve = |variant: &&'_ str| {
                 let at = |x: &f64| {
-                    let here = lines.iter().filter(|l| l.variant == **variant && of(l) == Some(*x));
-                    let here: Vec<f64> = here.filter_map(|l| measure(name, &l.figures)).collect();
-                    (!here.is_empty()).then(|| (*x, median(here)))
+                    let selected = lines.iter().filter(|l| l.variant == **variant && of(l) == Some(*x));
+                    let selected: Vec<f64> = selected.filter_map(|l| measure(name, &l.figures)).collect();
+                    (!selected.is_empty()).then(|| (*x, median(selected)))
                 };
                 values.iter().filter_map(at).collect()
             };
@@ -169,12 +170,12 @@
 
 fn plot(title: &str, axis: &str, curves: &[Curve]) -> Result<String, ReportError> {
     let all = || curves.iter().flatten();
-    let most = |of: fn(&(f64, f64)) -> f64| all().map(of).fold(f64::MIN, f64::max);
-    let least = all().map(|p| p.0).fold(f64::MAX, f64::min);
+    let max_of = |of: fn(&(f64, f64)) -> f64| all().map(of).fold(f64::MIN, f64::max);
+    let min_x = all().map(|p| p.0).fold(f64::MAX, f64::min);
     if all().next().is_none() {
         return Ok(String::new());
     }
-    let (right, top) = (most(|p| p.0).max(least + 1e-6), (most(|p| p.1) * 1.05).max(1e-6));
+    let (right, top) = (max_of(|p| p.0).max(min_x + 1e-6), (max_of(|p| p.1) * 1.05).max(1e-6));
     let mut svg = String::new();
     {
         let area = SVGBackend::with_string(&mut svg, (620, 320)).into_drawing_area();
@@ -185,7 +186,7 @@
             .margin(8)
             .x_label_area_size(30)
             .y_label_area_size(55)
-            .build_cartesian_2d(least..right, 0.0..top)
+            .build_cartesian_2d(min_x..right, 0.0..top)
             .map_err(|e| failed(e.to_string()))?;
         let mut mesh = chart.configure_mesh();
         mesh.x_desc(axis).light_line_style(WHITE).draw().map_err(|e| failed(e.to_string()))?;
