--- a/crates/fleet/src/load/mod.rs
+++ b/crates/fleet/src/load/mod.rs
@@ -1,11 +1,12 @@
-//! Load on real sockets: an open-loop generator, and measurements of a real sidecar against going direct to the same
-//! stand-in server in the same run. Blocking threads, as timers of a runtime are no finer than a millisecond.
+//! Load on real sockets: an open-loop load generator, and measurements that compare requests through a real sidecar
+//! with requests directly to the same fake backend in the same run. The generator has blocking threads, as the timers
+//! of an async runtime are no finer than a millisecond.
 
 mod open_loop;
 pub mod registry;
 mod usage;
 
-pub use open_loop::{Answered, Route, Shot, open_loop};
+pub use open_loop::{Route, RouteResult, ScheduledRequest, open_loop};
 pub use usage::{peak_kb, pin, resident_kb, used_cpu};
 
 use crate::harness::backend::Conduct;
@@ -19,42 +20,43 @@
 use std::process::Command;
 use std::time::Duration;
 
-/// The settings object of a sidecar that is measured alone: one class of requests, one zone.
+/// The settings of a sidecar that is measured alone: one request class, one zone.
 pub(crate) fn settings() -> Value {
-    let lane = json!({"Name": "look", "AimUs": 1_000_000, "DeadlineUs": 3_000_000, "Effect": "pure"});
+    let class = json!({"Name": "look", "AimUs": 1_000_000, "DeadlineUs": 3_000_000, "Effect": "pure"});
     json!({"Balancers": 1, "Index": 0, "Discovery": "pushed", "WeightSource": "rough",
-        "TickUs": 1000, "Lanes": [lane], "Zone": "a", "Zones": ["a"],
+        "TickUs": 1000, "Lanes": [class], "Zone": "a", "Zones": ["a"],
         "Limits": {"DialTimeoutUs": 150_000, "IdleCloseUs": 60_000_000, "MaxAttempts": 5, "MayCancel": true},
         "Rules": {"ColdShare": 0.12, "OverloadFactor": 3.0, "TipAfterUs": 3_000_000,
             "WarmWithinUs": 23_000_000}})
 }
 
-/// A sidecar in front of one stand-in server, and the way past it.
+/// A sidecar in front of one fake backend, which also takes requests directly.
 pub struct SidecarBench {
     sidecar: Process,
-    server: Process,
-    /// Where the sidecar listens.
+    backend: Process,
+    /// The address of the sidecar.
     pub through: SocketAddr,
-    /// Where the server listens.
+    /// The address of the backend.
     pub direct: SocketAddr,
     _folder: tempfile::TempDir,
-    // Ends both where this process is killed.
-    _reaper: ProcessGuard,
+    // Kills both if this process is killed.
+    _process_guard: ProcessGuard,
 }
 
 impl SidecarBench {
-    /// Starts both, each on a core of its own where there are as many; the rest is for the generator, which has
-    /// this thread's cores and those of the threads that it starts.
+    /// Starts both. With more than two cores, pins each of them to a core of its own, and this thread, from which the
+    /// threads of the load generator inherit that, to the other cores.
     pub fn start(work_us: u64) -> io::Result<Self> {
         let programs = Programs::find()?;
-        let reaper = ProcessGuard::start(&programs.lotusmoor)?;
+        let process_guard = ProcessGuard::start(&programs.lotusmoor)?;
         let folder = tempfile::tempdir()?;
         let (through, direct) = (unused_address(), unused_address());
         let conduct = Conduct { work_us, ..Conduct::default() };
         let mut command = Command::new(&programs.lotusmoor);
         command.args(["--log", "error", "fleet", "stand-in", "ledger", "--name", "s-0"]);
         command.args(["--listen", &direct.to_string(), "--conduct", &serde_json::to_string(&conduct)?]);
-        let server = Process::start(command, "server", &folder.path().join("server.log"), Some(&reaper))?;
+        let backend =
+            Process::start(command, "server", &folder.path().join("server.log"), Some(&process_guard))?;
         let entry = json!({"name": "s-0", "address": direct, "zone": "a", "type": "m", "group": 1,
             "status": "active", "weight": 1.0, "since_ms": 0});
         let config = json!({"name": "n0", "listen": through, "discovery": unused_address(), "seed": "01",
@@ -64,18 +66,23 @@
         std::fs::write(&path, config.to_string())?;
         let mut command = Command::new(&programs.sidecar);
         command.env("LB_CONFIG", &path).env_remove("LB_LISTEN").env_remove("LB_DISCOVERY");
-        let sidecar = Process::start(command, "sidecar", &folder.path().join("sidecar.log"), Some(&reaper))?;
+        let sidecar =
+            Process::start(command, "sidecar", &folder.path().join("sidecar.log"), Some(&process_guard))?;
         let cores = std::thread::available_parallelism().map_or(1, usize::from);
         if cores > 2 {
             pin(Some(sidecar.id()), &[0])?;
-            pin(Some(server.id()), &[1])?;
+            pin(Some(backend.id()), &[1])?;
             pin(None, &(2..cores).collect::<Vec<_>>())?;
         }
-        let up = |at: SocketAddr, path: &str| once(at, path).is_ok_and(|status| status == 200);
-        if !until(|| up(direct, "/alive") && up(through, "/up")) {
-            return Err(io::Error::other(format!("the sidecar never served: {}", sidecar.log_text())));
+        let is_up =
+            |address: SocketAddr, path: &str| get_status(address, path).is_ok_and(|status| status == 200);
+        if !until(|| is_up(direct, "/alive") && is_up(through, "/up")) {
+            return Err(io::Error::other(format!(
+                "the sidecar did not become ready; its log: {}",
+                sidecar.log_text()
+            )));
         }
-        Ok(Self { sidecar, server, through, direct, _folder: folder, _reaper: reaper })
+        Ok(Self { sidecar, backend, through, direct, _folder: folder, _process_guard: process_guard })
     }
 
     /// Processor time that the sidecar has used.
@@ -84,8 +91,9 @@
     }
 }
 
-pub(crate) fn once(at: SocketAddr, path: &str) -> io::Result<u16> {
-    let mut stream = TcpStream::connect(at)?;
+/// The status of the response to a `GET` on a new connection; 0 if it is malformed.
+pub(crate) fn get_status(address: SocketAddr, path: &str) -> io::Result<u16> {
+    let mut stream = TcpStream::connect(address)?;
     stream.set_read_timeout(Some(Duration::from_secs(5)))?;
     write!(stream, "GET {path} HTTP/1.1\r\nHost: x\r\nConnection: close\r\n\r\n")?;
     let mut head = [0; 12];
@@ -93,12 +101,12 @@
     Ok(std::str::from_utf8(&head[9..]).ok().and_then(|s| s.parse().ok()).unwrap_or(0))
 }
 
-/// Latencies of one way, in microseconds.
+/// Latencies of one route, in microseconds, and the numbers of requests.
 #[derive(Clone, Debug, Serialize)]
 pub struct Latency {
-    /// Requests served, and others.
+    /// Requests with status 200.
     pub served: u64,
-    /// Refused, failed or lost.
+    /// Requests that were rejected, failed or timed out.
     #[serde(rename = "others")]
     pub not_served: u64,
     /// Median.
@@ -110,71 +118,72 @@
 }
 
 impl Latency {
-    fn of(latencies: &Histogram<u64>, not_served: u64) -> Self {
+    fn new(latencies: &Histogram<u64>, not_served: u64) -> Self {
         let at = |q| latencies.value_at_quantile(q);
         Self { served: latencies.len(), not_served, p50_us: at(0.5), p99_us: at(0.99), p999_us: at(0.999) }
     }
 }
 
-/// What a sidecar adds.
+/// The overhead of a sidecar.
 #[derive(Clone, Debug, Serialize)]
 pub struct Overhead {
-    /// Requests a second, half of them each way.
+    /// Requests per second, half of them directly and half through the sidecar.
     pub rate: f64,
-    /// Past the sidecar.
+    /// Directly to the backend.
     pub direct: Latency,
-    /// Through it.
+    /// Through the sidecar.
     pub through: Latency,
-    /// Its processor time for a request, in microseconds.
+    /// The sidecar's processor time per request, in microseconds.
     pub cpu_us: f64,
 }
 
-/// Latency through the sidecar and past it, in turn in one run, from the instant at which each request is due.
+/// Measures the latency through the sidecar and directly to the backend. Requests alternate between both in one run,
+/// and the latency of each counts from its scheduled time.
 pub fn measure_overhead(
-    bench: &SidecarBench,
+    testbed: &SidecarBench,
     rate: f64,
-    length: Duration,
+    duration: Duration,
     seed: u64,
 ) -> io::Result<Overhead> {
-    let before = bench.sidecar_cpu();
-    let routes = [Route { to: bench.direct }, Route { to: bench.through }];
-    let answered = open_loop(&routes, rate, length, seed)?;
-    let used = bench.sidecar_cpu().zip(before).map_or(Duration::ZERO, |(after, before)| after - before);
-    let [direct, through] = &answered[..] else { return Err(io::ErrorKind::InvalidData.into()) };
-    let cpu_us = used.as_secs_f64() * 1e6 / through.latencies.len().max(1) as f64;
-    let of = |a: &Answered| Latency::of(&a.latencies, a.not_served);
-    Ok(Overhead { rate, direct: of(direct), through: of(through), cpu_us })
+    let before = testbed.sidecar_cpu();
+    let routes = [Route { to: testbed.direct }, Route { to: testbed.through }];
+    let results = open_loop(&routes, rate, duration, seed)?;
+    let cpu_time = testbed.sidecar_cpu().zip(before).map_or(Duration::ZERO, |(after, before)| after - before);
+    let [direct, through] = &results[..] else { return Err(io::ErrorKind::InvalidData.into()) };
+    let cpu_us = cpu_time.as_secs_f64() * 1e6 / through.latencies.len().max(1) as f64;
+    let latency = |route: &RouteResult| Latency::new(&route.latencies, route.not_served);
+    Ok(Overhead { rate, direct: latency(direct), through: latency(through), cpu_us })
 }
 
-/// The highest rate that was served, and the one at which it was not.
+/// The highest rate that was served, and the next one, which was not.
 #[derive(Clone, Debug, Serialize)]
 pub struct Saturation {
-    /// Requests a second of the last step that was served.
+    /// The rate of the last step that was served, in requests per second.
     #[serde(rename = "served")]
     pub served_rate: f64,
-    /// Those of the first that was not.
+    /// The rate of the first step that was not served, in requests per second.
     #[serde(rename = "failed")]
     pub failed_rate: f64,
-    /// Its 99th percentile at the last step that was served.
+    /// The 99th percentile of the latency at the last step that was served.
     pub p99_us: u64,
 }
 
-/// Raises the rate by quarters until less than 99% come back or one in a hundred takes over 100 ms, then once more
-/// from the last that was served by steps of 5%.
+/// Raises the rate in steps of 25% until less than 99% of the requests are served or the 99th percentile of the latency
+/// is 100 ms or more, then again from the last rate that was served in steps of 5%.
 pub fn find_saturation(to: SocketAddr, step: Duration, seed: u64) -> io::Result<Saturation> {
     let mut last = Saturation { served_rate: 0.0, failed_rate: f64::INFINITY, p99_us: 0 };
     let mut rate = 1000.0;
     for factor in [1.25, 1.05] {
-        // The generator itself gives out somewhere below this.
+        // The load generator itself saturates below this rate.
         while rate < 200_000.0 {
-            let answered = open_loop(&[Route { to }], rate, step, seed)?;
-            let a = &answered[0];
-            let p99_us = a.latencies.value_at_quantile(0.99);
-            if a.not_served * 100 > a.latencies.len() || p99_us >= 100_000 {
+            let results = open_loop(&[Route { to }], rate, step, seed)?;
+            let result = &results[0];
+            let p99_us = result.latencies.value_at_quantile(0.99);
+            if result.not_served * 100 > result.latencies.len() || p99_us >= 100_000 {
                 tracing::debug!(
-                    "{rate:.0} a second: {} served, {} not, p99 {p99_us} us",
-                    a.latencies.len(),
-                    a.not_served
+                    "{rate:.0} requests per second: {} served, {} not served, p99 {p99_us} us",
+                    result.latencies.len(),
+                    result.not_served
                 );
                 last.failed_rate = rate;
                 break;
@@ -187,28 +196,28 @@
     Ok(last)
 }
 
-/// Memory that idle connections take, in bytes each.
+/// The memory of an idle connection, in bytes.
 #[derive(Clone, Debug, Serialize)]
 pub struct ConnectionMemory {
-    /// Connections that were held.
+    /// The number of connections.
     pub connections: usize,
-    /// At the sidecar.
+    /// In the sidecar.
     pub sidecar_bytes: f64,
-    /// At the stand-in server, which does next to nothing.
+    /// In the backend, as a baseline.
     pub server_bytes: f64,
 }
 
-/// Holds so many idle connections to each, one request having been served on each of them.
-pub fn measure_connection_memory(bench: &SidecarBench, connections: usize) -> io::Result<ConnectionMemory> {
-    let grown = |process: &Process, at: SocketAddr, path: &str| -> io::Result<f64> {
+/// Measures the memory of idle connections to each of both, after one request on each connection.
+pub fn measure_connection_memory(testbed: &SidecarBench, connections: usize) -> io::Result<ConnectionMemory> {
+    let bytes_per_connection = |process: &Process, address: SocketAddr, path: &str| -> io::Result<f64> {
         let before = resident_kb(process.id());
-        let mut held = Vec::new();
+        let mut open = Vec::new();
         for _ in 0..connections {
-            let mut stream = TcpStream::connect(at)?;
+            let mut stream = TcpStream::connect(address)?;
             stream.set_read_timeout(Some(Duration::from_secs(10)))?;
             write!(stream, "GET {path} HTTP/1.1\r\nHost: x\r\n\r\n")?;
             stream.read_exact(&mut [0; 12])?;
-            held.push(stream);
+            open.push(stream);
         }
         let after = resident_kb(process.id());
         let kb = after.zip(before).map_or(0, |(after, before)| after.saturating_sub(before));
@@ -216,7 +225,7 @@
     };
     Ok(ConnectionMemory {
         connections,
-        sidecar_bytes: grown(&bench.sidecar, bench.through, "/up")?,
-        server_bytes: grown(&bench.server, bench.direct, "/alive")?,
+        sidecar_bytes: bytes_per_connection(&testbed.sidecar, testbed.through, "/up")?,
+        server_bytes: bytes_per_connection(&testbed.backend, testbed.direct, "/alive")?,
     })
 }
--- a/crates/fleet/src/load/open_loop.rs
+++ b/crates/fleet/src/load/open_loop.rs
@@ -1,5 +1,5 @@
-//! The generator: requests by a schedule that waits for no answer. A request's latency counts from the instant at which
-//! it was due, so that what a slow answer holds up is not left out.
+//! The open-loop load generator: requests are scheduled independently of responses. Latency counts from the scheduled
+//! time of a request, so that the delay behind a slow response is included (no coordinated omission).
 
 use crate::chance::stream;
 use hdrhistogram::Histogram;
@@ -9,151 +9,154 @@
 use std::sync::atomic::{AtomicU64, AtomicUsize, Ordering};
 use std::time::{Duration, Instant};
 
-/// Where requests go.
+/// The destination of a series of requests.
 #[derive(Clone, Copy, Debug)]
 pub struct Route {
-    /// A sidecar, or a server.
+    /// The address of a sidecar or a server.
     pub to: SocketAddr,
 }
 
-/// One request of the schedule.
+/// A request of the schedule.
 #[derive(Clone, Copy, Debug)]
-pub struct Shot {
-    /// After the beginning.
+pub struct ScheduledRequest {
+    /// The scheduled time, from the start of the run.
     pub due: Duration,
-    /// Which way it goes.
+    /// The index of the route.
     pub route: usize,
 }
 
-/// What came of one route's requests.
-pub struct Answered {
-    /// Latencies of those served, in microseconds from when they were due.
+/// The results of the requests of one route.
+pub struct RouteResult {
+    /// Latencies of the requests with status 200, in microseconds from their scheduled times.
     pub latencies: Histogram<u64>,
-    /// Refused, failed or lost.
+    /// The number of requests that were rejected, failed or timed out.
     pub not_served: u64,
 }
 
-/// Threads, which bound how many requests are out at a time: as many as wait at the least served rate worth measuring.
+/// The number of threads, which bounds the requests in flight: enough for those that wait at the lowest rate worth
+/// measuring.
 const THREADS: usize = 96;
-/// Before a request is due, a thread stops sleeping and watches the clock.
-const WATCH: Duration = Duration::from_micros(120);
-/// A client waits no longer.
-const WAIT: Duration = Duration::from_secs(3);
+/// How long before the scheduled time a thread stops sleeping and starts to spin.
+const SPIN_TIME: Duration = Duration::from_micros(120);
+/// Timeout of connecting and of each read.
+const REQUEST_TIMEOUT: Duration = Duration::from_secs(3);
 
-/// Requests at random instants at that rate, to each route in turn.
-pub fn schedule(routes: usize, rate: f64, length: Duration, seed: u64) -> Vec<Shot> {
+/// A schedule with exponentially distributed intervals (a Poisson process of this rate), with the routes in turn.
+pub fn schedule(routes: usize, rate: f64, duration: Duration, seed: u64) -> Vec<ScheduledRequest> {
     let mut rng = stream(seed, "schedule", 0);
-    let (mut shots, mut at) = (Vec::new(), 0.0);
+    let (mut requests, mut at) = (Vec::new(), 0.0);
     loop {
         at += -(1.0 - rng.random::<f64>()).ln() / rate;
-        if at >= length.as_secs_f64() {
-            return shots;
+        if at >= duration.as_secs_f64() {
+            return requests;
         }
-        shots.push(Shot { due: Duration::from_secs_f64(at), route: shots.len() % routes });
+        requests.push(ScheduledRequest { due: Duration::from_secs_f64(at), route: requests.len() % routes });
     }
 }
 
-/// Ids are new with each request of this process: a sidecar takes none twice.
-static ID: AtomicU64 = AtomicU64::new(1);
+/// The correlation id of the next request. Each request has a new one, as a sidecar rejects an id that it has seen.
+static NEXT_ID: AtomicU64 = AtomicU64::new(1);
 
-/// Sends requests by a schedule; gives what came of each route's.
-pub fn open_loop(routes: &[Route], rate: f64, length: Duration, seed: u64) -> io::Result<Vec<Answered>> {
-    let shots = schedule(routes.len(), rate, length, seed);
+/// Sends requests by a schedule. Returns the results of each route.
+pub fn open_loop(routes: &[Route], rate: f64, duration: Duration, seed: u64) -> io::Result<Vec<RouteResult>> {
+    let requests = schedule(routes.len(), rate, duration, seed);
     let next = AtomicUsize::new(0);
-    let empty = || -> io::Result<Answered> {
+    let empty_result = || -> io::Result<RouteResult> {
         let latencies = Histogram::new_with_bounds(1, 60_000_000, 3).map_err(io::Error::other)?;
-        Ok(Answered { latencies, not_served: 0 })
+        Ok(RouteResult { latencies, not_served: 0 })
     };
-    let begun = Instant::now() + Duration::from_millis(20);
-    let work = || -> io::Result<Vec<Answered>> {
-        let mut answered = routes.iter().map(|_| empty()).collect::<io::Result<Vec<_>>>()?;
+    let start = Instant::now() + Duration::from_millis(20);
+    let run_thread = || -> io::Result<Vec<RouteResult>> {
+        let mut results = routes.iter().map(|_| empty_result()).collect::<io::Result<Vec<_>>>()?;
         let mut connections: Vec<Option<TcpStream>> = routes.iter().map(|_| None).collect();
         let mut buffer = vec![0; 4096];
         loop {
             let number = next.fetch_add(1, Ordering::Relaxed);
-            let Some(shot) = shots.get(number) else { return Ok(answered) };
-            let due = begun + shot.due;
+            let Some(request) = requests.get(number) else { return Ok(results) };
+            let due = start + request.due;
             wait_until(due);
-            let id = ID.fetch_add(1, Ordering::Relaxed);
-            let kept = connections[shot.route].take();
-            match ask(kept, routes[shot.route].to, id, &mut buffer) {
+            let id = NEXT_ID.fetch_add(1, Ordering::Relaxed);
+            let connection = connections[request.route].take();
+            match send_request(connection, routes[request.route].to, id, &mut buffer) {
                 Ok((connection, 200)) => {
-                    connections[shot.route] = connection;
-                    answered[shot.route].latencies.saturating_record(due.elapsed().as_micros() as u64);
+                    connections[request.route] = connection;
+                    results[request.route].latencies.saturating_record(due.elapsed().as_micros() as u64);
                 }
                 Ok((connection, _)) => {
-                    connections[shot.route] = connection;
-                    answered[shot.route].not_served += 1;
+                    connections[request.route] = connection;
+                    results[request.route].not_served += 1;
                 }
-                Err(_) => answered[shot.route].not_served += 1,
+                Err(_) => results[request.route].not_served += 1,
             }
         }
     };
-    let all: Vec<io::Result<Vec<Answered>>> = std::thread::scope(|scope| {
-        let threads: Vec<_> = (0..THREADS).map(|_| scope.spawn(work)).collect();
+    let results: Vec<io::Result<Vec<RouteResult>>> = std::thread::scope(|scope| {
+        let threads: Vec<_> = (0..THREADS).map(|_| scope.spawn(run_thread)).collect();
         let joined = threads.into_iter().map(|t| t.join());
         joined
-            .map(|j| j.unwrap_or_else(|_| Err(io::Error::other("a thread of the generator failed"))))
+            .map(|j| j.unwrap_or_else(|_| Err(io::Error::other("a thread of the load generator panicked"))))
             .collect()
     });
-    let mut sums = routes.iter().map(|_| empty()).collect::<io::Result<Vec<_>>>()?;
-    for part in all {
-        for (sum, part) in sums.iter_mut().zip(part?) {
-            sum.latencies.add(&part.latencies).map_err(io::Error::other)?;
-            sum.not_served += part.not_served;
+    let mut sums = routes.iter().map(|_| empty_result()).collect::<io::Result<Vec<_>>>()?;
+    for result in results {
+        for (sum, route) in sums.iter_mut().zip(result?) {
+            sum.latencies.add(&route.latencies).map_err(io::Error::other)?;
+            sum.not_served += route.not_served;
         }
     }
     Ok(sums)
 }
 
+/// Sleeps and then spins until the given time, more exactly than by sleeping alone.
 fn wait_until(due: Instant) {
-    let left = due.saturating_duration_since(Instant::now());
-    if left > WATCH {
-        std::thread::sleep(left - WATCH);
+    let remaining = due.saturating_duration_since(Instant::now());
+    if remaining > SPIN_TIME {
+        std::thread::sleep(remaining - SPIN_TIME);
     }
     while Instant::now() < due {
         std::hint::spin_loop();
     }
 }
 
-/// One request; gives the connection, if it is kept, and the status.
-fn ask(
-    kept: Option<TcpStream>,
+/// Sends a request over the given connection or a new one. Returns the connection, unless the response closes it, and
+/// the status.
+fn send_request(
+    connection: Option<TcpStream>,
     to: SocketAddr,
     id: u64,
     buffer: &mut [u8],
 ) -> io::Result<(Option<TcpStream>, u16)> {
-    let mut stream = match kept {
+    let mut stream = match connection {
         Some(stream) => stream,
         None => {
-            let stream = TcpStream::connect_timeout(&to, WAIT)?;
+            let stream = TcpStream::connect_timeout(&to, REQUEST_TIMEOUT)?;
             stream.set_nodelay(true)?;
-            stream.set_read_timeout(Some(WAIT))?;
+            stream.set_read_timeout(Some(REQUEST_TIMEOUT))?;
             stream
         }
     };
-    let text = format!(
+    let request = format!(
         "GET /api HTTP/1.1\r\nHost: api.internal\r\nX-Correlation-Id: {id:016x}\r\nX-Service-Class: look\r\n\
          X-Time-Left: 3000m\r\n\r\n"
     );
-    stream.write_all(text.as_bytes())?;
-    let mut held = 0;
+    stream.write_all(request.as_bytes())?;
+    let mut received = 0;
     loop {
-        let n = stream.read(&mut buffer[held..])?;
+        let n = stream.read(&mut buffer[received..])?;
         if n == 0 {
             return Err(io::ErrorKind::UnexpectedEof.into());
         }
-        held += n;
-        let mut slots = [httparse::EMPTY_HEADER; 32];
-        let mut head = httparse::Response::new(&mut slots);
-        let parsed = head.parse(&buffer[..held]).map_err(io::Error::other)?;
+        received += n;
+        let mut headers = [httparse::EMPTY_HEADER; 32];
+        let mut head = httparse::Response::new(&mut headers);
+        let parsed = head.parse(&buffer[..received]).map_err(io::Error::other)?;
         let httparse::Status::Complete(end) = parsed else { continue };
         let header = |name: &str| {
             let found = head.headers.iter().find(|h| h.name.eq_ignore_ascii_case(name));
             found.and_then(|h| std::str::from_utf8(h.value).ok())
         };
         let length: usize = header("content-length").and_then(|v| v.parse().ok()).unwrap_or(0);
-        if held >= end + length {
+        if received >= end + length {
             let closes = header("connection").is_some_and(|v| v.eq_ignore_ascii_case("close"));
             return Ok(((!closes).then_some(stream), head.code.unwrap_or(0)));
         }
@@ -165,22 +168,22 @@
     use super::*;
 
     #[test]
-    fn a_schedule_follows_its_seed_and_rate_and_takes_turns() {
-        let shots = schedule(2, 1000.0, Duration::from_secs(10), 1);
-        assert!((9_500..10_500).contains(&shots.len()), "{}", shots.len());
-        assert!(shots.windows(2).all(|w| w[0].due <= w[1].due && w[0].route != w[1].route));
-        let dues = |seed| {
-            schedule(2, 1000.0, Duration::from_secs(1), seed).iter().map(|s| s.due).collect::<Vec<_>>()
+    fn schedule_depends_on_seed_and_rate_and_alternates_routes() {
+        let requests = schedule(2, 1000.0, Duration::from_secs(10), 1);
+        assert!((9_500..10_500).contains(&requests.len()), "{}", requests.len());
+        assert!(requests.windows(2).all(|w| w[0].due <= w[1].due && w[0].route != w[1].route));
+        let due_times = |seed| {
+            schedule(2, 1000.0, Duration::from_secs(1), seed).iter().map(|r| r.due).collect::<Vec<_>>()
         };
-        assert_eq!(dues(3), dues(3));
-        assert_ne!(dues(3), dues(4));
+        assert_eq!(due_times(3), due_times(3));
+        assert_ne!(due_times(3), due_times(4));
     }
 
     #[test]
-    fn what_a_slow_answer_holds_up_counts_from_when_it_was_due() {
-        let listener = std::net::TcpListener::bind("127.0.0.1:0").expect("a port");
-        let to = listener.local_addr().expect("an address");
-        // It takes a second before it hears anyone, and answers at once from then on.
+    fn latency_includes_the_wait_behind_a_slow_response() {
+        let listener = std::net::TcpListener::bind("127.0.0.1:0").expect("bind");
+        let to = listener.local_addr().expect("local address");
+        // A server that accepts connections only after one second, and responds immediately from then on.
         std::thread::spawn(move || {
             std::thread::sleep(Duration::from_secs(1));
             for mut stream in listener.incoming().map_while(Result::ok) {
@@ -192,10 +195,15 @@
                 });
             }
         });
-        let answered = open_loop(&[Route { to }], 100.0, Duration::from_millis(800), 1).expect("it runs");
-        let all = &answered[0].latencies;
-        assert_eq!(answered[0].not_served, 0);
-        // Due from 0 to 0.8 s, answered from 1 s on: none under 0.15 s, the median about 0.6 s.
-        assert!(all.min() > 150_000 && all.value_at_quantile(0.5) > 400_000, "{} {}", all.min(), all.max());
+        let results = open_loop(&[Route { to }], 100.0, Duration::from_millis(800), 1).expect("load run");
+        let latencies = &results[0].latencies;
+        assert_eq!(results[0].not_served, 0);
+        // Scheduled from 0 to 0.8 s, answered from 1 s on: no latency is under 0.15 s, and the median is about 0.6 s.
+        assert!(
+            latencies.min() > 150_000 && latencies.value_at_quantile(0.5) > 400_000,
+            "{} {}",
+            latencies.min(),
+            latencies.max()
+        );
     }
 }
--- a/crates/fleet/src/load/registry.rs
+++ b/crates/fleet/src/load/registry.rs
@@ -1,5 +1,5 @@
-//! What a roster of three real replicas does for real sidecars: how soon they are told of a change, calm and under
-//! faults, how long nothing can be written, and what a list costs that does not change.
+//! Measurements of a registry of three real replicas with real sidecars: how soon a change reaches the sidecars, with
+//! and without faults, how long no writes are possible, and what an unchanged list costs.
 
 use super::used_cpu;
 use crate::harness::{Cluster, ClusterConfig, ClusterError, Link};
@@ -8,49 +8,49 @@
 use std::io;
 use std::time::{Duration, Instant};
 
-/// How soon changes were told.
+/// The propagation times of a series of changes.
 #[derive(Clone, Debug, Serialize)]
 pub struct Propagation {
-    /// What went on meanwhile.
+    /// The injected fault.
     pub fault: &'static str,
-    /// Changes that were acknowledged.
+    /// The number of acknowledged changes.
     pub changes: usize,
-    /// From a call to its acknowledgement, in milliseconds: median, 99th percentile, most.
+    /// Time from a write to its acknowledgement, in milliseconds: median, 99th percentile, maximum.
     pub acknowledged_ms: [f64; 3],
-    /// From the acknowledgement to the last sidecar that was told.
+    /// Time from the acknowledgement until the last sidecar has the change: the same quantiles.
     #[serde(rename = "last_told_ms")]
     pub propagation_ms: [f64; 3],
-    /// Longest time in which nothing was acknowledged.
+    /// The longest time without an acknowledged write, in milliseconds.
     #[serde(rename = "no_writes_ms")]
     pub write_outage_ms: f64,
 }
 
-/// What a list costs a sidecar that does not change, in a minute.
+/// The cost of an unchanged list, per sidecar and minute.
 #[derive(Clone, Debug, Serialize)]
 pub struct IdleCost {
-    /// Bytes that it exchanges with the replicas.
+    /// Bytes exchanged between the sidecar and the replicas.
     pub bytes: f64,
-    /// Processor time that it takes, all that it does included.
+    /// Total processor time of the sidecar.
     pub sidecar_cpu_ms: f64,
-    /// Processor time that the replicas take, for each sidecar.
+    /// Processor time of the replicas, divided by the number of sidecars.
     pub replicas_cpu_ms: f64,
 }
 
-/// What goes on while changes are made.
+/// A fault that is injected during a series of changes.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Fault {
-    /// Nothing.
+    /// No fault.
     None,
-    /// The leader is killed, and started again.
+    /// The leader is killed, and restarted at the end.
     LeaderKilled,
-    /// A replica that does not lead stands still for 10 s.
+    /// A follower is paused (SIGSTOP) for 10 s.
     FollowerPaused,
-    /// Nothing comes from one replica to any sidecar, for 10 s.
+    /// Nothing that one follower sends reaches a sidecar, for 10 s.
     CutOneWay,
 }
 
 impl Fault {
-    /// All of them.
+    /// All variants, in the order in which they are measured.
     pub const ALL: [Self; 4] = [Self::None, Self::LeaderKilled, Self::FollowerPaused, Self::CutOneWay];
 
     fn name(self) -> &'static str {
@@ -63,7 +63,7 @@
     }
 }
 
-/// Three replicas and so many sidecars.
+/// Starts a cluster of three replicas and the given number of sidecars.
 pub fn start(sidecars: usize, seed: u64) -> Result<Cluster, ClusterError> {
     let mut cluster = Cluster::start(ClusterConfig::plain(sidecars, 2, 3, seed))?;
     cluster.registry.restart_with_proxies()?;
@@ -71,8 +71,8 @@
     Ok(cluster)
 }
 
-/// Makes changes one after the other, each so long after all sidecars have been told of the last; without a pause
-/// a change finds them between two watches.
+/// Makes changes one after the other, each after all sidecars have the previous one and a pause. Without a pause, a
+/// change may come before the sidecars have sent their next poll.
 pub fn measure_propagation(
     cluster: &mut Cluster,
     fault: Fault,
@@ -81,28 +81,28 @@
 ) -> Result<Propagation, ClusterError> {
     let (mut acknowledged, mut propagation) = (Vec::new(), Vec::new());
     let mut write_outage = Duration::ZERO;
-    let began = Instant::now();
+    let started = Instant::now();
     let mut last_write = Instant::now();
-    let mut at = 0;
+    let mut replica = 0;
     let leader = cluster.registry.leader().unwrap_or(0);
-    let other = (leader + 1) % 3;
+    let follower = (leader + 1) % 3;
     let pause = pause.unwrap_or(Duration::ZERO);
     for i in 0..changes {
         if i == changes / 4 {
             match fault {
                 Fault::None => {}
                 Fault::LeaderKilled => cluster.registry.kill(leader)?,
-                Fault::FollowerPaused => cluster.registry.pause(other)?,
+                Fault::FollowerPaused => cluster.registry.pause(follower)?,
                 Fault::CutOneWay => {
                     let cut = Link { cut_down: true, ..Link::default() };
                     (0..cluster.sidecar_count())
-                        .for_each(|s| cluster.set_registry_link(s, other, cut.clone()));
+                        .for_each(|s| cluster.set_registry_link(s, follower, cut.clone()));
                 }
             }
         }
-        let called = Instant::now();
-        let index = put(cluster, i, &mut at)?;
-        acknowledged.push(called.elapsed());
+        let sent = Instant::now();
+        let index = register_server(cluster, i, &mut replica)?;
+        acknowledged.push(sent.elapsed());
         write_outage = write_outage.max(last_write.elapsed());
         let written = Instant::now();
         let wait = |s: usize| -> Option<Duration> {
@@ -113,39 +113,41 @@
             }
             Some(written.elapsed())
         };
-        // Each is asked by a thread of its own, without a pause.
-        let told: Vec<Option<Duration>> = std::thread::scope(|scope| {
+        // Each sidecar is polled by a thread of its own, without pauses.
+        let delays: Vec<Option<Duration>> = std::thread::scope(|scope| {
             let wait = &wait;
-            let all: Vec<_> = (0..cluster.sidecar_count()).map(|s| scope.spawn(move || wait(s))).collect();
-            all.into_iter().map(|t| t.join().unwrap_or(None)).collect()
+            let threads: Vec<_> =
+                (0..cluster.sidecar_count()).map(|s| scope.spawn(move || wait(s))).collect();
+            threads.into_iter().map(|t| t.join().unwrap_or(None)).collect()
         });
-        match told.into_iter().collect::<Option<Vec<_>>>() {
-            Some(all) => propagation.extend(all.into_iter().max()),
-            None => return Err(cluster.failed("a sidecar was never told of a change".into())),
+        match delays.into_iter().collect::<Option<Vec<_>>>() {
+            Some(delays) => propagation.extend(delays.into_iter().max()),
+            None => return Err(cluster.failed("a sidecar did not receive a change within 60 s".into())),
         }
         std::thread::sleep(pause);
         last_write = Instant::now();
     }
-    // Until all is as it was.
-    let left = Duration::from_secs(10).saturating_sub(began.elapsed());
+    // The fault ends.
+    let remaining = Duration::from_secs(10).saturating_sub(started.elapsed());
     match fault {
         Fault::None => {}
         Fault::LeaderKilled => cluster.registry.start_replica(leader)?,
         Fault::FollowerPaused => {
-            std::thread::sleep(left);
-            cluster.registry.resume(other)?;
+            std::thread::sleep(remaining);
+            cluster.registry.resume(follower)?;
         }
         Fault::CutOneWay => {
-            std::thread::sleep(left);
-            (0..cluster.sidecar_count()).for_each(|s| cluster.set_registry_link(s, other, Link::default()));
+            std::thread::sleep(remaining);
+            (0..cluster.sidecar_count())
+                .for_each(|s| cluster.set_registry_link(s, follower, Link::default()));
         }
     }
-    let all_well = || {
-        let views: Vec<_> =
-            (0..3).map(|at| cluster.registry.status(at).map(|s| s["index"].clone())).collect();
-        views.iter().all(|v| v.is_some() && *v == views[0])
+    let caught_up = || {
+        let indexes: Vec<_> =
+            (0..3).map(|replica| cluster.registry.status(replica).map(|s| s["index"].clone())).collect();
+        indexes.iter().all(|v| v.is_some() && *v == indexes[0])
     };
-    cluster.wait("all replicas are well", all_well)?;
+    cluster.wait("all replicas have the same index", caught_up)?;
     Ok(Propagation {
         fault: fault.name(),
         changes,
@@ -155,20 +157,21 @@
     })
 }
 
-/// Registers something new, without a pause between tries, at the replica that took the last one or else the next.
-fn put(cluster: &Cluster, i: usize, at: &mut usize) -> Result<u64, ClusterError> {
+/// Registers a server at replica `at`, and then at the others in turn, without pauses, until one acknowledges it.
+/// Leaves that replica in `at`, and returns the index of the list after the write.
+fn register_server(cluster: &Cluster, i: usize, at: &mut usize) -> Result<u64, ClusterError> {
     let body = json!({"address": "127.0.0.1:9", "since_ms": i + 1, "lease_ms": 0}).to_string();
-    // Few names, and none that changes so often that it is held back.
+    // Few names, but enough that none changes so often that flap damping rejects it.
     let path = format!("/v1/servers/measured-{}", i % 50);
-    let began = Instant::now();
-    while began.elapsed() < Duration::from_secs(60) {
-        let patience = Duration::from_secs(1);
+    let started = Instant::now();
+    while started.elapsed() < Duration::from_secs(60) {
+        let timeout = Duration::from_secs(1);
         let answer = crate::harness::registry_replicas::call(
             cluster.registry.address(*at),
             "PUT",
             &path,
             &body,
-            patience,
+            timeout,
         );
         if let Ok(answer) = answer
             && answer.status == 200
@@ -177,34 +180,36 @@
         }
         *at = (*at + 1) % 3;
     }
-    Err(cluster.failed("nothing is written".into()))
+    Err(cluster.failed("no replica acknowledged a write within 60 s".into()))
 }
 
-/// What it costs that nothing changes, over so long.
-pub fn measure_idle(cluster: &Cluster, over: Duration) -> io::Result<IdleCost> {
+/// Measures the cost of an unchanged list over a period.
+pub fn measure_idle(cluster: &Cluster, period: Duration) -> io::Result<IdleCost> {
     let sidecars = cluster.sidecar_count();
-    let gone = || io::Error::other("a process is gone");
-    let look = || -> io::Result<(u64, Duration, Duration)> {
+    let not_running = || io::Error::other("a process is not running");
+    let sample = || -> io::Result<(u64, Duration, Duration)> {
         let bytes = (0..sidecars).map(|s| cluster.registry_bytes(s)).sum();
-        let cpu = |id: Option<u32>| id.and_then(used_cpu).ok_or_else(gone);
-        let own: Duration = (0..sidecars).map(|s| cpu(cluster.sidecar_pid(s))).sum::<io::Result<_>>()?;
-        let theirs: Duration = (0..3).map(|r| cpu(cluster.registry.pid(r))).sum::<io::Result<_>>()?;
-        Ok((bytes, own, theirs))
+        let cpu = |id: Option<u32>| id.and_then(used_cpu).ok_or_else(not_running);
+        let sidecar_cpu: Duration =
+            (0..sidecars).map(|s| cpu(cluster.sidecar_pid(s))).sum::<io::Result<_>>()?;
+        let replica_cpu: Duration = (0..3).map(|r| cpu(cluster.registry.pid(r))).sum::<io::Result<_>>()?;
+        Ok((bytes, sidecar_cpu, replica_cpu))
     };
-    let before = look()?;
-    std::thread::sleep(over);
-    let after = look()?;
-    let each = 60.0 / over.as_secs_f64() / sidecars as f64;
-    let ms = |a: Duration, b: Duration| (a - b).as_secs_f64() * 1000.0 * each;
+    let before = sample()?;
+    std::thread::sleep(period);
+    let after = sample()?;
+    let per_sidecar_minute = 60.0 / period.as_secs_f64() / sidecars as f64;
+    let ms = |a: Duration, b: Duration| (a - b).as_secs_f64() * 1000.0 * per_sidecar_minute;
     Ok(IdleCost {
-        bytes: (after.0 - before.0) as f64 * each,
+        bytes: (after.0 - before.0) as f64 * per_sidecar_minute,
         sidecar_cpu_ms: ms(after.1, before.1),
         replicas_cpu_ms: ms(after.2, before.2),
     })
 }
 
-fn quantiles(mut all: Vec<Duration>) -> [f64; 3] {
-    all.sort_unstable();
-    let at = |q: f64| all.get(((all.len() as f64 * q).ceil() as usize).max(1) - 1);
+/// Median, 99th percentile and maximum, in milliseconds.
+fn quantiles(mut durations: Vec<Duration>) -> [f64; 3] {
+    durations.sort_unstable();
+    let at = |q: f64| durations.get(((durations.len() as f64 * q).ceil() as usize).max(1) - 1);
     [0.5, 0.99, 1.0].map(|q| at(q).map_or(f64::NAN, |d| d.as_secs_f64() * 1000.0))
 }
