--- a/crates/lotusmoor/src/main.rs
+++ b/crates/lotusmoor/src/main.rs
@@ -15,14 +15,14 @@
 use tracing_subscriber::EnvFilter;
 use tracing_subscriber::fmt::writer::BoxMakeWriter;
 
-/// Runs and watches a fleet of sidecars, and asks questions of a model of it.
+/// Runs the service registry, and simulates, tests and measures fleets of sidecars.
 #[derive(Parser)]
 #[command(name = "lotusmoor", version, after_help = EXAMPLES)]
 struct Cli {
-    /// What is logged to standard error: error, warn, info, debug or trace
+    /// Log level on standard error: error, warn, info, debug or trace
     #[arg(long, global = true, env = "LOTUSMOOR_LOG", default_value = "info")]
     log: String,
-    /// Log lines as JSON objects
+    /// Write log lines as JSON objects
     #[arg(long, global = true)]
     log_json: bool,
     #[command(subcommand)]
@@ -35,34 +35,34 @@
   lotusmoor check my-scenario.toml
   lotusmoor completions bash > lotusmoor.bash
 
-Exit codes: 0 done, 1 failed, 2 wrong use.";
+Exit codes: 0 success, 1 failure, 2 usage error.";
 
 #[derive(Subcommand)]
 enum Command {
-    /// Model and experiments
+    /// Simulations, experiments, and measurements and tests with real processes
     Fleet {
         #[command(subcommand)]
         command: fleet::Command,
     },
-    /// The service registry, and calls to it
+    /// Run a replica of the service registry, or send it requests
     #[command(alias = "roster")]
     Registry {
         #[command(subcommand)]
         command: registry::Command,
     },
-    /// Read a scenario, site, experiment, capacity plan or registry file and say what is wrong with it
+    /// Validate a scenario, site, experiment, scale plan, capacity plan or registry configuration file
     Check {
         /// The file
         file: PathBuf,
     },
-    /// Print completions for a shell
+    /// Print a shell's completion script
     Completions {
         /// The shell
         shell: clap_complete::Shell,
     },
 }
 
-/// Why a command failed: a line for the operator.
+/// Why a command failed, as a message for the operator.
 #[derive(Debug, thiserror::Error)]
 enum Failure {
     #[error("{0}")]
@@ -74,11 +74,11 @@
     #[error("{0}")]
     Capacity(#[from] lotusmoor_fleet::capacity::CapacityError),
     #[error("{0}")]
-    Said(String),
+    Message(String),
 }
 
 impl Cli {
-    /// Whether it serves, so that it must not wait for whoever reads its log.
+    /// Whether the command is a long-running service, which must not block if its log is read slowly.
     fn is_service(&self) -> bool {
         matches!(self.command, Command::Registry { command: registry::Command::Serve { .. } })
     }
@@ -90,11 +90,11 @@
     if is_service {
         lotusmoor_log_output::log_panics("lotusmoor");
     }
-    if let Err(why) = start_log(&cli) {
-        eprintln!("lotusmoor: --log: {why}");
+    if let Err(error) = start_log(&cli) {
+        eprintln!("lotusmoor: --log: {error}");
         return ExitCode::from(2);
     }
-    let done = match cli.command {
+    let result = match cli.command {
         Command::Fleet { command } => fleet::run(command),
         Command::Registry { command } => registry::run(command),
         Command::Check { file } => fleet::check(&file),
@@ -103,21 +103,21 @@
             Ok(())
         }
     };
-    match done {
+    match result {
         Ok(()) => ExitCode::SUCCESS,
-        Err(why) => {
-            report_failure(&why, is_service);
+        Err(failure) => {
+            report_failure(&failure, is_service);
             ExitCode::FAILURE
         }
     }
 }
 
-fn report_failure(why: &Failure, is_service: bool) {
+fn report_failure(failure: &Failure, is_service: bool) {
     if is_service {
-        // Where it can't be written at once, the exit code has to do.
-        let _ = lotusmoor_log_output::write_line(format!("lotusmoor: {why}\n").as_bytes());
+        // If the line can't be written without blocking, only the exit code reports the failure.
+        let _ = lotusmoor_log_output::write_line(format!("lotusmoor: {failure}\n").as_bytes());
     } else {
-        eprintln!("lotusmoor: {why}");
+        eprintln!("lotusmoor: {failure}");
     }
 }
 
@@ -128,7 +128,8 @@
     } else {
         BoxMakeWriter::new(std::io::stderr)
     };
-    // A line that can't be written is lost; to say so on the same standard error would end the process.
+    // A line that can't be written is dropped. The subscriber must not report that: it would do so on the same standard
+    // error, which ends the process.
     let log =
         tracing_subscriber::fmt().with_env_filter(filter).with_writer(writer).log_internal_errors(false);
     if cli.log_json {
--- a/crates/lotusmoor/src/registry.rs
+++ b/crates/lotusmoor/src/registry.rs
@@ -1,4 +1,4 @@
-//! `lotusmoor registry`: the service registry, and calls to it.
+//! `lotusmoor registry`: runs replicas of the service registry, and sends requests to them.
 
 use crate::Failure;
 use hyper::{Method, StatusCode};
@@ -16,73 +16,74 @@
 
 #[derive(clap::Subcommand)]
 pub enum Command {
-    /// Run a replica: alone it founds a list, with --join it is taken into one
+    /// Run a replica, which bootstraps a new registry, or joins an existing one with --join
     #[command(after_help = "Examples:
   lotusmoor registry serve
   lotusmoor registry serve --id 2 --listen 127.0.0.1:7402 --folder roster-2 --join 127.0.0.1:7400
   lotusmoor registry serve --config roster.toml
   lotusmoor registry serve --folder fresh --restore roster.backup")]
     Serve {
-        /// A configuration file; what is given beside it goes before it
+        /// Configuration file; other options override its values
         #[arg(long)]
         config: Option<PathBuf>,
-        /// Its number
+        /// Replica ID, which no other replica may have or have had
         #[arg(long)]
         id: Option<u64>,
-        /// Where it listens
+        /// Address on which it listens
         #[arg(long)]
         listen: Option<SocketAddr>,
-        /// Where other replicas reach it, if not where it listens
+        /// Address at which other replicas reach it, if not the one on which it listens
         #[arg(long)]
         address: Option<String>,
-        /// Where its file lies
+        /// Folder of its stored data
         #[arg(long)]
         folder: Option<PathBuf>,
-        /// A replica of the list that it belongs to; may be given several times
+        /// Address of a replica of the registry to join; may be given several times
         #[arg(long)]
         join: Vec<String>,
-        /// Where it reaches another replica, as NUMBER=ADDRESS, if not at the address that that one gives
-        #[arg(long, value_parser = way)]
-        via: Vec<(String, String)>,
-        /// How its file is written: 3, or 2 as the version before did, which has no services
+        /// Address at which this replica reaches another one, if not at the address that the other one advertises; may
+        /// be given several times
+        #[arg(long = "via", value_name = "ID=ADDRESS", value_parser = parse_address_override)]
+        address_overrides: Vec<(String, String)>,
+        /// Format in which data is stored: 3, or for older releases 2 or 1, which do not support services
         #[arg(long)]
         format: Option<u32>,
-        /// Found the list anew from a backup, in an empty folder
+        /// Bootstrap a new registry from this backup; the folder must be empty
         #[arg(long, conflicts_with = "join")]
         restore: Option<PathBuf>,
     },
-    /// Who leads, who belongs, and how old what a replica knows can be
-    Status(At),
-    /// The list
+    /// Print a replica's status: the leader, the members, and how old its list may be
+    Status(ReplicaAddresses),
+    /// Print the list of servers
     List {
         #[command(flatten)]
-        at: At,
-        /// With all that was acknowledged before this call
+        replicas: ReplicaAddresses,
+        /// Include every write that was acknowledged before this request (linearizable read)
         #[arg(long)]
         consistent: bool,
-        /// Servers of this service alone; several, separated by commas
+        /// Only servers of this service, or of several, separated by commas
         #[arg(long, value_delimiter = ',')]
         service: Vec<String>,
     },
-    /// Changes, the oldest first
+    /// Print the changes of the list, the oldest first
     History {
         #[command(flatten)]
-        at: At,
-        /// After this index
+        replicas: ReplicaAddresses,
+        /// Only changes after this index
         #[arg(long, default_value_t = 0)]
         after: u64,
     },
-    /// Register a server, or change it
+    /// Register a server, or change its registration
     #[command(after_help = "Examples:
   lotusmoor registry register ledger-7 127.0.0.1:8443 --service ledger --zone porto --lease-ms 6000")]
     Register {
         #[command(flatten)]
-        at: At,
-        /// Its name
+        replicas: ReplicaAddresses,
+        /// The server's name
         name: String,
-        /// Where sidecars reach it
+        /// Address at which sidecars reach it
         address: SocketAddr,
-        /// The service that it is a server of
+        /// Its service
         #[arg(long)]
         service: Option<String>,
         /// Its zone
@@ -91,69 +92,69 @@
         /// Its region
         #[arg(long)]
         region: Option<String>,
-        /// Its kind of machine
+        /// Its machine type
         #[arg(long = "type")]
-        kind: Option<String>,
+        machine_type: Option<String>,
         /// Its cell
-        #[arg(long, default_value_t = 0)]
-        group: u64,
-        /// Its size
+        #[arg(long = "group", default_value_t = 0)]
+        cell: u64,
+        /// Its capacity, relative to other servers
         #[arg(long, default_value_t = 1.0)]
         weight: f64,
-        /// Unix time in milliseconds of its last start
-        #[arg(long, default_value_t = 0)]
-        since_ms: i64,
-        /// It has to be renewed so often; 0: it stays until it is removed
+        /// Unix time in milliseconds of its last start; 0 if it has been running for long
+        #[arg(long = "since-ms", default_value_t = 0)]
+        started_ms: i64,
+        /// Lease duration in milliseconds; 0: no lease, it stays until it is removed
         #[arg(long, default_value_t = 0)]
         lease_ms: u64,
         #[command(flatten)]
-        expect: Expect,
+        precondition: Precondition,
     },
-    /// Register a server and renew it until this is told to stop; then it is drained and removed
+    /// Register a server and renew its lease until SIGTERM or SIGINT; then drain and remove it
     #[command(after_help = "Examples:
   lotusmoor registry keep ledger-7 127.0.0.1:8443 --service ledger --zone porto")]
     Keep {
         #[command(flatten)]
-        at: At,
-        /// Its name
+        replicas: ReplicaAddresses,
+        /// The server's name
         name: String,
-        /// Where sidecars reach it
+        /// Address at which sidecars reach it
         address: SocketAddr,
-        /// The service that it is a server of
+        /// Its service
         #[arg(long)]
         service: Option<String>,
         /// Its zone
         #[arg(long)]
         zone: Option<String>,
-        /// It is taken for gone when it was not heard of for so long
+        /// Lease duration in milliseconds: the server is taken as gone if its lease is not renewed for this long
         #[arg(long, default_value_t = 6000)]
         lease_ms: u64,
-        /// From the drain to the removal
+        /// Time between the drain and the removal, in milliseconds
         #[arg(long, default_value_t = 5000)]
         drain_ms: u64,
     },
-    /// Say that a server is there
+    /// Renew the lease of a server
     Renew {
         #[command(flatten)]
-        at: At,
-        /// Its name
+        replicas: ReplicaAddresses,
+        /// The server's name
         name: String,
     },
-    /// A server is to get nothing new
-    Drain(ByName),
-    /// A drained server may get requests again
-    Resume(ByName),
-    /// A server is gone
-    Remove(ByName),
-    /// Write the list into a file, from which `serve --restore` founds it anew
+    /// Drain a server, so that it gets no new requests
+    Drain(ServerArguments),
+    /// Let a drained server get requests again
+    Resume(ServerArguments),
+    /// Remove a server from the list
+    Remove(ServerArguments),
+    /// Write the list to a backup file, from which `serve --restore` bootstraps a new registry
     Backup {
         #[command(flatten)]
-        at: At,
-        /// The file
+        replicas: ReplicaAddresses,
+        /// Path of the backup
         #[arg(long)]
         out: PathBuf,
     },
-    /// Play drawn schedules of faults over three replicas in simulated time, and check what must hold
+    /// Run random schedules of faults on three simulated replicas, and check the registry's invariants
     #[command(after_help = "Examples:
   lotusmoor registry explore --schedules 3000
   lotusmoor registry explore --seed 4711 --schedules 1 --timeline")]
@@ -161,28 +162,29 @@
         /// The first seed
         #[arg(long, default_value_t = 1)]
         seed: u64,
-        /// How many
+        /// Number of schedules, each with the next seed
         #[arg(long, default_value_t = 1000)]
         schedules: u64,
-        /// How many at a time; 0 for as many as there are cores
+        /// Number of schedules in parallel; 0 for the number of cores
         #[arg(long, default_value_t = 0)]
         cores: usize,
-        /// Print what was done in the first of them
+        /// Print the events of the first schedule
         #[arg(long)]
         timeline: bool,
     },
-    /// Remove a replica for good; its number is not given out again
-    PutOut {
+    /// Remove a replica from the registry permanently; its ID can't be used again
+    #[command(name = "put-out")]
+    RemoveReplica {
         #[command(flatten)]
-        at: At,
-        /// Its number
+        replicas: ReplicaAddresses,
+        /// Its ID
         id: u64,
     },
 }
 
 #[derive(clap::Args)]
-pub struct At {
-    /// A replica; several, separated by commas, are tried in turn
+pub struct ReplicaAddresses {
+    /// Address of a replica; several, separated by commas, are tried in turn
     #[arg(
         long,
         alias = "roster",
@@ -194,74 +196,75 @@
 }
 
 #[derive(clap::Args)]
-pub struct Expect {
-    /// Only where the server last changed at this index; 0: only where it is not listed
+pub struct Precondition {
+    /// Apply the change only if the server last changed at this index; 0: only if it is not listed
     #[arg(long)]
     expect: Option<u64>,
 }
 
 #[derive(clap::Args)]
-pub struct ByName {
+pub struct ServerArguments {
     #[command(flatten)]
-    at: At,
+    replicas: ReplicaAddresses,
     /// The server's name
     name: String,
     #[command(flatten)]
-    expect: Expect,
+    precondition: Precondition,
 }
 
-/// Carries a command out.
 pub fn run(command: Command) -> Result<(), Failure> {
-    // It has runtimes of its own.
+    // Exploration creates runtimes of its own.
     if let Command::Explore { seed, schedules, cores, timeline } = command {
-        return explored(seed, schedules, cores, timeline);
+        return run_explore(seed, schedules, cores, timeline);
     }
     let runtime = tokio::runtime::Builder::new_multi_thread()
         .worker_threads(4)
         .enable_all()
         .build()
-        .map_err(|e| Failure::Said(e.to_string()))?;
-    runtime.block_on(carry_out(command))
+        .map_err(|e| Failure::Message(e.to_string()))?;
+    runtime.block_on(run_async(command))
 }
 
-async fn carry_out(command: Command) -> Result<(), Failure> {
-    let none = Value::Null;
+async fn run_async(command: Command) -> Result<(), Failure> {
+    let no_body = Value::Null;
     match command {
-        Command::Serve { config, id, listen, address, folder, join, via, format, restore } => {
+        Command::Serve { config, id, listen, address, folder, join, address_overrides, format, restore } => {
             let path = config.clone().unwrap_or_else(|| "arguments".into());
-            let mut c = config.as_deref().map_or_else(|| Ok(Config::default()), Config::read)?;
-            c.id = id.unwrap_or(c.id);
-            c.listen = listen.unwrap_or(c.listen);
-            c.address = address.or(c.address);
-            c.folder = folder.unwrap_or(c.folder);
-            c.format = format.unwrap_or(c.format);
+            let mut replica_config = config.as_deref().map_or_else(|| Ok(Config::default()), Config::read)?;
+            replica_config.id = id.unwrap_or(replica_config.id);
+            replica_config.listen = listen.unwrap_or(replica_config.listen);
+            replica_config.address = address.or(replica_config.address);
+            replica_config.folder = folder.unwrap_or(replica_config.folder);
+            replica_config.format = format.unwrap_or(replica_config.format);
             if !join.is_empty() {
-                c.join = join;
+                replica_config.join = join;
             }
-            c.address_overrides.extend(via);
-            c.check(Path::new(&path))?;
-            process::run(c, restore).await?;
+            replica_config.address_overrides.extend(address_overrides);
+            replica_config.check(Path::new(&path))?;
+            process::run(replica_config, restore).await?;
         }
         Command::Explore { .. } => {}
-        Command::Status(at) => show(&at.ask(Method::GET, "/v1/status", &none).await?),
-        Command::List { at, consistent, service } => {
+        Command::Status(replicas) => {
+            print_json(&replicas.request(Method::GET, "/v1/status", &no_body).await?)
+        }
+        Command::List { replicas, consistent, service } => {
             let mut path = format!("/v1/list?consistent={consistent}");
             if !service.is_empty() {
                 let services =
-                    parse_services(&service.join(",")).map_err(|e| Failure::Said(e.to_string()))?;
+                    parse_services(&service.join(",")).map_err(|e| Failure::Message(e.to_string()))?;
                 path.push_str(&format!("&services={}", services.join(",")));
             }
-            let list = at.ask(Method::GET, &path, &none).await?;
+            let list = replicas.request(Method::GET, &path, &no_body).await?;
             if !service.is_empty() && !list["services"].is_array() {
-                let what = "the replica does not know services, or runs with an older --format";
-                return Err(Failure::Said(what.into()));
+                let message = "the replica does not support services, or runs with an older --format";
+                return Err(Failure::Message(message.into()));
             }
             println!(
                 "epoch {} index {} from replica {}, {} ms old",
                 list["epoch"], list["index"], list["replica"], list["age_ms"]
             );
-            for e in list["endpoints"].as_array().into_iter().flatten() {
-                let text = |key: &str| e[key].as_str().unwrap_or("-").to_owned();
+            for endpoint in list["endpoints"].as_array().into_iter().flatten() {
+                let text = |key: &str| endpoint[key].as_str().unwrap_or("-").to_owned();
                 println!(
                     "{:24} {:22} {:8} {:10} {:16} {:10} {:10} weight {}",
                     text("name"),
@@ -271,120 +274,131 @@
                     text("service"),
                     text("zone"),
                     text("type"),
-                    e["weight"]
+                    endpoint["weight"]
                 );
             }
         }
-        Command::History { at, after } => {
-            let history = at.ask(Method::GET, &format!("/v1/history?after={after}"), &none).await?;
-            for c in history["changes"].as_array().into_iter().flatten() {
-                println!("{} {} {} {} {}", c["index"], c["at_ms"], c["name"], c["status"], c["why"]);
+        Command::History { replicas, after } => {
+            let history =
+                replicas.request(Method::GET, &format!("/v1/history?after={after}"), &no_body).await?;
+            for change in history["changes"].as_array().into_iter().flatten() {
+                println!(
+                    "{} {} {} {} {}",
+                    change["index"], change["at_ms"], change["name"], change["status"], change["why"]
+                );
             }
         }
         Command::Register {
-            at,
+            replicas,
             name,
             address,
             service,
             zone,
             region,
-            kind,
-            group,
+            machine_type,
+            cell,
             weight,
-            since_ms,
+            started_ms,
             lease_ms,
-            expect,
+            precondition,
         } => {
-            let mut body = json!({"address": address, "zone": zone, "region": region, "type": kind, "group": group,
-                "weight": weight, "since_ms": since_ms, "lease_ms": lease_ms, "expect": expect.expect});
-            name_service(&mut body, service);
-            show(&at.ask(Method::PUT, &format!("/v1/servers/{name}"), &body).await?);
+            let mut body = json!({"address": address, "zone": zone, "region": region, "type": machine_type, "group": cell,
+                "weight": weight, "since_ms": started_ms, "lease_ms": lease_ms, "expect": precondition.expect});
+            set_service(&mut body, service);
+            print_json(&replicas.request(Method::PUT, &format!("/v1/servers/{name}"), &body).await?);
         }
-        Command::Keep { at, name, address, service, zone, lease_ms, drain_ms } => {
+        Command::Keep { replicas, name, address, service, zone, lease_ms, drain_ms } => {
             let mut server =
                 json!({"address": address, "zone": zone, "since_ms": unix_ms(), "lease_ms": lease_ms});
-            name_service(&mut server, service);
-            keep(&at, &name, &server, lease_ms, drain_ms).await?;
+            set_service(&mut server, service);
+            keep_registered(&replicas, &name, &server, lease_ms, drain_ms).await?;
         }
-        Command::Renew { at, name } => {
-            show(&at.ask(Method::POST, &format!("/v1/servers/{name}/renew"), &none).await?)
+        Command::Renew { replicas, name } => {
+            print_json(&replicas.request(Method::POST, &format!("/v1/servers/{name}/renew"), &no_body).await?)
         }
-        Command::Drain(by) => by.ask(Method::POST, "/drain").await?,
-        Command::Resume(by) => by.ask(Method::POST, "/resume").await?,
-        Command::Remove(by) => by.ask(Method::DELETE, "").await?,
-        Command::Backup { at, out } => {
-            let bytes = at.call(Method::GET, "/v1/backup", Vec::new()).await?;
-            // Beside it first: a backup that is cut off must not take the place of one that is whole.
-            let beside = out.with_extension("new");
-            let put = std::fs::write(&beside, &bytes).and_then(|()| std::fs::rename(&beside, &out));
-            put.map_err(|e| Failure::Said(format!("{}: {e}", out.display())))?;
+        Command::Drain(arguments) => arguments.request(Method::POST, "/drain").await?,
+        Command::Resume(arguments) => arguments.request(Method::POST, "/resume").await?,
+        Command::Remove(arguments) => arguments.request(Method::DELETE, "").await?,
+        Command::Backup { replicas, out } => {
+            let bytes = replicas.request_bytes(Method::GET, "/v1/backup", Vec::new()).await?;
+            // Written to a temporary file first, so that an incomplete backup does not replace a complete one.
+            let temporary = out.with_extension("new");
+            let written = std::fs::write(&temporary, &bytes).and_then(|()| std::fs::rename(&temporary, &out));
+            written.map_err(|e| Failure::Message(format!("{}: {e}", out.display())))?;
             let list = process::read_backup(&out)?;
             println!("{}: version {}, {} servers", out.display(), list.version(), list.entries().len());
         }
-        Command::PutOut { at, id } => {
-            show(&at.ask(Method::DELETE, &format!("/v1/replicas/{id}"), &none).await?)
+        Command::RemoveReplica { replicas, id } => {
+            print_json(&replicas.request(Method::DELETE, &format!("/v1/replicas/{id}"), &no_body).await?)
         }
     }
     Ok(())
 }
 
-/// Where there is one: replicas of the version before do not know the key.
-fn name_service(server: &mut Value, service: Option<String>) {
+/// Sets the service if there is one; otherwise the key is left out, as older releases do not know it.
+fn set_service(server: &mut Value, service: Option<String>) {
     if let Some(service) = service {
         server["service"] = service.into();
     }
 }
 
-fn explored(seed: u64, schedules: u64, cores: usize, timeline: bool) -> Result<(), Failure> {
+fn run_explore(seed: u64, schedules: u64, cores: usize, timeline: bool) -> Result<(), Failure> {
     if timeline {
         run_schedule(seed, None).timeline.iter().for_each(|line| println!("{line}"));
     }
-    let all = std::thread::available_parallelism().map_or(1, usize::from);
-    let explored = explore(seed, schedules, if cores > 0 { cores } else { all }, None);
-    let totals = explored.totals;
+    let all_cores = std::thread::available_parallelism().map_or(1, usize::from);
+    let exploration = explore(seed, schedules, if cores > 0 { cores } else { all_cores }, None);
+    let totals = exploration.totals;
     println!(
-        "{} schedules, {} faults, {} calls answered and {} not, {} rules broken",
-        explored.schedules,
+        "{} schedules, {} faults, {} calls answered and {} not, {} invariant violations",
+        exploration.schedules,
         totals.faults,
         totals.answered_calls,
         totals.unanswered_calls,
-        explored.violations.len()
+        exploration.violations.len()
     );
-    for violation in &explored.violations {
+    for violation in &exploration.violations {
         println!("seed {}: {}", violation.seed, violation.description);
     }
-    match explored.violations.first() {
-        Some(first) => Err(Failure::Said(format!("seed {}: {}", first.seed, first.description))),
+    match exploration.violations.first() {
+        Some(first) => Err(Failure::Message(format!("seed {}: {}", first.seed, first.description))),
         None => Ok(()),
     }
 }
 
-fn way(text: &str) -> Result<(String, String), String> {
-    let (id, at) = text.split_once('=').ok_or("not of the form NUMBER=ADDRESS")?;
+fn parse_address_override(text: &str) -> Result<(String, String), String> {
+    let (id, address) = text.split_once('=').ok_or("not of the form ID=ADDRESS")?;
     id.parse::<u64>().map_err(|e| format!("{id}: {e}"))?;
-    Ok((id.to_owned(), at.to_owned()))
+    Ok((id.to_owned(), address.to_owned()))
 }
 
-/// Registers and renews until told to stop, then drains and removes. What fails is tried again.
-async fn keep(at: &At, name: &str, server: &Value, lease_ms: u64, drain_ms: u64) -> Result<(), Failure> {
-    let mut term = signal(SignalKind::terminate()).map_err(|e| Failure::Said(e.to_string()))?;
-    let mut int = signal(SignalKind::interrupt()).map_err(|e| Failure::Said(e.to_string()))?;
+/// Registers the server and renews its lease until SIGTERM or SIGINT, then drains and removes it. A failed registration
+/// or renewal is retried.
+async fn keep_registered(
+    replicas: &ReplicaAddresses,
+    name: &str,
+    server: &Value,
+    lease_ms: u64,
+    drain_ms: u64,
+) -> Result<(), Failure> {
+    let mut term = signal(SignalKind::terminate()).map_err(|e| Failure::Message(e.to_string()))?;
+    let mut int = signal(SignalKind::interrupt()).map_err(|e| Failure::Message(e.to_string()))?;
     let path = format!("/v1/servers/{name}");
-    let every = Duration::from_millis((lease_ms / 3).max(50));
+    let renewal_interval = Duration::from_millis((lease_ms / 3).max(50));
     let renewing = async {
-        let mut listed = false;
+        let mut is_registered = false;
         loop {
-            let done = if listed {
-                at.ask(Method::POST, &format!("{path}/renew"), &Value::Null).await
+            let result = if is_registered {
+                replicas.request(Method::POST, &format!("{path}/renew"), &Value::Null).await
             } else {
-                at.ask(Method::PUT, &path, server).await
+                replicas.request(Method::PUT, &path, server).await
             };
-            // Whatever was wrong with a renewal, to register again is right; and soon.
-            if let Err(why) = &done {
-                tracing::warn!("{name}: {why}");
+            // Whatever made a renewal fail, registering again is right, after a shorter pause.
+            if let Err(error) = &result {
+                tracing::warn!("cannot register {name} or renew its lease, retrying: {error}");
             }
-            let pause = if done.is_ok() { every } else { every / 4 };
-            listed = done.is_ok();
+            let pause = if result.is_ok() { renewal_interval } else { renewal_interval / 4 };
+            is_registered = result.is_ok();
             tokio::time::sleep(pause).await;
         }
     };
@@ -393,48 +407,52 @@
         _ = term.recv() => {}
         _ = int.recv() => {}
     }
-    at.ask(Method::POST, &format!("{path}/drain"), &Value::Null).await?;
+    replicas.request(Method::POST, &format!("{path}/drain"), &Value::Null).await?;
     tokio::time::sleep(Duration::from_millis(drain_ms)).await;
-    at.ask(Method::DELETE, &path, &Value::Null).await?;
+    replicas.request(Method::DELETE, &path, &Value::Null).await?;
     Ok(())
 }
 
-fn show(answer: &Value) {
-    println!("{answer:#}");
+fn print_json(response: &Value) {
+    println!("{response:#}");
 }
 
-impl ByName {
-    async fn ask(&self, method: Method, what: &str) -> Result<(), Failure> {
-        let body = json!({"expect": self.expect.expect});
-        show(&self.at.ask(method, &format!("/v1/servers/{}{what}", self.name), &body).await?);
+impl ServerArguments {
+    async fn request(&self, method: Method, path_suffix: &str) -> Result<(), Failure> {
+        let body = json!({"expect": self.precondition.expect});
+        print_json(
+            &self.replicas.request(method, &format!("/v1/servers/{}{path_suffix}", self.name), &body).await?,
+        );
         Ok(())
     }
 }
 
-impl At {
-    async fn ask(&self, method: Method, path: &str, body: &Value) -> Result<Value, Failure> {
+impl ReplicaAddresses {
+    async fn request(&self, method: Method, path: &str, body: &Value) -> Result<Value, Failure> {
         let body = if body.is_null() { Vec::new() } else { body.to_string().into_bytes() };
-        let bytes = self.call(method, path, body).await?;
-        serde_json::from_slice(&bytes).map_err(|e| Failure::Said(format!("unreadable answer: {e}")))
+        let bytes = self.request_bytes(method, path, body).await?;
+        serde_json::from_slice(&bytes).map_err(|e| Failure::Message(format!("invalid response: {e}")))
     }
 
-    /// The first answer that is none of a replica that can't.
-    async fn call(&self, method: Method, path: &str, body: Vec<u8>) -> Result<Vec<u8>, Failure> {
+    /// Tries the replicas in turn until one answers with status 200, or with a client error, which the others would
+    /// answer with too. Status 421 is the exception: a follower answers with it when only the leader can handle the
+    /// request.
+    async fn request_bytes(&self, method: Method, path: &str, body: Vec<u8>) -> Result<Vec<u8>, Failure> {
         let client = Client::default();
-        let mut last = String::new();
-        for at in &self.registry {
-            let patience = Duration::from_secs(10);
-            match client.call(method.clone(), at, path, body.clone(), patience).await {
-                Ok((StatusCode::OK, _, answer)) => return Ok(answer.to_vec()),
-                Ok((status, _, answer)) => {
-                    last = format!("{at}: {status}: {}", String::from_utf8_lossy(&answer));
+        let mut last_error = String::new();
+        for address in &self.registry {
+            let timeout = Duration::from_secs(10);
+            match client.call(method.clone(), address, path, body.clone(), timeout).await {
+                Ok((StatusCode::OK, _, response)) => return Ok(response.to_vec()),
+                Ok((status, _, response)) => {
+                    last_error = format!("{address}: {status}: {}", String::from_utf8_lossy(&response));
                     if status.is_client_error() && status != StatusCode::MISDIRECTED_REQUEST {
                         break;
                     }
                 }
-                Err(error) => last = error.to_string(),
+                Err(error) => last_error = error.to_string(),
             }
         }
-        Err(Failure::Said(last))
+        Err(Failure::Message(last_error))
     }
 }
--- a/crates/lotusmoor/src/scale.rs
+++ b/crates/lotusmoor/src/scale.rs
@@ -1,4 +1,5 @@
-//! `lotusmoor fleet scale`: hollow sidecars by the thousand beside real ones.
+//! `lotusmoor fleet scale`: measures the registry and real sidecars beside thousands of hollow sidecars, which read the
+//! registry as real ones do but serve no requests.
 
 use crate::Failure;
 use indicatif::ProgressBar;
@@ -10,22 +11,23 @@
 pub struct Arguments {
     /// The plan's file
     plan: PathBuf,
-    /// The new file where results go: a line of JSON for each role of each step
+    /// Path of the results, which must not exist yet: a line of JSON for each role of each step
     #[arg(long)]
     out: PathBuf,
-    /// Hollow sidecars, instead of the plan's; a sweep over them is of this one step
+    /// Number of hollow sidecars, instead of the plan's; a sweep over this number has only this step
     #[arg(long)]
     hollow: Option<usize>,
-    /// How long each step is measured, instead of the plan's
+    /// Measuring time of each step in seconds, instead of the plan's
     #[arg(long)]
     seconds: Option<f64>,
-    /// What all is drawn from, instead of the plan's
+    /// Random seed, instead of the plan's
     #[arg(long)]
     seed: Option<u64>,
-    /// What readers are told, instead of the plan's: whole, services or both
+    /// Which lists sidecars watch, instead of the plan's: whole, services (only the servers of the
+    /// services that they call) or both
     #[arg(long, value_delimiter = ',', value_parser = ["whole", "services"])]
     modes: Vec<String>,
-    /// What the results name as the text that was run; absent: what git says
+    /// Commit that is recorded in the results; by default that of the git work tree
     #[arg(long)]
     commit: Option<String>,
 }
@@ -35,53 +37,55 @@
     let mut plan = Plan::load(&path)?;
     plan.set(hollow, seconds, seed, &modes);
     plan.check(Path::new("arguments"))?;
-    let commit = commit.unwrap_or_else(of_git);
+    let commit = commit.unwrap_or_else(git_commit);
     let bar = ProgressBar::new(0);
     bar.enable_steady_tick(std::time::Duration::from_millis(500));
-    let steps = play(&plan, Some(&out), &commit, &bar).map_err(|e| Failure::Said(e.to_string()))?;
+    let steps = play(&plan, Some(&out), &commit, &bar).map_err(|e| Failure::Message(e.to_string()))?;
     for step in &steps {
-        show(step);
+        print_summary(step);
     }
     println!("{} steps: {}", steps.len(), out.display());
     match steps.iter().map(|s| s.went_back).sum::<u64>() {
         0 => Ok(()),
-        n => Err(Failure::Said(format!("{n} times a reader's list went back"))),
+        n => Err(Failure::Message(format!(
+            "{n} times a reader applied a list that was older than its previous one"
+        ))),
     }
 }
 
-fn of_git() -> String {
-    let said = std::process::Command::new("git").args(["rev-parse", "--short", "HEAD"]).output();
-    let said = said
+fn git_commit() -> String {
+    let output = std::process::Command::new("git").args(["rev-parse", "--short", "HEAD"]).output();
+    let commit = output
         .ok()
         .filter(|o| o.status.success())
         .map(|o| String::from_utf8_lossy(&o.stdout).trim().to_owned());
-    said.unwrap_or_else(|| "unknown".to_owned())
+    commit.unwrap_or_else(|| "unknown".to_owned())
 }
 
-fn show(step: &Step) {
-    let of = |role: Role, key: &str| {
+fn print_summary(step: &Step) {
+    let figure = |role: Role, key: &str| {
         let line = step.lines.iter().find(|l| l.role == role);
         line.and_then(|l| l.measured.get(key)).map_or_else(|| "-".to_owned(), |v| format!("{v:.1}"))
     };
     println!(
-        "{} {} hollow {} listed {} changes a second{}: cpu us/s leader {} follower {} hollow {} sidecar {}; told ms p50 {} \
-         p99 {} max {}; in force ms p99 {}; added us p50 {} p99 {}; back ms {}; untold {} away {}",
+        "{} {} hollow {} listed {} changes per second{}: cpu us/s leader {} follower {} hollow {} sidecar {}; notified ms p50 {} \
+         p99 {} max {}; in force ms p99 {}; added us p50 {} p99 {}; recovery ms {}; not notified {} disconnected {}",
         step.mode.name(),
         step.sizes.hollow,
         step.sizes.listed,
         step.sizes.changes_per_s,
         step.event.map_or_else(String::new, |e| format!(" {e}")),
-        of(Role::Leader, "cpu_us_per_s"),
-        of(Role::Follower, "cpu_us_per_s"),
-        of(Role::Hollow, "cpu_us_per_s"),
-        of(Role::Sidecar, "cpu_us_per_s"),
-        of(Role::Fleet, "told_ms_p50"),
-        of(Role::Fleet, "told_ms_p99"),
-        of(Role::Fleet, "told_ms_max"),
-        of(Role::Sidecar, "in_force_ms_p99"),
-        of(Role::Sidecar, "added_us_p50"),
-        of(Role::Sidecar, "added_us_p99"),
-        of(Role::Fleet, "back_ms"),
+        figure(Role::Leader, "cpu_us_per_s"),
+        figure(Role::Follower, "cpu_us_per_s"),
+        figure(Role::Hollow, "cpu_us_per_s"),
+        figure(Role::Sidecar, "cpu_us_per_s"),
+        figure(Role::Fleet, "told_ms_p50"),
+        figure(Role::Fleet, "told_ms_p99"),
+        figure(Role::Fleet, "told_ms_max"),
+        figure(Role::Sidecar, "in_force_ms_p99"),
+        figure(Role::Sidecar, "added_us_p50"),
+        figure(Role::Sidecar, "added_us_p99"),
+        figure(Role::Fleet, "back_ms"),
         step.untold,
         step.away
     );
--- a/crates/lotusmoor/src/soak.rs
+++ b/crates/lotusmoor/src/soak.rs
@@ -1,4 +1,4 @@
-//! `lotusmoor fleet soak`: the randomized fault soak.
+//! `lotusmoor fleet soak`: randomized overlapping faults on clusters of real processes.
 
 use crate::Failure;
 use indicatif::{ProgressBar, ProgressStyle};
@@ -12,40 +12,40 @@
 use std::sync::atomic::{AtomicU64, Ordering};
 use std::time::Instant;
 
-/// How often a run is played without a trouble before that counts as not needed to fail.
-const SHRINK_PLAYS: usize = 3;
+/// A fault is kept in a minimised plan if the plan without it passes this many times.
+const SHRINK_ATTEMPTS: usize = 3;
 
 #[derive(clap::Args)]
 pub struct Arguments {
     /// The first seed
     #[arg(long, default_value_t = 1)]
     first: u64,
-    /// How many seeds are played
+    /// Number of seeds, from the first one on
     #[arg(long, default_value_t = 10)]
     seeds: u64,
-    /// How many fleets are played at a time; each has some thirty processes
+    /// Number of runs in parallel; each has some thirty processes
     #[arg(long, default_value_t = 4)]
     at_once: usize,
-    /// Where results go, a line of JSON for each seed
+    /// Path of the results: a line of JSON for each run
     #[arg(long)]
     out: Option<PathBuf>,
-    /// Play this plan, as a failure has printed it, instead of seeds
+    /// Run this plan, as printed for a failed run, `--seeds` times, instead of the plans of the seeds
     #[arg(long)]
     plan: Option<PathBuf>,
-    /// Drop troubles one by one from a run that fails, for as long as it still fails
+    /// Minimise the plan of a failed run: drop its faults one by one for as long as it still fails
     #[arg(long)]
     shrink: bool,
-    /// Begin no further seed after so many seconds
+    /// Start no further run after this many seconds
     #[arg(long, default_value_t = 3600)]
     seconds: u64,
 }
 
-/// What all runs share.
+/// State shared by the worker threads.
 struct Soak {
     plans: Mutex<Box<dyn Iterator<Item = Plan> + Send>>,
     out: Option<Mutex<File>>,
     failures: Mutex<Vec<u64>>,
-    played: AtomicU64,
+    completed: AtomicU64,
     requests: AtomicU64,
     bar: ProgressBar,
     began: Instant,
@@ -54,13 +54,13 @@
 }
 
 pub fn run(arguments: Arguments) -> Result<(), Failure> {
-    let said = |e: std::io::Error| Failure::Said(e.to_string());
+    let to_failure = |e: std::io::Error| Failure::Message(e.to_string());
     let (first, seeds) = (arguments.first, arguments.seeds);
     let (plans, count): (Box<dyn Iterator<Item = Plan> + Send>, u64) = match &arguments.plan {
         Some(path) => {
-            let text = std::fs::read_to_string(path).map_err(said)?;
-            let plan: Plan =
-                serde_json::from_str(&text).map_err(|e| Failure::Said(format!("{}: {e}", path.display())))?;
+            let text = std::fs::read_to_string(path).map_err(to_failure)?;
+            let plan: Plan = serde_json::from_str(&text)
+                .map_err(|e| Failure::Message(format!("{}: {e}", path.display())))?;
             (Box::new(std::iter::repeat_n(plan, usize::try_from(seeds).unwrap_or(1))), seeds)
         }
         None => (Box::new((first..first + seeds).map(Plan::draw_with_extra_faults)), seeds),
@@ -69,12 +69,12 @@
     if let Ok(style) = ProgressStyle::with_template("{bar:40} {pos}/{len} {elapsed} {msg}") {
         bar.set_style(style);
     }
-    let out = arguments.out.as_ref().map(File::create).transpose().map_err(said)?.map(Mutex::new);
+    let out = arguments.out.as_ref().map(File::create).transpose().map_err(to_failure)?.map(Mutex::new);
     let soak = Soak {
         plans: Mutex::new(plans),
         out,
         failures: Mutex::default(),
-        played: AtomicU64::default(),
+        completed: AtomicU64::default(),
         requests: AtomicU64::default(),
         bar,
         began: Instant::now(),
@@ -88,53 +88,55 @@
     });
     soak.bar.finish_and_clear();
     let failures = soak.failures.into_inner().unwrap_or_default();
-    let (played, requests) = (soak.played.into_inner(), soak.requests.into_inner());
-    println!("{played} runs played, {requests} requests, {} failed", failures.len());
-    if failures.is_empty() { Ok(()) } else { Err(Failure::Said(format!("failed: seeds {failures:?}"))) }
+    let (completed, requests) = (soak.completed.into_inner(), soak.requests.into_inner());
+    println!("{completed} runs completed, {requests} requests, {} failed", failures.len());
+    if failures.is_empty() { Ok(()) } else { Err(Failure::Message(format!("failed: seeds {failures:?}"))) }
 }
 
 impl Soak {
-    /// Plays one plan after the other.
+    /// Runs one plan after the other until none is left or the time limit is reached.
     fn work(&self) {
         while self.began.elapsed().as_secs() < self.seconds
             && let Some(plan) = self.plans.lock().ok().and_then(|mut plans| plans.next())
         {
             match run_plan(&plan) {
-                Ok(seen) => self.passed(&plan, seen),
+                Ok(summary) => self.passed(&plan, summary),
                 Err(failure) => self.failed(&plan, failure),
             }
-            self.played.fetch_add(1, Ordering::Relaxed);
+            self.completed.fetch_add(1, Ordering::Relaxed);
             self.bar.inc(1);
         }
     }
 
-    fn passed(&self, plan: &Plan, seen: RunSummary) {
-        self.requests.fetch_add(seen.requests as u64, Ordering::Relaxed);
-        self.note(
-            &json!({"seed": plan.seed, "passed": true, "requests": seen.requests, "served": seen.served,
-            "attempts": seen.attempts, "strangers": seen.malformed_clients, "cold_load": seen.cold_load,
-            "left_with_bodies": seen.aborted_uploads, "series_signals": seen.series_signals,
-            "dropped_log_lines": seen.dropped_log_lines, "plan": plan}),
+    fn passed(&self, plan: &Plan, summary: RunSummary) {
+        self.requests.fetch_add(summary.requests as u64, Ordering::Relaxed);
+        self.write_result(
+            &json!({"seed": plan.seed, "passed": true, "requests": summary.requests, "served": summary.served,
+            "attempts": summary.attempts, "strangers": summary.malformed_clients, "cold_load": summary.cold_load,
+            "left_with_bodies": summary.aborted_uploads, "series_signals": summary.series_signals,
+            "dropped_log_lines": summary.dropped_log_lines, "plan": plan}),
         );
     }
 
     fn failed(&self, plan: &Plan, failure: ClusterError) {
         let (plan, failure) =
-            if self.shrink { shrink(plan, failure, SHRINK_PLAYS) } else { (plan.clone(), failure) };
-        let written = serde_json::to_string(&plan).unwrap_or_default();
-        self.bar.suspend(|| println!("seed {} failed\nplan {written}\n{failure}", plan.seed));
-        self.note(&json!({"seed": plan.seed, "passed": false, "failure": failure.to_string(), "plan": plan}));
+            if self.shrink { shrink(plan, failure, SHRINK_ATTEMPTS) } else { (plan.clone(), failure) };
+        let plan_json = serde_json::to_string(&plan).unwrap_or_default();
+        self.bar.suspend(|| println!("seed {} failed\nplan {plan_json}\n{failure}", plan.seed));
+        self.write_result(
+            &json!({"seed": plan.seed, "passed": false, "failure": failure.to_string(), "plan": plan}),
+        );
         if let Ok(mut failures) = self.failures.lock() {
             failures.push(plan.seed);
             self.bar.set_message(format!("{} failed", failures.len()));
         }
     }
 
-    fn note(&self, line: &serde_json::Value) {
+    fn write_result(&self, line: &serde_json::Value) {
         if let Some(mut out) = self.out.as_ref().and_then(|out| out.lock().ok())
             && let Err(error) = writeln!(out, "{line}")
         {
-            tracing::warn!("a result can't be written: {error}");
+            tracing::warn!("cannot write a result: {error}");
         }
     }
 }
--- a/crates/lotusmoor/src/sweep.rs
+++ b/crates/lotusmoor/src/sweep.rs
@@ -1,4 +1,5 @@
-//! `lotusmoor fleet sweep`: system calls of a sidecar's life fail one after the other.
+//! `lotusmoor fleet sweep`: runs a scripted scenario of a sidecar or of a registry replica again and again, each time
+//! with a fault at another of its system calls.
 
 use crate::Failure;
 use indicatif::{ProgressBar, ProgressStyle};
@@ -13,38 +14,38 @@
 
 #[derive(clap::Args)]
 pub struct Arguments {
-    /// Calls of each kind that are made to fail, at the most, evenly spaced over the life
-    #[arg(long, default_value_t = 40)]
-    most: u64,
-    /// Only kinds of calls whose name begins so: accept, connect, receive, write, ...
+    /// Maximum number of calls of each kind that are made to fail, evenly spaced over the scenario
+    #[arg(long = "most", default_value_t = 40)]
+    max_per_kind: u64,
+    /// Only kinds of calls whose name begins with this: accept, connect, receive, write, ...
     #[arg(long, default_value = "")]
     call: String,
-    /// Play the life of a replica of the roster, whose calls on files fail
+    /// Run the scenario of a registry replica, with faults at its calls on files, instead of a sidecar's
     #[arg(long)]
     replica: bool,
-    /// Fixes requests and their order
+    /// Random seed of the requests and their order
     #[arg(long, default_value_t = 1)]
     seed: u64,
-    /// How many lives are played at a time; each has some seven processes
+    /// Number of cases in parallel; each has some seven processes
     #[arg(long, default_value_t = 8)]
     at_once: usize,
-    /// Where results go, a line of JSON for each case
+    /// Path of the results: a line of JSON for each case
     #[arg(long)]
     out: Option<PathBuf>,
-    /// Play this case, as a failure has printed it, instead of all
+    /// Run only this case, as printed for a failed one
     #[arg(long)]
     case: Option<String>,
-    /// Begin no further case after so many seconds
+    /// Start no further case after this many seconds
     #[arg(long, default_value_t = 3600)]
     seconds: u64,
 }
 
-/// What all plays share.
+/// State shared by the worker threads.
 struct Sweep {
     cases: Mutex<std::vec::IntoIter<Case>>,
     out: Option<Mutex<File>>,
     failures: Mutex<Vec<String>>,
-    played: AtomicU64,
+    completed: AtomicU64,
     bar: ProgressBar,
     began: Instant,
     seconds: u64,
@@ -52,8 +53,9 @@
     seed: u64,
 }
 
-/// Plays a life once; gives the calls that were made, or what went wrong.
-fn one(replica: bool, case: Option<&Case>, seed: u64) -> Result<CallCounts, String> {
+/// Runs the scenario once, with the fault of a case if there is one. Returns the number of calls by kind, or why it
+/// failed.
+fn run_scenario(replica: bool, case: Option<&Case>, seed: u64) -> Result<CallCounts, String> {
     if replica {
         run_replica_scenario(case).map_err(|e| e.to_string())
     } else {
@@ -62,12 +64,12 @@
 }
 
 pub fn run(arguments: Arguments) -> Result<(), Failure> {
-    let said = |e: std::io::Error| Failure::Said(e.to_string());
+    let to_failure = |e: std::io::Error| Failure::Message(e.to_string());
     let all = match &arguments.case {
-        Some(text) => vec![serde_json::from_str(text).map_err(|e| Failure::Said(format!("--case: {e}")))?],
+        Some(text) => vec![serde_json::from_str(text).map_err(|e| Failure::Message(format!("--case: {e}")))?],
         None => {
-            let counts = one(arguments.replica, None, arguments.seed).map_err(Failure::Said)?;
-            let mut all = cases(&counts, arguments.most);
+            let counts = run_scenario(arguments.replica, None, arguments.seed).map_err(Failure::Message)?;
+            let mut all = cases(&counts, arguments.max_per_kind);
             all.retain(|case| case.call().to_string().starts_with(&arguments.call));
             all.retain(|case| !arguments.replica || case.is_on_file());
             println!("calls: {:?}, cases: {}", counts.0, all.len());
@@ -80,9 +82,9 @@
     }
     let sweep = Sweep {
         cases: Mutex::new(all.into_iter()),
-        out: arguments.out.as_ref().map(File::create).transpose().map_err(said)?.map(Mutex::new),
+        out: arguments.out.as_ref().map(File::create).transpose().map_err(to_failure)?.map(Mutex::new),
         failures: Mutex::default(),
-        played: AtomicU64::default(),
+        completed: AtomicU64::default(),
         bar,
         began: Instant::now(),
         seconds: arguments.seconds,
@@ -96,36 +98,40 @@
     });
     sweep.bar.finish_and_clear();
     let failures = sweep.failures.into_inner().unwrap_or_default();
-    println!("{} cases played, {} failed", sweep.played.into_inner(), failures.len());
-    if failures.is_empty() { Ok(()) } else { Err(Failure::Said(format!("failed:\n{}", failures.join("\n")))) }
+    println!("{} cases completed, {} failed", sweep.completed.into_inner(), failures.len());
+    if failures.is_empty() {
+        Ok(())
+    } else {
+        Err(Failure::Message(format!("failed:\n{}", failures.join("\n"))))
+    }
 }
 
 impl Sweep {
-    /// Plays one case after the other.
+    /// Runs one case after the other until none is left or the time limit is reached.
     fn work(&self) {
         while self.began.elapsed().as_secs() < self.seconds
             && let Some(case) = self.cases.lock().ok().and_then(|mut cases| cases.next())
         {
-            let failure = one(self.replica, Some(&case), self.seed).err();
-            self.note(&json!({"case": case, "passed": failure.is_none(), "failure": failure}));
+            let failure = run_scenario(self.replica, Some(&case), self.seed).err();
+            self.write_result(&json!({"case": case, "passed": failure.is_none(), "failure": failure}));
             if let Some(failure) = failure {
-                let written = serde_json::to_string(&case).unwrap_or_default();
-                self.bar.suspend(|| println!("{case} failed\ncase {written}\n{failure}"));
+                let case_json = serde_json::to_string(&case).unwrap_or_default();
+                self.bar.suspend(|| println!("{case} failed\ncase {case_json}\n{failure}"));
                 if let Ok(mut failures) = self.failures.lock() {
                     failures.push(case.to_string());
                     self.bar.set_message(format!("{} failed", failures.len()));
                 }
             }
-            self.played.fetch_add(1, Ordering::Relaxed);
+            self.completed.fetch_add(1, Ordering::Relaxed);
             self.bar.inc(1);
         }
     }
 
-    fn note(&self, line: &serde_json::Value) {
+    fn write_result(&self, line: &serde_json::Value) {
         if let Some(mut out) = self.out.as_ref().and_then(|out| out.lock().ok())
             && let Err(error) = writeln!(out, "{line}")
         {
-            tracing::warn!("a result can't be written: {error}");
+            tracing::warn!("cannot write a result: {error}");
         }
     }
 }
