--- a/crates/lotusmoor/tests/command.rs
+++ b/crates/lotusmoor/tests/command.rs
@@ -135,8 +135,8 @@
     assert!(std::fs::read_to_string(&page).is_ok_and(|p| p.contains("<svg")));
 }
 
-// The simulator adapter runs the same module, so a run through its protocol must make the same decisions as the
-// in-process module.
+// The simulator adapter contains the same balancing module, so a run through its protocol must make the same decisions
+// as the module that runs inside the simulator process.
 #[test]
 fn adapter_decides_as_the_in_process_module() {
     let adapter = Path::new(env!("CARGO_BIN_EXE_lotusmoor")).with_file_name("lotusmoor-simulator-adapter");
--- a/crates/lotusmoor/tests/fleet_rules.rs
+++ b/crates/lotusmoor/tests/fleet_rules.rs
@@ -43,11 +43,11 @@
 /// to limit what they send to it.
 fn check_slow_start_under_burst(seed: u64) {
     let run = || {
-        let mut shape = ClusterConfig::plain(SIDECARS, SERVERS, 0, seed);
+        let mut config = ClusterConfig::plain(SIDECARS, SERVERS, 0, seed);
         // Each server can answer 40 requests a second. At its start the slow-start limit is 43 requests within 3 s;
         // with the checker's tolerance, the 59th is a violation.
-        (shape.cores, shape.conduct) = (2, Conduct { work_us: 50_000, ..Conduct::default() });
-        let mut cluster = Cluster::start(shape)?;
+        (config.cores, config.conduct) = (2, Conduct { work_us: 50_000, ..Conduct::default() });
+        let mut cluster = Cluster::start(config)?;
         let clients = cluster.start_clients(&traffic(RATE, seed));
         wait_for_more_requests(&cluster, &clients, 1_000)?;
         for server in RESTARTED {
--- a/crates/lotusmoor/tests/roster.rs
+++ b/crates/lotusmoor/tests/roster.rs
@@ -33,9 +33,9 @@
     if count > 1 {
         replicas.restart_with_proxies().unwrap_or_else(|e| panic!("{e}"));
     }
-    for at in 0..count {
-        let serves_list = || replicas.call(at, "GET", "/v1/list", "").is_ok_and(|a| a.status == 200);
-        assert!(until(serves_list), "replica {at} serves no list\n{}", replicas.logs());
+    for replica in 0..count {
+        let serves_list = || replicas.call(replica, "GET", "/v1/list", "").is_ok_and(|a| a.status == 200);
+        assert!(until(serves_list), "replica {replica} serves no list\n{}", replicas.logs());
     }
     TestRegistry { replicas, _runtime: runtime, folder }
 }
@@ -57,9 +57,9 @@
         self.check(is_met, &format!("timed out waiting until {what}"));
     }
 
-    fn register(&self, at: usize, name: &str, since_ms: u64) -> Option<u64> {
+    fn register(&self, replica: usize, name: &str, since_ms: u64) -> Option<u64> {
         let body = json!({"address": "127.0.0.1:9000", "since_ms": since_ms, "lease_ms": 0}).to_string();
-        let answer = self.replicas.call(at, "PUT", &format!("/v1/servers/{name}"), &body).ok()?;
+        let answer = self.replicas.call(replica, "PUT", &format!("/v1/servers/{name}"), &body).ok()?;
         (answer.status == 200).then(|| answer.body["index"].as_u64())?
     }
 
@@ -67,14 +67,14 @@
     fn register_at_any(&self, name: &str, since_ms: u64) -> u64 {
         let mut index = None;
         self.wait(&format!("{name} is registered"), || {
-            index = (0..self.replicas.count()).find_map(|at| self.register(at, name, since_ms));
+            index = (0..self.replicas.count()).find_map(|replica| self.register(replica, name, since_ms));
             index.is_some()
         });
         index.unwrap_or(0)
     }
 
-    fn names(&self, at: usize) -> Option<Vec<String>> {
-        let answer = self.replicas.call(at, "GET", "/v1/list?consistent=true", "").ok()?;
+    fn names(&self, replica: usize) -> Option<Vec<String>> {
+        let answer = self.replicas.call(replica, "GET", "/v1/list?consistent=true", "").ok()?;
         let list = answer.body["endpoints"].as_array()?.clone();
         (answer.status == 200)
             .then(|| list.iter().filter_map(|e| Some(e["name"].as_str()?.to_owned())).collect())
@@ -83,7 +83,7 @@
     /// Waits until these replicas have the same version with the same digest.
     fn wait_converged(&self, which: &[usize]) {
         self.wait("all replicas have the same list", || {
-            let statuses: Vec<_> = which.iter().map(|at| self.replicas.status(*at)).collect();
+            let statuses: Vec<_> = which.iter().map(|replica| self.replicas.status(*replica)).collect();
             let version = |s: &Option<Value>| s.as_ref().map(|s| (s["index"].clone(), s["digest"].clone()));
             statuses.iter().all(|s| s.is_some() && version(s) == version(&statuses[0]))
         });
@@ -122,12 +122,12 @@
     let first = registry.register_at_any("before", 1);
     registry.wait_converged(&[0, 1, 2]);
     registry.replicas.pause(paused).expect("the replica is paused");
-    let others: Vec<usize> = (0..3).filter(|at| *at != paused).collect();
+    let others: Vec<usize> = (0..3).filter(|replica| *replica != paused).collect();
     let mut last = first;
     for i in 0..20 {
         let mut index = None;
         registry.wait("the other replicas accept a write", || {
-            index = others.iter().find_map(|at| registry.register(*at, &format!("during-{i}"), 1));
+            index = others.iter().find_map(|replica| registry.register(*replica, &format!("during-{i}"), 1));
             index.is_some()
         });
         registry.check(index > Some(last), "the version increases");
@@ -155,8 +155,8 @@
     let index = registry.register_at_any("after", 1);
     registry.check(index > last, "the version increases");
     registry.wait_converged(&[0, 1, 2]);
-    for at in 0..3 {
-        let names = registry.names(at).expect("a response");
+    for replica in 0..3 {
+        let names = registry.names(replica).expect("a response");
         registry.check(names.len() == 22, &format!("no acknowledged write is lost: {names:?}"));
     }
 }
@@ -240,7 +240,7 @@
     let mut acknowledged = vec!["before".to_owned()];
     registry.wait("the leader is unavailable for lack of disk space", || {
         let name = format!("s-{}", acknowledged.len());
-        if (0..3).any(|at| registry.register(at, &name, 1).is_some()) {
+        if (0..3).any(|replica| registry.register(replica, &name, 1).is_some()) {
             acknowledged.push(name);
         }
         let up = registry.replicas.call(leader, "GET", "/up", "");
@@ -310,23 +310,24 @@
     registry.replicas.kill(victim).expect("the replica is killed");
     let file = registry.replicas.database_file(victim);
     let original = std::fs::read(&file).expect("the file is read");
-    let mark_file = file.with_file_name("roster.mark");
-    let mark = std::fs::read(&mark_file).expect("the file is read");
+    let commit_counter_file = file.with_file_name("roster.mark");
+    let commit_counter = std::fs::read(&commit_counter_file).expect("the file is read");
     // A value that is in use, so that one of the flipped bits damages stored data.
     let text = b"\"name\":\"s-7\"";
     let in_value = original.windows(text.len()).position(|w| w == text).expect("the file contains the value");
     let (mut refused, mut served) = (0, 0);
-    let flipped = [in_value + 10, 17, 4096 + 5, original.len() / 3, original.len() / 2].map(|at| (at, true));
-    let truncated = [original.len() - 1, original.len() - 5000, 100].map(|at| (at, false));
-    for (at, flip) in flipped.into_iter().chain(truncated) {
+    let flipped =
+        [in_value + 10, 17, 4096 + 5, original.len() / 3, original.len() / 2].map(|offset| (offset, true));
+    let truncated = [original.len() - 1, original.len() - 5000, 100].map(|offset| (offset, false));
+    for (offset, flip) in flipped.into_iter().chain(truncated) {
         let mut damaged = original.clone();
         if flip {
-            damaged[at] ^= 0x10;
+            damaged[offset] ^= 0x10;
         } else {
-            damaged.truncate(at);
+            damaged.truncate(offset);
         }
         std::fs::write(&file, &damaged).expect("the file is written");
-        std::fs::write(&mark_file, &mark).expect("the file is written");
+        std::fs::write(&commit_counter_file, &commit_counter).expect("the file is written");
         registry.replicas.start_replica(victim).expect("the replica starts");
         let mut has_exited = None;
         let is_decided = until(|| {
@@ -334,7 +335,7 @@
             has_exited = Some(registry.replicas.has_exited(victim));
             has_exited == Some(true) || version == expected
         });
-        registry.check(is_decided, &format!("byte {at}, flipped {flip}: it neither serves nor exits"));
+        registry.check(is_decided, &format!("byte {offset}, flipped {flip}: it neither serves nor exits"));
         if has_exited == Some(true) {
             refused += 1;
             let log = registry.replicas.log_text(victim);
@@ -342,7 +343,7 @@
             registry.check(!log.contains("panicked"), "it does not panic");
             registry.check(
                 last.contains("roster.redb"),
-                &format!("byte {at}, flipped {flip}: the last log line names the file: {last}"),
+                &format!("byte {offset}, flipped {flip}: the last log line names the file: {last}"),
             );
         } else {
             served += 1;
@@ -405,7 +406,7 @@
     let copied = start_with(taken + 1, &copy, "copy.log");
     let term = |s: Option<Value>| s.and_then(|s| s["term"].as_u64());
     registry.wait("the copy is reported", || {
-        (0..3).any(|at| registry.replicas.log_text(at).contains("two replicas have the number"))
+        (0..3).any(|replica| registry.replicas.log_text(replica).contains("two replicas have the number"))
     });
     let before = term(registry.replicas.status(leader));
     for i in 0..10 {
@@ -421,15 +422,15 @@
     let registry = start(3, &["--format", "1"]);
     let mut acknowledged = Vec::new();
     let mut roll_to_format = |registry: &TestRegistry, format: &str| {
-        for at in 0..3 {
+        for replica in 0..3 {
             for i in 0..10 {
-                let name = format!("f{format}-{at}-{i}-{}", acknowledged.len());
+                let name = format!("f{format}-{replica}-{i}-{}", acknowledged.len());
                 registry.register_at_any(&name, 1);
                 acknowledged.push(name);
             }
-            registry.replicas.kill(at).expect("the replica is killed");
-            registry.replicas.set_arguments(at, &["--format", format]);
-            registry.replicas.start_replica(at).expect("the replica starts");
+            registry.replicas.kill(replica).expect("the replica is killed");
+            registry.replicas.set_arguments(replica, &["--format", format]);
+            registry.replicas.start_replica(replica).expect("the replica starts");
             registry.wait_converged(&[0, 1, 2]);
         }
         acknowledged.len()
@@ -439,8 +440,11 @@
     let in_format_2 = std::fs::read(registry.replicas.database_file(0)).expect("the file is read");
     assert_ne!(in_format_1, in_format_2);
     let count = roll_to_format(&registry, "1");
-    for at in 0..3 {
-        registry.check(registry.names(at).is_some_and(|n| n.len() == count), "no acknowledged write is lost");
+    for replica in 0..3 {
+        registry.check(
+            registry.names(replica).is_some_and(|n| n.len() == count),
+            "no acknowledged write is lost",
+        );
     }
     // A format that this version does not know is rejected.
     registry.replicas.kill(0).expect("the replica is killed");
@@ -459,15 +463,16 @@
     let config = write_config(folder.path(), "[leases]\nwindow_s = 1\nshare = 0.5\nleaving_s = 2\n");
     let registry = start(3, &["--config", &config]);
     let programs = Programs::find().expect("the programs are built");
-    let addresses: Vec<String> = (0..3).map(|at| registry.replicas.address(at).to_string()).collect();
-    let start_keep = |name: &str| {
+    let addresses: Vec<String> =
+        (0..3).map(|replica| registry.replicas.address(replica).to_string()).collect();
+    let start_lease_renewer = |name: &str| {
         let mut command = std::process::Command::new(&programs.lotusmoor);
         command.args(["roster", "keep", name, "127.0.0.1:9001", "--lease-ms", "900", "--drain-ms", "100"]);
         command.args(["--roster", &addresses.join(",")]);
         let log = registry.folder.path().join(format!("{name}.log"));
         lotusmoor_fleet::harness::Process::start(command, name, &log, None).expect("the process starts")
     };
-    let mut keepers: Vec<_> = (0..4).map(|i| start_keep(&format!("k-{i}"))).collect();
+    let mut renewers: Vec<_> = (0..4).map(|i| start_lease_renewer(&format!("k-{i}"))).collect();
     let status = |name: &str| {
         let answer = registry.replicas.call(0, "GET", &format!("/v1/servers/{name}"), "").ok()?;
         match answer.status {
@@ -477,7 +482,7 @@
     };
     let active = "\"active\" \"registered\"";
     registry.wait("all are listed", || (0..4).all(|i| status(&format!("k-{i}")).as_deref() == Some(active)));
-    keepers[1].kill().expect("the process is killed");
+    renewers[1].kill().expect("the process is killed");
     registry
         .wait("the killed server is leaving", || status("k-1").as_deref() == Some("\"leaving\" \"expired\""));
     registry.wait("the killed server is removed", || status("k-1").as_deref() == Some("404"));
@@ -490,7 +495,7 @@
     for name in ["k-0", "k-2", "k-3"] {
         registry.wait("the other servers are active", || status(name).as_deref() == Some(active));
     }
-    keepers[2].terminate().expect("the signal is sent");
+    renewers[2].terminate().expect("the signal is sent");
     registry.wait("a stopped server deregisters itself", || status("k-2").as_deref() == Some("404"));
     // Up to twenty changes a second.
     let mut accepted = 0;
@@ -551,8 +556,8 @@
     let log = registry.folder.path().join("restored.log");
     let _new = lotusmoor_fleet::harness::Process::start(command, "restored", &log, None)
         .expect("the process starts");
-    let at = listen.parse().expect("an address");
-    let list = |path: &str| call(at, "GET", path, "", Duration::from_secs(5)).ok();
+    let address = listen.parse().expect("an address");
+    let list = |path: &str| call(address, "GET", path, "", Duration::from_secs(5)).ok();
     registry.wait("the restored registry serves", || list("/v1/list").is_some_and(|a| a.status == 200));
     let after = list("/v1/list").expect("a response").body;
     registry.check(after["epoch"].as_u64() > before["epoch"].as_u64(), "the epoch is newer");
@@ -662,9 +667,9 @@
             registry.replicas.call(0, "POST", "/v1/servers", &json!({"servers": servers}).to_string());
         assert_eq!(answer.expect("a response").status, 200);
     }
-    let at = registry.replicas.address(0);
+    let address = registry.replicas.address(0);
     // A client that requests full lists and reads none of the responses.
-    let mut slow = TcpStream::connect(at).expect("the connection is established");
+    let mut slow = TcpStream::connect(address).expect("the connection is established");
     for _ in 0..20 {
         let _ = slow.write_all(b"GET /v1/list HTTP/1.1\r\nHost: x\r\n\r\n");
     }
@@ -675,8 +680,8 @@
             std::thread::spawn(move || {
                 let mut rejected = 0;
                 loop {
-                    let answer =
-                        call(at, "GET", "/discovery/hosts", "", Duration::from_secs(20)).expect("a response");
+                    let answer = call(address, "GET", "/discovery/hosts", "", Duration::from_secs(20))
+                        .expect("a response");
                     match answer.status {
                         200 => return (rejected, answer.body["endpoints"].as_array().map_or(0, Vec::len)),
                         503 => {
@@ -701,7 +706,13 @@
     // A watch is notified of a change while the slow client still holds its connection.
     let index = registry.replicas.status(0).and_then(|s| s["index"].as_u64()).expect("a response");
     let watch = std::thread::spawn(move || {
-        call(at, "GET", &format!("/discovery/hosts?after={index}&wait_ms=20000"), "", Duration::from_secs(30))
+        call(
+            address,
+            "GET",
+            &format!("/discovery/hosts?after={index}&wait_ms=20000"),
+            "",
+            Duration::from_secs(30),
+        )
     });
     std::thread::sleep(Duration::from_millis(200));
     registry.register_at_any("new", 1);
--- a/crates/lotusmoor/tests/roster_faults.rs
+++ b/crates/lotusmoor/tests/roster_faults.rs
@@ -34,10 +34,10 @@
     );
     replicas.start(3, &[]).unwrap_or_else(|e| panic!("{e}"));
     let mut tables = Vec::new();
-    for at in 0..3 {
-        let table = FaultTable::create(&folder.path().join(format!("{at}.faults")))
+    for replica in 0..3 {
+        let table = FaultTable::create(&folder.path().join(format!("{replica}.faults")))
             .expect("the fault table is created");
-        replicas.set_faults(at, table.path());
+        replicas.set_faults(replica, table.path());
         tables.push(table);
     }
     // The replicas load their fault tables when they restart.
@@ -51,14 +51,14 @@
         assert!(is_met, "timed out waiting until {what}\n{}{}", self.replicas.timeline, self.replicas.logs());
     }
 
-    fn register(&self, at: usize, name: &str) -> bool {
+    fn register(&self, replica: usize, name: &str) -> bool {
         let body = json!({"address": "127.0.0.1:9000", "since_ms": 1, "lease_ms": 0}).to_string();
-        let answer = self.replicas.call(at, "PUT", &format!("/v1/servers/{name}"), &body);
+        let answer = self.replicas.call(replica, "PUT", &format!("/v1/servers/{name}"), &body);
         answer.is_ok_and(|a| a.status == 200)
     }
 
-    fn names(&self, at: usize) -> Option<Vec<String>> {
-        let answer = self.replicas.call(at, "GET", "/v1/list?consistent=true", "").ok()?;
+    fn names(&self, replica: usize) -> Option<Vec<String>> {
+        let answer = self.replicas.call(replica, "GET", "/v1/list?consistent=true", "").ok()?;
         let list = answer.body["endpoints"].as_array()?.clone();
         (answer.status == 200)
             .then(|| list.iter().filter_map(|e| Some(e["name"].as_str()?.to_owned())).collect())
@@ -69,29 +69,35 @@
     fn check_recovery(&self, which: &[usize], call: Call, errno: i32, lasts_us: u64) {
         let rules: Vec<(usize, usize)> = which
             .iter()
-            .map(|at| {
-                (*at, self.tables[*at].arm(Rule::lasting(lasts_us, call, errno)).expect("the rule is armed"))
+            .map(|replica| {
+                (
+                    *replica,
+                    self.tables[*replica]
+                        .arm(Rule::lasting(lasts_us, call, errno))
+                        .expect("the rule is armed"),
+                )
             })
             .collect();
         let mut acknowledged = Vec::new();
         let mut number = 0;
-        self.wait("each replica has met its faults, and writes are accepted", || {
+        self.wait("a fault was injected in each replica, and writes are accepted", || {
             number += 1;
             let name = format!("{call}-{errno}-{}-{number}", which[0]);
             if self.register(number % 3, &name) {
                 acknowledged.push(name);
             }
-            let was_hit =
-                |(at, rule): &(usize, usize)| self.tables[*at].hits(*rule).is_ok_and(|hits| hits > 0);
+            let was_hit = |(replica, rule): &(usize, usize)| {
+                self.tables[*replica].hits(*rule).is_ok_and(|hits| hits > 0)
+            };
             rules.iter().all(was_hit) && acknowledged.len() > 20
         });
-        for at in 0..3 {
-            self.wait(&format!("replica {at} has every acknowledged write"), || {
-                self.names(at).is_some_and(|names| acknowledged.iter().all(|name| names.contains(name)))
+        for replica in 0..3 {
+            self.wait(&format!("replica {replica} has every acknowledged write"), || {
+                self.names(replica).is_some_and(|names| acknowledged.iter().all(|name| names.contains(name)))
             });
-            assert!(!self.replicas.has_exited(at), "replica {at} exited\n{}", self.replicas.logs());
+            assert!(!self.replicas.has_exited(replica), "replica {replica} exited\n{}", self.replicas.logs());
         }
-        let statuses: Vec<Option<Value>> = (0..3).map(|at| self.replicas.status(at)).collect();
+        let statuses: Vec<Option<Value>> = (0..3).map(|replica| self.replicas.status(replica)).collect();
         assert!(statuses.iter().all(Option::is_some), "{statuses:?}");
         self.tables.iter().for_each(|table| table.disarm_all().expect("the rules are disarmed"));
     }
@@ -103,7 +109,7 @@
     let leader = registry.replicas.leader().expect("there is a leader");
     registry.check_recovery(&[leader], Call::Sync, errno::EIO, 1_000_000);
     let leader = registry.replicas.leader();
-    let follower = (0..3).find(|at| Some(*at) != leader).expect("a follower");
+    let follower = (0..3).find(|replica| Some(*replica) != leader).expect("a follower");
     registry.check_recovery(&[follower], Call::Sync, errno::ENOSPC, 1_000_000);
 }
 
--- a/crates/lotusmoor/tests/roster_services.rs
+++ b/crates/lotusmoor/tests/roster_services.rs
@@ -37,13 +37,13 @@
         RegistryReplicas::new(programs.clone(), folder.path(), handle, process_guard, Timeline::default());
     replicas.start(count, arguments).unwrap_or_else(|e| panic!("{e}"));
     let registry = TestRegistry { replicas, programs, _runtime: runtime, folder };
-    for at in 0..count {
+    for replica in 0..count {
         // For a moment after it has reached the other replicas, a replica still answers watches at once.
         registry.wait("the replica serves its list, and watches wait for changes", || {
-            let list = get(registry.replicas.address(at), "/v1/list").filter(|a| a.status == 200);
+            let list = get(registry.replicas.address(replica), "/v1/list").filter(|a| a.status == 200);
             let Some(index) = list.and_then(|a| a.body["index"].as_u64()) else { return false };
             let path = format!("/v1/watch?after={index}&wait_ms=20");
-            get(registry.replicas.address(at), &path)
+            get(registry.replicas.address(replica), &path)
                 .is_some_and(|a| a.body["waited_ms"].as_u64() >= Some(20))
         });
     }
@@ -92,8 +92,8 @@
         let (path, body) = (format!("/v1/servers/{name}"), body.to_string());
         let mut index = None;
         self.wait(&format!("{name} is registered"), || {
-            let put = |at| {
-                let answer = self.replicas.call(at, "PUT", &path, &body).ok()?;
+            let put = |replica| {
+                let answer = self.replicas.call(replica, "PUT", &path, &body).ok()?;
                 (answer.status == 200).then(|| answer.body["index"].as_u64())?
             };
             index = (0..self.replicas.count()).find_map(put);
@@ -122,7 +122,7 @@
 
     fn wait_converged(&self) {
         self.wait("all replicas have the same list", || {
-            let statuses = (0..self.replicas.count()).map(|at| self.replicas.status(at));
+            let statuses = (0..self.replicas.count()).map(|replica| self.replicas.status(replica));
             let version = |s: Value| (s["index"].clone(), s["digest"].clone());
             let versions: Option<Vec<_>> = statuses.map(|s| s.map(version)).collect();
             versions.is_some_and(|v| v.iter().all(|other| *other == v[0]))
@@ -130,9 +130,9 @@
     }
 
     /// The value of a metric of a replica.
-    fn metric(&self, at: usize, name: &str) -> u64 {
+    fn metric(&self, replica: usize, name: &str) -> u64 {
         let mut stream =
-            TcpStream::connect(self.replicas.address(at)).expect("the connection is established");
+            TcpStream::connect(self.replicas.address(replica)).expect("the connection is established");
         stream
             .write_all(b"GET /metrics HTTP/1.1\r\nHost: x\r\nConnection: close\r\n\r\n")
             .expect("the request is sent");
@@ -143,8 +143,8 @@
     }
 
     /// Starts a watch from the current version of the list, in a thread of its own.
-    fn start_watch(&self, at: usize, services: &str) -> JoinHandle<Answer> {
-        let address = self.replicas.address(at);
+    fn start_watch(&self, replica: usize, services: &str) -> JoinHandle<Answer> {
+        let address = self.replicas.address(replica);
         let current = get(address, &format!("/v1/list?services={services}")).expect("a response").body;
         let (epoch, index) = (current["epoch"].clone(), current["index"].clone());
         let path = format!("/v1/watch?epoch={epoch}&after={index}&wait_ms={WAIT_MS}&services={services}");
@@ -233,7 +233,7 @@
         add(format!("before-{i}"));
     }
     let leader = registry.wait_leader();
-    let address = |at: usize| registry.replicas.address(at);
+    let address = |replica: usize| registry.replicas.address(replica);
     let mut reader = Reader::of("a");
     registry
         .wait("the reader has the list", || reader.poll(address(leader), 0) && reader.endpoints.len() == 5);
@@ -255,11 +255,15 @@
     registry.replicas.start_replica(leader).expect("the replica starts");
     let expected = add("after".into());
     registry.wait_converged();
-    for at in 0..3 {
+    for replica in 0..3 {
         let mut fresh = Reader::of("a");
-        registry.wait("a new reader has the list", || fresh.poll(address(at), 0));
-        registry.check(reader.poll(address(at), 0), "the reader receives no older list");
-        assert_eq!((fresh.names(), reader.names()), (expected.clone(), expected.clone()), "replica {at}");
+        registry.wait("a new reader has the list", || fresh.poll(address(replica), 0));
+        registry.check(reader.poll(address(replica), 0), "the reader receives no older list");
+        assert_eq!(
+            (fresh.names(), reader.names()),
+            (expected.clone(), expected.clone()),
+            "replica {replica}"
+        );
         assert_eq!(
             fresh.digests[&fresh.version.1], reader.digests[&reader.version.1],
             "the digests of both readers"
@@ -324,31 +328,31 @@
 #[test]
 fn move_to_another_service_is_one_write_for_readers_of_either_and_both() {
     let registry = start(1, &[]);
-    registry.register("stays", Some("old"));
-    registry.register("there", Some("new"));
-    // The server `goes` moves from the service `old` to `new`.
-    let before = registry.register("goes", Some("old"));
+    registry.register("old-0", Some("old"));
+    registry.register("new-0", Some("new"));
+    // The server `moved` moves from the service `old` to `new`.
+    let before = registry.register("moved", Some("old"));
     let readers = ["old", "new", "new,old", "other"].map(|s| registry.start_watch(0, s));
     registry.wait("all watches are open", || registry.metric(0, "roster_watchers") == 4);
-    let index = registry.register("goes", Some("new"));
+    let index = registry.register("moved", Some("new"));
     assert_eq!(index, before + 1, "one write");
     let [old, new, both, other] = readers;
     for (reader, expected) in [(old, "left, removed"), (new, "new"), (both, "new")] {
         let answer = reader.join().expect("the thread does not panic");
-        assert_eq!(endpoints(&answer), BTreeMap::from([("goes".into(), expected.into())]));
+        assert_eq!(endpoints(&answer), BTreeMap::from([("moved".into(), expected.into())]));
         assert_eq!(answer.body["index"], index, "{}", answer.body);
     }
     registry.check(
         !other.is_finished() && registry.metric(0, "roster_watchers") == 1,
         "the watch of another service stays open",
     );
-    registry.register("its", Some("other"));
+    registry.register("other-0", Some("other"));
     assert_eq!(
         endpoints(&other.join().expect("the thread does not panic")),
-        BTreeMap::from([("its".into(), "other".into())])
+        BTreeMap::from([("other-0".into(), "other".into())])
     );
     for (services, expected) in
-        [("old", names(&["stays"])), ("new", names(&["goes", "there"])), ("none", names(&[]))]
+        [("old", names(&["old-0"])), ("new", names(&["moved", "new-0"])), ("none", names(&[]))]
     {
         let mut reader = Reader { services: Some(services), ..Reader::default() };
         assert!(reader.poll(registry.replicas.address(0), 0));
@@ -359,7 +363,7 @@
 #[test]
 fn rolling_upgrade_from_format_2_keeps_full_lists_and_then_enables_services() {
     let registry = start(3, &["--format", "2"]);
-    let address = |at: usize| registry.replicas.address(at);
+    let address = |replica: usize| registry.replicas.address(replica);
     let mut expected = BTreeSet::new();
     let mut register_without_service = |name: String| {
         registry.register(&name, None);
@@ -372,12 +376,13 @@
     registry.wait_converged();
     // In format 2, registrations with a service are rejected, and the services that a reader requests are ignored.
     let body = json!({"address": "127.0.0.1:1", "lease_ms": 0, "service": "a"}).to_string();
-    for at in 0..3 {
-        let answer = registry.replicas.call(at, "PUT", "/v1/servers/with", &body).expect("a response");
+    for replica in 0..3 {
+        let answer =
+            registry.replicas.call(replica, "PUT", "/v1/servers/with-service", &body).expect("a response");
         let error = answer.body["error"].as_str().unwrap_or_default();
         assert!(answer.status == 422 && error.contains("services"), "{} {error}", answer.status);
         for path in ["/v1/watch?services=a", "/v1/list?services=a", "/v1/watch?services=not%20one"] {
-            let answer = get(address(at), path).expect("a response");
+            let answer = get(address(replica), path).expect("a response");
             assert_eq!((answer.status, answer.body.get("services")), (200, None), "{path}");
             assert_eq!(endpoints(&answer).len(), 5, "{path}");
         }
@@ -402,12 +407,12 @@
         registry.wait_converged();
         // Upgraded replicas and others serve the same list with the same digest; the reader verifies the digest of each
         // version.
-        for at in 0..3 {
+        for replica in 0..3 {
             // A replica that has just started rejects reads until it knows how old its list is. The list that it then
             // serves is not older than the one that all have.
             let outdated = reader.outdated;
             registry.wait("the replica serves its list", || {
-                reader.poll(address(at), 0) || reader.outdated > outdated
+                reader.poll(address(replica), 0) || reader.outdated > outdated
             });
             registry.check(
                 reader.outdated == outdated && reader.names() == expected,
@@ -419,14 +424,17 @@
         reader.snapshots == 1,
         &format!("{} snapshots, {} outdated", reader.snapshots, reader.outdated),
     );
-    registry.register("with", Some("a"));
+    registry.register("with-service", Some("a"));
     registry.wait_converged();
-    for at in 0..3 {
-        let mut of_a = Reader::of("a");
-        assert!(of_a.poll(address(at), 0));
-        assert_eq!(of_a.names(), names(&["with"]));
-        assert!(reader.poll(address(at), 0));
-        assert_eq!((reader.endpoints.len(), &reader.endpoints["with"]), (5 + 18 + 1, &"a".to_owned()));
+    for replica in 0..3 {
+        let mut service_a_reader = Reader::of("a");
+        assert!(service_a_reader.poll(address(replica), 0));
+        assert_eq!(service_a_reader.names(), names(&["with-service"]));
+        assert!(reader.poll(address(replica), 0));
+        assert_eq!(
+            (reader.endpoints.len(), &reader.endpoints["with-service"]),
+            (5 + 18 + 1, &"a".to_owned())
+        );
     }
 }
 
--- a/crates/lotusmoor/tests/scale.rs
+++ b/crates/lotusmoor/tests/scale.rs
@@ -1,5 +1,5 @@
-//! `lotusmoor fleet scale` with real processes: its plans, a small run through each event, simulated readers ("hollow"
-//! in plans and results) compared with real sidecars, and a run that is killed.
+//! `lotusmoor fleet scale` with real processes: its plans, a small run through each event, simulated sidecars ("hollow"
+//! in plans and results) compared with real ones, and a run that is killed.
 
 use indicatif::ProgressBar;
 use lotusmoor_fleet::harness::{process_guard, until};
@@ -154,9 +154,9 @@
     assert_eq!(text.lines().collect::<Vec<_>>(), expected.collect::<Vec<_>>());
     let roles = [Role::Leader, Role::Follower, Role::Hollow, Role::Sidecar, Role::Fleet];
     assert_eq!(lines.len(), steps.len() * roles.len());
-    for (at, line) in lines.iter().enumerate() {
-        let (step, role) = (&steps[at / roles.len()], roles[at % roles.len()]);
-        let number = (at / roles.len() % events.len()) as u32 + 1;
+    for (position, line) in lines.iter().enumerate() {
+        let (step, role) = (&steps[position / roles.len()], roles[position % roles.len()]);
+        let number = (position / roles.len() % events.len()) as u32 + 1;
         let services = if step.mode == Mode::Services { 2 } else { 0 };
         assert_eq!((line.sweep, line.mode, line.step, line.role), (Sweep::Events, step.mode, number, role));
         assert_eq!((line.at.hollow, line.at.listed, line.at.services), (200, 40, services));
@@ -175,7 +175,7 @@
         actual.sort_unstable();
         assert_eq!(actual, expected, "{line:?}");
         if role == Role::Fleet && step.event == Some("steady") {
-            // All readers and the real sidecars watch the list; some may be between two watches.
+            // All simulated and real sidecars watch the list; some may be between two watches.
             assert!(line.measured["answers_per_s"] > 0.0 && line.measured["watches"] > 0.0, "{line:?}");
         }
     }
@@ -188,7 +188,7 @@
 }
 
 /// Changes servers, some while the former leader is down, and after each change compares the lists of a simulated
-/// reader and of a real sidecar.
+/// sidecar and of a real one.
 fn check_same_lists(mode: Mode) {
     let plan = small();
     let sizes = plan.sizes()[0];
@@ -203,7 +203,7 @@
         .hollow_calls
         .iter()
         .position(|s| s == services)
-        .expect("a simulated reader with the same services");
+        .expect("a simulated sidecar with the same services");
     let sidecar = &deployment.sidecars[0];
     let reader_list = || serde_json::to_value(deployment.hollow_list(reader).ok()??).ok();
     let index = |list: &Option<Value>| list.as_ref().and_then(|l| l["version"]["index"].as_u64());
@@ -216,7 +216,7 @@
         });
         assert!(
             is_same,
-            "{}, index {min_index} or later: simulated reader {:?}, sidecar {:?}",
+            "{}, index {min_index} or later: simulated sidecar {:?}, real sidecar {:?}",
             mode.name(),
             lists.0,
             lists.1
@@ -234,7 +234,7 @@
     let leader = || deployment.registry.leader();
     assert!(until(|| leader().is_some()));
     let killed = leader().expect("there is a leader");
-    let (mut at, mut versions) = (0, Vec::new());
+    let (mut replica, mut versions) = (0, Vec::new());
     for (turn, server) in servers.iter().cycle().take(9).enumerate() {
         match turn {
             3 => deployment.registry.kill(killed).expect("the replica is killed"),
@@ -246,15 +246,16 @@
             2 => ("DELETE", String::new()),
             _ => ("PUT", deployment.registration(*server, turn + 1).to_string()),
         };
-        let index_of_write =
-            deployment.write(method, &path, &body, &mut at, START_TIMEOUT).expect("the write is accepted");
+        let index_of_write = deployment
+            .write(method, &path, &body, &mut replica, START_TIMEOUT)
+            .expect("the write is accepted");
         let list = wait_same(index_of_write);
         // A removed server is not listed, or not as active.
         let status = list.as_ref().and_then(|l| l["entries"][server_name(*server)]["status"].as_str());
         assert_eq!(status == Some("active"), method == "PUT", "{path}: {status:?}");
         versions.extend(index(&list));
     }
-    // The simulated reader received each version that the sidecar had, once and in order.
+    // The simulated sidecar received each version that the real one had, once and in order.
     let taken = deployment.take_activity().expect("the events are read");
     let received = taken.iter().flat_map(|t| &t.applied).filter(|(r, ..)| *r as usize == reader);
     assert_eq!(received.map(|(_, index, _)| *index).collect::<Vec<_>>(), versions);
@@ -263,12 +264,12 @@
 }
 
 #[test]
-fn simulated_reader_of_the_full_list_has_the_same_list_as_a_sidecar() {
+fn simulated_sidecar_of_the_full_list_has_the_same_list_as_a_real_one() {
     check_same_lists(Mode::Whole);
 }
 
 #[test]
-fn simulated_reader_of_services_has_the_same_list_as_a_sidecar() {
+fn simulated_sidecar_of_services_has_the_same_list_as_a_real_one() {
     check_same_lists(Mode::Services);
 }
 
--- a/crates/lotusmoor/tests/scale_sidecar.rs
+++ b/crates/lotusmoor/tests/scale_sidecar.rs
@@ -1,4 +1,5 @@
-//! `lotusmoor fleet sidecar-scale` with real processes: its lines, a step that fails, and runs that are interrupted.
+//! `lotusmoor fleet sidecar-scale` with real processes: the result lines that it writes, a step that fails, and runs
+//! that are interrupted.
 
 use lotusmoor_fleet::harness::{process_guard, until};
 use lotusmoor_fleet::scale::lines::{Line, Lines, Mode, Role, Sweep};
--- a/crates/lotusmoor/tests/soak.rs
+++ b/crates/lotusmoor/tests/soak.rs
@@ -2,8 +2,9 @@
 
 use lotusmoor_fleet::soak::{Fault, Plan, run_plan};
 
-/// Seeds whose plans together contain rolling restarts, reloads, failing system calls, a silent discovery, drains, long
-/// bodies, hand-overs and operators' calls; in 6005 and 6021 sidecars with passed sockets are killed.
+/// Seeds whose plans together contain rolling restarts, reloads, failing system calls, a discovery server that does
+/// not answer, drains, long bodies, hand-overs and operator commands; in 6005 and 6021 sidecars with passed sockets
+/// are killed.
 const SEEDS: [u64; 6] = [3, 126, 404, 538, 6005, 6021];
 
 #[test]
@@ -39,8 +40,8 @@
         assert_eq!(plan, Plan::draw(seed));
         let text = serde_json::to_string(&plan).expect("the plan is serialized");
         assert_eq!(serde_json::from_str::<Plan>(&text).expect("the plan is parsed"), plan);
-        // At most three groups of three faults, and two operators' calls; with passed sockets, a fault that stops three
-        // sidecars becomes three hand-overs.
+        // At most three groups of three faults, and two operator commands; with passed sockets, a fault that stops
+        // three sidecars becomes three hand-overs.
         let max_windows = if plan.socket_passing { 3 * 3 * 3 + 2 } else { 3 * 3 + 2 };
         assert!((10..=40).contains(&plan.sidecars) && plan.windows.len() <= max_windows);
         let stops_sidecar = |w: &lotusmoor_fleet::soak::FaultWindow| {
--- a/crates/lotusmoor/tests/sweep.rs
+++ b/crates/lotusmoor/tests/sweep.rs
@@ -35,7 +35,8 @@
     run_all(all, |case| run_sidecar_scenario(Some(case), SEED).map(drop).map_err(|e| e.to_string()));
 }
 
-// The first syncs are those that create the database file and bootstrap the registry.
+// The cases begin with the first call of each kind, so they include the first syncs, which create the database file and
+// bootstrap the registry.
 #[test]
 fn replica_keeps_acknowledged_writes_and_recovers_after_a_failed_file_call() {
     let counts = run_replica_scenario(None).unwrap_or_else(|failure| panic!("{failure}"));
--- a/crates/lotusmoor/tests/versions_side_by_side/main.rs
+++ b/crates/lotusmoor/tests/versions_side_by_side/main.rs
@@ -1,4 +1,4 @@
-//! Programs of an earlier commit together with the present ones: two processes of a sidecar that share a socket and a
+//! Programs of an earlier commit together with the current ones: two processes of a sidecar that share a socket and a
 //! folder, and replicas of one registry. `experiments/versions --programs` builds the earlier ones; the environment
 //! variable `EARLIER_BUILD` names their folder.
 
@@ -8,29 +8,29 @@
 mod stage;
 
 use registry::check_registry_with_replicas_of;
-use sidecars::check_commands_to_either_apply_to_both;
+use sidecars::check_command_to_either_process_applies_to_both;
 use stage::Build;
 
 #[test]
 #[ignore = "needs programs of an earlier commit: see docs/fleet.md"]
-fn commands_to_either_of_upgraded_and_earlier_sidecar_apply_to_both() {
-    check_commands_to_either_apply_to_both(Build::Earlier, Build::Present);
+fn command_to_either_process_applies_to_both_after_upgrade() {
+    check_command_to_either_process_applies_to_both(Build::Earlier, Build::Current);
 }
 
 #[test]
 #[ignore = "needs programs of an earlier commit: see docs/fleet.md"]
-fn commands_to_either_of_rolled_back_and_present_sidecar_apply_to_both() {
-    check_commands_to_either_apply_to_both(Build::Present, Build::Earlier);
+fn command_to_either_process_applies_to_both_after_rollback() {
+    check_command_to_either_process_applies_to_both(Build::Current, Build::Earlier);
 }
 
 #[test]
 #[ignore = "needs programs of an earlier commit: see docs/fleet.md"]
-fn registry_of_two_earlier_replicas_and_a_present_one_stays_consistent() {
-    check_registry_with_replicas_of([Build::Earlier, Build::Earlier, Build::Present]);
+fn registry_of_two_earlier_replicas_and_a_current_one_stays_consistent() {
+    check_registry_with_replicas_of([Build::Earlier, Build::Earlier, Build::Current]);
 }
 
 #[test]
 #[ignore = "needs programs of an earlier commit: see docs/fleet.md"]
-fn registry_of_two_present_replicas_and_an_earlier_one_stays_consistent() {
-    check_registry_with_replicas_of([Build::Present, Build::Present, Build::Earlier]);
+fn registry_of_two_current_replicas_and_an_earlier_one_stays_consistent() {
+    check_registry_with_replicas_of([Build::Current, Build::Current, Build::Earlier]);
 }
--- a/crates/lotusmoor/tests/versions_side_by_side/registry.rs
+++ b/crates/lotusmoor/tests/versions_side_by_side/registry.rs
@@ -14,11 +14,11 @@
 
 /// Watches until there is a change after that index. A watch may end early without one: a replica that had no contact
 /// with the others, as for a moment after its start, ends its watches.
-fn watch_change(at: SocketAddr, epoch: &Value, index: u64) -> Answer {
+fn watch_change(address: SocketAddr, epoch: &Value, index: u64) -> Answer {
     let started = Instant::now();
     loop {
         let path = format!("/v1/watch?wait_ms=8000&epoch={epoch}&after={index}");
-        let answer = call(at, "GET", &path, "", RESPONSE_TIMEOUT).expect("a response");
+        let answer = call(address, "GET", &path, "", RESPONSE_TIMEOUT).expect("a response");
         if answer.status != 200 || answer.body["index"] != index || started.elapsed() > RESPONSE_TIMEOUT {
             return answer;
         }
@@ -64,14 +64,15 @@
         mixed.wait("all replicas are voters", |m| {
             m.replicas.status(0).is_some_and(|s| voter_count(&s) == m.builds.len())
         });
-        mixed.sidecars = vec![mixed.start_sidecar(Build::Earlier), mixed.start_sidecar(Build::Present)];
+        mixed.sidecars = vec![mixed.start_sidecar(Build::Earlier), mixed.start_sidecar(Build::Current)];
         mixed
     }
 
     fn start_sidecar(&self, build: Build) -> Sidecar {
         let listener = TcpListener::bind("127.0.0.1:0").expect("a free port");
         let mut config = sidecar_config(listener.local_addr().expect("an address"), &[]);
-        let addresses: Vec<SocketAddr> = (0..self.builds.len()).map(|at| self.replicas.address(at)).collect();
+        let addresses: Vec<SocketAddr> =
+            (0..self.builds.len()).map(|replica| self.replicas.address(replica)).collect();
         let file = self.fixture.folder.path().join(format!("{build:?}.list"));
         // Of the two names of this key, the earlier build knows only `roster`.
         config["roster"] = json!({"addresses": addresses, "file": file});
@@ -85,11 +86,11 @@
     }
 
     /// Registers a server through that replica, which forwards the write if it is not the leader.
-    fn register(&mut self, at: usize, name: &str) {
+    fn register(&mut self, replica: usize, name: &str) {
         let body = json!({"address": "127.0.0.1:9000", "since_ms": 1, "lease_ms": 0}).to_string();
         let path = format!("/v1/servers/{name}");
-        self.wait(&format!("replica {at} accepts {name}"), |m| {
-            m.replicas.call(at, "PUT", &path, &body).is_ok_and(|answer| answer.status == 200)
+        self.wait(&format!("replica {replica} accepts {name}"), |m| {
+            m.replicas.call(replica, "PUT", &path, &body).is_ok_and(|answer| answer.status == 200)
         });
         self.written.insert(name.to_owned());
     }
@@ -98,7 +99,8 @@
     /// version.
     fn check_converged(&self) {
         self.wait("all replicas and sidecars have the same list", |m| {
-            let statuses: Vec<_> = (0..m.builds.len()).filter_map(|at| m.replicas.status(at)).collect();
+            let statuses: Vec<_> =
+                (0..m.builds.len()).filter_map(|replica| m.replicas.status(replica)).collect();
             let version_and_digest =
                 |s: &Value| (s["epoch"].clone(), s["index"].clone(), s["digest"].clone());
             let is_same = statuses.len() == m.builds.len()
@@ -106,14 +108,15 @@
             let version = || format!("version={}/{} ", statuses[0]["epoch"], statuses[0]["index"]);
             is_same && m.sidecars.iter().all(|s| s.command("list").contains(&version()))
         });
-        for at in 0..self.builds.len() {
-            let answer = self.replicas.call(at, "GET", "/v1/list?consistent=true", "").expect("a response");
+        for replica in 0..self.builds.len() {
+            let answer =
+                self.replicas.call(replica, "GET", "/v1/list?consistent=true", "").expect("a response");
             let entries = answer.body["endpoints"].as_array().cloned().unwrap_or_default();
             let names = entries.iter().filter_map(|e| Some(e["name"].as_str()?.to_owned()));
             assert_eq!(
                 names.collect::<BTreeSet<_>>(),
                 self.written,
-                "replica {at}\n{}",
+                "replica {replica}\n{}",
                 self.replicas.logs()
             );
         }
@@ -122,19 +125,19 @@
     /// Checks that a watch at each replica receives a write through another.
     fn check_watches(&mut self) {
         let count = self.builds.len();
-        for at in 0..count {
+        for replica in 0..count {
             self.check_converged();
-            let status = self.replicas.status(at).expect("a status");
-            let (address, epoch) = (self.replicas.address(at), status["epoch"].clone());
+            let status = self.replicas.status(replica).expect("a status");
+            let (address, epoch) = (self.replicas.address(replica), status["epoch"].clone());
             let index = status["index"].as_u64().expect("an index");
             let watch = std::thread::spawn(move || watch_change(address, &epoch, index));
             let name = format!("watched-{}", self.written.len());
-            self.register((at + 1) % count, &name);
+            self.register((replica + 1) % count, &name);
             let answer = watch.join().expect("the thread does not panic");
             let entries = answer.body["endpoints"].as_array().cloned().unwrap_or_default();
             let names: Vec<&str> = entries.iter().filter_map(|e| e["name"].as_str()).collect();
-            assert_eq!((answer.status, names), (200, vec![name.as_str()]), "replica {at}: {answer:?}");
-            assert_eq!(answer.body["snapshot"], false, "replica {at}: {answer:?}");
+            assert_eq!((answer.status, names), (200, vec![name.as_str()]), "replica {replica}: {answer:?}");
+            assert_eq!(answer.body["snapshot"], false, "replica {replica}: {answer:?}");
         }
     }
 
@@ -158,19 +161,21 @@
 
     /// Kills all replicas and starts them again with their data.
     fn restart_all(&self) {
-        (0..self.builds.len()).for_each(|at| self.replicas.kill(at).expect("the replica is killed"));
-        (0..self.builds.len()).for_each(|at| self.replicas.start_replica(at).expect("the replica starts"));
+        (0..self.builds.len())
+            .for_each(|replica| self.replicas.kill(replica).expect("the replica is killed"));
+        (0..self.builds.len())
+            .for_each(|replica| self.replicas.start_replica(replica).expect("the replica starts"));
         self.wait("there is a leader", |m| m.replicas.leader().is_some());
     }
 
     /// Restarts each replica with the other build and its own data.
     fn swap_builds(&mut self) {
-        for at in 0..self.builds.len() {
-            let build = if self.builds[at] == Build::Earlier { Build::Present } else { Build::Earlier };
-            self.builds[at] = build;
-            self.replicas.set_program(at, self.fixture.registry_program(build));
-            self.replicas.kill(at).expect("the replica is killed");
-            self.replicas.start_replica(at).expect("the replica starts");
+        for replica in 0..self.builds.len() {
+            let build = if self.builds[replica] == Build::Earlier { Build::Current } else { Build::Earlier };
+            self.builds[replica] = build;
+            self.replicas.set_program(replica, self.fixture.registry_program(build));
+            self.replicas.kill(replica).expect("the replica is killed");
+            self.replicas.start_replica(replica).expect("the replica starts");
             self.check_converged();
         }
     }
@@ -179,11 +184,11 @@
 /// Checks writes, watches, changes of leader and restarts of a registry with replicas of these builds.
 pub fn check_registry_with_replicas_of(builds: [Build; 3]) {
     let mut mixed = MixedRegistry::start(&builds);
-    for at in 0..builds.len() {
-        mixed.register(at, &format!("first-{at}"));
+    for replica in 0..builds.len() {
+        mixed.register(replica, &format!("first-{replica}"));
     }
     mixed.check_watches();
-    for build in [Build::Earlier, Build::Present, Build::Earlier] {
+    for build in [Build::Earlier, Build::Current, Build::Earlier] {
         mixed.change_leader_to(build);
         mixed.check_watches();
     }
--- a/crates/lotusmoor/tests/versions_side_by_side/sidecars.rs
+++ b/crates/lotusmoor/tests/versions_side_by_side/sidecars.rs
@@ -11,8 +11,8 @@
 const REQUESTS_PER_OBSERVATION: usize = 60;
 
 /// Sends a request over a connection of its own; returns the status and the body.
-fn request(at: SocketAddr, text: &str) -> (u16, String) {
-    let mut stream = TcpStream::connect(at).expect("the connection is established");
+fn request(address: SocketAddr, text: &str) -> (u16, String) {
+    let mut stream = TcpStream::connect(address).expect("the connection is established");
     stream.set_read_timeout(Some(RESPONSE_TIMEOUT)).expect("a read timeout can be set");
     stream.write_all(text.as_bytes()).expect("the request is sent");
     let mut answer = String::new();
@@ -22,11 +22,11 @@
 }
 
 /// Sends a request of the class `look`.
-fn send_look_request(at: SocketAddr) -> (u16, String) {
+fn send_look_request(address: SocketAddr) -> (u16, String) {
     static SENT: AtomicU64 = AtomicU64::new(0);
     let id = SENT.fetch_add(1, Ordering::Relaxed);
     request(
-        at,
+        address,
         &format!(
             "GET /api HTTP/1.1\r\nHost: x\r\nConnection: close\r\nX-Correlation-Id: {id}\r\nX-Service-Class: look\r\n\
              X-Account: acme\r\nX-Time-Left: 19000m\r\n\r\n"
@@ -90,7 +90,7 @@
 
 /// Checks that a command to either of two builds on one socket and one folder applies to both, also once the first is
 /// stopped and a new process of its build has started next to the second.
-pub fn check_commands_to_either_apply_to_both(first: Build, second: Build) {
+pub fn check_command_to_either_process_applies_to_both(first: Build, second: Build) {
     let fixture = BuildFixture::new();
     let listener = TcpListener::bind("127.0.0.1:0").expect("a free port");
     let listen = listener.local_addr().expect("an address");
--- a/crates/lotusmoor/tests/versions_side_by_side/stage.rs
+++ b/crates/lotusmoor/tests/versions_side_by_side/stage.rs
@@ -12,7 +12,7 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Build {
     Earlier,
-    Present,
+    Current,
 }
 
 /// The programs of both builds, and a folder for what they write.
@@ -45,14 +45,14 @@
                 .into_iter()
                 .find(|path| path.is_file())
                 .expect("the earlier sidecar is built"),
-            Build::Present => self.programs.sidecar.clone(),
+            Build::Current => self.programs.sidecar.clone(),
         }
     }
 
     pub fn registry_program(&self, build: Build) -> RegistryProgram {
         let (path, subcommand) = match build {
             Build::Earlier => (self.earlier.join("lotusmoor"), "roster"),
-            Build::Present => (self.programs.lotusmoor.clone(), "registry"),
+            Build::Current => (self.programs.lotusmoor.clone(), "registry"),
         };
         RegistryProgram { path, subcommand: subcommand.to_owned() }
     }
