--- a/crates/fleet/src/capacity/target.rs
+++ b/crates/fleet/src/capacity/demand.rs
@@ -2,7 +2,7 @@
 
 use super::{Mode, Plan, Role};
 
-/// Names of x whose value can be derived from a fleet's size.
+/// Names of the variables (`x` of a slope) whose value can be derived from a fleet's size.
 pub const X_NAMES: [&str; 9] = [
     "watches",
     "connections",
@@ -24,13 +24,13 @@
     pub entries_per_sidecar: f64,
     /// Writes to the endpoint list per second, including configuration changes.
     pub writes_per_s: f64,
-    /// Those of them of which one reader is notified.
+    /// Writes per second of which one sidecar is notified.
     pub updates_per_s: f64,
-    /// Responses that one reader receives per second, including those without an update.
+    /// Responses that one sidecar receives per second, including those without an update.
     pub answers_per_s: f64,
     /// Lease renewals that the leader handles per second.
     pub renewals_per_s: f64,
-    /// Replicas that serve readers.
+    /// Replicas that serve sidecars.
     pub replicas: f64,
     /// Watches per replica.
     pub watches: f64,
@@ -43,7 +43,7 @@
         Self::new(plan, mode, servers, plan.assumptions.replicas.value, 0.0)
     }
 
-    /// The demand while that many replicas serve readers, with additional writes for servers per second.
+    /// The demand while that many replicas serve sidecars, with additional writes for servers per second.
     pub fn new(plan: &Plan, mode: Mode, servers: f64, replicas: f64, extra_writes_per_s: f64) -> Self {
         let (s, a) = (&plan.sizes, &plan.assumptions);
         let growth = servers / s.servers.value;
@@ -57,7 +57,7 @@
             Mode::Services => a.services_called.value / s.services.value,
         };
         let updates_per_s = server_writes_per_s * watched_share + config_writes_per_s * a.config_share.value;
-        // A watch is answered at the next update or after `watch_wait_s`, whichever is first; then the reader pauses.
+        // A watch is answered at the next update or after `watch_wait_s`, whichever is first; then the sidecar pauses.
         // This is the mean duration of a watch if updates are a Poisson process.
         let mean_watch_s = (1.0 - (-updates_per_s * a.watch_wait_s.value).exp()) / updates_per_s;
         Self {
@@ -72,7 +72,7 @@
         }
     }
 
-    /// The value of the x of that name for a role; `None` if it can't be derived.
+    /// The value of the variable named `x` for a role; `None` if it can't be derived.
     pub fn value(&self, role: Role, x: &str) -> Option<f64> {
         let is_replica = matches!(role, Role::Leader | Role::Follower);
         Some(match x {
--- a/crates/fleet/src/capacity/mod.rs
+++ b/crates/fleet/src/capacity/mod.rs
@@ -1,21 +1,21 @@
 //! Capacity planning: fits lines to recorded runs by least squares, and estimates from them what a plan's fleet needs.
 //! The results are published in `docs/CAPACITY.md`.
 
+mod demand;
 mod fit;
 mod page;
 mod plan;
 mod plot;
 mod runs;
 mod tables;
-mod target;
 
+pub use demand::{DAY_S, Demand};
 pub use fit::{Fit, Line, MAX_RELATIVE_ERROR, MIN_STEPS, Point, Prediction, Verdict};
 pub use page::{PageError, rewrite};
 pub use plan::{Assumptions, Budgets, Figure, Mode, Plan, Role, Sizes, Slope, Source};
 pub use plot::{PlotError, plot};
 pub use runs::{Runs, RunsError, Step};
 pub use tables::tables;
-pub use target::{DAY_S, Demand};
 
 use crate::site::FileError;
 use std::path::Path;
@@ -90,10 +90,12 @@
     }
 
     /// Estimates the figure `y` of a role under a demand. The first slope with this mode, role and `y` is the base: its
-    /// line gives the value at its x. Each further slope adds its rise per unit of x times the difference between the
-    /// demanded x and the x that the base's runs had already.
+    /// line gives the value at its x. Each further slope adds `slope * (x - x0)`: `x` is the value of its variable
+    /// under the demand, and `x0` the value that the variable had in the base's runs at the base's x, which the base's
+    /// line accounts for already.
     pub fn estimate(&self, mode: Mode, role: Role, y: &str, demand: &Demand) -> Estimate {
-        // The decision module is measured in one mode only: all that matters to it is how many servers it is given.
+        // The decision module (crate `lotusmoor_balancer`) is measured in one mode only: all that matters to it is how
+        // many servers it is given.
         let contributes =
             |s: &Slope| s.role == role && s.y == y && s.adds && (s.mode == mode || role == Role::Module);
         let mut slopes = self.plan.slopes.iter().zip(&self.fits).filter(|(s, _)| contributes(s));
@@ -111,7 +113,8 @@
         let (mut value, mut used_slopes, mut missing_slopes) =
             (line.at(x), vec![base.name.clone()], Vec::new());
         for (slope, fit) in slopes {
-            // This slope's x as a function of the base's x in the base's runs: what the base line includes already.
+            // The value of this slope's x that the base line already accounts for at the base's x, by a line through
+            // the x values of both slopes in the base's runs.
             let included = self
                 .runs
                 .completed_steps(base)
--- a/crates/fleet/src/capacity/plan.rs
+++ b/crates/fleet/src/capacity/plan.rs
@@ -1,6 +1,6 @@
 //! A capacity plan: sizes, budgets and assumptions, each with its source, and the slopes to fit to recorded runs.
 
-use super::target;
+use super::demand;
 use crate::site::{FileError, read_text};
 use serde::Deserialize;
 use std::path::{Path, PathBuf};
@@ -165,7 +165,7 @@
         renewals_per_lease,
         /// Time after which a watch without changes is answered, s
         watch_wait_s,
-        /// Pause of a reader between a response and its next watch request, s
+        /// Pause of a sidecar between a response and its next watch request, s
         watch_spacing_s,
         /// Complete endpoint lists that a replica serves per second
         whole_lists_per_s,
@@ -185,22 +185,22 @@
         retry_burst,
         /// Timeout of the client at the head of a deep call chain, ms
         deadline_ms,
-        /// Messages per second from a sidecar to the shared state
+        /// Messages per second from a sidecar to the shared state (planned)
         shared_messages_per_s,
-        /// Size of the shared state per service and zone, bytes
+        /// Size of the shared state (planned) per service and zone, bytes
         shared_bytes,
-        /// Size of a configuration release per service, bytes
+        /// Size of a configuration release (planned) per service, bytes
         release_bytes,
     }
 }
 
-/// Which part of the endpoint list readers watch.
+/// Which part of the endpoint list sidecars watch.
 #[derive(Clone, Copy, Debug, Deserialize, PartialEq, Eq, PartialOrd, Ord)]
 #[serde(rename_all = "lowercase")]
 pub enum Mode {
-    /// Every reader watches the complete list.
+    /// Every sidecar watches the complete list.
     Whole,
-    /// Readers watch the servers of the services that they call.
+    /// Sidecars watch the servers of the services that they call.
     Services,
 }
 
@@ -229,14 +229,14 @@
     Hollow,
     /// A real sidecar.
     Sidecar,
-    /// The sidecar's decision module alone, which selects a server for each request.
+    /// The sidecar's decision module (crate `lotusmoor_balancer`) alone, which selects a server for each request.
     Module,
     /// The whole fleet.
     Fleet,
 }
 
 /// A line to fit to recorded runs. Of the slopes with the same mode, role and y, the first gives the base value. Each
-/// other one corrects it for the difference between its x and the value that this x had in the first one's runs.
+/// other one adds `slope * (x - x0)`, where `x0` is the value of its x in the runs of the first.
 #[derive(Clone, Debug, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Slope {
@@ -246,7 +246,7 @@
     pub file: String,
     /// Name of the sweep.
     pub sweep: String,
-    /// Which part of the endpoint list readers watch.
+    /// Which part of the endpoint list sidecars watch.
     pub mode: Mode,
     /// The measured component.
     pub role: Role,
@@ -323,10 +323,10 @@
         }
         for (i, slope) in self.slopes.iter().enumerate() {
             let key = |field: &str| format!("slope {}: {field}", slope.name);
-            if !target::X_NAMES.contains(&slope.x.as_str()) {
+            if !demand::X_NAMES.contains(&slope.x.as_str()) {
                 return invalid(
                     key("x"),
-                    format!("{} is not one of {}", slope.x, target::X_NAMES.join(", ")),
+                    format!("{} is not one of {}", slope.x, demand::X_NAMES.join(", ")),
                 );
             }
             let file = Path::new(&slope.file);
--- a/crates/fleet/src/capacity/runs.rs
+++ b/crates/fleet/src/capacity/runs.rs
@@ -10,7 +10,7 @@
 pub struct Step {
     /// Name of the sweep.
     pub sweep: String,
-    /// Which part of the endpoint list readers watch.
+    /// Which part of the endpoint list sidecars watch.
     pub mode: Mode,
     /// Number of the step.
     pub step: u64,
--- a/crates/fleet/src/capacity/tables/budgets.rs
+++ b/crates/fleet/src/capacity/tables/budgets.rs
@@ -21,7 +21,7 @@
     pub basis: Basis,
     /// The budget, in the measured unit.
     budget: f64,
-    /// The budget if readers watch the services that they call, in the measured unit.
+    /// The budget if sidecars watch the services that they call, in the measured unit.
     budget_by_service: f64,
     /// Factor from the measured unit to the displayed one.
     pub scale: f64,
@@ -162,7 +162,7 @@
             Basis::Demand(|_, d| d.watches),
             b.replica_watches.value,
             1.0,
-            "readers spread over the replicas",
+            "sidecars spread over the replicas",
             REPLICA_PER_ZONE,
         ),
         budgeted(
@@ -171,7 +171,7 @@
             Basis::Demand(|_, d| d.servers / (d.replicas - 1.0)),
             b.replica_watches.value,
             1.0,
-            "readers switch to another replica",
+            "sidecars switch to another replica",
             REPLICA_PER_ZONE,
         ),
     ]
--- a/crates/fleet/src/capacity/tables/deep.rs
+++ b/crates/fleet/src/capacity/tables/call_chain.rs
@@ -14,7 +14,8 @@
     let demand = Demand::steady_state(plan, Mode::Whole, s.servers.value);
     let measured = |mode| capacity.estimate(mode, Role::Sidecar, "added_us_p99", &demand);
     let all_levels = |mode| format_estimate(&measured(mode), 1e-3 * depth);
-    // Levels at which an even split of the timeout leaves an attempt at least what the sidecars below it may add.
+    // Levels at which an even split of the timeout leaves an attempt at least the latency budget of all sidecars
+    // below it.
     let leaves_enough =
         |level: &u32| deadline / attempts.powi(*level as i32) >= added * (depth - f64::from(*level));
     let lowest_level = (1..=depth as u32).take_while(leaves_enough).last();
@@ -84,7 +85,7 @@
         ],
         [
             format!(
-                "time of an attempt at the lowest level, a timeout of {} ms split evenly at each, ms",
+                "time left for an attempt at the lowest level if each level splits a timeout of {} ms evenly over its attempts, ms",
                 number(deadline)
             ),
             number(deadline / attempts.powf(depth)),
@@ -93,14 +94,15 @@
             missing_propagation.into(),
         ],
         [
-            "lowest level at which that split covers what the sidecars below may add".into(),
+            "lowest level at which that split covers the latency budgets of the sidecars below it".into(),
             lowest_level,
             a.deadline_ms.source.name().into(),
             "as above".into(),
             missing_propagation.into(),
         ],
         [
-            "time of the lowest server without reserves for retries, less added latency, ms".into(),
+            "time left for the lowest server if no time is reserved for retries, less added latency, ms"
+                .into(),
             number(deadline - added * depth),
             a.deadline_ms.source.name().into(),
             propagated_today.into(),
--- a/crates/fleet/src/capacity/tables/events.rs
+++ b/crates/fleet/src/capacity/tables/events.rs
@@ -138,7 +138,7 @@
     let heads = [
         "event",
         "mode",
-        "readers",
+        "hollow sidecars",
         "listed",
         "notified p99, ms",
         "notified max, ms",
--- a/crates/fleet/src/capacity/tables/machines.rs
+++ b/crates/fleet/src/capacity/tables/machines.rs
@@ -42,7 +42,7 @@
                 z.machines.to_string(),
                 machine(1, registry),
                 machine(2, "free; planned: shared state"),
-                machine(3, "free; planned: releases, and a spare for a lost machine"),
+                machine(3, "free; planned: configuration releases, and a spare for a lost machine"),
             ]
         })
         .collect();
--- a/crates/fleet/src/capacity/tables/mod.rs
+++ b/crates/fleet/src/capacity/tables/mod.rs
@@ -1,7 +1,7 @@
 //! The tables of a capacity plan, as Markdown.
 
 mod budgets;
-mod deep;
+mod call_chain;
 mod events;
 mod machines;
 mod roles;
@@ -18,7 +18,7 @@
         ("to come", roles::planned(capacity)),
         ("events", events::estimated(capacity)),
         ("played", events::recorded(capacity)),
-        ("deep", deep::call_chain(capacity)),
+        ("deep", call_chain::call_chain(capacity)),
         ("machines", machines::placement(&capacity.plan)),
         ("lost", machines::losses(&capacity.plan)),
         ("breaks", budgets::breaking_points(capacity)),
--- a/crates/fleet/src/capacity/tables/roles.rs
+++ b/crates/fleet/src/capacity/tables/roles.rs
@@ -28,12 +28,12 @@
     add_row(control_plane, "state: entries", &|d| d.entries_per_sidecar, "the list, in memory and in a file");
     add_row(control_plane, "messages: responses per second", &|d| d.answers_per_s, "a watch at one replica");
     add_row(leader, "state: entries", &|d| d.servers, "a replicated log and its snapshots");
-    add_row(leader, "state: watches", &|d| d.watches, "readers spread over the replicas");
+    add_row(leader, "state: watches", &|d| d.watches, "sidecars spread over the replicas");
     add_row(leader, "messages: responses per second", &|d| d.watches * d.answers_per_s, "watches");
     add_row(leader, "messages: renewals per second", &|d| d.renewals_per_s, "leases in the leader's memory");
     add_row(leader, "messages: writes per second", &|d| d.writes_per_s, "a replicated log");
     add_row(follower, "state: entries", &|d| d.servers, "the same log");
-    add_row(follower, "state: watches", &|d| d.watches, "readers spread over the replicas");
+    add_row(follower, "state: watches", &|d| d.watches, "sidecars spread over the replicas");
     add_row(follower, "messages: responses per second", &|d| d.watches * d.answers_per_s, "watches");
     add_row(
         "fan-out tier",
@@ -142,7 +142,7 @@
             "an existing follower with the watches of one zone".into(),
         ],
         [
-            "releases".into(),
+            "configuration releases".into(),
             releases,
             number(release_messages),
             cpu(release_messages, "answers_per_s"),
--- a/crates/fleet/src/experiment/compare.rs
+++ b/crates/fleet/src/experiment/compare.rs
@@ -1,6 +1,6 @@
 //! Paired comparison of two variants over the same seeds.
 
-use super::{Line, measure};
+use super::{RunResult, measure};
 use crate::chance::stream;
 use rand::RngExt;
 use std::collections::BTreeMap;
@@ -8,11 +8,11 @@
 /// How one variant differs from another, over the seeds that both have results for.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Comparison {
-    /// The scenario, and the point of the sweep.
-    pub at: String,
+    /// Label: the scenario and the point of the sweep.
+    pub label: String,
     /// Number of seeds that both have results for.
     pub pairs: usize,
-    /// Median of each.
+    /// Medians of the base and of the other variant.
     pub medians: (f64, f64),
     /// Median of the differences, the other less the base.
     pub difference: f64,
@@ -34,25 +34,26 @@
 }
 
 /// Compares `other` to `base` by a measure, for each scenario and point; `None` for an unknown measure.
-pub fn compare(lines: &[Line], measure_name: &str, base: &str, other: &str) -> Option<Vec<Comparison>> {
+pub fn compare(lines: &[RunResult], measure_name: &str, base: &str, other: &str) -> Option<Vec<Comparison>> {
     let mut values_by_seed: BTreeMap<String, BTreeMap<u64, [Option<f64>; 2]>> = BTreeMap::new();
     for line in lines {
-        let at = format!("{} {}", line.scenario, line.point);
+        let label = format!("{} {}", line.scenario, line.point);
         let value = measure(measure_name, &line.figures)?;
         for (i, name) in [base, other].into_iter().enumerate() {
             if line.variant == name {
-                values_by_seed.entry(at.clone()).or_default().entry(line.seed).or_default()[i] = Some(value);
+                values_by_seed.entry(label.clone()).or_default().entry(line.seed).or_default()[i] =
+                    Some(value);
             }
         }
     }
-    let compared = values_by_seed.into_iter().filter_map(|(at, seeds)| {
+    let compared = values_by_seed.into_iter().filter_map(|(label, seeds)| {
         let pairs: Vec<(f64, f64)> = seeds.into_values().filter_map(|[a, b]| a.zip(b)).collect();
         if pairs.is_empty() {
             return None;
         }
         let differences: Vec<f64> = pairs.iter().map(|(a, b)| b - a).collect();
         Some(Comparison {
-            at: at.trim_end().to_owned(),
+            label: label.trim_end().to_owned(),
             pairs: pairs.len(),
             medians: (
                 median(pairs.iter().map(|p| p.0).collect()),
@@ -83,8 +84,8 @@
     use crate::experiment::Point;
     use crate::model::Figures;
 
-    fn line(variant: &str, seed: u64, score: f64) -> Line {
-        Line {
+    fn line(variant: &str, seed: u64, score: f64) -> RunResult {
+        RunResult {
             experiment: "e".into(),
             commit: "c".into(),
             scenario: "s".into(),
@@ -107,7 +108,7 @@
         lines.push(line("a", 11, 5.0));
         let compared = compare(&lines, "g", "a", "b").expect("g is a measure");
         let c = &compared[0];
-        assert_eq!((compared.len(), c.pairs, c.at.as_str()), (1, 10, "s"));
+        assert_eq!((compared.len(), c.pairs, c.label.as_str()), (1, 10, "s"));
         assert!((c.difference - 0.011).abs() < 1e-9, "{c:?}");
         assert!(c.interval.0 > 0.0099 && c.interval.1 < 0.0121, "{c:?}");
         assert_eq!(compare(&lines, "no_such_measure", "a", "b"), None);
--- a/crates/fleet/src/experiment/mod.rs
+++ b/crates/fleet/src/experiment/mod.rs
@@ -10,7 +10,7 @@
 pub use compare::{Comparison, compare};
 pub use measure::{measure, measures};
 pub use report::{ReportError, report};
-pub use results::{Line, Results, ResultsError};
+pub use results::{Results, ResultsError, RunResult};
 pub(crate) use run::commit;
 pub use run::{ExperimentError, run_experiment};
 
--- a/crates/fleet/src/experiment/report.rs
+++ b/crates/fleet/src/experiment/report.rs
@@ -1,7 +1,7 @@
 //! The report: a self-contained HTML page with SVG plots.
 
 use super::compare::median;
-use super::{Line, measure};
+use super::{RunResult, measure};
 use crate::model::Window;
 use plotters::prelude::*;
 use std::collections::{BTreeMap, BTreeSet};
@@ -28,15 +28,15 @@
     RGBColor(80, 80, 80),
 ];
 
-type OfWindow = fn(&Window) -> f64;
-type OfPoint = fn(&Line) -> Option<f64>;
+type WindowValue = fn(&Window) -> f64;
+type PointValue = fn(&RunResult) -> Option<f64>;
 
 fn share(n: u64, of: u64) -> f64 {
     n as f64 / of.max(1) as f64
 }
 
 /// Plots over the seconds of a run.
-const OVER_TIME: [(&str, OfWindow); 9] = [
+const OVER_TIME: [(&str, WindowValue); 9] = [
     ("Goodput: requests served in time, by the second of their first try", |w| w.in_time as f64),
     ("Share of requests rejected on their last try", |w| share(w.refused, w.requests)),
     ("Attempts for each try", |w| share(w.attempts, w.tries)),
@@ -56,7 +56,7 @@
 type Curve = Vec<(f64, f64)>;
 
 /// Renders the page for these results; its tables show these measures.
-pub fn report(lines: &[Line], measures: &[String]) -> Result<String, ReportError> {
+pub fn report(lines: &[RunResult], measures: &[String]) -> Result<String, ReportError> {
     let first = lines.first().ok_or(ReportError::Empty)?;
     let variants: BTreeSet<&str> = lines.iter().map(|l| l.variant.as_str()).collect();
     let scenarios: BTreeSet<&str> = lines.iter().map(|l| l.scenario.as_str()).collect();
@@ -71,7 +71,7 @@
         escaped(&first.commit)
     );
     for scenario in scenarios {
-        let of: Vec<&Line> = lines.iter().filter(|l| l.scenario == scenario).collect();
+        let of: Vec<&RunResult> = lines.iter().filter(|l| l.scenario == scenario).collect();
         let _ = write!(page, "<h2>{}</h2><p>", escaped(scenario));
         // One legend for all plots, because inside a plot it would cover the curves.
         for (i, variant) in variants.iter().enumerate() {
@@ -87,10 +87,10 @@
             }
         }
         for point in &points {
-            let here: Vec<&Line> = of.iter().copied().filter(|l| l.point == *point).collect();
+            let here: Vec<&RunResult> = of.iter().copied().filter(|l| l.point == *point).collect();
             let _ = write!(page, "<h3>{point}</h3>");
             table(&mut page, &here, &variants, measures);
-            let curves: BTreeMap<&str, Vec<&Line>> = variants
+            let curves: BTreeMap<&str, Vec<&RunResult>> = variants
                 .iter()
                 .map(|v| (*v, here.iter().copied().filter(|l| l.variant == *v).collect()))
                 .collect();
@@ -107,14 +107,14 @@
     Ok(page)
 }
 
-fn table(page: &mut String, lines: &[&Line], variants: &BTreeSet<&str>, measures: &[String]) {
+fn table(page: &mut String, lines: &[&RunResult], variants: &BTreeSet<&str>, measures: &[String]) {
     page.push_str("<table><tr><th>variant</th><th>runs</th>");
     measures.iter().for_each(|m| {
         let _ = write!(page, "<th>{}</th>", escaped(m));
     });
     page.push_str("</tr>");
     for variant in variants {
-        let runs: Vec<&&Line> = lines.iter().filter(|l| l.variant == *variant).collect();
+        let runs: Vec<&&RunResult> = lines.iter().filter(|l| l.variant == *variant).collect();
         let _ = write!(page, "<tr><td>{}</td><td>{}</td>", escaped(variant), runs.len());
         for m in measures {
             let mut values: Vec<f64> = runs.iter().filter_map(|l| measure(m, &l.figures)).collect();
@@ -127,7 +127,7 @@
     page.push_str("</table>");
 }
 
-fn over_time(runs: &[&Line], value: OfWindow) -> Curve {
+fn over_time(runs: &[&RunResult], value: WindowValue) -> Curve {
     let seconds = runs.iter().map(|l| l.figures.windows.len()).max().unwrap_or(0);
     let at = |s: usize| {
         let here = runs.iter().filter_map(|l| l.figures.windows.get(s)).filter(|w| w.requests > 0).map(value);
@@ -137,8 +137,8 @@
     (0..seconds).filter_map(at).collect()
 }
 
-fn over_scale(page: &mut String, lines: &[&Line], variants: &BTreeSet<&str>) -> Result<(), ReportError> {
-    let axes: [(&str, OfPoint); 3] = [
+fn over_scale(page: &mut String, lines: &[&RunResult], variants: &BTreeSet<&str>) -> Result<(), ReportError> {
+    let axes: [(&str, PointValue); 3] = [
         ("load", |l| l.point.load),
         ("sidecars", |l| l.point.sidecars.map(|n| n as f64)),
         ("servers", |l| l.point.servers.map(|n| n as f64)),
@@ -211,7 +211,7 @@
 
     #[test]
     fn page_is_self_contained_with_table_and_plots() {
-        let line = |seed, load, variant: &str| Line {
+        let line = |seed, load, variant: &str| RunResult {
             experiment: "a <b>".into(),
             commit: "c".into(),
             scenario: "s".into(),
--- a/crates/fleet/src/experiment/results.rs
+++ b/crates/fleet/src/experiment/results.rs
@@ -10,7 +10,7 @@
 
 /// The result of one run.
 #[derive(Clone, Debug, Deserialize, Serialize, PartialEq)]
-pub struct Line {
+pub struct RunResult {
     /// The experiment.
     pub experiment: String,
     /// The commit of the sources, followed by `+` if files differed from it.
@@ -27,7 +27,7 @@
     pub figures: Figures,
 }
 
-impl Line {
+impl RunResult {
     /// Whether both are results of the same run: experiment, scenario, variant, point and seed.
     pub fn is_same_run(&self, other: &Self) -> bool {
         let key = |l: &Self| (l.experiment.clone(), l.scenario.clone(), l.variant.clone(), l.seed);
@@ -75,14 +75,14 @@
     path: PathBuf,
     file: File,
     /// The results that it contained when it was opened.
-    pub lines: Vec<Line>,
+    pub lines: Vec<RunResult>,
     /// Whether an incomplete last line was removed.
     pub torn: bool,
 }
 
 impl Results {
     /// Reads a result file; returns the results, and whether an incomplete last line was skipped.
-    pub fn read(path: &Path) -> Result<(Vec<Line>, bool), ResultsError> {
+    pub fn read(path: &Path) -> Result<(Vec<RunResult>, bool), ResultsError> {
         let text =
             std::fs::read(path).map_err(|source| ResultsError::Io { path: path.to_owned(), source })?;
         let (complete, partial) = match text.iter().rposition(|b| *b == b'\n') {
@@ -128,7 +128,7 @@
     }
 
     /// Appends a result in a single write, so that after an interruption only the last line can be incomplete.
-    pub fn add(&mut self, line: &Line) -> Result<(), ResultsError> {
+    pub fn add(&mut self, line: &RunResult) -> Result<(), ResultsError> {
         let io = |source| ResultsError::Io { path: self.path.clone(), source };
         let mut text = serde_json::to_vec(line).map_err(|e| io(e.into()))?;
         text.push(b'\n');
@@ -140,8 +140,8 @@
 mod tests {
     use super::*;
 
-    fn line(seed: u64) -> Line {
-        Line {
+    fn line(seed: u64) -> RunResult {
+        RunResult {
             experiment: "e".into(),
             commit: "abc".into(),
             scenario: "s".into(),
--- a/crates/fleet/src/experiment/run.rs
+++ b/crates/fleet/src/experiment/run.rs
@@ -1,6 +1,6 @@
 //! Executes the runs of an experiment that have no result yet, several at a time.
 
-use super::results::{Line, Results, ResultsError};
+use super::results::{Results, ResultsError, RunResult};
 use super::{Loaded, Point};
 use crate::model::{Policy, Run, RunError, World};
 use crate::scenario::{RegistryOptions, Scenario};
@@ -54,7 +54,7 @@
             }
         }
     }
-    let line = |task: &Task, figures| Line {
+    let line = |task: &Task, figures| RunResult {
         experiment: experiment.name.clone(),
         commit: commit.clone(),
         scenario: task.scenario.name.clone(),
--- a/crates/fleet/src/load/mod.rs
+++ b/crates/fleet/src/load/mod.rs
@@ -207,7 +207,7 @@
     pub server_bytes: f64,
 }
 
-/// Measures the memory of idle connections to each of both, after one request on each connection.
+/// Measures the memory of idle connections to the sidecar and to the backend, after one request on each connection.
 pub fn measure_connection_memory(testbed: &SidecarBench, connections: usize) -> io::Result<ConnectionMemory> {
     let bytes_per_connection = |process: &Process, address: SocketAddr, path: &str| -> io::Result<f64> {
         let before = resident_kb(process.id());
--- a/crates/fleet/src/load/open_loop.rs
+++ b/crates/fleet/src/load/open_loop.rs
@@ -33,8 +33,8 @@
     pub not_served: u64,
 }
 
-/// The number of threads, which bounds the requests in flight: enough for those that wait at the lowest rate worth
-/// measuring.
+/// The number of threads, which bounds the requests in flight: enough for the requests that wait for a response at the
+/// lowest rate worth measuring. 96 sustain 1,000 requests/s up to a mean latency of 96 ms.
 const THREADS: usize = 96;
 /// How long before the scheduled time a thread stops sleeping and starts to spin.
 const SPIN_TIME: Duration = Duration::from_micros(120);
--- a/crates/fleet/src/model/decider.rs
+++ b/crates/fleet/src/model/decider.rs
@@ -1,13 +1,13 @@
 //! The policy that decides in a sidecar: the balancer, or a baseline with the same events and actions.
 
 mod adapter;
-mod plain;
+mod baseline;
 
 pub use adapter::AdapterError;
 use adapter::{Adapter, Instance};
 
 use super::link::Links;
-use super::server::{Machine, OverloadLimit, Server};
+use super::server::{MachineState, OverloadLimit, Server};
 use crate::Micros;
 use lotusmoor_balancer::{Action, Balancer, EndpointId, Event, Outcome, Settings, SettingsError};
 use std::path::PathBuf;
@@ -18,9 +18,9 @@
 /// The load-balancing policy of the sidecars.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Hash)]
 pub enum Policy {
-    /// The project's balancer.
+    /// The project's balancer, [`lotusmoor_balancer::Balancer`].
     #[default]
-    Module,
+    Balancer,
     /// The balancer without circuit breakers: failures that would open a circuit are hidden from it.
     NoBreakers,
     /// Round robin over the listed servers, with retries on other servers.
@@ -29,19 +29,21 @@
     LeastInFlight,
     /// An idealised policy that sees the current state of all servers and links.
     TrueState,
-    /// A program that speaks the operators' simulator protocol, such as an earlier version of the project.
+    /// A program that speaks the simulator protocol, such as an earlier version of the project. The operators (the
+    /// company that runs the sidecars) have a simulator of their own, which talks to the balancer in this protocol
+    /// through the crate `lotusmoor_simulator_adapter`.
     Adapter(PathBuf),
 }
 
 impl Policy {
     /// The built-in policies.
     pub const ALL: [Self; 5] =
-        [Self::Module, Self::NoBreakers, Self::RoundRobin, Self::LeastInFlight, Self::TrueState];
+        [Self::Balancer, Self::NoBreakers, Self::RoundRobin, Self::LeastInFlight, Self::TrueState];
 
     /// Its name in files and reports.
     pub fn name(&self) -> String {
         match self {
-            Self::Module => "module".into(),
+            Self::Balancer => "module".into(),
             Self::NoBreakers => "no_breakers".into(),
             Self::RoundRobin => "round_robin".into(),
             Self::LeastInFlight => "least_in_flight".into(),
@@ -113,15 +115,15 @@
             }
             Self::Builtin(Policy::NoBreakers) => Box::new(NoBreakers(Balancer::new(settings, seed)?)),
             Self::Builtin(Policy::RoundRobin) => {
-                Box::new(plain::Baseline::new(settings, plain::Selection::RoundRobin, seed))
+                Box::new(baseline::Baseline::new(settings, baseline::Selection::RoundRobin, seed))
             }
             Self::Builtin(Policy::LeastInFlight) => {
-                Box::new(plain::Baseline::new(settings, plain::Selection::LeastInFlight, seed))
+                Box::new(baseline::Baseline::new(settings, baseline::Selection::LeastInFlight, seed))
             }
             Self::Builtin(Policy::TrueState) => {
-                Box::new(plain::Baseline::new(settings, plain::Selection::TrueState, seed))
+                Box::new(baseline::Baseline::new(settings, baseline::Selection::TrueState, seed))
             }
-            Self::Builtin(_) => Box::new(Module(Balancer::new(settings, seed)?)),
+            Self::Builtin(_) => Box::new(BalancerDecider(Balancer::new(settings, seed)?)),
         })
     }
 }
@@ -143,7 +145,7 @@
     /// complete it or must not be sent it.
     pub fn expected_completion(&self, now: Micros, server: EndpointId, work: f64) -> Option<f64> {
         let s = &self.servers[server];
-        let usable = s.machine == Machine::Up && s.draining.is_none() && s.error_share < 0.2;
+        let usable = s.machine == MachineState::Up && s.draining.is_none() && s.error_share < 0.2;
         if !usable
             || !self.links.bidirectional(self.zone, s.spec.zone)
             || s.overload_headroom(now, self.overload_limit) < work
@@ -162,10 +164,10 @@
     fn handle(&mut self, now: Micros, event: Event, view: &TrueView, out: &mut Vec<Action>);
 }
 
-/// The project's balancer.
-struct Module(Balancer);
+/// The project's balancer as a decider.
+struct BalancerDecider(Balancer);
 
-impl Decider for Module {
+impl Decider for BalancerDecider {
     fn handle(&mut self, now: Micros, event: Event, _: &TrueView, out: &mut Vec<Action>) {
         self.0.handle(now, event, out);
     }
--- a/crates/fleet/src/model/discovery.rs
+++ b/crates/fleet/src/model/discovery.rs
@@ -89,7 +89,7 @@
 
     /// Handles a fetch; returns when it is answered, or when it has failed. A fetch whose caller has timed out still
     /// takes its processing time, because the service does not notice that.
-    pub fn call(&mut self, now: Micros, takes: Micros, timeout: Micros) -> Result<Micros, Micros> {
+    pub fn fetch(&mut self, now: Micros, takes: Micros, timeout: Micros) -> Result<Micros, Micros> {
         if self.down {
             return Err(now + timeout);
         }
--- a/crates/fleet/src/model/discovery/tests.rs
+++ b/crates/fleet/src/model/discovery/tests.rs
@@ -5,7 +5,7 @@
 #[test]
 fn answers_only_the_fetches_that_start_within_the_timeout() {
     let mut discovery = Discovery::default();
-    let calls: Vec<_> = (0..100).map(|_| discovery.call(0, 50_000, 2_000_000)).collect();
+    let calls: Vec<_> = (0..100).map(|_| discovery.fetch(0, 50_000, 2_000_000)).collect();
     assert_eq!(calls.iter().filter(|c| c.is_ok()).count(), 41);
     assert_eq!((calls[0], calls[99]), (Ok(50_000), Err(2_000_000)));
 }
--- a/crates/fleet/src/model/measure.rs
+++ b/crates/fleet/src/model/measure.rs
@@ -1,6 +1,6 @@
 //! Metrics of a run.
 
-use super::world::{GoalSpec, PriceSpec};
+use super::world::{PriceSpec, ScoreWeights};
 use crate::{Micros, SECOND};
 use hdrhistogram::Histogram;
 use serde::{Deserialize, Serialize};
@@ -36,7 +36,8 @@
     /// Worth of the requests.
     pub worth: f64,
     /// Worth earned by responses: in full in time, in part when late.
-    pub served: f64,
+    #[serde(rename = "served")]
+    pub worth_earned: f64,
     /// Clients' tries in this second.
     pub tries: u64,
     /// Rejections in this second.
@@ -189,7 +190,7 @@
     /// Health checks sent.
     pub probes: u64,
     /// List entries sent to sidecars.
-    pub list_lines: u64,
+    pub list_entries: u64,
     /// Polls for the list at the registry.
     pub list_polls: u64,
     /// Polls that the registry rejected with a retry time.
@@ -227,7 +228,7 @@
             work: (0.0, 0.0),
             overload_crashes: 0,
             probes: 0,
-            list_lines: 0,
+            list_entries: 0,
             list_polls: 0,
             throttled_polls: 0,
             withheld_lists: 0,
@@ -278,13 +279,13 @@
         match outcome {
             RequestOutcome::InTime => {
                 window.in_time += 1;
-                window.served += worth.full;
+                window.worth_earned += worth.full;
                 self.in_time[class] += 1;
                 self.add_worth(worth, |totals| totals.1 += worth.full);
             }
             RequestOutcome::Late => {
                 window.late += 1;
-                window.served += worth.late;
+                window.worth_earned += worth.late;
                 self.add_worth(worth, |totals| totals.1 += worth.late);
             }
             RequestOutcome::Rejected => window.refused += 1,
@@ -317,7 +318,7 @@
     pub fn figures(
         mut self,
         length: Micros,
-        goal: GoalSpec,
+        weights: ScoreWeights,
         prices: PriceSpec,
         servers: usize,
         done: f64,
@@ -331,7 +332,7 @@
             &self.windows[1.min(self.windows.len())..((length / SECOND) as usize).min(self.windows.len())];
         let share = |selected: &[Window]| {
             let worth: f64 = selected.iter().map(|w| w.worth).sum();
-            if worth > 0.0 { selected.iter().map(|w| w.served).sum::<f64>() / worth } else { 1.0 }
+            if worth > 0.0 { selected.iter().map(|w| w.worth_earned).sum::<f64>() / worth } else { 1.0 }
         };
         let whole_run = share(measured);
         let worst_window = measured.windows(10.min(measured.len().max(1))).map(share).fold(1.0, f64::min);
@@ -369,14 +370,14 @@
             self.probes as f64 / requests,
             sum(&|w| w.handshakes) / requests,
             open_connections / (100.0 * servers as f64),
-            self.list_lines as f64 / (100.0 * requests),
+            self.list_entries as f64 / (100.0 * requests),
         ];
-        let prices: f64 = prices.each.iter().zip(charged).map(|(price, share)| price * share).sum();
+        let prices: f64 = prices.per_unit.iter().zip(charged).map(|(price, share)| price * share).sum();
         Figures {
-            score: goal.whole_run * whole_run
-                + goal.worst_window * worst_window
-                + goal.worst_class * worst_class
-                + goal.worst_tenant * worst_tenant
+            score: weights.whole_run * whole_run
+                + weights.worst_window * worst_window
+                + weights.worst_class * worst_class
+                + weights.worst_tenant * worst_tenant
                 - prices,
             whole_run,
             worst_window,
--- a/crates/fleet/src/model/run/attempts.rs
+++ b/crates/fleet/src/model/run/attempts.rs
@@ -76,18 +76,18 @@
             s.in_transit += work;
             return self.events.schedule(now + path, SimEvent::AttemptArrived(number));
         }
-        if s.machine == Machine::Unresponsive || !self.world.links.bidirectional(zone, to) {
+        if s.machine == MachineState::Unresponsive || !self.world.links.bidirectional(zone, to) {
             let failed = self.round_up(now + self.world.dial_timeout);
             return self.events.schedule(failed, SimEvent::AttemptEnded(number, Outcome::ConnectFailed));
         }
         let (share, late) = self.late_connects;
         let late = if chance::unit(random_key ^ 0x1a7e) < share { late } else { 0 };
-        if late >= self.world.dial_timeout && s.machine == Machine::Up {
+        if late >= self.world.dial_timeout && s.machine == MachineState::Up {
             let failed = self.round_up(now + self.world.dial_timeout);
             return self.events.schedule(failed, SimEvent::AttemptEnded(number, Outcome::ConnectFailed));
         }
         let streams = self.world.streams;
-        if s.machine == Machine::Down || s.connections >= s.spec.connections * streams {
+        if s.machine == MachineState::Down || s.connections >= s.spec.connections * streams {
             let refused = self.round_up(now + 2 * path);
             return self.events.schedule(refused, SimEvent::AttemptEnded(number, Outcome::ConnectFailed));
         }
@@ -194,11 +194,11 @@
         }
         let s = &mut self.servers[server as usize];
         match s.machine {
-            Machine::Unresponsive => return,
+            MachineState::Unresponsive => return,
             // A connection to a process that has ended is reset.
-            Machine::Down => return self.reply(now, id, reset(reused)),
-            Machine::Up if !same_incarnation => return self.reply(now, id, reset(reused)),
-            Machine::Up => {}
+            MachineState::Down => return self.reply(now, id, reset(reused)),
+            MachineState::Up if !same_incarnation => return self.reply(now, id, reset(reused)),
+            MachineState::Up => {}
         }
         let t = &self.tries[try_id as usize];
         if s.rejected_class == Some(self.requests[t.request as usize].class) {
@@ -254,7 +254,7 @@
         for id in done {
             let random_key = chance::mix(self.world.seed ^ 0xe770 ^ u64::from(id));
             let s = &self.servers[server as usize];
-            if s.machine == Machine::Unresponsive {
+            if s.machine == MachineState::Unresponsive {
                 continue;
             }
             let class =
@@ -349,7 +349,7 @@
     pub(super) fn release_connection(&mut self, id: u32) {
         let a = &mut self.attempts[id as usize];
         let s = &mut self.servers[a.server as usize];
-        let still_open = s.incarnation == a.incarnation && s.machine != Machine::Down;
+        let still_open = s.incarnation == a.incarnation && s.machine != MachineState::Down;
         if std::mem::take(&mut a.connected) && still_open {
             s.connections = s.connections.saturating_sub(1);
         }
--- a/crates/fleet/src/model/run/clients.rs
+++ b/crates/fleet/src/model/run/clients.rs
@@ -53,7 +53,7 @@
             *requests += 1.0;
             *requests <= world.tenants[t].quota_per_s
         });
-        let worth_share = if within_quota { 1.0 } else { world.over_share_worth };
+        let worth_share = if within_quota { 1.0 } else { world.over_quota_worth };
         let full = spec.worth * worth_share * if world.worth_by_work { work / spec.work } else { 1.0 };
         let tenant = tenant.map(|t| t as u8);
         let worth = Worth {
@@ -89,7 +89,7 @@
         let class = &self.world.classes[usize::from(r.class)];
         r.tries += 1;
         self.metrics.window(now).tries += 1;
-        let due = (now + (class.deadline as f64 * self.world.clients.try_share) as Micros)
+        let due = (now + (class.deadline as f64 * self.world.clients.try_timeout_share) as Micros)
             .min(r.first_try_at + class.deadline);
         let sidecar = r.sidecar as usize;
         let process = self.sidecars[sidecar].process.filter(|p| !self.processes[*p as usize].stopping);
--- a/crates/fleet/src/model/run/faults.rs
+++ b/crates/fleet/src/model/run/faults.rs
@@ -20,7 +20,7 @@
 
     pub(super) fn end_server(&mut self, now: Micros, server: usize) {
         let lost = self.servers[server].reset_all(now);
-        self.servers[server].machine = Machine::Down;
+        self.servers[server].machine = MachineState::Down;
         for id in lost {
             let reused = self.attempts[id as usize].reused;
             self.reply(now, id, reset(reused));
@@ -54,26 +54,26 @@
     pub(super) fn apply_planned(&mut self, now: Micros, event: PlannedEvent) -> Result<(), SettingsError> {
         let d = self.world.discovery.clone();
         match event {
-            PlannedEvent::Drain(s) if self.servers[s].machine == Machine::Up => {
+            PlannedEvent::Drain(s) if self.servers[s].machine == MachineState::Up => {
                 self.servers[s].draining = Some(now);
-                self.schedule_discovery_update(now, s, EndpointStatus::Draining, d.notice);
+                self.schedule_discovery_update(now, s, EndpointStatus::Draining, d.end_detection_delay);
             }
-            PlannedEvent::Stop(s) if self.servers[s].machine != Machine::Down => {
+            PlannedEvent::Stop(s) if self.servers[s].machine != MachineState::Down => {
                 self.end_server(now, s);
-                self.schedule_discovery_update(now, s, EndpointStatus::Removed, d.notice);
+                self.schedule_discovery_update(now, s, EndpointStatus::Removed, d.end_detection_delay);
             }
             PlannedEvent::Start(s) if !self.servers[s].crashed_by_overload => {
-                if self.servers[s].machine == Machine::Unresponsive {
+                if self.servers[s].machine == MachineState::Unresponsive {
                     self.servers[s].reset_all(now);
                 }
                 self.servers[s].start(now);
                 self.start_versions[s] = usize::MAX;
-                self.schedule_discovery_update(now, s, EndpointStatus::Ready, d.add);
+                self.schedule_discovery_update(now, s, EndpointStatus::Ready, d.start_detection_delay);
             }
-            PlannedEvent::Unresponsive(s) if self.servers[s].machine == Machine::Up => {
+            PlannedEvent::Unresponsive(s) if self.servers[s].machine == MachineState::Up => {
                 self.servers[s].advance(now);
-                self.servers[s].machine = Machine::Unresponsive;
-                self.schedule_discovery_update(now, s, EndpointStatus::Removed, d.silent_notice);
+                self.servers[s].machine = MachineState::Unresponsive;
+                self.schedule_discovery_update(now, s, EndpointStatus::Removed, d.failure_detection_delay);
             }
             PlannedEvent::Pause(s, begin) => {
                 self.servers[s].pause(now, begin);
--- a/crates/fleet/src/model/run/list.rs
+++ b/crates/fleet/src/model/run/list.rs
@@ -65,7 +65,7 @@
             let list: Vec<EndpointEntry> =
                 changes.iter().map(|c| self.endpoint_entry(c.server, c.entry)).collect();
             changes.iter().for_each(|c| self.metrics.record_staleness(now, now - c.since));
-            self.metrics.list_lines += list.len() as u64;
+            self.metrics.list_entries += list.len() as u64;
             self.sidecars[sidecar as usize].known_version = self.discovery.version();
             self.record_unavailable(now, process, &list);
             self.dispatch(now, process, Event::EndpointList(EndpointListUpdate::Delta(list)));
@@ -87,7 +87,7 @@
     pub(super) fn fetch_list(&mut self, now: Micros, process: u32) {
         if self.processes[process as usize].decider.is_some() {
             let d = &self.world.discovery;
-            let answered = self.discovery.call(now, d.call, d.call_timeout);
+            let answered = self.discovery.fetch(now, d.fetch_time, d.fetch_timeout);
             let (at, succeeded) = answered.map_or_else(|at| (at, false), |at| (at, true));
             self.events.schedule(self.round_up(at), SimEvent::FetchEnded(process, succeeded));
         }
@@ -110,7 +110,7 @@
         self.processes[process as usize].watching = true;
         self.sidecars[sidecar as usize].known_version = version;
         let list = self.list_at(version);
-        self.metrics.list_lines += list.len() as u64;
+        self.metrics.list_entries += list.len() as u64;
         self.record_unavailable(now, process, &list);
         self.dispatch(now, process, Event::EndpointList(EndpointListUpdate::Full(list)));
     }
--- a/crates/fleet/src/model/run/mod.rs
+++ b/crates/fleet/src/model/run/mod.rs
@@ -12,7 +12,7 @@
 use super::event_queue::{EventQueue, round_up_to_tick};
 use super::measure::{Figures, MetricsRecorder, RequestOutcome, Worth};
 use super::rules::{self, SendCheck, Sent, Violations};
-use super::server::{Arrival, Arriving, Machine, Server};
+use super::server::{Arrival, Arriving, MachineState, Server};
 use super::world::{PlannedEvent, World};
 use crate::chance::{self, stream};
 use crate::{Micros, SECOND};
@@ -313,7 +313,7 @@
     /// Measures the wall-clock time that decisions take from now on. Simulated time and results are not affected.
     pub fn time_decisions(&mut self) -> DecisionTime {
         let decision_time = DecisionTime::default();
-        let factory = std::mem::replace(&mut self.factory, DeciderFactory::Builtin(Policy::Module));
+        let factory = std::mem::replace(&mut self.factory, DeciderFactory::Builtin(Policy::Balancer));
         self.factory = DeciderFactory::Timed(Box::new(factory), decision_time.clone());
         decision_time
     }
@@ -351,7 +351,7 @@
         }
         let world = &self.world;
         let mut figures =
-            self.metrics.figures(world.length, world.goal, world.prices, self.servers.len(), done);
+            self.metrics.figures(world.length, world.score_weights, world.prices, self.servers.len(), done);
         figures.violations = self.violations.0.into_iter().map(|(rule, n)| (rule.to_owned(), n)).collect();
         (figures.events, figures.digest) = (self.events.processed(), self.events.digest());
         Ok(figures)
--- a/crates/fleet/src/model/run/registry.rs
+++ b/crates/fleet/src/model/run/registry.rs
@@ -225,7 +225,7 @@
 
     fn renew(&mut self, now: Micros, server: u32) {
         let s = &self.servers[server as usize];
-        let alive = s.machine == Machine::Up;
+        let alive = s.machine == MachineState::Up;
         let Some(registry) = &mut self.registry else { return };
         if alive && registry.leads(now) && !registry.leases_stale {
             let listed = s.started.is_none_or(|at| now > at + 2 * SECOND);
@@ -395,7 +395,7 @@
         let pending = &mut registry.polls[poll as usize];
         let replica = &mut registry.replicas[pending.replica];
         let lines = reply.as_ref().map_or(0, |u| u.endpoints.len());
-        let cost = registry.spec.answer + (registry.spec.line * lines as f64) as Micros;
+        let cost = registry.spec.response_time + (registry.spec.time_per_entry * lines as f64) as Micros;
         replica.busy_until = replica.busy_until.max(now) + cost;
         let (from, ready_at) = (replica.zone, replica.busy_until);
         pending.reply = reply;
@@ -459,7 +459,7 @@
         let Some(registry) = &self.registry else { return };
         let known = match self.sidecars[sidecar].starts {
             1 => EndpointList::default().updated(&registry.list.update(None), None),
-            _ => self.sidecars[sidecar].saved_list.clone().filter(|_| registry.spec.file),
+            _ => self.sidecars[sidecar].saved_list.clone().filter(|_| registry.spec.saves_list),
         };
         if self.sidecars[sidecar].starts == 1 {
             self.sidecars[sidecar].saved_list = known.clone();
@@ -560,7 +560,7 @@
         let cached = p.registry_watch.as_mut().is_some_and(|r| !std::mem::replace(&mut r.has_list, true));
         if !cached {
             let before = self.sidecars[sidecar].known_version as u64;
-            self.metrics.list_lines += list.len() as u64;
+            self.metrics.list_entries += list.len() as u64;
             if let Some(registry) = &mut self.registry {
                 let first = registry.acknowledged.partition_point(|a| a.index <= before);
                 for a in &mut registry.acknowledged[first..] {
--- a/crates/fleet/src/model/run/sidecars.rs
+++ b/crates/fleet/src/model/run/sidecars.rs
@@ -44,7 +44,7 @@
     pub(super) fn cpu_limit_exceeded(&self, now: Micros, sidecar: u32) -> bool {
         let p = &self.sidecars[sidecar as usize].processor;
         p.current_second == now / SECOND
-            && self.world.processor.is_some_and(|spec| p.used_in_second > spec.most_per_s)
+            && self.world.processor.is_some_and(|spec| p.used_in_second > spec.limit_us_per_s)
     }
 
     pub(super) fn start_process(
@@ -242,11 +242,13 @@
         let took = path + ((queueing + work) / core).min(1e12) as Micros;
         let at_capacity = f64::from(s.probes) >= (self.world.probe_cap * s.spec.cores).max(1.0);
         let (took, outcome) = match s.machine {
-            Machine::Down => (path, Outcome::ConnectFailed),
-            Machine::Up if at_capacity && self.world.links.bidirectional(zone, to) => {
+            MachineState::Down => (path, Outcome::ConnectFailed),
+            MachineState::Up if at_capacity && self.world.links.bidirectional(zone, to) => {
                 (path, Outcome::Rejected)
             }
-            Machine::Up if took <= timeout && self.world.links.bidirectional(zone, to) => (took, Outcome::Ok),
+            MachineState::Up if took <= timeout && self.world.links.bidirectional(zone, to) => {
+                (took, Outcome::Ok)
+            }
             _ => (timeout, Outcome::TimedOut),
         };
         if matches!(outcome, Outcome::Ok | Outcome::TimedOut) {
--- a/crates/fleet/src/model/server.rs
+++ b/crates/fleet/src/model/server.rs
@@ -7,7 +7,7 @@
 
 /// Whether the server can be reached.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Machine {
+pub enum MachineState {
     /// Not started yet, or stopped: connections are refused.
     Down,
     /// Running.
@@ -78,7 +78,7 @@
     /// Its fixed properties.
     pub spec: ServerSpec,
     /// Whether the server can be reached.
-    pub machine: Machine,
+    pub machine: MachineState,
     /// Number of its starts. Requests and connections to an earlier incarnation are reset.
     pub incarnation: u32,
     /// When its process started; `None` for one that was running before the simulation.
@@ -126,7 +126,7 @@
 impl Server {
     /// A server that has long been running, or one that is yet to start.
     pub fn new(spec: ServerSpec) -> Self {
-        let machine = if spec.starts_later { Machine::Down } else { Machine::Up };
+        let machine = if spec.starts_later { MachineState::Down } else { MachineState::Up };
         Self {
             machine,
             incarnation: 0,
@@ -229,7 +229,7 @@
     }
 
     fn rate(&self, now: Micros) -> f64 {
-        if self.paused > 0 || self.machine == Machine::Down {
+        if self.paused > 0 || self.machine == MachineState::Down {
             return 0.0;
         }
         self.core_speed(now) * (self.spec.cores / self.running.len().max(1) as f64).min(1.0)
@@ -323,7 +323,8 @@
         }
     }
 
-    /// Handles a cancelled attempt. A queued one is removed; a running one only if the machine ends running work.
+    /// Handles a cancelled attempt. A queued one is removed; a running one only if the server
+    /// is configured to cancel running requests (`cancels_running`).
     pub fn cancel(&mut self, now: Micros, attempt: u32) {
         self.advance(now);
         if let Some(at) = self.waiting.iter().position(|j| j.attempt == attempt) {
@@ -352,7 +353,7 @@
     pub fn start(&mut self, now: Micros) {
         self.updated = now;
         (self.machine, self.started, self.draining, self.crashed_by_overload) =
-            (Machine::Up, Some(now), None, false);
+            (MachineState::Up, Some(now), None, false);
         self.incarnation += 1;
         self.done_before_start = self.done;
         self.recent_arrivals.clear();
--- a/crates/fleet/src/model/world.rs
+++ b/crates/fleet/src/model/world.rs
@@ -159,7 +159,7 @@
     /// Time that it takes for each message, in or out, in microseconds.
     pub message: f64,
     /// Processor time in a second above which responses count as late, in microseconds; infinite for no limit.
-    pub most_per_s: f64,
+    pub limit_us_per_s: f64,
 }
 
 /// Load reports.
@@ -179,12 +179,12 @@
 #[derive(Clone, Copy, Debug)]
 pub struct PriceSpec {
     /// For cross-zone attempts, wasted work, late failures, health checks, handshakes, connections, list entries.
-    pub each: [f64; 7],
+    pub per_unit: [f64; 7],
 }
 
 /// Weights of the score's components.
 #[derive(Clone, Copy, Debug)]
-pub struct GoalSpec {
+pub struct ScoreWeights {
     /// The whole run.
     pub whole_run: f64,
     /// The worst 10 s.
@@ -262,7 +262,7 @@
     /// Mean number of retries; a fraction is the probability of one more.
     pub retries: f64,
     /// Timeout of a try, as a share of the deadline.
-    pub try_share: f64,
+    pub try_timeout_share: f64,
     /// Whether the backoff doubles with each retry.
     pub doubling: bool,
     /// Share of clients that honour `Retry-After`.
@@ -280,20 +280,20 @@
 pub struct DiscoverySpec {
     /// Sidecars must fetch the list; changes are not pushed.
     pub on_request: bool,
-    /// Delay from a process's end or drain to the list.
-    pub notice: Range,
-    /// Delay from a machine's failure to the list.
-    pub silent_notice: Range,
-    /// Delay from a start to the list.
-    pub add: Range,
+    /// Delay from a process's end, or the start of its drain, until the list shows it.
+    pub end_detection_delay: Range,
+    /// Delay from a machine's failure until the list shows it.
+    pub failure_detection_delay: Range,
+    /// Delay from a process's start until the list shows it.
+    pub start_detection_delay: Range,
     /// Interval between two published versions.
     pub period: Micros,
     /// Maximum delay from a published version to a sidecar.
     pub spread: Micros,
     /// Time that discovery takes for a fetch.
-    pub call: Micros,
+    pub fetch_time: Micros,
     /// A fetch that waits longer fails.
-    pub call_timeout: Micros,
+    pub fetch_timeout: Micros,
     /// Delay before a failed fetch is retried.
     pub retry: Micros,
 }
@@ -312,11 +312,11 @@
     /// Full lists that a replica sends in a second.
     pub full_lists_per_s: f64,
     /// Time that a replica takes for a response.
-    pub answer: Micros,
+    pub response_time: Micros,
     /// Additional time for each entry of a response, in microseconds.
-    pub line: f64,
+    pub time_per_entry: f64,
     /// Sidecars save their last list over a restart.
-    pub file: bool,
+    pub saves_list: bool,
 }
 
 /// The input of one run.
@@ -373,13 +373,13 @@
     /// How much work a server that is warming up accepts before it crashes.
     pub overload_limit: OverloadLimit,
     /// Weights of the score's components.
-    pub goal: GoalSpec,
+    pub score_weights: ScoreWeights,
     /// Prices.
     pub prices: PriceSpec,
     /// Tenants; most sites have none.
     pub tenants: Vec<TenantSpec>,
     /// Worth of a request beyond its tenant's quota, as a share of its class's worth.
-    pub over_share_worth: f64,
+    pub over_quota_worth: f64,
     /// A request's worth is proportional to its work.
     pub worth_by_work: bool,
     /// Listed weights are sizes divided by the load at the last discovery round.
@@ -404,8 +404,10 @@
         let tier = &site.tier[0];
         let zones = site.net.zones.len();
         let conn = &tier.conn;
-        let (handshake, connection_overhead) =
-            ((conn.handshake_rtts.draw(rng).round(), conn.handshake_us.draw(rng)), conn.full_tax.draw(rng));
+        let (handshake, connection_overhead) = (
+            (conn.handshake_rtts.draw(rng).round(), conn.handshake_us.draw(rng)),
+            conn.connection_overhead.draw(rng),
+        );
         let report = tier.report.as_ref().filter(|r| r.how != "none").map(|r| {
             let period = millis(r.period_ms.draw(rng) + r.delay_ms.draw(rng));
             let reported = |field: &str| r.fields.iter().any(|f| f == field);
@@ -414,8 +416,8 @@
         });
         let cell_size = tier.cell_size.draw(rng).max(1.0);
         let (key_gain, key_retention) =
-            (site.fam.affinity_gain.draw(rng), seconds(site.fam.affinity_s.draw(rng)));
-        let keys_per_core = site.fam.affinity_keys_per_core.draw(rng);
+            (site.key_affinity.affinity_gain.draw(rng), seconds(site.key_affinity.affinity_s.draw(rng)));
+        let keys_per_core = site.key_affinity.affinity_keys_per_core.draw(rng);
 
         let classes = Self::classes(scenario, site, rng);
         let longest_deadline = classes.iter().map(|c| c.deadline).max().unwrap_or(SECOND);
@@ -506,7 +508,7 @@
         let mut world = Self {
             seed,
             length: seconds(scenario.length_s),
-            tick: if scenario.ticked { millis(site.day.tick_ms) } else { 0 },
+            tick: if scenario.ticked { millis(site.run.tick_ms) } else { 0 },
             sidecar_time: scenario.sidecar_us,
             settings: sidecar_settings(site, &classes, &tenants, scenario),
             zones: net.zones.clone(),
@@ -517,7 +519,7 @@
             links,
             clients: ClientSpec {
                 retries: clients.retries.draw(rng),
-                try_share: clients.try_share.draw(rng),
+                try_timeout_share: clients.try_share.draw(rng),
                 doubling: clients.backoff == "exp",
                 honours_retry_after: clients.honour.draw(rng),
                 backoff: clients.backoff_ms.draw(rng) * 1000.0 * scenario.pace,
@@ -526,13 +528,13 @@
             },
             discovery: DiscoverySpec {
                 on_request: d.mode != "push",
-                notice: d.notice_s,
-                silent_notice: d.silent_notice_s,
-                add: d.add_s,
+                end_detection_delay: d.notice_s,
+                failure_detection_delay: d.silent_notice_s,
+                start_detection_delay: d.add_s,
                 period: millis(d.period_ms.draw(rng)).max(1),
                 spread: millis(d.spread_ms.draw(rng)).max(1),
-                call: (SECOND as f64 / scenario.discovery.calls_per_s) as Micros,
-                call_timeout: seconds(scenario.discovery.call_timeout_s),
+                fetch_time: (SECOND as f64 / scenario.discovery.calls_per_s) as Micros,
+                fetch_timeout: seconds(scenario.discovery.call_timeout_s),
                 retry: millis(scenario.discovery.retry_ms).max(1000),
             },
             registry: scenario.registry.as_ref().map(|r| RegistrySpec {
@@ -541,9 +543,9 @@
                 failover_s: r.failover_s,
                 lease_ms: (r.lease_s * 1000.0) as u64,
                 full_lists_per_s: r.whole_lists_per_s,
-                answer: r.answer_us as Micros,
-                line: r.line_us,
-                file: r.file,
+                response_time: r.answer_us as Micros,
+                time_per_entry: r.line_us,
+                saves_list: r.file,
             }),
             key_popularity,
             wave,
@@ -556,11 +558,11 @@
             probe: (tier.probe.work_us.draw(rng), tier.probe.deep, millis(tier.probe.timeout_ms)),
             drain_grace: millis(site.rules.drain_grace_ms),
             overload_limit: OverloadLimit {
-                multiple: site.rules.fall_multiple,
-                window: millis(site.rules.fall_ms),
+                multiple: site.rules.overload_multiple,
+                window: millis(site.rules.overload_window_ms),
                 mean_work,
             },
-            goal: GoalSpec {
+            score_weights: ScoreWeights {
                 whole_run: site.goal.whole,
                 worst_window: site.goal.worst_window,
                 worst_class: site.goal.worst_class,
@@ -568,24 +570,24 @@
             },
             prices: {
                 let p = &site.prices;
-                let each =
+                let per_unit =
                     [p.cross_zone, p.waste, p.late_fail, p.probe, p.handshake, p.connection, p.discovery];
-                PriceSpec { each }
+                PriceSpec { per_unit }
             },
             tenants,
-            over_share_worth: site.load.over_share_worth,
+            over_quota_worth: site.load.over_share_worth,
             worth_by_work: site.load.worth_by == "work",
             live_weights: tier.weights == "live",
             processor: (scenario.message_us > 0.0).then(|| ProcessorSpec {
                 message: scenario.message_us / scenario.sidecar_cores,
                 // The limit applies only with ticks, as in the operators' simulator; real sidecars are limited by
                 // their share of a core.
-                most_per_s: match site.allow.cpu_ms_per_s {
+                limit_us_per_s: match site.allow.cpu_ms_per_s {
                     limit if scenario.ticked && limit > 0.0 => limit * 1000.0,
                     _ => f64::INFINITY,
                 },
             }),
-            max_open_requests: match site.allow.most_held {
+            max_open_requests: match site.allow.max_open_requests {
                 0 => usize::MAX,
                 limit => limit as usize,
             },
@@ -662,12 +664,13 @@
         let mut faults = scenario.fault.clone();
         let mut rng = stream(self.seed, "troubles", 0);
         let known: Vec<_> =
-            site.trouble.iter().filter_map(|t| Some((t, FaultKind::from_trouble(&t.name)?))).collect();
+            site.faults.iter().filter_map(|t| Some((t, FaultKind::from_site_fault(&t.name)?))).collect();
         for _ in 0..if known.is_empty() { 0 } else { scenario.site_troubles } {
-            let (trouble, kind) = known[rng.random_range(0..known.len())];
+            let (site_fault, kind) = known[rng.random_range(0..known.len())];
             let at_s = scenario.length_s * (0.1 + 0.5 * rng.random::<f64>());
-            let size = if trouble.size == Range::default() { Range::new(1.0, 1.0) } else { trouble.size };
-            let (for_s, part, extra) = (trouble.len_s, trouble.part, trouble.extra);
+            let size =
+                if site_fault.size == Range::default() { Range::new(1.0, 1.0) } else { site_fault.size };
+            let (for_s, part, extra) = (site_fault.len_s, site_fault.part, site_fault.extra);
             faults.push(Fault { kind, at_s, for_s, part, size, extra, zone: None });
         }
         for (i, fault) in faults.iter().enumerate() {
@@ -694,7 +697,7 @@
         let servers: Vec<usize> = pick_targets(initial.len()).into_iter().map(|i| initial[i]).collect();
         let sidecars = pick_targets(self.sidecars.len());
         let step = |i: usize, n: usize| at + len * i as Micros / n.max(1) as Micros;
-        use PlannedEvent as H;
+        use PlannedEvent as Event;
         let mut plan = Vec::new();
         match fault.kind {
             FaultKind::Pauses => {
@@ -702,47 +705,49 @@
                 for s in servers {
                     let mut t = at + rng.random_range(0..every);
                     while t < at + len {
-                        plan.extend([(t, H::Pause(s, true)), (t + millis(size), H::Pause(s, false))]);
+                        plan.extend([(t, Event::Pause(s, true)), (t + millis(size), Event::Pause(s, false))]);
                         t += every;
                     }
                 }
             }
-            FaultKind::Vanish => plan
-                .extend(servers.iter().flat_map(|s| [(at, H::Unresponsive(*s)), (at + len, H::Start(*s))])),
-            FaultKind::Crash => {
-                plan.extend(servers.iter().flat_map(|s| [(at, H::Stop(*s)), (at + len, H::Start(*s))]))
-            }
+            FaultKind::MachinesUnresponsive => plan.extend(
+                servers.iter().flat_map(|s| [(at, Event::Unresponsive(*s)), (at + len, Event::Start(*s))]),
+            ),
+            FaultKind::Crash => plan
+                .extend(servers.iter().flat_map(|s| [(at, Event::Stop(*s)), (at + len, Event::Start(*s))])),
             FaultKind::Slow => plan.extend(
-                servers.iter().flat_map(|s| [(at, H::Slow(*s, size)), (at + len, H::Slow(*s, 1.0 / size))]),
+                servers
+                    .iter()
+                    .flat_map(|s| [(at, Event::Slow(*s, size)), (at + len, Event::Slow(*s, 1.0 / size))]),
             ),
             FaultKind::Errors => plan.extend(servers.iter().flat_map(|s| {
                 let normal = self.servers[*s].error_rate;
-                [(at, H::Errors(*s, size)), (at + len, H::Errors(*s, normal))]
+                [(at, Event::Errors(*s, size)), (at + len, Event::Errors(*s, normal))]
             })),
             FaultKind::RejectClass => plan.extend(servers.iter().flat_map(|s| {
                 let class = (extra as usize).min(self.classes.len() - 1) as u8;
-                [(at, H::RejectClass(*s, Some(class))), (at + len, H::RejectClass(*s, None))]
+                [(at, Event::RejectClass(*s, Some(class))), (at + len, Event::RejectClass(*s, None))]
             })),
             FaultKind::ZoneLost => {
                 let lost = initial.iter().filter(|s| self.servers[**s].zone == zone);
-                plan.extend(lost.flat_map(|s| [(at, H::Unresponsive(*s)), (at + len, H::Start(*s))]));
+                plan.extend(lost.flat_map(|s| [(at, Event::Unresponsive(*s)), (at + len, Event::Start(*s))]));
             }
             FaultKind::ZoneCut | FaultKind::ZoneCutOut => {
                 let both = fault.kind == FaultKind::ZoneCut;
-                plan.extend([(at, H::Cut(zone, both, true)), (at + len, H::Cut(zone, both, false))]);
+                plan.extend([(at, Event::Cut(zone, both, true)), (at + len, Event::Cut(zone, both, false))]);
             }
             FaultKind::Burst => {
                 // Ramps up and down in ten geometric steps.
                 let (rise, root) = (seconds(extra).min(len / 2), size.powf(0.1));
                 for k in 0..10 {
-                    plan.push((at + rise * k / 10, H::Traffic(None, root)));
-                    plan.push((at + len - rise * k / 10, H::Traffic(None, 1.0 / root)));
+                    plan.push((at + rise * k / 10, Event::Traffic(None, root)));
+                    plan.push((at + len - rise * k / 10, Event::Traffic(None, 1.0 / root)));
                 }
             }
-            FaultKind::Shift => {
+            FaultKind::ZoneTraffic => {
                 plan.extend([
-                    (at, H::Traffic(Some(zone), size)),
-                    (at + len, H::Traffic(Some(zone), 1.0 / size)),
+                    (at, Event::Traffic(Some(zone), size)),
+                    (at + len, Event::Traffic(Some(zone), 1.0 / size)),
                 ]);
             }
             FaultKind::Replace => {
@@ -752,9 +757,9 @@
                     self.servers.push(ServerSpec { starts_later: true, ..self.servers[s].clone() });
                     let t = step(i, n);
                     plan.extend([
-                        (t, H::Start(new)),
-                        (t, H::Drain(s)),
-                        (t + 2 * self.drain_grace + longest_deadline, H::Stop(s)),
+                        (t, Event::Start(new)),
+                        (t, Event::Drain(s)),
+                        (t + 2 * self.drain_grace + longest_deadline, Event::Stop(s)),
                     ]);
                 }
             }
@@ -762,7 +767,11 @@
                 let n = servers.len();
                 for (i, s) in servers.into_iter().enumerate() {
                     let (t, end) = (step(i, n), step(i, n) + 2 * self.drain_grace + longest_deadline);
-                    plan.extend([(t, H::Drain(s)), (end, H::Stop(s)), (end + SECOND, H::Start(s))]);
+                    plan.extend([
+                        (t, Event::Drain(s)),
+                        (end, Event::Stop(s)),
+                        (end + SECOND, Event::Start(s)),
+                    ]);
                 }
             }
             FaultKind::RestartByHand => {
@@ -770,53 +779,58 @@
                 for (i, s) in servers.into_iter().enumerate() {
                     let (t, end) = (step(i, n), step(i, n) + self.drain_grace + longest_deadline);
                     let back = end + seconds(extra);
-                    let listed = back + seconds(self.discovery.add.high()) + 2 * self.discovery.period;
-                    plan.extend([(t, H::Cordon(s, true)), (end, H::Stop(s))]);
-                    plan.extend([(back, H::Start(s)), (listed, H::Cordon(s, false))]);
+                    let listed = back
+                        + seconds(self.discovery.start_detection_delay.high())
+                        + 2 * self.discovery.period;
+                    plan.extend([(t, Event::Cordon(s, true)), (end, Event::Stop(s))]);
+                    plan.extend([(back, Event::Start(s)), (listed, Event::Cordon(s, false))]);
                 }
             }
             FaultKind::SidecarsKilled => {
                 for s in sidecars {
                     let back = seconds(fault.for_s.draw(rng));
-                    plan.extend([(at, H::KillSidecar(s)), (at + back, H::StartSidecar(s))]);
+                    plan.extend([(at, Event::KillSidecar(s)), (at + back, Event::StartSidecar(s))]);
                 }
             }
             FaultKind::SidecarsRestarted => {
                 let (n, away) = (sidecars.len(), seconds(extra));
                 plan.extend(
-                    sidecars.into_iter().enumerate().map(|(i, s)| (step(i, n), H::StopSidecar(s, away))),
+                    sidecars.into_iter().enumerate().map(|(i, s)| (step(i, n), Event::StopSidecar(s, away))),
                 );
             }
             FaultKind::SidecarsUpgraded => {
                 let n = sidecars.len();
                 plan.extend(
-                    sidecars.into_iter().enumerate().map(|(i, s)| (step(i, n), H::UpgradeSidecar(s))),
+                    sidecars.into_iter().enumerate().map(|(i, s)| (step(i, n), Event::UpgradeSidecar(s))),
                 );
             }
             FaultKind::DiscoveryDown => {
-                plan.extend([(at, H::Discovery(false)), (at + len, H::Discovery(true))])
+                plan.extend([(at, Event::Discovery(false)), (at + len, Event::Discovery(true))])
             }
             FaultKind::RegistryKilled | FaultKind::RegistryPaused => {
                 let paused = fault.kind == FaultKind::RegistryPaused;
                 let position = extra as usize;
                 plan.extend([
-                    (at, H::RegistryReplica(position, paused, true)),
-                    (at + len, H::RegistryReplica(position, paused, false)),
+                    (at, Event::RegistryReplica(position, paused, true)),
+                    (at + len, Event::RegistryReplica(position, paused, false)),
                 ])
             }
-            FaultKind::Resets => plan.extend([(at, H::Resets(size)), (at + len, H::Resets(0.0))]),
+            FaultKind::Resets => plan.extend([(at, Event::Resets(size)), (at + len, Event::Resets(0.0))]),
             FaultKind::CorruptResponses => {
-                plan.extend([(at, H::CorruptResponses(size)), (at + len, H::CorruptResponses(0.0))])
+                plan.extend([(at, Event::CorruptResponses(size)), (at + len, Event::CorruptResponses(0.0))])
             }
-            FaultKind::LateConnects => plan
-                .extend([(at, H::LateConnects(size, seconds(extra))), (at + len, H::LateConnects(0.0, 0))]),
+            FaultKind::LateConnects => plan.extend([
+                (at, Event::LateConnects(size, seconds(extra))),
+                (at + len, Event::LateConnects(0.0, 0)),
+            ]),
             FaultKind::MalformedClients => {
                 let every = (SECOND as f64 / size).max(1.0) as Micros;
-                let each = |s| [(at, H::MalformedClients(s, every)), (at + len, H::MalformedClients(s, 0))];
+                let each =
+                    |s| [(at, Event::MalformedClients(s, every)), (at + len, Event::MalformedClients(s, 0))];
                 plan.extend(sidecars.into_iter().flat_map(each));
             }
             FaultKind::RetrySurge => {
-                plan.extend([(at, H::RetrySurge(size, extra)), (at + len, H::RetrySurge(1.0, 0.0))])
+                plan.extend([(at, Event::RetrySurge(size, extra)), (at + len, Event::RetrySurge(1.0, 0.0))])
             }
         }
         self.plan.extend(plan.into_iter().map(|(at, what)| Planned { at, what }));
@@ -912,7 +926,7 @@
         "Limits": {"CpuUsPerS": millis(site.allow.cpu_ms_per_s), "DialTimeoutUs": millis(site.tier[0].conn.connect_timeout_ms),
             "IdleCloseUs": seconds(site.tier[0].conn.idle_s), "MaxAttempts": site.allow.max_attempts,
             "MaxRetryAfterUs": millis(site.clients.max_retry_after_ms), "MayCancel": site.allow.cancel,
-            "MayDuplicate": site.allow.second_copies, "MostHeld": site.allow.most_held, "Peers": site.allow.peers, "Probes": site.allow.probes,
+            "MayDuplicate": site.allow.second_copies, "MostHeld": site.allow.max_open_requests, "Peers": site.allow.peers, "Probes": site.allow.probes,
             "RetryAfter": site.allow.retry_after, "StreamsPerConn": tier.conn.streams},
         "OverShareWorth": site.load.over_share_worth,
         "Prices": {"Connection": site.prices.connection, "CrossZone": site.prices.cross_zone,
@@ -924,11 +938,11 @@
             _ => "silent",
         }},
         "Rules": {"AnswerSlackUs": 20_000, "AskWithinUs": 10 * SECOND, "ColdShare": cold_share,
-            "DrainGraceUs": millis(site.rules.drain_grace_ms), "OverloadFactor": site.rules.fall_multiple,
-            "TipAfterUs": millis(site.rules.fall_ms), "WarmWithinUs": seconds(warm_within)},
+            "DrainGraceUs": millis(site.rules.drain_grace_ms), "OverloadFactor": site.rules.overload_multiple,
+            "TipAfterUs": millis(site.rules.overload_window_ms), "WarmWithinUs": seconds(warm_within)},
         "Tenants": tenants,
         // Without ticks, events are handled immediately and deadlines need almost no margin for them.
-        "TickUs": if scenario.ticked { millis(site.day.tick_ms) } else { 1000 },
+        "TickUs": if scenario.ticked { millis(site.run.tick_ms) } else { 1000 },
         "WeightSource": match tier.weights.as_str() { "none" => "silent", "live" => "live", _ => "rough" },
         "Zone": site.net.zones[0],
         "Zones": site.net.zones,
--- a/crates/fleet/src/scale/deployment.rs
+++ b/crates/fleet/src/scale/deployment.rs
@@ -1,9 +1,9 @@
 //! The processes of one step: registry replicas, backend servers, real sidecars, and hollow sidecars.
 
 use super::hollow::{Activity, Assignment, ControlRequest, HollowSidecar, LeasedServer, Status};
-use super::lines::Mode;
 use super::plan::{Plan, Sizes};
 use super::raise_file_limit;
+use super::results::Mode;
 use super::topology::{Topology, service_name};
 use crate::harness::backend::Conduct;
 use crate::harness::process_guard::ProcessGuard;
--- a/crates/fleet/src/scale/hollow.rs
+++ b/crates/fleet/src/scale/hollow.rs
@@ -86,7 +86,7 @@
     /// Sidecars whose last poll failed, or that had no response yet.
     #[serde(rename = "away")]
     pub failing: usize,
-    /// The time of the last response or failure of the sidecar for which that is longest ago.
+    /// The earliest, over all sidecars, of the times of each one's last response or failed poll.
     #[serde(rename = "heard_since")]
     pub oldest_outcome: i64,
     /// The lowest list index of a sidecar.
--- a/crates/fleet/src/scale/mod.rs
+++ b/crates/fleet/src/scale/mod.rs
@@ -5,21 +5,21 @@
 //! under a steady load (ten in the recorded runs), and thousands of hollow sidecars. A hollow sidecar is a sidecar
 //! without the data path: it has the real registry watcher with its connection, versions and timers, but forwards no
 //! requests. The cost of each component is measured at each step of a sweep, or during each of a series of events. A
-//! real sidecar and the decision module are also measured alone.
+//! real sidecar and the decision module (the `Balancer` of crate `lotusmoor_balancer`) are also measured alone.
 
 pub mod decision_cost;
 pub mod deployment;
 pub mod hollow;
-pub mod lines;
 mod plan;
 mod propagation;
+pub mod results;
 mod run;
 pub mod sidecar;
 mod topology;
 mod usage;
 
-pub use lines::{Line, Lines, Mode};
 pub use plan::{EventSpec, KilledReplica, Plan, Sizes, Sweep, SweepVariable};
+pub use results::{Mode, Record, ResultFile};
 pub use run::{StepResult, run_plan};
 pub use topology::Topology;
 
--- a/crates/fleet/src/scale/plan.rs
+++ b/crates/fleet/src/scale/plan.rs
@@ -1,6 +1,6 @@
 //! The plan file of a scale run.
 
-use super::lines::{self, Mode};
+use super::results::{self, Mode};
 use crate::site::{FileError, read_text};
 use serde::Deserialize;
 use std::path::Path;
@@ -17,7 +17,7 @@
     Changes,
 }
 
-impl From<SweepVariable> for lines::Sweep {
+impl From<SweepVariable> for results::Sweep {
     fn from(over: SweepVariable) -> Self {
         match over {
             SweepVariable::Hollow => Self::Hollow,
@@ -61,7 +61,8 @@
         which: KilledReplica,
     },
     /// The hollow sidecars of a zone are paused, or killed and restarted.
-    ZoneAway {
+    #[serde(rename = "zone_away")]
+    ZoneOutage {
         /// The zone; the first if absent.
         zone: Option<String>,
         /// The duration in seconds.
@@ -89,7 +90,7 @@
         match self {
             Self::Steady {} => "steady",
             Self::ReplicaKilled { .. } => "replica_killed",
-            Self::ZoneAway { .. } => "zone_away",
+            Self::ZoneOutage { .. } => "zone_away",
             Self::WatchesLost {} => "watches_lost",
             Self::RegionCut { .. } => "region_cut",
         }
@@ -288,16 +289,16 @@
             let exists =
                 |name: &Option<String>, all: &[String]| name.as_ref().is_none_or(|n| all.contains(n));
             let (key, valid, what) = match event {
-                EventSpec::ZoneAway { zone, .. } if !exists(zone, &self.zones) => {
-                    ("zone", false, "is none of zones")
+                EventSpec::ZoneOutage { zone, .. } if !exists(zone, &self.zones) => {
+                    ("zone", false, "is not listed in `zones`")
                 }
                 EventSpec::RegionCut { region, .. } if !exists(region, &self.regions) => {
-                    ("region", false, "is none of regions")
+                    ("region", false, "is not listed in `regions`")
                 }
-                EventSpec::ZoneAway { for_s, .. } | EventSpec::RegionCut { for_s, .. } => (
+                EventSpec::ZoneOutage { for_s, .. } | EventSpec::RegionCut { for_s, .. } => (
                     "for_s",
                     *for_s > 0.0 && for_s + 1.0 < self.seconds,
-                    "must be above 0, and more than a second below seconds",
+                    "must be above 0 and less than `seconds` minus 1",
                 ),
                 _ => continue,
             };
--- a/crates/fleet/src/scale/propagation.rs
+++ b/crates/fleet/src/scale/propagation.rs
@@ -1,6 +1,6 @@
 //! Propagation times: matches the changes that the writer recorded with the lists that the hollow sidecars applied.
 
-use super::lines::Mode;
+use super::results::Mode;
 use super::topology::Topology;
 use hdrhistogram::Histogram;
 use std::collections::BTreeMap;
--- a/crates/fleet/src/scale/lines.rs
+++ b/crates/fleet/src/scale/results.rs
@@ -22,7 +22,7 @@
     SidecarListed,
     /// Changes per second, for a single real sidecar.
     SidecarChanges,
-    /// The number of listed servers, for the decision module alone.
+    /// The number of listed servers, for the decision module alone (the `Balancer` of crate `lotusmoor_balancer`).
     ModuleListed,
 }
 
@@ -58,7 +58,7 @@
     Hollow,
     /// The mean of the real sidecars.
     Sidecar,
-    /// The decision module alone.
+    /// The decision module (the `Balancer` of crate `lotusmoor_balancer`) alone.
     Module,
     /// The fleet as a whole.
     Fleet,
@@ -79,7 +79,7 @@
 
 /// The measurements of one role in one step.
 #[derive(Clone, Debug, Deserialize, Serialize, PartialEq)]
-pub struct Line {
+pub struct Record {
     /// What varies.
     pub sweep: Sweep,
     /// The part of the list that sidecars watched.
@@ -106,7 +106,7 @@
     pub commit: String,
 }
 
-impl Line {
+impl Record {
     /// Adds a figure. A value that is not finite counts as not measured.
     pub fn set(&mut self, name: &str, value: f64) {
         if value.is_finite() {
@@ -117,7 +117,7 @@
 
 /// An error of a result file.
 #[derive(Debug, thiserror::Error)]
-pub enum LinesError {
+pub enum ResultFileError {
     /// The file cannot be read or written.
     #[error("{}: {source}", path.display())]
     Io {
@@ -139,36 +139,37 @@
 }
 
 /// A new result file, to which lines are appended during a run.
-pub struct Lines {
+pub struct ResultFile {
     path: PathBuf,
     file: File,
 }
 
-impl Lines {
+impl ResultFile {
     /// Creates the file. Fails if it exists already, and leaves it as it is.
-    pub fn create(path: &Path) -> Result<Self, LinesError> {
+    pub fn create(path: &Path) -> Result<Self, ResultFileError> {
         let opened = OpenOptions::new().write(true).create_new(true).open(path);
-        let file = opened.map_err(|source| LinesError::Io { path: path.to_owned(), source })?;
+        let file = opened.map_err(|source| ResultFileError::Io { path: path.to_owned(), source })?;
         Ok(Self { path: path.to_owned(), file })
     }
 
     /// Appends a line by a single write, so that an interrupted run truncates the last line at most.
-    pub fn add(&mut self, line: &Line) -> Result<(), LinesError> {
+    pub fn add(&mut self, line: &Record) -> Result<(), ResultFileError> {
         let text = serde_json::to_vec(line).map_err(io::Error::from);
         let written = text.and_then(|mut text| {
             text.push(b'\n');
             self.file.write_all(&text)
         });
-        written.map_err(|source| LinesError::Io { path: self.path.clone(), source })
+        written.map_err(|source| ResultFileError::Io { path: self.path.clone(), source })
     }
 
     /// Reads a file. A last line without an end is skipped, as an interrupted run truncated it.
-    pub fn read(path: &Path) -> Result<Vec<Line>, LinesError> {
-        let text = std::fs::read(path).map_err(|source| LinesError::Io { path: path.to_owned(), source })?;
+    pub fn read(path: &Path) -> Result<Vec<Record>, ResultFileError> {
+        let text =
+            std::fs::read(path).map_err(|source| ResultFileError::Io { path: path.to_owned(), source })?;
         let end = text.iter().rposition(|b| *b == b'\n').map_or(0, |last| last + 1);
         let lines = text[..end].split(|b| *b == b'\n').enumerate().filter(|(_, text)| !text.is_empty());
         let parse = |(i, text): (usize, &[u8])| {
-            serde_json::from_slice(text).map_err(|source| LinesError::Line {
+            serde_json::from_slice(text).map_err(|source| ResultFileError::Line {
                 path: path.to_owned(),
                 line: i + 1,
                 source,
--- a/crates/fleet/src/scale/run.rs
+++ b/crates/fleet/src/scale/run.rs
@@ -2,10 +2,10 @@
 
 use super::deployment::{Deployment, REPLICAS, START_TIMEOUT, server_name, wait_until};
 use super::hollow::Activity;
-use super::lines::{Line, Lines, Mode, Role, StepSizes, Sweep};
 use super::monotonic;
 use super::plan::{EventSpec, KilledReplica, Plan, Sizes};
 use super::propagation::{Change, insert_quantiles, latency_histogram, propagation_latencies};
+use super::results::{Mode, Record, ResultFile, Role, StepSizes, Sweep};
 use super::topology::Topology;
 use crate::harness::Link;
 use crate::load::{Route, open_loop, resident_kb, used_cpu};
@@ -27,7 +27,7 @@
     /// The event, if any.
     pub event: Option<&'static str>,
     /// The figures, with one line for each role.
-    pub lines: Vec<Line>,
+    pub lines: Vec<Record>,
     /// Acknowledged changes.
     pub changes: usize,
     /// Deliveries that were missing at the end: hollow sidecars that had not applied a change that concerns them,
@@ -50,7 +50,8 @@
 /// Time limit of the wait until a real sidecar has applied a change.
 const APPLY_TIMEOUT: Duration = Duration::from_secs(20);
 
-/// Runs a plan. The lines of each step are appended to the new file `out` at its end; `commit` is the source version.
+/// Runs a plan. The records of each step are appended to the new file `out` when the step ends; `commit` is the source
+/// version.
 pub fn run_plan(
     plan: &Plan,
     out: Option<&Path>,
@@ -61,7 +62,7 @@
         plan.modes.iter().try_for_each(|mode| check_memory(&Topology::new(plan, &sizes), *mode, &sizes))?;
     }
     let mut out = match out {
-        Some(path) => Some(Lines::create(path).map_err(io::Error::other)?),
+        Some(path) => Some(ResultFile::create(path).map_err(io::Error::other)?),
         None => None,
     };
     bar.set_length((plan.sizes().len() * plan.event.len().max(1) * plan.modes.len()) as u64);
@@ -347,7 +348,7 @@
         event: Option<&EventSpec>,
         measurement: &Measurement,
         mut fleet: BTreeMap<String, f64>,
-    ) -> Vec<Line> {
+    ) -> Vec<Record> {
         let Measurement { leader, before, after, watches, results } = measurement;
         let leader = *leader;
         let (deployment, plan) = (&self.deployment, self.plan);
@@ -456,7 +457,7 @@
             (Role::Sidecar, sidecar),
             (Role::Fleet, fleet),
         ];
-        let line = |(role, measured)| Line {
+        let line = |(role, measured)| Record {
             sweep: plan.sweep.as_ref().map_or(Sweep::Events, |s| s.over.into()),
             mode: self.mode,
             step: number,
@@ -513,7 +514,7 @@
             deployment.registry.kill(killed_replica(*which, leader))?
         }
         Some(EventSpec::WatchesLost {}) => deployment.reset_connections()?,
-        Some(EventSpec::ZoneAway { zone, for_s, killed }) => {
+        Some(EventSpec::ZoneOutage { zone, for_s, killed }) => {
             let zone = index_of(zone.as_ref(), &plan.zones).unwrap_or(0);
             let outage = Duration::from_secs_f64(*for_s);
             if *killed {
--- a/crates/fleet/src/scale/sidecar.rs
+++ b/crates/fleet/src/scale/sidecar.rs
@@ -3,7 +3,7 @@
 //! address all listed servers have.
 
 use super::decision_cost;
-use super::lines::{Line, Lines, LinesError, Mode, Role, StepSizes, Sweep};
+use super::results::{Mode, Record, ResultFile, ResultFileError, Role, StepSizes, Sweep};
 use super::usage::{CpuMeter, written_bytes};
 use crate::experiment::commit;
 use crate::harness::backend::Conduct;
@@ -50,7 +50,7 @@
     /// Changes per second, with one step each.
     pub changes: Vec<f64>,
     /// The number of servers on the list while the rate of changes varies.
-    pub at_listed: u32,
+    pub listed_for_changes: u32,
     /// How long each figure is measured.
     pub length: Duration,
     /// The part of the list that the sidecar watches. The decision module has no modes, and is measured in `whole`
@@ -83,13 +83,13 @@
 }
 
 /// Runs all steps, and appends a line for each as it ends. If a step fails, its line says why, and the run continues.
-pub fn run(plan: &Plan, lines: &mut Lines) -> Result<(), LinesError> {
+pub fn run(plan: &Plan, lines: &mut ResultFile) -> Result<(), ResultFileError> {
     let commit = commit();
     let step_count: usize = plan.sweeps.iter().map(|s| plan.steps(*s)).sum();
     let bar = ProgressBar::new(step_count as u64);
     let style = ProgressStyle::with_template("{bar:40} {pos}/{len} steps, {elapsed} elapsed, {msg}");
     bar.set_style(style.unwrap_or_else(|_| ProgressStyle::default_bar()));
-    let line = |sweep, step: usize, role, listed, changes_per_s| Line {
+    let line = |sweep, step: usize, role, listed, changes_per_s| Record {
         sweep,
         mode: plan.mode,
         step: step as u32 + 1,
@@ -102,7 +102,7 @@
         seed: plan.seed,
         commit: commit.clone(),
     };
-    let mut finish_step = |mut line: Line, outcome: io::Result<()>| {
+    let mut finish_step = |mut line: Record, outcome: io::Result<()>| {
         line.failed = outcome.err().map(|e| e.to_string());
         if let Some(error) = &line.failed {
             tracing::warn!("{:?}, step {}: {error}", line.sweep, line.step);
@@ -134,8 +134,9 @@
                 let mut testbed = None;
                 for (step, changes) in plan.changes.iter().enumerate() {
                     bar.set_message(format!("sidecar, {changes} changes per second"));
-                    let mut line = line(sweep, step, Role::Sidecar, plan.at_listed, *changes);
-                    let started = testbed.take().map_or_else(|| Testbed::start(plan, plan.at_listed), Ok);
+                    let mut line = line(sweep, step, Role::Sidecar, plan.listed_for_changes, *changes);
+                    let started =
+                        testbed.take().map_or_else(|| Testbed::start(plan, plan.listed_for_changes), Ok);
                     let outcome = started.and_then(|started| {
                         started.measure_changes(plan, *changes, &mut line)?;
                         // A testbed whose step failed is not used again.
@@ -151,7 +152,7 @@
     Ok(())
 }
 
-fn measure_module(plan: &Plan, line: &mut Line) -> io::Result<()> {
+fn measure_module(plan: &Plan, line: &mut Record) -> io::Result<()> {
     let cost = decision_cost::measure(line.at.listed as usize, plan.rate, plan.length, plan.seed)?;
     line.set("decision_ns", cost.decision.mean());
     line.set("decision_ns_p99", cost.decision.value_at_quantile(0.99) as f64);
@@ -340,7 +341,7 @@
 
     /// Measures the cost of changes at a constant rate. The sidecar's list is not polled meanwhile, as that would cost
     /// processor time.
-    fn measure_change_cost(&self, plan: &Plan, rate: f64, line: &mut Line) -> io::Result<()> {
+    fn measure_change_cost(&self, plan: &Plan, rate: f64, line: &mut Record) -> io::Result<()> {
         let id = self.sidecar.id();
         let (wire, file, started) = (self.wire_bytes(), written_bytes(id)?, Instant::now());
         let (cpu, made) = std::thread::scope(|scope| {
@@ -363,7 +364,7 @@
     }
 
     /// Measures a step of [`Sweep::SidecarListed`].
-    fn measure_listed(&self, plan: &Plan, line: &mut Line) -> io::Result<()> {
+    fn measure_listed(&self, plan: &Plan, line: &mut Record) -> io::Result<()> {
         let id = self.sidecar.id();
         line.set("entries", f64::from(self.watched));
         for (name, kb) in [("rss_bytes", load::resident_kb(id)), ("rss_bytes_max", load::peak_kb(id))] {
@@ -386,7 +387,7 @@
     }
 
     /// Measures a step of [`Sweep::SidecarChanges`]: first the cost of the changes, then how soon they are applied.
-    fn measure_changes(&self, plan: &Plan, rate: f64, line: &mut Line) -> io::Result<()> {
+    fn measure_changes(&self, plan: &Plan, rate: f64, line: &mut Record) -> io::Result<()> {
         line.set("entries", f64::from(self.watched));
         self.measure_change_cost(plan, rate, line)?;
         let delays = self.apply_delays(plan, rate)?;
--- a/crates/fleet/src/scale/topology.rs
+++ b/crates/fleet/src/scale/topology.rs
@@ -1,8 +1,8 @@
 //! The random topology of a step: the service of each server, and the services that each sidecar calls. It depends on
 //! the plan, the sizes of the step and the seed alone.
 
-use super::lines::Mode;
 use super::plan::{Plan, Sizes};
+use super::results::Mode;
 use crate::chance::stream;
 use rand::RngExt;
 use rand::seq::SliceRandom;
--- a/crates/fleet/src/scenario/fault.rs
+++ b/crates/fleet/src/scenario/fault.rs
@@ -43,7 +43,8 @@
     /// `part` of the servers pause for `size` ms every `extra` s, for `for_s`.
     Pauses,
     /// `part` of the servers' machines stop responding for `for_s` and come back with a slow start.
-    Vanish,
+    #[serde(rename = "vanish")]
+    MachinesUnresponsive,
     /// `part` of the servers run `size` times slower for `for_s`.
     Slow,
     /// `part` of the servers answer a share `size` of requests with an error for `for_s`.
@@ -63,7 +64,8 @@
     /// `size` times the traffic for `for_s`, rising and falling over `extra` s.
     Burst,
     /// The traffic of a zone's sidecars is `size` times as much for `for_s`.
-    Shift,
+    #[serde(rename = "shift")]
+    ZoneTraffic,
     /// `part` of the servers are drained and replaced by new machines, evenly over `for_s`.
     Replace,
     /// `part` of the servers are drained and restarted, evenly over `for_s`.
@@ -107,7 +109,7 @@
     pub fn name(self) -> &'static str {
         match self {
             Self::Pauses => "pauses",
-            Self::Vanish => "vanish",
+            Self::MachinesUnresponsive => "vanish",
             Self::Slow => "slow",
             Self::Errors => "errors",
             Self::RejectClass => "turn_away_class",
@@ -116,7 +118,7 @@
             Self::ZoneCut => "zone_cut",
             Self::ZoneCutOut => "zone_cut_out",
             Self::Burst => "burst",
-            Self::Shift => "shift",
+            Self::ZoneTraffic => "shift",
             Self::Replace => "replace",
             Self::Restart => "restart",
             Self::RestartByHand => "restart_by_hand",
@@ -136,8 +138,8 @@
 
     /// The kind for a fault of a site file (`trouble`), whose names the operators define; `None` for those that are
     /// not simulated.
-    pub fn from_trouble(name: &str) -> Option<Self> {
-        let all = [Self::Pauses, Self::Vanish, Self::Slow, Self::Burst, Self::ZoneCut];
+    pub fn from_site_fault(name: &str) -> Option<Self> {
+        let all = [Self::Pauses, Self::MachinesUnresponsive, Self::Slow, Self::Burst, Self::ZoneCut];
         all.into_iter().find(|kind| kind.name() == name)
     }
 }
--- a/crates/fleet/src/scenario/mod.rs
+++ b/crates/fleet/src/scenario/mod.rs
@@ -24,7 +24,7 @@
     pub sidecars: usize,
     /// Number of servers.
     pub servers: usize,
-    /// Load as a share of the capacity of all servers, with none warming up or at fault.
+    /// Load as a share of the capacity of all servers, with none warming up or faulty.
     pub load: Range,
     /// Factor on the site's work, latency objectives, deadlines and client backoff. Below 1 requests are shorter and
     /// arrive at a higher rate.
@@ -123,7 +123,8 @@
     100
 }
 
-/// The built-in scenarios by name. They follow the operators' descriptions of their test days for large fleets.
+/// The built-in scenarios by name. They follow the scenarios of the operators' acceptance tests for large fleets; the
+/// comment at the head of each file says what it tests.
 const BUILTIN: [(&str, &str); 8] = [
     ("calm", include_str!("../../scenarios/calm.toml")),
     ("herd", include_str!("../../scenarios/herd.toml")),
--- a/crates/fleet/src/site/mod.rs
+++ b/crates/fleet/src/site/mod.rs
@@ -1,5 +1,6 @@
-//! A site file, in the operators' format: ranges from which a run's parameters are drawn. Key suffixes give the
-//! units: `_s` seconds, `_ms` milliseconds, `_us` microseconds; shares are between 0 and 1.
+//! A site file, in the format of the operators (the company that runs the sidecars): ranges from which a run's
+//! parameters are drawn. Key suffixes give the units: `_s` seconds, `_ms` milliseconds, `_us` microseconds; shares are
+//! between 0 and 1.
 //!
 //! Unknown keys are reported but are no error, because the operators add keys that the simulation does not use yet.
 
@@ -53,7 +54,8 @@
     pub name: String,
     /// The run: its length and the sidecars' ticks.
     #[serde(default)]
-    pub day: Day,
+    #[serde(rename = "day")]
+    pub run: RunParameters,
     /// Size of the fleet.
     pub scale: Scale,
     /// Traffic.
@@ -82,13 +84,15 @@
     pub class: Vec<Class>,
     /// Faults that may happen.
     #[serde(default)]
-    pub trouble: Vec<Trouble>,
+    #[serde(rename = "trouble")]
+    pub faults: Vec<SiteFault>,
     /// Tenants. The operators' format for them is not published; this one is the project's own.
     #[serde(default)]
     pub tenant: Vec<Tenant>,
     /// Key affinity of the service.
     #[serde(default)]
-    pub fam: Family,
+    #[serde(rename = "fam")]
+    pub key_affinity: KeyAffinity,
     /// Keys of the file that the simulation does not use.
     #[serde(skip)]
     pub unused: Vec<String>,
@@ -97,7 +101,7 @@
 /// The run: its length and the sidecars' ticks.
 #[derive(Clone, Debug, Deserialize)]
 #[serde(default)]
-pub struct Day {
+pub struct RunParameters {
     /// Length of the run.
     pub length_s: Range,
     /// Interval between the ticks at which a sidecar handles events; 0 for immediately.
@@ -108,7 +112,7 @@
     pub start_spread_ms: f64,
 }
 
-impl Default for Day {
+impl Default for RunParameters {
     fn default() -> Self {
         Self { length_s: Range::new(45.0, 60.0), tick_ms: 5.0, in_step: true, start_spread_ms: 0.0 }
     }
@@ -156,14 +160,14 @@
     #[serde(default)]
     pub over_share_worth: f64,
     /// Number of distinct partition keys.
-    #[serde(default = "few_keys")]
+    #[serde(default = "default_keys")]
     pub keys: Range,
     /// Exponent of the Zipf distribution of their popularity.
     #[serde(default)]
     pub key_zipf: Range,
 }
 
-fn few_keys() -> Range {
+fn default_keys() -> Range {
     Range::new(200.0, 330.0)
 }
 
@@ -230,11 +234,11 @@
 pub struct Discovery {
     /// `push`, or `ask` if sidecars must fetch the list.
     pub mode: String,
-    /// Delay from a process's end, on a machine that still responds, to the list.
+    /// Delay from a process's end, on a machine that still responds, until the list shows it.
     pub notice_s: Range,
     /// The same for a machine that does not respond.
     pub silent_notice_s: Range,
-    /// Delay from a process's start to the list.
+    /// Delay from a process's start until the list shows it.
     pub add_s: Range,
     /// Interval between two published versions of the list.
     pub period_ms: Range,
@@ -280,7 +284,8 @@
     pub cpu_ms_per_s: f64,
     /// Maximum number of open requests of a sidecar; connections above it are refused. 0 for no limit.
     #[serde(default)]
-    pub most_held: u32,
+    #[serde(rename = "most_held")]
+    pub max_open_requests: u32,
 }
 
 /// Parameters of the rules.
@@ -288,10 +293,13 @@
 pub struct Rules {
     /// How long sends to a draining server may go on.
     pub drain_grace_ms: f64,
-    /// A server that is warming up crashes when it is sent more than this multiple of its capacity within `fall_ms`.
-    pub fall_multiple: f64,
-    /// The time window of `fall_multiple`.
-    pub fall_ms: f64,
+    /// A server that is warming up crashes when it is sent more than this multiple of its capacity within
+    /// `overload_window_ms`.
+    #[serde(rename = "fall_multiple")]
+    pub overload_multiple: f64,
+    /// The time window of `overload_multiple`.
+    #[serde(rename = "fall_ms")]
+    pub overload_window_ms: f64,
 }
 
 /// Weights of the score's components.
@@ -377,7 +385,8 @@
     pub cap_per_core: Range,
     /// Share of a server's capacity that a full connection table takes.
     #[serde(default)]
-    pub full_tax: Range,
+    #[serde(rename = "full_tax")]
+    pub connection_overhead: Range,
 }
 
 fn one_stream() -> u32 {
@@ -528,7 +537,7 @@
 
 /// A fault that may happen; the meaning of its parameters depends on its name.
 #[derive(Clone, Debug, Deserialize)]
-pub struct Trouble {
+pub struct SiteFault {
     /// Its name.
     pub name: String,
     /// How long it lasts.
@@ -547,7 +556,7 @@
 /// Key affinity: a request costs less at a server that remembers its partition key.
 #[derive(Clone, Debug, Default, Deserialize)]
 #[serde(default)]
-pub struct Family {
+pub struct KeyAffinity {
     /// Share of the work saved at a server that remembers the key.
     pub affinity_gain: Range,
     /// How long a server remembers a key.
--- a/crates/fleet/tests/capacity.rs
+++ b/crates/fleet/tests/capacity.rs
@@ -52,7 +52,7 @@
         );
         (format!("\"hollow\":3000,\"listed\":5000,\"changes_per_s\":{c}"), measured)
     });
-    // Milliseconds are the square of thousands of readers, which no line fits.
+    // The time in ms is the square of the number of sidecars in thousands, which no line fits.
     let notification = steps(&[1000.0, 2000.0, 4000.0, 8000.0], |n| {
         (format!("\"hollow\":{n},\"listed\":5000"), format!("\"told_ms_max\":{}", n * n / 1e6))
     });
@@ -174,7 +174,8 @@
     let capacity = capacity_from(&synthetic_runs()).expect("the plan and its runs are read");
     let breaks = table(&capacity, "breaks");
     let memory = row(&breaks, "sidecar control plane: memory");
-    // (64 MB - 5 MB) / 4,000 bytes; 89 MB of 64 at 21,000; 30 entries fit at any size.
+    // Watching the whole list, the budget is reached at (64 MB - 5 MB) / 4,000 bytes = 14,750 servers, and 21,000
+    // servers need 89 MB, 1.39 times the budget. With per-service lists the 30 watched entries fit at any fleet size.
     assert_eq!(memory[1..6], ["64", "**14,750**", "1.39", "never", "unlimited"]);
     let ordinary = row(&table(&capacity, "ordinary"), "sidecar control plane | memory");
     assert_eq!(
--- a/crates/fleet/tests/model.rs
+++ b/crates/fleet/tests/model.rs
@@ -68,14 +68,14 @@
 
 #[test]
 fn run_depends_on_its_seed_and_not_on_concurrent_runs() {
-    let alone = simulate(FAULTS, 7, Policy::Module);
+    let alone = simulate(FAULTS, 7, Policy::Balancer);
     let threads: Vec<_> =
-        (0..4).map(|_| std::thread::spawn(|| simulate(FAULTS, 7, Policy::Module))).collect();
+        (0..4).map(|_| std::thread::spawn(|| simulate(FAULTS, 7, Policy::Balancer))).collect();
     for thread in threads {
         let concurrent = thread.join().expect("the simulation runs");
         assert_eq!((concurrent.digest, &concurrent), (alone.digest, &alone));
     }
-    assert_ne!(simulate(FAULTS, 8, Policy::Module).digest, alone.digest);
+    assert_ne!(simulate(FAULTS, 8, Policy::Balancer).digest, alone.digest);
     // All policies get the same requests: clients' first attempts do not depend on the results of earlier ones.
     let other = simulate(FAULTS, 7, Policy::RoundRobin);
     assert_eq!(other.requests, alone.requests);
@@ -114,7 +114,7 @@
 #[test]
 fn excessive_load_is_mostly_rejected_and_the_run_ends() {
     let text = "name = \"flood\"\nlength_s = 10\nsidecars = 6\nservers = 6\nload = 20\n";
-    for policy in [Policy::Module, Policy::RoundRobin, Policy::TrueState] {
+    for policy in [Policy::Balancer, Policy::RoundRobin, Policy::TrueState] {
         let name = policy.name();
         let figures = simulate(text, 1, policy);
         assert!(figures.whole_run < 0.2 && figures.refused + figures.failed + figures.late > 0.8, "{name}");
@@ -130,8 +130,8 @@
     let (mut better, mut worse) = (0, 0);
     for seed in 1..=5 {
         let whole_run = |text: &str, policy| simulate(text, seed, policy).whole_run;
-        better += u32::from(whole_run(calm, Policy::TrueState) >= whole_run(calm, Policy::Module) - 0.01);
-        worse += u32::from(whole_run(&lost, Policy::Module) < whole_run(calm, Policy::Module));
+        better += u32::from(whole_run(calm, Policy::TrueState) >= whole_run(calm, Policy::Balancer) - 0.01);
+        worse += u32::from(whole_run(&lost, Policy::Balancer) < whole_run(calm, Policy::Balancer));
     }
     assert_eq!((better, worse), (5, 5));
 }
@@ -139,9 +139,9 @@
 #[test]
 fn sidecars_that_act_only_at_ticks_violate_no_rule_and_serve_about_as_much() {
     let text = FAULTS.replace("load =", "ticked = true\nload =");
-    let figures = simulate(&text, 2, Policy::Module);
+    let figures = simulate(&text, 2, Policy::Balancer);
     assert!(figures.violations.is_empty(), "{:?}", figures.violations);
-    let unticked = simulate(FAULTS, 2, Policy::Module);
+    let unticked = simulate(FAULTS, 2, Policy::Balancer);
     assert!(
         (figures.whole_run - unticked.whole_run).abs() < 0.1,
         "{} and {}",
@@ -157,7 +157,7 @@
 [[fault]]\nkind = \"sidecars_killed\"\nat_s = 4\nfor_s = [0.5, 2]\n
 [[fault]]\nkind = \"sidecars_upgraded\"\nat_s = 8\nfor_s = 1\n";
     for seed in 1..=4 {
-        let figures = simulate(text, seed, Policy::Module);
+        let figures = simulate(text, seed, Policy::Balancer);
         assert!(figures.violations.is_empty(), "seed {seed}: {:?}", figures.violations);
     }
 }
@@ -194,7 +194,8 @@
         ("worst_class = 0.2", "worst_class = 0.1\nworst_tenant = 0.1"),
     ]);
     let worth = |f: &Figures| f.windows.iter().map(|w| w.worth).sum::<f64>();
-    let (shared, plain) = (simulate_at(&site, PLAIN, 1, Policy::Module), simulate(PLAIN, 1, Policy::Module));
+    let (shared, plain) =
+        (simulate_at(&site, PLAIN, 1, Policy::Balancer), simulate(PLAIN, 1, Policy::Balancer));
     assert_eq!(shared.requests, plain.requests);
     assert!(worth(&shared) < 0.8 * worth(&plain), "{} of {}", worth(&shared), worth(&plain));
     assert!(shared.worst_tenant > 0.0 && shared.worst_tenant < 1.0 && plain.worst_tenant == 1.0);
@@ -225,15 +226,15 @@
     }
     // A crashing server breaks its streams. A sidecar can't retry what it has begun to forward: the requests fail.
     let broken = with_fault("kind = \"crash\"\npart = 0.5\n");
-    let figures = simulate_at(&site, &broken, 1, Policy::Module);
+    let figures = simulate_at(&site, &broken, 1, Policy::Balancer);
     assert!(figures.violations.is_empty(), "{:?}", figures.violations);
-    assert!(figures.failed > simulate_at(&site, PLAIN, 1, Policy::Module).failed);
+    assert!(figures.failed > simulate_at(&site, PLAIN, 1, Policy::Balancer).failed);
 }
 
 #[test]
 fn cpu_shortage_makes_requests_late_and_malformed_clients_use_up_cpu() {
     let with_cpu_cost = |message_us: u32| format!("message_us = {message_us}\nsidecar_cores = 0.1\n{PLAIN}");
-    let whole_run = |text: &str| simulate(text, 1, Policy::Module).whole_run;
+    let whole_run = |text: &str| simulate(text, 1, Policy::Balancer).whole_run;
     let (unlimited, sufficient, scarce) =
         (whole_run(PLAIN), whole_run(&with_cpu_cost(20)), whole_run(&with_cpu_cost(4000)));
     assert!(
@@ -256,8 +257,8 @@
     let text = format!("ticked = true\nmessage_us = 100\n{PLAIN}");
     let high_limit = site_with(&[("max_attempts = 5", "max_attempts = 5\ncpu_ms_per_s = 1000")]);
     let (low, high) = (
-        simulate_at(&low_limit, &text, 1, Policy::Module),
-        simulate_at(&high_limit, &text, 1, Policy::Module),
+        simulate_at(&low_limit, &text, 1, Policy::Balancer),
+        simulate_at(&high_limit, &text, 1, Policy::Balancer),
     );
     assert!(low.late > high.late + 0.3, "{} and {}", low.late, high.late);
 }
@@ -266,7 +267,7 @@
 fn requests_above_the_limit_of_open_requests_fail() {
     let site = site_with(&[("max_attempts = 5", "max_attempts = 5\nmost_held = 1")]);
     let (limited, unlimited) =
-        (simulate_at(&site, PLAIN, 1, Policy::Module), simulate(PLAIN, 1, Policy::Module));
+        (simulate_at(&site, PLAIN, 1, Policy::Balancer), simulate(PLAIN, 1, Policy::Balancer));
     assert!(limited.failed > unlimited.failed + 0.1, "{} and {}", limited.failed, unlimited.failed);
     assert!(limited.violations.is_empty(), "{:?}", limited.violations);
 }
@@ -275,7 +276,7 @@
 fn multiplexed_connections_need_fewer_handshakes() {
     let site = site_with(&[("idle_s = 10", "idle_s = 10\nstreams = 8")]);
     let (multiplexed, exclusive) =
-        (simulate_at(&site, PLAIN, 1, Policy::Module), simulate(PLAIN, 1, Policy::Module));
+        (simulate_at(&site, PLAIN, 1, Policy::Balancer), simulate(PLAIN, 1, Policy::Balancer));
     assert!(
         multiplexed.handshakes < 0.9 * exclusive.handshakes,
         "{} {}",
@@ -287,7 +288,7 @@
 #[test]
 fn prices_for_handshakes_connections_and_list_entries_lower_the_score() {
     let replaced = with_fault("kind = \"replace\"\npart = 0.3\n");
-    let plain = simulate(&replaced, 1, Policy::Module);
+    let plain = simulate(&replaced, 1, Policy::Balancer);
     for price in ["handshake = 0.1", "connection = 10", "discovery = 10"] {
         let site = site_with(&[("late_fail = 0.033", &format!("late_fail = 0.033\n{price}"))]);
         let priced = simulate_at(&site, &replaced, 1, Policy::RoundRobin);
@@ -305,25 +306,25 @@
     let replaced = with_fault(
         "kind = \"replace\"\npart = 0.5\n[[fault]]\nkind = \"sidecars_killed\"\nat_s = 4\nfor_s = 0.5\npart = 0.5\n",
     );
-    let usual = simulate(&replaced, 1, Policy::Module);
+    let usual = simulate(&replaced, 1, Policy::Balancer);
     for site in [&live, &reports] {
-        let figures = simulate_at(site, &replaced, 1, Policy::Module);
+        let figures = simulate_at(site, &replaced, 1, Policy::Balancer);
         assert_eq!(figures.requests, usual.requests);
         assert!(figures.violations.is_empty(), "{:?}", figures.violations);
     }
     // Under overload, the in-flight limit of a sidecar is divided among the servers by weight.
     let overload = replaced.replace("load = 0.6", "load = 1.3");
     assert_ne!(
-        simulate_at(&live, &overload, 1, Policy::Module).digest,
-        simulate(&overload, 1, Policy::Module).digest
+        simulate_at(&live, &overload, 1, Policy::Balancer).digest,
+        simulate(&overload, 1, Policy::Balancer).digest
     );
 }
 
 #[test]
-fn corrupt_responses_late_connections_and_eager_clients_add_tries_and_violate_no_rule() {
-    let calm = simulate(PLAIN, 1, Policy::Module);
+fn corrupt_responses_late_connections_and_retry_surges_degrade_service_and_violate_no_rule() {
+    let calm = simulate(PLAIN, 1, Policy::Balancer);
     let figures_with = |fault: &str| {
-        let figures = simulate(&with_fault(fault), 1, Policy::Module);
+        let figures = simulate(&with_fault(fault), 1, Policy::Balancer);
         assert!(figures.violations.is_empty(), "{fault}: {:?}", figures.violations);
         figures
     };
@@ -348,7 +349,8 @@
     let rule = "a send to a server that drains or is gone";
     let violations =
         |calls: f64, length: u32| simulate(&text(calls, length), 1, Policy::RoundRobin).violations;
-    // At 0.001 calls per second a fetch takes 1,000 s: new processes get no list after that of their start.
+    // At 0.001 calls per second a fetch takes 1,000 s: within the run, a restarted sidecar receives no list after its
+    // first.
     assert!(violations(0.001, 30).contains_key(rule), "{:?}", violations(0.001, 30));
     assert!(!violations(0.001, 9).contains_key(rule), "{:?}", violations(0.001, 9));
     assert!(!violations(20.0, 30).contains_key(rule), "{:?}", violations(20.0, 30));
@@ -356,14 +358,15 @@
 
 #[test]
 fn request_abandoned_while_its_connection_opens_is_never_sent() {
-    // Clients disconnect within half of 180 or 270 ms, connections open after 140 ms.
+    // Clients disconnect within half of the timeout of a try, which is at most the deadline of 180 or 270 ms: after at
+    // most 90 or 135 ms. Connections open after 140 ms.
     let text = format!(
         "pace = 0.09\n{PLAIN}[[fault]]\nkind = \"late_connects\"\nat_s = 0\nfor_s = 30\nsize = 1\nextra = 0.14\n
 [[fault]]\nkind = \"eager\"\nat_s = 0\nfor_s = 30\nsize = 1\nextra = 1\n"
     );
     // Clients that retry do not disconnect.
     let site = site_with(&[("retries = [1, 2.99]", "retries = 0")]);
-    for policy in [Policy::Module, Policy::RoundRobin, Policy::TrueState] {
+    for policy in [Policy::Balancer, Policy::RoundRobin, Policy::TrueState] {
         let name = policy.name();
         let figures = simulate_at(&site, &text, 1, policy);
         assert!(figures.violations.is_empty(), "{name}: {:?}", figures.violations);
@@ -379,13 +382,13 @@
     // The registry's table is last: keys after its header would belong to it.
     let with_registry = format!("{FAULTS}{REGISTRY}");
     for seed in 1..=4 {
-        for policy in [Policy::Module, Policy::TrueState] {
+        for policy in [Policy::Balancer, Policy::TrueState] {
             let name = policy.name();
             let figures = simulate(&with_registry, seed, policy);
             assert!(figures.violations.is_empty(), "{name}, seed {seed}: {:?}", figures.violations);
         }
         let (with, without) =
-            (simulate(&with_registry, seed, Policy::Module), simulate(FAULTS, seed, Policy::Module));
+            (simulate(&with_registry, seed, Policy::Balancer), simulate(FAULTS, seed, Policy::Balancer));
         assert_eq!(with.requests, without.requests);
         assert!(
             with.staleness_ms[0] < without.staleness_ms[0],
@@ -393,14 +396,14 @@
             with.staleness_ms,
             without.staleness_ms
         );
-        assert_eq!(simulate(&with_registry, seed, Policy::Module).digest, with.digest);
+        assert_eq!(simulate(&with_registry, seed, Policy::Balancer).digest, with.digest);
     }
 }
 
 #[test]
 fn killed_registry_leader_or_paused_replica_delays_updates_within_a_bound() {
     let replaced = with_fault("kind = \"replace\"\npart = 0.5\n");
-    let calm = simulate(&format!("{replaced}{REGISTRY}"), 1, Policy::Module);
+    let calm = simulate(&format!("{replaced}{REGISTRY}"), 1, Policy::Balancer);
     assert!(
         calm.last_notified_ms[2] > 0.0 && calm.last_notified_ms[2] < 200.0,
         "{:?}",
@@ -408,7 +411,7 @@
     );
     for (kind, extra, bound) in [("roster_killed", 0, 1000.0), ("roster_held", 1, 7000.0)] {
         let fault = format!("[[fault]]\nkind = \"{kind}\"\nat_s = 4\nfor_s = 5\nextra = {extra}\n");
-        let figures = simulate(&format!("{replaced}{fault}{REGISTRY}"), 1, Policy::Module);
+        let figures = simulate(&format!("{replaced}{fault}{REGISTRY}"), 1, Policy::Balancer);
         assert!(figures.violations.is_empty(), "{kind}: {:?}", figures.violations);
         assert!(figures.last_notified_ms[2] < bound, "{kind}: {:?}", figures.last_notified_ms);
         // A killed leader delays the acknowledgement of a change, a paused replica the notification.
@@ -427,7 +430,7 @@
         "{PLAIN}[[fault]]\nkind = \"discovery_down\"\nat_s = 3\nfor_s = 6\n
 [[fault]]\nkind = \"sidecars_killed\"\nat_s = 4\nfor_s = 0.2\n{REGISTRY}"
     );
-    let figures = simulate(&text, 1, Policy::Module);
+    let figures = simulate(&text, 1, Policy::Balancer);
     let outage = &figures.windows[5..9];
     let count =
         |field: fn(&lotusmoor_fleet::model::Window) -> u64| outage.iter().map(field).sum::<u64>() as f64;
--- a/crates/fleet/tests/scale.rs
+++ b/crates/fleet/tests/scale.rs
@@ -1,12 +1,12 @@
 //! Stored results of scale runs, and the driver that times the decision module alone.
 
 use lotusmoor_fleet::scale::decision_cost;
-use lotusmoor_fleet::scale::lines::{Line, Lines, LinesError, Mode, Role, StepSizes, Sweep};
+use lotusmoor_fleet::scale::results::{Mode, Record, ResultFile, ResultFileError, Role, StepSizes, Sweep};
 use std::io::Write;
 use std::time::Duration;
 
-fn line(step: u32) -> Line {
-    let mut line = Line {
+fn line(step: u32) -> Record {
+    let mut line = Record {
         sweep: Sweep::SidecarListed,
         mode: Mode::Whole,
         step,
@@ -28,12 +28,12 @@
 fn lines_are_read_as_written_and_have_the_expected_text() {
     let folder = tempfile::tempdir().expect("a folder");
     let path = folder.path().join("lines.jsonl");
-    let mut lines = Lines::create(&path).expect("the file is new");
-    let failed = Line { failed: Some("as told".into()), event: Some("steady".into()), ..line(2) };
+    let mut lines = ResultFile::create(&path).expect("the file is new");
+    let failed = Record { failed: Some("as told".into()), event: Some("steady".into()), ..line(2) };
     for written in [&line(1), &failed] {
         lines.add(written).expect("the line is written");
     }
-    assert_eq!(Lines::read(&path).expect("the lines are read"), [line(1), failed]);
+    assert_eq!(ResultFile::read(&path).expect("the lines are read"), [line(1), failed]);
     let text = std::fs::read_to_string(&path).expect("the file is read");
     let wanted = r#"{"sweep":"sidecar_listed","mode":"whole","step":1,"at":{"hollow":0,"listed":100,"changes_per_s":1.0,"services":0},"role":"sidecar","seconds":1.0,"measured":{"rss_bytes":10000000.0},"seed":1,"commit":"unknown"}"#;
     assert_eq!(text.lines().next(), Some(wanted));
@@ -43,17 +43,17 @@
 fn existing_file_is_not_overwritten_truncated_line_is_ignored_and_invalid_line_is_named() {
     let folder = tempfile::tempdir().expect("a folder");
     let path = folder.path().join("lines.jsonl");
-    Lines::create(&path).and_then(|mut lines| lines.add(&line(1))).expect("the line is written");
-    assert!(matches!(Lines::create(&path), Err(LinesError::Io { .. })));
+    ResultFile::create(&path).and_then(|mut lines| lines.add(&line(1))).expect("the line is written");
+    assert!(matches!(ResultFile::create(&path), Err(ResultFileError::Io { .. })));
     let append = |text: &str| {
         let mut file = std::fs::File::options().append(true).open(&path).expect("the file opens");
         file.write_all(text.as_bytes()).expect("the text is appended");
     };
     append("{\"sweep\":\"sidecar_li");
-    assert_eq!(Lines::read(&path).expect("the truncated line is ignored"), [line(1)]);
+    assert_eq!(ResultFile::read(&path).expect("the truncated line is ignored"), [line(1)]);
     append("\n");
-    let error = Lines::read(&path).expect_err("a complete line is invalid");
-    assert!(matches!(error, LinesError::Line { line: 2, .. }), "{error}");
+    let error = ResultFile::read(&path).expect_err("a complete line is invalid");
+    assert!(matches!(error, ResultFileError::Line { line: 2, .. }), "{error}");
 }
 
 #[test]
--- a/crates/fleet/tests/scale_plan.rs
+++ b/crates/fleet/tests/scale_plan.rs
@@ -94,12 +94,12 @@
     let sweep_or_events = ": sweep: either a sweep or events";
     assert_rejected(SMALL, &[sweep_or_events]);
     assert_rejected(&format!("{SMALL}{ZONE_AWAY}{SWEEP}"), &[sweep_or_events]);
-    let zone = "event 0 (zone_away): zone: is none of zones";
+    let zone = "event 0 (zone_away): zone: is not listed in `zones`";
     assert_rejected(&format!("{SMALL}{}", ZONE_AWAY.replace("\"a2\"", "\"a3\"")), &[zone]);
     let region = "\n[[event]]\nkind = \"region_cut\"\nregion = \"b\"\nfor_s = 1.0\n";
     assert_rejected(
         &format!("{SMALL}{ZONE_AWAY}{region}"),
-        &["event 1 (region_cut): region: is none of regions"],
+        &["event 1 (region_cut): region: is not listed in `regions`"],
     );
     for for_s in ["0.0", "2.0", "nan"] {
         let zone_away = ZONE_AWAY.replace("for_s = 1.0", &format!("for_s = {for_s}"));
--- a/crates/fleet/tests/stored_forms.rs
+++ b/crates/fleet/tests/stored_forms.rs
@@ -6,14 +6,14 @@
 
 use lotusmoor_faults::{Call, errno};
 use lotusmoor_fleet::capacity::Runs;
-use lotusmoor_fleet::experiment::{Line as RunLine, Point, Results, measure, measures};
+use lotusmoor_fleet::experiment::{Point, Results, RunResult, measure, measures};
 use lotusmoor_fleet::harness::backend::{BackendEvent, Conduct, EndedRequest, ReceivedRequest};
 use lotusmoor_fleet::harness::discovery::{DeliveredVersion, ServerEntry};
 use lotusmoor_fleet::model::Figures;
 use lotusmoor_fleet::scale::hollow::{
     Activity, Assignment, ControlRequest, HollowSidecar, LeasedServer, Status,
 };
-use lotusmoor_fleet::scale::lines::{Line as ScaleLine, Lines, Mode, Role, StepSizes, Sweep};
+use lotusmoor_fleet::scale::results::{Mode, Record as ScaleRecord, ResultFile, Role, StepSizes, Sweep};
 use lotusmoor_fleet::soak::{Fault, FaultWindow, LinkKind, Plan};
 use lotusmoor_fleet::sweep::Case;
 use serde::Serialize;
@@ -72,10 +72,10 @@
 #[test]
 fn scale_lines_of_every_kind_round_trip_to_the_same_text() {
     let stored = text(SCALE_LINES);
-    let lines = Lines::read(&fixture(SCALE_LINES)).expect("the lines can be read");
+    let lines = ResultFile::read(&fixture(SCALE_LINES)).expect("the lines can be read");
     let folder = tempfile::tempdir().expect("a folder");
     let copy = folder.path().join("lines.jsonl");
-    let mut written = Lines::create(&copy).expect("the file is new");
+    let mut written = ResultFile::create(&copy).expect("the file is new");
     for line in &lines {
         written.add(line).expect("the line can be written");
     }
@@ -125,7 +125,7 @@
     for entry in std::fs::read_dir(folder).expect("recorded runs") {
         let path = entry.expect("an entry").path();
         let recorded = std::fs::read_to_string(&path).expect("the file can be read");
-        let lines = Lines::read(&path).expect("the lines can be read");
+        let lines = ResultFile::read(&path).expect("the lines can be read");
         assert_eq!(lines.len(), recorded.lines().count(), "{}", path.display());
         for (line, text) in lines.iter().zip(recorded.lines()) {
             let written = serde_json::to_value(line).expect("the line can be written");
@@ -138,10 +138,10 @@
 
 #[test]
 fn scale_line_is_read_into_the_expected_fields() {
-    let lines = Lines::read(&fixture(SCALE_LINES)).expect("the lines can be read");
+    let lines = ResultFile::read(&fixture(SCALE_LINES)).expect("the lines can be read");
     let found =
         lines.iter().find(|line| line.sweep == Sweep::ModuleListed).expect("a line of the decision module");
-    let mut expected = ScaleLine {
+    let mut expected = ScaleRecord {
         sweep: Sweep::ModuleListed,
         mode: Mode::Whole,
         step: 1,
@@ -174,8 +174,8 @@
 
 #[test]
 fn failed_scale_line_keeps_its_keys() {
-    let lines = Lines::read(&fixture(SCALE_LINES)).expect("the lines can be read");
-    let failed = ScaleLine {
+    let lines = ResultFile::read(&fixture(SCALE_LINES)).expect("the lines can be read");
+    let failed = ScaleRecord {
         event: Some("roll".to_owned()),
         failed: Some("no leader".to_owned()),
         measured: Default::default(),
@@ -186,7 +186,7 @@
         written.contains(r#""event":"roll""#) && written.contains(r#""failed":"no leader""#),
         "{written}"
     );
-    assert_eq!(read::<ScaleLine>(&written), failed);
+    assert_eq!(read::<ScaleRecord>(&written), failed);
 }
 
 #[test]
@@ -248,7 +248,7 @@
         ("/figures/classes/0/in_time", figures.classes[0].in_time),
         ("/figures/classes/0/latency_ms/0", figures.classes[0].latency_ms[0]),
         ("/figures/windows/0/worth", figures.windows[0].worth),
-        ("/figures/windows/0/served", figures.windows[0].served),
+        ("/figures/windows/0/served", figures.windows[0].worth_earned),
         ("/figures/windows/0/p50_ms", figures.windows[0].p50_ms),
         ("/figures/windows/0/p99_ms", figures.windows[0].p99_ms),
         ("/figures/windows/0/p999_ms", figures.windows[0].p999_ms),
@@ -292,8 +292,8 @@
         assert!(figures.remove(added_later).is_some(), "{added_later}");
     }
     older["point"] = read("{}");
-    let line: RunLine = serde_json::from_value(older).expect("the older form can be read");
-    let newer: RunLine = read(stored.lines().next().expect("a line"));
+    let line: RunResult = serde_json::from_value(older).expect("the older form can be read");
+    let newer: RunResult = read(stored.lines().next().expect("a line"));
     let expected = Figures {
         notified_after_ms: [0.0; 3],
         last_notified_ms: [0.0; 3],
--- a/crates/lotusmoor/src/fleet.rs
+++ b/crates/lotusmoor/src/fleet.rs
@@ -281,7 +281,7 @@
                 let (a, b) = c.medians;
                 println!(
                     "{:<32} {:>3} pairs  {a:.4} to {b:.4}  {:+.4} ({low:+.4} to {high:+.4})",
-                    c.at, c.pairs, c.difference
+                    c.label, c.pairs, c.difference
                 );
             }
             Ok(())
--- a/crates/lotusmoor/src/scale.rs
+++ b/crates/lotusmoor/src/scale.rs
@@ -2,7 +2,7 @@
 
 use crate::Failure;
 use indicatif::ProgressBar;
-use lotusmoor_fleet::scale::lines::Role;
+use lotusmoor_fleet::scale::results::Role;
 use lotusmoor_fleet::scale::{Plan, StepResult, run_plan};
 use std::path::{Path, PathBuf};
 
--- a/crates/lotusmoor/src/scale_sidecar.rs
+++ b/crates/lotusmoor/src/scale_sidecar.rs
@@ -1,7 +1,7 @@
 //! `lotusmoor fleet sidecar-scale`: what the list's length and its changes cost one sidecar.
 
 use crate::Failure;
-use lotusmoor_fleet::scale::lines::{Lines, Mode, Sweep};
+use lotusmoor_fleet::scale::results::{Mode, ResultFile, Sweep};
 use lotusmoor_fleet::scale::sidecar::{self, Plan};
 use std::path::PathBuf;
 use std::time::Duration;
@@ -71,8 +71,8 @@
 pub fn run(arguments: Arguments) -> Result<(), Failure> {
     let Arguments { out, sweeps, listed, changes, at_listed, seconds, mode, rate, seed } = arguments;
     let length = Duration::from_secs_f64(seconds);
-    let plan = Plan { sweeps, listed, changes, at_listed, length, mode, rate, seed };
-    let said = |e: lotusmoor_fleet::scale::lines::LinesError| Failure::Said(e.to_string());
-    let mut lines = Lines::create(&out).map_err(said)?;
+    let plan = Plan { sweeps, listed, changes, listed_for_changes: at_listed, length, mode, rate, seed };
+    let said = |e: lotusmoor_fleet::scale::results::ResultFileError| Failure::Said(e.to_string());
+    let mut lines = ResultFile::create(&out).map_err(said)?;
     sidecar::run(&plan, &mut lines).map_err(said)
 }
--- a/crates/lotusmoor/src/soak.rs
+++ b/crates/lotusmoor/src/soak.rs
@@ -12,7 +12,8 @@
 use std::sync::atomic::{AtomicU64, Ordering};
 use std::time::Instant;
 
-/// How often a run is played without a trouble before that counts as not needed to fail.
+/// How often a plan is run without one of its faults; if it passes each time, the fault is needed for the failure
+/// and is kept.
 const SHRINK_PLAYS: usize = 3;
 
 #[derive(clap::Args)]
--- a/crates/lotusmoor/tests/scale.rs
+++ b/crates/lotusmoor/tests/scale.rs
@@ -4,7 +4,7 @@
 use indicatif::ProgressBar;
 use lotusmoor_fleet::harness::{process_guard, until};
 use lotusmoor_fleet::scale::deployment::{Deployment, REPLICAS, START_TIMEOUT, server_name};
-use lotusmoor_fleet::scale::lines::{Line, Lines, Role, Sweep};
+use lotusmoor_fleet::scale::results::{Record, ResultFile, Role, Sweep};
 use lotusmoor_fleet::scale::{Mode, Plan, run_plan};
 use serde_json::Value;
 use std::path::{Path, PathBuf};
@@ -80,7 +80,7 @@
     assert!(!out.exists());
 }
 
-fn keys(line: &Line) -> Vec<&str> {
+fn keys(line: &Record) -> Vec<&str> {
     line.measured.keys().map(String::as_str).collect()
 }
 
@@ -144,7 +144,7 @@
             assert!(step.recovered >= plan.hollow, "{details}");
         }
     }
-    let lines = Lines::read(&out).expect("the results are read");
+    let lines = ResultFile::read(&out).expect("the results are read");
     // Compares text, as a number that is parsed may differ in its last digit.
     let text = std::fs::read_to_string(&out).expect("the file is read");
     let expected = steps
--- a/crates/lotusmoor/tests/scale_sidecar.rs
+++ b/crates/lotusmoor/tests/scale_sidecar.rs
@@ -1,7 +1,7 @@
 //! `lotusmoor fleet sidecar-scale` with real processes: its lines, a step that fails, and runs that are interrupted.
 
 use lotusmoor_fleet::harness::{process_guard, until};
-use lotusmoor_fleet::scale::lines::{Line, Lines, Mode, Role, Sweep};
+use lotusmoor_fleet::scale::results::{Mode, Record, ResultFile, Role, Sweep};
 use std::path::Path;
 use std::process::{Command, Stdio};
 
@@ -14,7 +14,7 @@
     command
 }
 
-fn keys(line: &Line) -> Vec<&str> {
+fn keys(line: &Record) -> Vec<&str> {
     line.measured.keys().map(String::as_str).collect()
 }
 
@@ -24,8 +24,8 @@
     let out = folder.path().join("small.jsonl");
     let status = command(&out, &SMALL).status().expect("the command runs");
     assert!(status.success());
-    let lines = Lines::read(&out).expect("the results are read");
-    let step = |line: &Line| (line.sweep, line.role, line.step, line.at.listed, line.at.changes_per_s);
+    let lines = ResultFile::read(&out).expect("the results are read");
+    let step = |line: &Record| (line.sweep, line.role, line.step, line.at.listed, line.at.changes_per_s);
     let steps: Vec<_> = lines.iter().map(step).collect();
     let (module, sidecar) = (Role::Module, Role::Sidecar);
     assert_eq!(
@@ -85,7 +85,7 @@
     command.args(["--sweeps", "sidecar_listed,module_listed"]);
     // A sidecar that exits at once.
     assert!(command.env("LOTUSMOOR_SIDECAR", "/bin/false").status().expect("the command runs").success());
-    let lines = Lines::read(&out).expect("the results are read");
+    let lines = ResultFile::read(&out).expect("the results are read");
     let failed: Vec<_> = lines.iter().map(|l| (l.sweep, l.failed.is_some())).collect();
     let (sidecar, module) = (Sweep::SidecarListed, Sweep::ModuleListed);
     assert_eq!(failed, [(sidecar, true), (sidecar, true), (module, false), (module, false)]);
