--- a/crates/lotusmoor/src/fleet.rs
+++ b/crates/lotusmoor/src/fleet.rs
@@ -298,7 +298,7 @@
                 let (base_median, other_median) = comparison.medians;
                 println!(
                     "{:<32} {:>3} pairs  {base_median:.4} to {other_median:.4}  {:+.4} ({low:+.4} to {high:+.4})",
-                    comparison.at, comparison.pairs, comparison.difference
+                    comparison.label, comparison.pairs, comparison.difference
                 );
             }
             Ok(())
--- a/crates/lotusmoor/src/scale_sidecar.rs
+++ b/crates/lotusmoor/src/scale_sidecar.rs
@@ -1,7 +1,7 @@
 //! `lotusmoor fleet sidecar-scale`: the cost of the endpoint list's length and rate of change for one sidecar.
 
 use crate::Failure;
-use lotusmoor_fleet::scale::lines::{Lines, Mode, Sweep};
+use lotusmoor_fleet::scale::results::{Mode, ResultFile, Sweep};
 use lotusmoor_fleet::scale::sidecar::{self, Plan};
 use std::path::PathBuf;
 use std::time::Duration;
@@ -72,8 +72,8 @@
 pub fn run(arguments: Arguments) -> Result<(), Failure> {
     let Arguments { out, sweeps, listed, changes, at_listed, seconds, mode, rate, seed } = arguments;
     let length = Duration::from_secs_f64(seconds);
-    let plan = Plan { sweeps, listed, changes, at_listed, length, mode, rate, seed };
-    let to_failure = |e: lotusmoor_fleet::scale::lines::LinesError| Failure::Message(e.to_string());
-    let mut lines = Lines::create(&out).map_err(to_failure)?;
+    let plan = Plan { sweeps, listed, changes, listed_for_changes: at_listed, length, mode, rate, seed };
+    let to_failure = |e: lotusmoor_fleet::scale::results::ResultFileError| Failure::Message(e.to_string());
+    let mut lines = ResultFile::create(&out).map_err(to_failure)?;
     sidecar::run(&plan, &mut lines).map_err(to_failure)
 }
--- a/crates/lotusmoor/src/soak.rs
+++ b/crates/lotusmoor/src/soak.rs
@@ -12,7 +12,8 @@
 use std::sync::atomic::{AtomicU64, Ordering};
 use std::time::Instant;
 
-/// A fault is kept in a minimised plan if the plan without it passes this many times.
+/// How often a plan is run without one of its faults; if it passes each time, the fault is needed for the failure
+/// and is kept.
 const SHRINK_ATTEMPTS: usize = 3;
 
 #[derive(clap::Args)]
