--- a/crates/registry/src/store/error.rs
+++ b/crates/registry/src/store/error.rs
@@ -20,7 +20,7 @@
     #[error("the database is corrupt: the checksums of its pages do not match")]
     IntegrityCheck,
     /// The database is so corrupt that opening it panics.
-    #[error("the database is corrupt, opening it panicked: {panic}")]
+    #[error("the database is corrupt: an assertion failed while it was opened: {panic}")]
     OpenPanicked {
         /// The message of the panic.
         panic: String,
--- a/crates/sidecar/src/file_access.rs
+++ b/crates/sidecar/src/file_access.rs
@@ -121,7 +121,7 @@
     spawn(move || drop(sender.send(operation(&shared))))?;
     match timeout(limit, result).await {
         Ok(Ok(result)) => result,
-        Ok(Err(_)) => Err(io::Error::other("file operation panicked")),
+        Ok(Err(_)) => Err(io::Error::other("file operation was aborted")),
         Err(_) => Err(commit.abandon()),
     }
 }
