--- a/crates/registry/src/node/writes.rs
+++ b/crates/registry/src/node/writes.rs
@@ -85,7 +85,7 @@
     match error {
         // openraft also returns this for a command that was proposed before this replica lost leadership.
         RaftError::APIError(ClientWriteError::ForwardToLeader(_)) => {
-            WriteError::OutcomeUnknown("leadership was lost".into())
+            WriteError::OutcomeUnknown("the lead was lost".into())
         }
         RaftError::APIError(error) => WriteError::OutcomeUnknown(error.to_string()),
         RaftError::Fatal(fatal) => WriteError::Stopped(fatal.to_string()),
