--- a/crates/lotusmoor/src/fleet.rs
+++ b/crates/lotusmoor/src/fleet.rs
@@ -69,7 +69,9 @@
         /// Variant that is compared with the baseline
         #[arg(long)]
         other: String,
-        /// Measure by which they are compared
+        /// Measure by which they are compared: g (the score), whole, worst_window, worst_class, worst_tenant, late,
+        /// refused, failed, tries, attempts, crossed, handshakes, wasted, tipped, p50_ms, p99_ms, p999_ms,
+        /// staleness_p99_ms, told_after_p99_ms, told_last_p50_ms, told_last_p99_ms, told_last_most_ms or broken
         #[arg(long, default_value = "g")]
         measure: String,
     },
@@ -187,8 +189,8 @@
         #[arg(long, default_value = "{}", value_parser = parse_conduct)]
         conduct: Conduct,
         /// Maximum number of requests that it works on at a time
-        #[arg(long, default_value_t = 1000)]
-        cores: usize,
+        #[arg(long = "cores", value_name = "CORES", default_value_t = 1000)]
+        max_concurrent: usize,
     },
     /// Hollow sidecars, which read the registry as real ones do but serve no requests
     #[command(name = "hollow")]
@@ -222,8 +224,8 @@
     }
     let runtime = tokio::runtime::Builder::new_current_thread().enable_all().build()?;
     match service {
-        FakeService::Backend { name, listen, records, conduct, cores } => {
-            runtime.block_on(backend::serve(name, listen, records.as_deref(), conduct, cores))
+        FakeService::Backend { name, listen, records, conduct, max_concurrent } => {
+            runtime.block_on(backend::serve(name, listen, records.as_deref(), conduct, max_concurrent))
         }
         FakeService::Discovery { sidecar, control, records } => {
             runtime.block_on(discovery::serve(sidecar, control, &records))
@@ -278,9 +280,9 @@
         Command::Experiment { file, results, cores } => {
             let loaded = Experiment::load(&file)?;
             loaded.scenarios.iter().for_each(|(_, site)| warn_ignored_keys(site));
-            let (played, existing) =
+            let (executed, existing) =
                 experiment::run_experiment(&loaded, &results, cores).map_err(to_failure)?;
-            println!("{played} runs played, {existing} had results: {}", results.display());
+            println!("{executed} runs played, {existing} had results: {}", results.display());
             Ok(())
         }
         Command::Compare { results, base, other, measure } => {
@@ -324,7 +326,8 @@
                 idle.bytes, idle.sidecar_cpu_ms, idle.replicas_cpu_ms
             );
             println!(
-                "fault                     changes  acknowledged ms p50 p99 max last notified ms p50 p99 max  write gap ms"
+                "                                               acknowledged ms     last sidecar notified ms      write\n\
+                 fault                     changes          p50     p99     max          p50     p99     max  outage ms"
             );
             let pause = Some(Duration::from_millis(150));
             let measurements = load::registry::Fault::ALL.map(|f| (f, pause));
@@ -439,11 +442,11 @@
 
 fn print_figures(figures: &Figures, windows: bool) {
     println!(
-        "goal g {:.4}  whole run {:.4}  worst 10 s {:.4}  worst class {:.4}",
+        "score g {:.4}  whole run {:.4}  worst 10 s {:.4}  worst class {:.4}",
         figures.score, figures.whole_run, figures.worst_window, figures.worst_class
     );
     println!(
-        "late {:.4}  refused {:.4}  failed {:.4}  tries {:.3}  attempts {:.3}  across zones {:.3}  handshakes {:.3}  wasted {:.3}  servers collapsed {}",
+        "late {:.4}  refused {:.4}  failed {:.4}  client tries per request {:.3}  attempts per try {:.3}  across zones {:.3}  handshakes {:.3}  wasted work {:.3}  servers crashed by overload {}",
         figures.late,
         figures.refused,
         figures.failed,
--- a/crates/lotusmoor/src/main.rs
+++ b/crates/lotusmoor/src/main.rs
@@ -128,8 +128,8 @@
     } else {
         BoxMakeWriter::new(std::io::stderr)
     };
-    // A line that can't be written is dropped. The subscriber must not report that: it would do so on the same standard
-    // error, which ends the process.
+    // A line that can't be written is dropped. The subscriber must not report that: it would use `eprintln!`, which
+    // panics when standard error can't be written, and the panic can end the process.
     let log =
         tracing_subscriber::fmt().with_env_filter(filter).with_writer(writer).log_internal_errors(false);
     if cli.log_json {
--- a/crates/lotusmoor/src/scale.rs
+++ b/crates/lotusmoor/src/scale.rs
@@ -14,7 +14,8 @@
     /// Path of the results, which must not exist yet: a line of JSON for each role of each step
     #[arg(long)]
     out: PathBuf,
-    /// Number of hollow sidecars, instead of the plan's; a sweep over this number has only this step
+    /// Number of hollow sidecars, instead of the plan's; if the plan varies this number from step to step, only this
+    /// value is measured
     #[arg(long)]
     hollow: Option<usize>,
     /// Measuring time of each step in seconds, instead of the plan's
@@ -69,7 +70,7 @@
     };
     println!(
         "{} {} hollow {} listed {} changes per second{}: cpu us/s leader {} follower {} hollow {} sidecar {}; notified ms p50 {} \
-         p99 {} max {}; in force ms p99 {}; added us p50 {} p99 {}; recovery ms {}; not notified {} disconnected {}",
+         p99 {} max {}; applied ms p99 {}; added latency us p50 {} p99 {}; recovery ms {}; not notified {} disconnected {}",
         step.mode.name(),
         step.sizes.hollow,
         step.sizes.listed,
--- a/crates/lotusmoor/src/soak.rs
+++ b/crates/lotusmoor/src/soak.rs
@@ -101,15 +101,15 @@
             && let Some(plan) = self.plans.lock().ok().and_then(|mut plans| plans.next())
         {
             match run_plan(&plan) {
-                Ok(summary) => self.passed(&plan, summary),
-                Err(failure) => self.failed(&plan, failure),
+                Ok(summary) => self.record_pass(&plan, summary),
+                Err(failure) => self.record_failure(&plan, failure),
             }
             self.completed.fetch_add(1, Ordering::Relaxed);
             self.bar.inc(1);
         }
     }
 
-    fn passed(&self, plan: &Plan, summary: RunSummary) {
+    fn record_pass(&self, plan: &Plan, summary: RunSummary) {
         self.requests.fetch_add(summary.requests as u64, Ordering::Relaxed);
         self.write_result(
             &json!({"seed": plan.seed, "passed": true, "requests": summary.requests, "served": summary.served,
@@ -119,7 +119,7 @@
         );
     }
 
-    fn failed(&self, plan: &Plan, failure: ClusterError) {
+    fn record_failure(&self, plan: &Plan, failure: ClusterError) {
         let (plan, failure) =
             if self.shrink { shrink(plan, failure, SHRINK_ATTEMPTS) } else { (plan.clone(), failure) };
         let plan_json = serde_json::to_string(&plan).unwrap_or_default();
